--- a/beaconhinge/__main__.py
+++ b/beaconhinge/__main__.py
@@ -38,8 +38,12 @@
     from .config.ours import Ours
 
 
-async def serve(reader: Callable[[], Config], ours: Ours | None = None, shared: Path | None = None,
-                reread: Callable[[], Ours] | None = None) -> None:
+async def serve(
+    reader: Callable[[], Config],
+    ours: Ours | None = None,
+    shared: Path | None = None,
+    reread: Callable[[], Ours] | None = None,
+) -> None:
     """`shared`: the folder in which a process leaves word for the one that will replace it. `reread` gives
     our own configuration as it is now.
     """
@@ -57,14 +61,33 @@
     discovery = Discovery(config, core, workers, wheel, stats, clock.wall)
     peers = Peers(config, core, wheel, stats)
     requests = Requests(core, workers, wheel, stats, config.settings, config.class_names)
-    frontend = Frontend(config, requests, workers.news,
-                        lambda: bool(workers.workers) and discovery.current, peers.others, wheel, budget,
-                        stats)
+    frontend = Frontend(
+        config,
+        requests,
+        workers.news,
+        lambda: bool(workers.workers) and discovery.current,
+        peers.others,
+        wheel,
+        budget,
+        stats,
+    )
     operators = Operators(config, core, workers, requests, frontend)
     upgrade = None
     if config.mgmt is not None and shared is not None:
-        upgrade = Upgrade(config, config.mgmt, shared, core, workers, discovery, peers, frontend, operators,
-                          budget, wheel, stats)
+        upgrade = Upgrade(
+            config,
+            config.mgmt,
+            shared,
+            core,
+            workers,
+            discovery,
+            peers,
+            frontend,
+            operators,
+            budget,
+            wheel,
+            stats,
+        )
     if ours and ours.progress.enabled:
         from .net.streams import Streams
 
@@ -82,8 +105,11 @@
         discovery.move(new.discovery)
         peers.move(new)
         stats.count("reloads")
-        stats.log("reloaded", discovery=f"{new.discovery[0]}:{new.discovery[1]}",
-                  wait_for_restart=",".join(config.kept_until_restart(new)) or "none")
+        stats.log(
+            "reloaded",
+            discovery=f"{new.discovery[0]}:{new.discovery[1]}",
+            wait_for_restart=",".join(config.kept_until_restart(new)) or "none",
+        )
 
     leases = None
     stopping = asyncio.Event()
@@ -102,13 +128,35 @@
     if ours and ours.recovery.enabled:
         from .net.recovery import recover
 
-        returning = recover(ours.recovery, config, keeper.store if keeper else None, core, wheel, requests,
-                            workers, discovery, peers, frontend, operators, upgrade, stats)
+        returning = recover(
+            ours.recovery,
+            config,
+            keeper.store if keeper else None,
+            core,
+            wheel,
+            requests,
+            workers,
+            discovery,
+            peers,
+            frontend,
+            operators,
+            upgrade,
+            stats,
+        )
     if ours and ours.leases.enabled:
         from .net.lease_calls import lease
 
-        leases = lease(ours.leases, config, keeper.store if keeper else None, operators, upgrade, peers,
-                       wheel, stats, inherited)
+        leases = lease(
+            ours.leases,
+            config,
+            keeper.store if keeper else None,
+            operators,
+            upgrade,
+            peers,
+            wheel,
+            stats,
+            inherited,
+        )
     discovery.remembered()
     frontend.listen()
     if returning is not None:
@@ -119,8 +167,13 @@
         management = Management(config.mgmt, operators.acts, wheel, stats)
         management.adopt = upgrade.adopt if upgrade is not None else None
         management.listen()
-    stats.log("started", name=config.name, listen=f"{config.listen[0]}:{config.listen[1]}",
-              workers=len(workers.workers), sockets=config.limits.sockets)
+    stats.log(
+        "started",
+        name=config.name,
+        listen=f"{config.listen[0]}:{config.listen[1]}",
+        workers=len(workers.workers),
+        sockets=config.limits.sockets,
+    )
 
     await stopping.wait()
     stats.log("stopping", owed=frontend.owing)
@@ -151,8 +204,14 @@
     from .books.keeper import Keeper
     from .store import Store
 
-    keeper = Keeper(Store.open(ours.store.folder, ours.store, log=stats.log), core.dispatcher, wheel, stats,
-                    ours.books.interval_s, ours.books.max_age_s)
+    keeper = Keeper(
+        Store.open(ours.store.folder, ours.store, log=stats.log),
+        core.dispatcher,
+        wheel,
+        stats,
+        ours.books.interval_s,
+        ours.books.max_age_s,
+    )
     keeper.restore()
     keeper.keep()
     return keeper
--- a/beaconhinge/books/keeper.py
+++ b/beaconhinge/books/keeper.py
@@ -13,8 +13,15 @@
 
 
 class Keeper:
-    def __init__(self, store: Store, dispatcher: Dispatcher, wheel: Wheel, stats: Stats, interval_s: float,
-                 max_age_s: float) -> None:
+    def __init__(
+        self,
+        store: Store,
+        dispatcher: Dispatcher,
+        wheel: Wheel,
+        stats: Stats,
+        interval_s: float,
+        max_age_s: float,
+    ) -> None:
         self.store = store
         self.dispatcher = dispatcher
         self.wheel = wheel
--- a/beaconhinge/books/record.py
+++ b/beaconhinge/books/record.py
@@ -61,13 +61,33 @@
 def take(dispatcher: Dispatcher, now: float) -> Record:
     """The books as they stand. Changes nothing."""
     return Record(
-        VERSION, now, fingerprint(dispatcher.settings), dispatcher.rate, dispatcher.part,
-        dispatcher.mean_work, dispatcher.pace, dispatcher.job_time, list(dispatcher.quota),
-        [Bucket(tenant, cls, b.demand, b.admitted, b.tokens, b.rate)
-         for (tenant, cls), b in dispatcher.buckets.items()],
-        [Peer(number, p.incarnation, p.sequence, now - p.heard, p.known, p.span,
-              [(*key, rate) for key, rate in p.demand.items()], p.admitted)
-         for number, p in dispatcher.fleet.peers.items()])
+        VERSION,
+        now,
+        fingerprint(dispatcher.settings),
+        dispatcher.rate,
+        dispatcher.part,
+        dispatcher.mean_work,
+        dispatcher.pace,
+        dispatcher.job_time,
+        list(dispatcher.quota),
+        [
+            Bucket(tenant, cls, b.demand, b.admitted, b.tokens, b.rate)
+            for (tenant, cls), b in dispatcher.buckets.items()
+        ],
+        [
+            Peer(
+                number,
+                p.incarnation,
+                p.sequence,
+                now - p.heard,
+                p.known,
+                p.span,
+                [(*key, rate) for key, rate in p.demand.items()],
+                p.admitted,
+            )
+            for number, p in dispatcher.fleet.peers.items()
+        ],
+    )
 
 
 def encode(record: Record) -> bytes:
@@ -116,7 +136,8 @@
         most = max(decide.BURST * bucket.rate, decide.BURST_JOBS * record.mean_work)
         tokens = 0.0 if bucket.rate == decide.INF else min(bucket.tokens + age * bucket.rate, most)
         dispatcher.buckets[bucket.tenant, bucket.cls] = decide._Bucket(
-            0.0, 0.0, bucket.demand, bucket.admitted, tokens, bucket.rate)
+            0.0, 0.0, bucket.demand, bucket.admitted, tokens, bucket.rate
+        )
     dispatcher.part = dispatcher.own_part(dispatcher.total_demand()) if not dispatcher.many else record.part
     for tenant, level in enumerate(record.quota):
         rate = told.tenants[tenant].quota_rps * dispatcher.part
--- a/beaconhinge/cli/__init__.py
+++ b/beaconhinge/cli/__init__.py
@@ -16,8 +16,10 @@
     try:
         import typer
     except ImportError:
-        print("beaconhinge: the command line needs its libraries: pip install 'beaconhinge[cli]'",
-              file=sys.stderr)
+        print(
+            "beaconhinge: the command line needs its libraries: pip install 'beaconhinge[cli]'",
+            file=sys.stderr,
+        )
         return 2
     from .app import UsageError, app
 
--- a/beaconhinge/cli/config.py
+++ b/beaconhinge/cli/config.py
@@ -40,9 +40,11 @@
 
 
 @app.command()
-def show(file: Annotated[Path | None, typer.Argument(exists=True, dir_okay=False)] = None,
-         defaults: Annotated[bool, typer.Option("--defaults", help="Every key with its default.")] = False,
-         as_json: AsJson = False) -> int:
+def show(
+    file: Annotated[Path | None, typer.Argument(exists=True, dir_okay=False)] = None,
+    defaults: Annotated[bool, typer.Option("--defaults", help="Every key with its default.")] = False,
+    as_json: AsJson = False,
+) -> int:
     """Print every key of our TOML with its value, defaults filled in.
 
     Examples: beaconhinge config show --defaults; beaconhinge config show deploy/edge.toml --json
--- a/beaconhinge/cli/demo.py
+++ b/beaconhinge/cli/demo.py
@@ -15,12 +15,13 @@
 LOOK = 0.5  # seconds between two pictures
 
 
-def demo(seconds: Annotated[float, typer.Option(min=1, max=3600, help="How long clients ask.")] = 10.0,
-         boxes: Annotated[int, typer.Option(min=1, max=200)] = 6,
-         rate: Annotated[float, typer.Option(min=0.1, max=2000, help="Jobs a second.")] = 40.0,
-         seed: Annotated[int, typer.Option(min=0, max=65535)] = 1,
-         as_json: Annotated[bool, typer.Option("--json", help="Closing figures alone.")] = False,
-         ) -> int:
+def demo(
+    seconds: Annotated[float, typer.Option(min=1, max=3600, help="How long clients ask.")] = 10.0,
+    boxes: Annotated[int, typer.Option(min=1, max=200)] = 6,
+    rate: Annotated[float, typer.Option(min=0.1, max=2000, help="Jobs a second.")] = 40.0,
+    seed: Annotated[int, typer.Option(min=0, max=65535)] = 1,
+    as_json: Annotated[bool, typer.Option("--json", help="Closing figures alone.")] = False,
+) -> int:
     """Start a dispatcher, discovery, script boxes and clients on free loopback ports, and show what goes on.
 
     Status 1 when a request did not get its one final answer.
@@ -33,9 +34,11 @@
 
         print(json.dumps({**msgspec.to_builtins(figures), "well": figures.well}))
     else:
-        print(f"{figures.asked} requests: {figures.served} served, {figures.refused} refused, "
-              f"{figures.failed} failed, {figures.missing} without an answer; "
-              f"median {figures.median_ms:.0f} ms, 99 of 100 within {figures.p99_ms:.0f} ms")
+        print(
+            f"{figures.asked} requests: {figures.served} served, {figures.refused} refused, "
+            f"{figures.failed} failed, {figures.missing} without an answer; "
+            f"median {figures.median_ms:.0f} ms, 99 of 100 within {figures.p99_ms:.0f} ms"
+        )
     return 0 if figures.well else 1
 
 
@@ -69,9 +72,19 @@
     for name in ("taken", "in work", "sent", "served", "refused", "failed"):
         dispatcher.add_column(name, justify="right")
     answered = sum(n for name, n in told.items() if name.startswith("answer_"))
-    dispatcher.add_row(*(str(n) for n in (
-        told.get("requests_taken", 0), told.get("requests_taken", 0) - answered, told.get("attempts", 0),
-        told.get("answer_served", 0), told.get("answer_refused", 0), told.get("answer_failed", 0))))
+    dispatcher.add_row(
+        *(
+            str(n)
+            for n in (
+                told.get("requests_taken", 0),
+                told.get("requests_taken", 0) - answered,
+                told.get("attempts", 0),
+                told.get("answer_served", 0),
+                told.get("answer_refused", 0),
+                told.get("answer_failed", 0),
+            )
+        )
+    )
     fleet = Table(title="script boxes")
     for name in ("box", "in work", "taken", "done", "turned away"):
         fleet.add_column(name, justify="right")
@@ -81,6 +94,9 @@
     asked = Table(title="clients")
     for name in ("asked", "open", "answers"):
         asked.add_column(name, justify="right")
-    asked.add_row(str(clients.asked), str(clients.open),
-                  " ".join(f"{status}: {n}" for status, n in sorted(clients.answers.items())))
+    asked.add_row(
+        str(clients.asked),
+        str(clients.open),
+        " ".join(f"{status}: {n}" for status, n in sorted(clients.answers.items())),
+    )
     return Group(dispatcher, fleet, asked)
--- a/beaconhinge/cli/leases.py
+++ b/beaconhinge/cli/leases.py
@@ -60,8 +60,10 @@
     if as_json:
         print(json.dumps(told))
         return 0
-    print(f"members {' '.join(map(str, told['members']))} under number {told['council']}; "
-          f"this one votes in {told['votes_in_s']:g} s")
+    print(
+        f"members {' '.join(map(str, told['members']))} under number {told['council']}; "
+        f"this one votes in {told['votes_in_s']:g} s"
+    )
     for name, lease in told["leases"].items():
         held = f"held here, number {lease['number']}, {lease['left_s']:g} s left"
         what = held if lease["held"] else "not held here"
@@ -81,9 +83,13 @@
 
 
 @app.command("run", context_settings={"ignore_unknown_options": True})
-def run(name: Name, command: Annotated[list[str], typer.Argument(help="After --: what to run.")], mgmt: Mgmt,
-        slots: Annotated[int, typer.Option(min=1, max=999, help="So many may hold it at once.")] = 1,
-        every: Annotated[float, typer.Option(min=0.0, help="Seconds; 0: once.")] = 0.0) -> int:
+def run(
+    name: Name,
+    command: Annotated[list[str], typer.Argument(help="After --: what to run.")],
+    mgmt: Mgmt,
+    slots: Annotated[int, typer.Option(min=1, max=999, help="So many may hold it at once.")] = 1,
+    every: Annotated[float, typer.Option(min=0.0, help="Seconds; 0: once.")] = 0.0,
+) -> int:
     """Wait for a lease, then run a command under it; the command's exit status, or 1 if the lease was lost.
 
     It finds the number and the time left in BEACONHINGE_LEASE_NUMBER and BEACONHINGE_LEASE_LEFT_MS, and is
@@ -111,9 +117,15 @@
     name, number, end = await _wait(names, mgmt)
     try:
         left = str(max(0, int(1000 * (end - time.monotonic()))))
-        process = await asyncio.create_subprocess_exec(*command, env={
-            **os.environ, "BEACONHINGE_LEASE": name, "BEACONHINGE_LEASE_NUMBER": str(number),
-            "BEACONHINGE_LEASE_LEFT_MS": left})
+        process = await asyncio.create_subprocess_exec(
+            *command,
+            env={
+                **os.environ,
+                "BEACONHINGE_LEASE": name,
+                "BEACONHINGE_LEASE_NUMBER": str(number),
+                "BEACONHINGE_LEASE_LEFT_MS": left,
+            },
+        )
         done, lost = asyncio.create_task(process.wait()), False
         while not done.done():
             await asyncio.wait([done], timeout=AGAIN / 2 if lost else AGAIN)
--- a/beaconhinge/cli/logs.py
+++ b/beaconhinge/cli/logs.py
@@ -12,9 +12,11 @@
 
 
 @app.command("sum")
-def add_up(files: Annotated[list[Path], typer.Argument(exists=True, dir_okay=False)],
-           as_json: Annotated[bool, typer.Option("--json", help="For scripts.")] = False,
-           events: Annotated[int, typer.Option(min=1, help="How many events to show.")] = 8) -> int:
+def add_up(
+    files: Annotated[list[Path], typer.Argument(exists=True, dir_okay=False)],
+    as_json: Annotated[bool, typer.Option("--json", help="For scripts.")] = False,
+    events: Annotated[int, typer.Option(min=1, help="How many events to show.")] = 8,
+) -> int:
     """Print how often each event was logged, by second and by dispatcher, and the sums of all counters.
 
     Lines may be plain or JSON.
@@ -30,12 +32,23 @@
     names = found.names[:events]
     nodes = sorted({node for node, _ in found.events})
     if as_json:
-        print(json.dumps({
-            "first": found.first, "unread": found.unread, "counters": dict(sorted(found.counters.items())),
-            "seconds": {str(at): {n: found.seconds[at, n] for n in names if found.seconds[at, n]}
-                        for at in sorted({at for at, _ in found.seconds})},
-            "dispatchers": {node: {n: found.events[node, n] for n in names if found.events[node, n]}
-                            for node in nodes}}))
+        print(
+            json.dumps(
+                {
+                    "first": found.first,
+                    "unread": found.unread,
+                    "counters": dict(sorted(found.counters.items())),
+                    "seconds": {
+                        str(at): {n: found.seconds[at, n] for n in names if found.seconds[at, n]}
+                        for at in sorted({at for at, _ in found.seconds})
+                    },
+                    "dispatchers": {
+                        node: {n: found.events[node, n] for n in names if found.events[node, n]}
+                        for node in nodes
+                    },
+                }
+            )
+        )
         return 0
     width = max([len(node) for node in nodes] + [6])
     print(f"{'second':>{width}} " + " ".join(f"{name:>{max(len(name), 5)}}" for name in names))
--- a/beaconhinge/cli/rehearse.py
+++ b/beaconhinge/cli/rehearse.py
@@ -12,11 +12,15 @@
     from ..standin.rig import Verdict
 
 
-def rehearse(scenario: Annotated[Path, typer.Argument(help="A scenario in TOML; deploy/rehearsals has some.",
-                                                   exists=True, dir_okay=False)],
-             seed: Annotated[int | None, typer.Option(min=0, max=65535, help="Not the scenario's.")] = None,
-             runs: Annotated[int, typer.Option(min=1, max=10_000, help="Seeds, one after the other.")] = 1,
-             as_json: Annotated[bool, typer.Option("--json", help="The verdict alone.")] = False) -> int:
+def rehearse(
+    scenario: Annotated[
+        Path,
+        typer.Argument(help="A scenario in TOML; deploy/rehearsals has some.", exists=True, dir_okay=False),
+    ],
+    seed: Annotated[int | None, typer.Option(min=0, max=65535, help="Not the scenario's.")] = None,
+    runs: Annotated[int, typer.Option(min=1, max=10_000, help="Seeds, one after the other.")] = 1,
+    as_json: Annotated[bool, typer.Option("--json", help="The verdict alone.")] = False,
+) -> int:
     """Play a scenario, or seed after seed of it, and judge what clients, boxes and logs wrote down.
 
     Status 3 when a rule was broken, or when a fault hit nothing.
@@ -44,13 +48,19 @@
         print(json.dumps({**msgspec.to_builtins(verdict), "well": verdict.well}))
     else:
         ends = ", ".join(f"{n} {end}" for end, n in verdict.ends.items())
-        print(f"{verdict.name}, seed {verdict.seed}: {verdict.asked} tries ({ends}); {verdict.keys} keys, "
-              f"{verdict.keys_unanswered} without a result; {verdict.runs} runs")
-        print(f"served {verdict.served_before:.2f} before the first fault, {verdict.served_after:.2f} after "
-              f"the last; faults hit: {verdict.faults or 'none'}")
+        print(
+            f"{verdict.name}, seed {verdict.seed}: {verdict.asked} tries ({ends}); {verdict.keys} keys, "
+            f"{verdict.keys_unanswered} without a result; {verdict.runs} runs"
+        )
+        print(
+            f"served {verdict.served_before:.2f} before the first fault, {verdict.served_after:.2f} after "
+            f"the last; faults hit: {verdict.faults or 'none'}"
+        )
         if verdict.acts:
-            print(f"{verdict.acts} acts under leases, of {verdict.tenures} tenures; {verdict.stale} refused "
-                  "for their number")
+            print(
+                f"{verdict.acts} acts under leases, of {verdict.tenures} tenures; {verdict.stale} refused "
+                "for their number"
+            )
         for line in verdict.broken:
             print(f"broken: {line}")
         print("verdict: well" if verdict.well else "verdict: broken")
--- a/beaconhinge/cli/soak.py
+++ b/beaconhinge/cli/soak.py
@@ -26,11 +26,13 @@
     return found
 
 
-def soak(seeds: Annotated[str, typer.Option(help="FIRST..LAST, or one seed.")] = "1..5",
-         processes: Annotated[int, typer.Option(min=2, max=MOST_PROCESSES, help="Dispatchers.")] = 12,
-         only: Annotated[str, typer.Option(help="Numbers of the faults to keep.")] = "",
-         shrink: Annotated[bool, typer.Option(help="Leave out faults while a seed still fails.")] = True,
-         as_json: Annotated[bool, typer.Option("--json", help="A line a seed, and the sum.")] = False) -> int:
+def soak(
+    seeds: Annotated[str, typer.Option(help="FIRST..LAST, or one seed.")] = "1..5",
+    processes: Annotated[int, typer.Option(min=2, max=MOST_PROCESSES, help="Dispatchers.")] = 12,
+    only: Annotated[str, typer.Option(help="Numbers of the faults to keep.")] = "",
+    shrink: Annotated[bool, typer.Option(help="Leave out faults while a seed still fails.")] = True,
+    as_json: Annotated[bool, typer.Option("--json", help="A line a seed, and the sum.")] = False,
+) -> int:
     """Play seed after seed of random faults, and judge by what clients, workers and discovery recorded.
 
     Status 3 when a rule was broken, or when no fault hit anything. A failing seed is shrunk, and printed as
@@ -47,18 +49,35 @@
         hits.update(verdict.faults)
         failed += [] if verdict.well else [seed]
         if as_json:
-            print(json.dumps({"seed": seed, "asked": verdict.asked, "ends": verdict.ends,
-                              "faults": verdict.faults, "broken": verdict.broken}), flush=True)
+            print(
+                json.dumps(
+                    {
+                        "seed": seed,
+                        "asked": verdict.asked,
+                        "ends": verdict.ends,
+                        "faults": verdict.faults,
+                        "broken": verdict.broken,
+                    }
+                ),
+                flush=True,
+            )
         else:
-            print(f"seed {seed}: {verdict.asked} tries, {sum(verdict.faults.values())} hits of "
-                  f"{len(verdict.faults)} kinds: {'well' if verdict.well else 'broken'}", flush=True)
+            print(
+                f"seed {seed}: {verdict.asked} tries, {sum(verdict.faults.values())} hits of "
+                f"{len(verdict.faults)} kinds: {'well' if verdict.well else 'broken'}",
+                flush=True,
+            )
             for line in verdict.broken:
                 print(f"  broken: {line}", flush=True)
         if not verdict.well and shrink:
             _shrink(scenario, processes)
     total = {"seeds": len(_range(seeds)), "failed": failed, "faults": dict(sorted(hits.items()))}
-    print(json.dumps(total) if as_json else f"{total['seeds']} seeds, failed: {failed or 'none'}; hits: "
-          + ", ".join(f"{kind} {times}" for kind, times in sorted(hits.items())))
+    print(
+        json.dumps(total)
+        if as_json
+        else f"{total['seeds']} seeds, failed: {failed or 'none'}; hits: "
+        + ", ".join(f"{kind} {times}" for kind, times in sorted(hits.items()))
+    )
     return 3 if failed or not hits.total() else 0
 
 
@@ -90,6 +109,9 @@
     command = f"beaconhinge soak --seeds {scenario.seed} --processes {processes} --only {numbers}"
     print(f"  again: {command}", flush=True)
     for fault in less.faults:
-        print(f"    {fault.at_s:.2f} s {fault.what} for {fault.for_s:.2f} s, dispatchers {fault.who or 'all'}"
-              f"{' ' + fault.how.value if fault.what == 'spoil' else ''}"
-              f"{' ' + fault.trouble.value if fault.what == 'workers' else ''}", flush=True)
+        print(
+            f"    {fault.at_s:.2f} s {fault.what} for {fault.for_s:.2f} s, dispatchers {fault.who or 'all'}"
+            f"{' ' + fault.how.value if fault.what == 'spoil' else ''}"
+            f"{' ' + fault.trouble.value if fault.what == 'workers' else ''}",
+            flush=True,
+        )
--- a/beaconhinge/cli/store.py
+++ b/beaconhinge/cli/store.py
@@ -17,8 +17,11 @@
     from ..store import Store
     from ..store.repair import Damage
 
-app = typer.Typer(no_args_is_help=True, help="Look at, check, clean and salvage a store. All but verify and "
-                  "repair need the program that uses it to be stopped.")
+app = typer.Typer(
+    no_args_is_help=True,
+    help="Look at, check, clean and salvage a store. All but verify and "
+    "repair need the program that uses it to be stopped.",
+)
 Folder = Annotated[Path, typer.Argument(exists=True, file_okay=False, help="The store's folder.")]
 AsJson = Annotated[bool, typer.Option("--json", help="For scripts.")]
 BROKEN = 3
@@ -31,8 +34,15 @@
     from rich.progress import BarColumn, DownloadColumn, Progress, TimeRemainingColumn
 
     console = Console(stderr=True)
-    with Progress(title, BarColumn(), DownloadColumn(), TimeRemainingColumn(), console=console,
-                  disable=not console.is_terminal, transient=True) as progress:
+    with Progress(
+        title,
+        BarColumn(),
+        DownloadColumn(),
+        TimeRemainingColumn(),
+        console=console,
+        disable=not console.is_terminal,
+        transient=True,
+    ) as progress:
         task = progress.add_task(title, total=None)
         yield lambda done, total: progress.update(task, completed=done, total=total)
 
@@ -60,8 +70,12 @@
 
     if not (folder / MANIFEST).exists():  # opening would make a new store there
         raise StoreError(f"{folder}: no store is in this folder")
-    return Store.open(folder, log=lambda event, **fields: print(
-        event, *(f"{key}={value}" for key, value in fields.items()), file=sys.stderr))
+    return Store.open(
+        folder,
+        log=lambda event, **fields: print(
+            event, *(f"{key}={value}" for key, value in fields.items()), file=sys.stderr
+        ),
+    )
 
 
 @app.command()
@@ -93,8 +107,13 @@
     except StoreCorrupt as error:
         found = Verified(damage=[Damage(error.file, error.offset, 0, error.reason)])
     damage = _listed(found.damage)
-    figures = {"segments": found.segments, "frames": found.frames, "bytes": found.size,
-               "torn_tail_bytes": found.torn, "unusable_indexes": found.indexes_unusable}
+    figures = {
+        "segments": found.segments,
+        "frames": found.frames,
+        "bytes": found.size,
+        "torn_tail_bytes": found.torn,
+        "unusable_indexes": found.indexes_unusable,
+    }
     if as_json:
         print(json.dumps({**figures, "well": not damage, "damage": damage}))
     else:
@@ -105,9 +124,12 @@
 
 
 @app.command()
-def dump(folder: Folder, prefix: Annotated[str, typer.Option(help="Only keys that begin so.")] = "",
-         values: Annotated[bool, typer.Option(help="Values as well, in hexadecimal.")] = False,
-         as_json: AsJson = False) -> int:
+def dump(
+    folder: Folder,
+    prefix: Annotated[str, typer.Option(help="Only keys that begin so.")] = "",
+    values: Annotated[bool, typer.Option(help="Values as well, in hexadecimal.")] = False,
+    as_json: AsJson = False,
+) -> int:
     """Present keys in order, one a line.
 
     Example: beaconhinge store dump /var/lib/beaconhinge --prefix books --values
@@ -132,6 +154,7 @@
 
     Example: beaconhinge store compact /var/lib/beaconhinge
     """
+
     async def work() -> dict[str, Any]:
         store = _open(folder)
         before = store.engine.disk_bytes
@@ -146,8 +169,11 @@
 
 
 @app.command()
-def repair(folder: Folder, into: Annotated[Path, typer.Argument(help="A new folder for what is salvaged.")],
-           as_json: AsJson = False) -> int:
+def repair(
+    folder: Folder,
+    into: Annotated[Path, typer.Argument(help="A new folder for what is salvaged.")],
+    as_json: AsJson = False,
+) -> int:
     """Salvage every whole batch into a new folder and list what was lost. The old one stays as it is.
 
     Example: beaconhinge store repair /var/lib/beaconhinge /var/lib/beaconhinge-2
@@ -166,8 +192,9 @@
     target = RealDisk(into)
     target.lock()
     with _bar("salvaging") as progress:
-        found = salvage(source, target, Options(), lambda event, **fields: None, lambda: os.urandom(16),
-                        progress)
+        found = salvage(
+            source, target, Options(), lambda event, **fields: None, lambda: os.urandom(16), progress
+        )
     source.unlock()
     target.unlock()
     lost = _listed(found.lost)
@@ -180,10 +207,12 @@
 
 
 @app.command()
-def bench(folder: Annotated[Path | None, typer.Argument(help="Where; else a temporary folder.")] = None,
-          commits: Annotated[int, typer.Option(min=1, max=1_000_000)] = 2000,
-          writers: Annotated[int, typer.Option(min=1, max=1000)] = 64,
-          as_json: AsJson = False) -> int:
+def bench(
+    folder: Annotated[Path | None, typer.Argument(help="Where; else a temporary folder.")] = None,
+    commits: Annotated[int, typer.Option(min=1, max=1_000_000)] = 2000,
+    writers: Annotated[int, typer.Option(min=1, max=1000)] = 64,
+    as_json: AsJson = False,
+) -> int:
     """How fast this disk makes commits durable: by one writer, by many, and bare append with fdatasync.
 
     Example: beaconhinge store bench /var/lib --commits 5000
--- a/beaconhinge/config/ours.py
+++ b/beaconhinge/config/ours.py
@@ -20,8 +20,7 @@
 
 
 class Platform(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """Where the platform's JSON is. Without it the variable RELAY_CONFIG names the file, as on the platform.
-    """
+    """Where the platform's JSON is. Without it the variable RELAY_CONFIG names the file, as there."""
 
     config: str = ""
 
@@ -129,8 +128,12 @@
                 return "calls", f"{call.name[:50]!r} is no name: letters, digits and dashes, 40 at most"
             if not (0.05 <= call.every_s < float("inf") and 0 < call.longest_s <= self.span_s / 2):
                 return "calls", f"{call.name}: every_s from 0.05, longest_s up to half of span_s"
-            if not call.path.startswith("/") or not call.path.isascii() or not call.path.isprintable() \
-                    or " " in call.path:
+            if (
+                not call.path.startswith("/")
+                or not call.path.isascii()
+                or not call.path.isprintable()
+                or " " in call.path
+            ):
                 return "calls", f"{call.name}: path must begin with / and hold no blanks"
             try:
                 address(call.to, call.name)
--- a/beaconhinge/config/platform.py
+++ b/beaconhinge/config/platform.py
@@ -83,8 +83,11 @@
         raise ConfigError(f"RELAY_CONFIG: cannot read {path}: {error}") from None
     if not isinstance(content, dict):
         raise ConfigError("RELAY_CONFIG: the file must hold one JSON object")
-    given = {key: environment[f"RELAY_{key.upper()}"] for key in ("name", "listen", "discovery", "mgmt")
-             if environment.get(f"RELAY_{key.upper()}")}
+    given = {
+        key: environment[f"RELAY_{key.upper()}"]
+        for key in ("name", "listen", "discovery", "mgmt")
+        if environment.get(f"RELAY_{key.upper()}")
+    }
     return parse({**given, **content})
 
 
--- a/beaconhinge/invariants.py
+++ b/beaconhinge/invariants.py
@@ -50,8 +50,11 @@
 
     def list_taken(self, content: Mapping[str, Any], now: float) -> None:
         """A list was taken, as it was parsed: `{"full": …, "servers": [{"id": …, "state": …}, …]}`."""
-        named = {entry["id"]: entry.get("state") for entry in content.get("servers", ())
-                 if isinstance(entry, Mapping) and isinstance(entry.get("id"), str)}
+        named = {
+            entry["id"]: entry.get("state")
+            for entry in content.get("servers", ())
+            if isinstance(entry, Mapping) and isinstance(entry.get("id"), str)
+        }
         for worker, state in named.items():
             if state == "Ready":
                 self._left.pop(worker, None)
--- a/beaconhinge/inventory.py
+++ b/beaconhinge/inventory.py
@@ -132,11 +132,23 @@
         zones = {number: name for name, number in self.zones.items()}
         kinds = {number: name for name, number in self.kinds.items()}
         states = {state: name for name, state in STATES.items()}
-        return {"version": version, "full": True, "servers": [
-            {"id": host.id, "addr": f"{host.address[0]}:{host.address[1]}",
-             "state": states[host.member.status], "zone": zones.get(host.member.zone),
-             "kind": kinds.get(host.member.kind), "cell": host.member.cell, "weight": host.member.weight,
-             "started_ms": host.member.started_at * 1000} for host in hosts]}
+        return {
+            "version": version,
+            "full": True,
+            "servers": [
+                {
+                    "id": host.id,
+                    "addr": f"{host.address[0]}:{host.address[1]}",
+                    "state": states[host.member.status],
+                    "zone": zones.get(host.member.zone),
+                    "kind": kinds.get(host.member.kind),
+                    "cell": host.member.cell,
+                    "weight": host.member.weight,
+                    "started_ms": host.member.started_at * 1000,
+                }
+                for host in hosts
+            ],
+        }
 
     def _host(self, entry: Any) -> Host:
         name = entry["id"]
@@ -152,6 +164,16 @@
         weight, started = float(entry.get("weight", 1.0)), float(entry.get("started_ms", 0))
         if weight - weight != 0.0 or started - started != 0.0:
             raise ValueError("weight or started_ms is not finite")
-        return Host(name, (ip, int(port)), Member(
-            number, STATES[entry["state"]], self.kinds.get(entry.get("kind"), -1), int(entry.get("cell", 0)),
-            self.zones.get(entry.get("zone"), -1), weight, max(started, 0.0) / 1000))
+        return Host(
+            name,
+            (ip, int(port)),
+            Member(
+                number,
+                STATES[entry["state"]],
+                self.kinds.get(entry.get("kind"), -1),
+                int(entry.get("cell", 0)),
+                self.zones.get(entry.get("zone"), -1),
+                weight,
+                max(started, 0.0) / 1000,
+            ),
+        )
--- a/beaconhinge/leases/holder.py
+++ b/beaconhinge/leases/holder.py
@@ -110,8 +110,13 @@
         if sender in self.council.members and message.kind in (GRANT, NO):
             self.highest = max(self.highest, message.number)
         asked = self.round
-        if asked is None or message.round != asked.id or message.council != self.council.number \
-                or sender not in self.council.members or not self.wanted:
+        if (
+            asked is None
+            or message.round != asked.id
+            or message.council != self.council.number
+            or sender not in self.council.members
+            or not self.wanted
+        ):
             # An answer to no question, or to an older one; but who refused may say that it is free by now.
             free = message.kind == NO and message.round == self.failed and message.value == 0
             if free and self.wanted and asked is None and self.tenure is None:
@@ -167,8 +172,14 @@
 
     def _ask(self, now: float) -> list[Action]:
         kind, number = (ASK, self.highest + 1) if self.tenure is None else (RENEW, self.tenure.number)
-        question = Message(kind, self.council.number, int(self.random() * 0xFFFFFFFF), self.lease, number,
-                           milliseconds(self.terms.span))
+        question = Message(
+            kind,
+            self.council.number,
+            int(self.random() * 0xFFFFFFFF),
+            self.lease,
+            number,
+            milliseconds(self.terms.span),
+        )
         self.round = Round(question.round, number, now, question, now + self.terms.round / REPEATS)
         return self._to_all(question)
 
--- a/beaconhinge/leases/node.py
+++ b/beaconhinge/leases/node.py
@@ -82,11 +82,19 @@
             elif held.tenure is not None:
                 lost.append(Lost(held.lease, held.tenure.number, "handed over"))
         member = self.member
-        votes = [[lease, vote.holder, vote.number, vote.round, vote.until - now]
-                 for lease, vote in member.votes.items()]
-        state = {"votes": votes, "highest": list(member.highest.items()), "floor": member.floor,
-                 "silent": member.silent_until - now, "moved": member.moved_at - now,
-                 "council": member.council.number, "numbers": list(member.numbers.items())}
+        votes = [
+            [lease, vote.holder, vote.number, vote.round, vote.until - now]
+            for lease, vote in member.votes.items()
+        ]
+        state = {
+            "votes": votes,
+            "highest": list(member.highest.items()),
+            "floor": member.floor,
+            "silent": member.silent_until - now,
+            "moved": member.moved_at - now,
+            "council": member.council.number,
+            "numbers": list(member.numbers.items()),
+        }
         self.out = True
         self.holders.clear()
         return lost, state
@@ -99,8 +107,10 @@
         if state["council"] != member.council.number:
             raise ValueError("of another step of the members")
         lefts = [math.inf if left == math.inf else float(left) - passed for *_, left in state["votes"]]
-        votes = {int(lease): Vote(int(who), int(number), now + min(left, longest), int(round_))
-                 for (lease, who, number, round_, _), left in zip(state["votes"], lefts, strict=True)}
+        votes = {
+            int(lease): Vote(int(who), int(number), now + min(left, longest), int(round_))
+            for (lease, who, number, round_, _), left in zip(state["votes"], lefts, strict=True)
+        }
         highest = {int(lease): int(number) for lease, number in state["highest"]}
         numbers = {int(number): int(council) for number, council in state["numbers"]}
         moved, silent, floor = float(state["moved"]), float(state["silent"]), int(state["floor"])
@@ -129,8 +139,17 @@
         return done
 
 
-def new(own: int, council: Council, terms: Terms, now: float, random: Callable[[], float], floor: int = 0,
-        durable: bool = False, highest: dict[int, int] | None = None) -> Node:
+def new(
+    own: int,
+    council: Council,
+    terms: Terms,
+    now: float,
+    random: Callable[[], float],
+    floor: int = 0,
+    durable: bool = False,
+    highest: dict[int, int] | None = None,
+) -> Node:
     """A process that has just started: whatever its last life granted is over once it speaks."""
-    return Node(Member(own, council, terms, now + terms.silence, floor, durable, highest=dict(highest or {})),
-                random)
+    return Node(
+        Member(own, council, terms, now + terms.silence, floor, durable, highest=dict(highest or {})), random
+    )
--- a/beaconhinge/leases/votes.py
+++ b/beaconhinge/leases/votes.py
@@ -76,8 +76,11 @@
                 del self.votes[message.lease]
                 # Not of a question that failed: more would follow at once, and meet without end.
                 waiting = self.refused.pop(message.lease, {}) if message.value else {}
-                return [Say(to, self._say(NO, asked, self.highest.get(asked.lease, self.floor)))
-                        for to, asked in waiting.items() if to != sender]
+                return [
+                    Say(to, self._say(NO, asked, self.highest.get(asked.lease, self.floor)))
+                    for to, asked in waiting.items()
+                    if to != sender
+                ]
         elif message.kind == STEP and message.round:
             return [Say(sender, Message(STEP, self.council.number))]
         return []
@@ -93,8 +96,11 @@
         """Who has to hear of the step, until that before it is over."""
         known = self.council.members | self.council.before
         waits = self.moved_at == math.inf
-        return [Say(member, Message(STEP, self.council.number, 1)) for member in sorted(known - {self.own})
-                if waits]
+        return [
+            Say(member, Message(STEP, self.council.number, 1))
+            for member in sorted(known - {self.own})
+            if waits
+        ]
 
     def written(self, now: float, write: Write, well: bool) -> list[Action]:
         """Its span begins now. What is not on the disk is not granted, and counts as granted all the same."""
--- a/beaconhinge/leases/wire.py
+++ b/beaconhinge/leases/wire.py
@@ -27,8 +27,15 @@
 
 
 def encode(message: Message) -> bytes:
-    return _FORM.pack(LEASE, message.kind, message.council, message.round, message.lease, message.number,
-                      min(message.value, _MOST))
+    return _FORM.pack(
+        LEASE,
+        message.kind,
+        message.council,
+        message.round,
+        message.lease,
+        message.number,
+        min(message.value, _MOST),
+    )
 
 
 def decode(payload: bytes) -> Message | None:
--- a/beaconhinge/logs/structured.py
+++ b/beaconhinge/logs/structured.py
@@ -19,14 +19,19 @@
     return fields
 
 
-def writer(form: Literal["logfmt", "json"], sink: TextIO,
-           now: Callable[[], float]) -> Callable[[str, dict[str, object]], None]:
+def writer(
+    form: Literal["logfmt", "json"], sink: TextIO, now: Callable[[], float]
+) -> Callable[[str, dict[str, object]], None]:
     """A line for each call, with the Unix time and the event first. Raises OSError when nobody reads it."""
     renderer: Any = structlog.processors.JSONRenderer()
     if form == "logfmt":
         renderer = structlog.processors.LogfmtRenderer(key_order=["time", "event"])
-    logger = structlog.wrap_logger(structlog.PrintLogger(sink), processors=[_bounded, renderer],
-                                   wrapper_class=structlog.BoundLogger, context_class=dict)
+    logger = structlog.wrap_logger(
+        structlog.PrintLogger(sink),
+        processors=[_bounded, renderer],
+        wrapper_class=structlog.BoundLogger,
+        context_class=dict,
+    )
 
     def write(event: str, fields: dict[str, object]) -> None:
         logger.new(time=now()).msg(event, **fields)
--- a/beaconhinge/management/calls.py
+++ b/beaconhinge/management/calls.py
@@ -14,9 +14,19 @@
 LEASE_HAND_OVER = "lease-hand-over"
 TAKE_OVER = "take-over"  # between two processes of one dispatcher
 # What each call needs beside its name.
-WORDS = {READY: "", SHOW_STAT: "", DRAIN: "", RESUME: "", DISABLE: "a worker's id", ENABLE: "a worker's id",
-         LEASE_LIST: "", LEASE_TAKE: "a lease's name", LEASE_GIVE: "a lease's name",
-         LEASE_HAND_OVER: "a lease's name", TAKE_OVER: "the word that a process has left"}
+WORDS = {
+    READY: "",
+    SHOW_STAT: "",
+    DRAIN: "",
+    RESUME: "",
+    DISABLE: "a worker's id",
+    ENABLE: "a worker's id",
+    LEASE_LIST: "",
+    LEASE_TAKE: "a lease's name",
+    LEASE_GIVE: "a lease's name",
+    LEASE_HAND_OVER: "a lease's name",
+    TAKE_OVER: "the word that a process has left",
+}
 MAX_LINE = 512  # bytes
 
 
--- a/beaconhinge/management/figures.py
+++ b/beaconhinge/management/figures.py
@@ -16,13 +16,26 @@
     return f"{kind}_{cls}"
 
 
-def show(counters: Mapping[str, int], classes: Iterable[str], inflight: int, listed: int, down: int,
-         phase: str = "") -> str:
+def show(
+    counters: Mapping[str, int],
+    classes: Iterable[str],
+    inflight: int,
+    listed: int,
+    down: int,
+    phase: str = "",
+) -> str:
     """One line of JSON. Every class of the settings appears; the phase only where there are phases."""
-    calls = {cls: {kind: counters.get(counter(kind, cls), 0) for kind in (SUCCESS, BUSY, FAILURE)}
-             for cls in classes}
-    shown = {"calls": calls, BACKEND_CALLS: counters.get(BACKEND_CALLS, 0), "inflight": inflight,
-             "hosts_listed": listed, "hosts_down": down}
+    calls = {
+        cls: {kind: counters.get(counter(kind, cls), 0) for kind in (SUCCESS, BUSY, FAILURE)}
+        for cls in classes
+    }
+    shown = {
+        "calls": calls,
+        BACKEND_CALLS: counters.get(BACKEND_CALLS, 0),
+        "inflight": inflight,
+        "hosts_listed": listed,
+        "hosts_down": down,
+    }
     return json.dumps({**shown, "phase": phase} if phase else shown, separators=(",", ":"))
 
 
--- a/beaconhinge/management/handover.py
+++ b/beaconhinge/management/handover.py
@@ -28,11 +28,44 @@
 STATE, SERVING, PARTED, DONE, CALL_BACK, SLOTS, OUT, BACK, DRAIN, RESUME = range(1, 11)
 
 # Of a worker, by name: what it has taught and how it is judged. Times are Unix time, which both have.
-_WORKER = ("kind", "cell", "zone", "started_at", "slow_start_from", "up", "connect_after", "out", "low",
-           "low_before", "limit", "pace", "fail", "benched_until", "bench_for", "bench_over", "trial",
-           "last_sign", "speed", "speed_at")
-_BOOKS = ("rate", "part", "mean_work", "pace", "job_time", "fleet_speed", "report_after", "reported",
-          "refilled", "controlled", "sends", "fulls", "send_rate", "started")
+_WORKER = (
+    "kind",
+    "cell",
+    "zone",
+    "started_at",
+    "slow_start_from",
+    "up",
+    "connect_after",
+    "out",
+    "low",
+    "low_before",
+    "limit",
+    "pace",
+    "fail",
+    "benched_until",
+    "bench_for",
+    "bench_over",
+    "trial",
+    "last_sign",
+    "speed",
+    "speed_at",
+)
+_BOOKS = (
+    "rate",
+    "part",
+    "mean_work",
+    "pace",
+    "job_time",
+    "fleet_speed",
+    "report_after",
+    "reported",
+    "refilled",
+    "controlled",
+    "sends",
+    "fulls",
+    "send_rate",
+    "started",
+)
 _BUCKET = ("allowed", "denied", "demand", "admitted", "tokens", "rate")
 _PEER = ("incarnation", "sequence", "heard", "known", "span", "admitted")
 
@@ -51,7 +84,7 @@
     head, _, body = form.partition(b"\n")
     if not head.startswith(_MAGIC):
         raise Unusable("foreign, or of another version")
-    if head[len(_MAGIC):] != hashlib.blake2s(body, digest_size=16).hexdigest().encode():
+    if head[len(_MAGIC) :] != hashlib.blake2s(body, digest_size=16).hexdigest().encode():
         raise Unusable("torn: its checksum is wrong")
     content = json.loads(body)
     if not isinstance(content, dict):
@@ -78,8 +111,8 @@
                 raise Unusable(f"a frame of {length} bytes")
             if len(self._waiting) < _HEAD.size + length:
                 return
-            payload = bytes(self._waiting[_HEAD.size:_HEAD.size + length])
-            del self._waiting[:_HEAD.size + length]
+            payload = bytes(self._waiting[_HEAD.size : _HEAD.size + length])
+            del self._waiting[: _HEAD.size + length]
             yield kind, payload
 
 
@@ -96,20 +129,38 @@
     return {
         "settings": fingerprint(module.settings),
         "books": {name: getattr(module, name) for name in _BOOKS},
-        "quota": module.quota, "longest": module.longest,
-        "limits": list(module.limits.items()), "most_free": list(module.most_free.items()),
+        "quota": module.quota,
+        "longest": module.longest,
+        "limits": list(module.limits.items()),
+        "most_free": list(module.most_free.items()),
         "by_hand": list(module.by_hand.items()),
         "buckets": [[*key, [getattr(b, name) for name in _BUCKET]] for key, b in module.buckets.items()],
-        "workers": [[w.id, {name: getattr(w, name) for name in _WORKER}, list(w.sent),
-                     [[classes.index(cls), *until] for cls, until in w.barred.items()]]
-                    for w in module.workers.values()],
+        "workers": [
+            [
+                w.id,
+                {name: getattr(w, name) for name in _WORKER},
+                list(w.sent),
+                [[classes.index(cls), *until] for cls, until in w.barred.items()],
+            ]
+            for w in module.workers.values()
+        ],
         "fleet": {
-            "incarnation": group.incarnation, "sequence": group._sequence, "hub": group.hub,
-            "board": list(group.board.out.items()), "seen": list(group.seen.items()),
+            "incarnation": group.incarnation,
+            "sequence": group._sequence,
+            "hub": group.hub,
+            "board": list(group.board.out.items()),
+            "seen": list(group.seen.items()),
             "hub_heard": group._hub_heard,
-            "peers": [[number, {name: getattr(p, name) for name in _PEER},
-                       [[*key, rate] for key, rate in p.demand.items()], list(p.out.items())]
-                      for number, p in group.peers.items()]},
+            "peers": [
+                [
+                    number,
+                    {name: getattr(p, name) for name in _PEER},
+                    [[*key, rate] for key, rate in p.demand.items()],
+                    list(p.out.items()),
+                ]
+                for number, p in group.peers.items()
+            ],
+        },
     }
 
 
@@ -130,8 +181,9 @@
     quota, longest = [float(q) for q in content["quota"]], [float(s) for s in content["longest"]]
     if len(quota) != len(module.quota) or len(longest) != len(classes):
         raise ValueError("not a figure for each tenant and class")
-    buckets = {(int(t), int(c)): decide._Bucket(*(float(v) for v in values))
-               for t, c, values in content["buckets"]}
+    buckets = {
+        (int(t), int(c)): decide._Bucket(*(float(v) for v in values)) for t, c, values in content["buckets"]
+    }
     workers = {}
     for number, fields, sent, barred in content["workers"]:
         worker = decide._Worker(int(number), peerwire.key(int(number)))
@@ -144,8 +196,13 @@
     told = content["fleet"]
     peers = {}
     for number, fields, demand, out in told["peers"]:
-        peer = fleet.Peer(int(fields["incarnation"]), int(fields["sequence"]), float(fields["heard"]),
-                          float(fields["known"]), float(fields["span"]))
+        peer = fleet.Peer(
+            int(fields["incarnation"]),
+            int(fields["sequence"]),
+            float(fields["heard"]),
+            float(fields["known"]),
+            float(fields["span"]),
+        )
         peer.admitted = float(fields["admitted"])
         peer.demand = {(int(t), int(c)): float(rate) for t, c, rate in demand}
         peer.out = Counter({int(key): int(slots) for key, slots in out})
--- a/beaconhinge/membership.py
+++ b/beaconhinge/membership.py
@@ -73,8 +73,15 @@
     whose content is at hand; None if there is none.
     """
 
-    def __init__(self, pushed: bool, group_size: int, must_ask_in: float, version: int | None,
-                 now: float, chance: float) -> None:
+    def __init__(
+        self,
+        pushed: bool,
+        group_size: int,
+        must_ask_in: float,
+        version: int | None,
+        now: float,
+        chance: float,
+    ) -> None:
         self.pushed = pushed
         self.verification = Verification(pushed, group_size, now, chance, version)
         self.entries = 0  # of the believed list
@@ -137,7 +144,7 @@
         if wait:
             patience = wait + SILENT
         elif self.pushed:
-            patience = min(AGENT_ANSWER * 2**min(self._failures // AGENT_SLOW, 8), AGENT_MOST)
+            patience = min(AGENT_ANSWER * 2 ** min(self._failures // AGENT_SLOW, 8), AGENT_MOST)
         elif self._confirming:
             patience = ANSWER_CONFIRMING
         else:
--- a/beaconhinge/net/discovery.py
+++ b/beaconhinge/net/discovery.py
@@ -49,8 +49,15 @@
 
 
 class Discovery:
-    def __init__(self, config: Config, core: Core, workers: Workers, wheel: Wheel, stats: Stats,
-                 wall_clock: Callable[[], float]) -> None:
+    def __init__(
+        self,
+        config: Config,
+        core: Core,
+        workers: Workers,
+        wheel: Wheel,
+        stats: Stats,
+        wall_clock: Callable[[], float],
+    ) -> None:
         self.config = config
         self._wall_clock = wall_clock
         self._start_times = StartTimes()
@@ -60,10 +67,17 @@
         self.stats = stats
         settings = config.settings
         self._random = random.Random(config.seed)  # of its own: the module's draws stay as they are
-        self.watch = DiscoveryWatch(not settings.subscribe, settings.group_size, settings.must_ask_in,
-                                    _whole_version(config.known), wheel.now(), self._random.random())
-        self.inventory = Inventory(config.zones, config.kinds,
-                                   lambda why: stats.complain("list_entry_malformed", why=why))
+        self.watch = DiscoveryWatch(
+            not settings.subscribe,
+            settings.group_size,
+            settings.must_ask_in,
+            _whole_version(config.known),
+            wheel.now(),
+            self._random.random(),
+        )
+        self.inventory = Inventory(
+            config.zones, config.kinds, lambda why: stats.complain("list_entry_malformed", why=why)
+        )
         self.address = config.discovery
         self.known = config.known or Hosts()
         self.told: Callable[[str], None] = lambda how: None  # hears of each list
@@ -211,16 +225,29 @@
         if step.kind:
             self._taken.append(f"{step.kind}:{known}-{hosts.version}:{len(hosts.hosts)}:{len(hosts.unread)}")
             if differs or hosts.version != known:
-                self.stats.log("list_taken", kind=step.kind, version=hosts.version, known=known,
-                               index=call.index, wait=call.wait, entries=len(hosts.hosts),
-                               unread=len(hosts.unread), after=after)
+                self.stats.log(
+                    "list_taken",
+                    kind=step.kind,
+                    version=hosts.version,
+                    known=known,
+                    index=call.index,
+                    wait=call.wait,
+                    entries=len(hosts.hosts),
+                    unread=len(hosts.unread),
+                    after=after,
+                )
             self.core.monitor.list_taken(self._content, now)
             self._tell(step.kind, hosts)
         else:
             members = [host.member for host in self.workers.hosts()]
-            self.stats.trace("lists", "list_unchanged", version=hosts.version, workers=len(members),
-                             ready=sum(member.status == api.UP for member in members),
-                             taken=" ".join(self._taken))
+            self.stats.trace(
+                "lists",
+                "list_unchanged",
+                version=hosts.version,
+                workers=len(members),
+                ready=sum(member.status == api.UP for member in members),
+                taken=" ".join(self._taken),
+            )
         return step.pause
 
     def _complete(self, hosts: Hosts) -> None:
@@ -277,7 +304,8 @@
                 sock = await connect(self.address)
                 line.connection = Connection(sock, False, lambda: None, MAX_LIST)
             await line.connection.send(
-                http1.request("GET", f"/discovery/hosts{query}".encode(), {"Host": "discovery"}))
+                http1.request("GET", f"/discovery/hosts{query}".encode(), {"Host": "discovery"})
+            )
             await line.connection.begun()
         message = await self._whole_answer(line.connection, call.body)
         if not message.keep_alive:
--- a/beaconhinge/net/frontend.py
+++ b/beaconhinge/net/frontend.py
@@ -62,9 +62,17 @@
 
 
 class Frontend:
-    def __init__(self, config: Config, requests: Requests, news: Callable[[bytes], None],
-                 ready: Callable[[], bool], others: Callable[[], bool], wheel: Wheel, budget: Budget,
-                 stats: Stats) -> None:
+    def __init__(
+        self,
+        config: Config,
+        requests: Requests,
+        news: Callable[[bytes], None],
+        ready: Callable[[], bool],
+        others: Callable[[], bool],
+        wheel: Wheel,
+        budget: Budget,
+        stats: Stats,
+    ) -> None:
         self.config = config
         self.requests = requests
         self.news = news
@@ -315,9 +323,22 @@
         came_at = self.requests.core.arrivals.earliest(now)
         remaining = min(came_at + patience, self.answer_by) - now
         work = self._work(cls, headers.get("x-cost", ""), patience)
-        return Job(name, cls, tenant, remaining, now, message.target, message.body, key,
-                   headers.get("x-route-key", ""), extras.get("slots", 1.0), extras.get("memory", 0.0),
-                   headers.get("x-retried") == "1", work, patience)
+        return Job(
+            name,
+            cls,
+            tenant,
+            remaining,
+            now,
+            message.target,
+            message.body,
+            key,
+            headers.get("x-route-key", ""),
+            extras.get("slots", 1.0),
+            extras.get("memory", 0.0),
+            headers.get("x-retried") == "1",
+            work,
+            patience,
+        )
 
     def _work(self, cls: int, cost: str, waits: float) -> float:
         """Seconds that the job may take by its client's guess. A bad guess costs no job: it is counted."""
--- a/beaconhinge/net/http1.py
+++ b/beaconhinge/net/http1.py
@@ -47,8 +47,14 @@
 class Connection:
     """One socket with its parser. `requests` tells which side sends the messages that are read here."""
 
-    def __init__(self, sock: socket.socket, requests: bool, closed: Callable[[], None],
-                 max_body: int = MAX_BODY, hold: Callable[[int], bool] = lambda count: True) -> None:
+    def __init__(
+        self,
+        sock: socket.socket,
+        requests: bool,
+        closed: Callable[[], None],
+        max_body: int = MAX_BODY,
+        hold: Callable[[int], bool] = lambda count: True,
+    ) -> None:
         self.sock = sock
         self.inbox: deque[Message] = deque()
         self.partial = False  # a message has begun and is not whole
@@ -251,8 +257,9 @@
             self._closed()
 
 
-def response(status: int, body: bytes = b"", headers: Mapping[str, str] | None = None,
-             close: bool = False) -> bytes:
+def response(
+    status: int, body: bytes = b"", headers: Mapping[str, str] | None = None, close: bool = False
+) -> bytes:
     reason = HTTPStatus(status).phrase
     lines = [f"HTTP/1.1 {status} {reason}"]
     if status != 204:
--- a/beaconhinge/net/keys.py
+++ b/beaconhinge/net/keys.py
@@ -38,8 +38,16 @@
 
 
 class Keys:
-    def __init__(self, config: Config, store: Store | None, max_keys: int, max_bytes: int, peers: Peers,
-                 wheel: Wheel, stats: Stats) -> None:
+    def __init__(
+        self,
+        config: Config,
+        store: Store | None,
+        max_keys: int,
+        max_bytes: int,
+        peers: Peers,
+        wheel: Wheel,
+        stats: Stats,
+    ) -> None:
         self.config = config
         self.store = store
         self.peers = peers
@@ -78,7 +86,7 @@
             for place, data in store.scan(PREFIX):
                 try:
                     taken_at, request = keys.read_record(data)
-                    self.book.restore(now, int.from_bytes(place[len(PREFIX):], "big"), taken_at, request)
+                    self.book.restore(now, int.from_bytes(place[len(PREFIX) :], "big"), taken_at, request)
                 except ValueError:
                     damaged += 1
         except StoreError:
@@ -86,8 +94,12 @@
         if damaged:  # what it does not tell is not known
             self.book.unsure_until = now + self.book.window
         self.stats.spawn(self._sign(), "keys")
-        self.stats.log("keys_restored", keys=len(self.book), damaged=damaged,
-                       unsure_for=max(0.0, self.book.unsure_until - now))
+        self.stats.log(
+            "keys_restored",
+            keys=len(self.book),
+            damaged=damaged,
+            unsure_for=max(0.0, self.book.unsure_until - now),
+        )
 
     async def _sign(self) -> None:
         await self._commit([self._owner()])
@@ -168,8 +180,7 @@
         return self.wheel.now() < self.book.unsure_until or self.book.has(request)
 
     def doubt(self) -> None:
-        """The journal is older than what this dispatcher has done since: what it does not hold is not known.
-        """
+        """The journal is older than what this dispatcher has done since: what it lacks is unknown."""
         self.book.unsure_until = self.wheel.now() + self.book.window
         self.stats.spawn(self._sign(), "keys")
 
--- a/beaconhinge/net/lease_calls.py
+++ b/beaconhinge/net/lease_calls.py
@@ -30,8 +30,17 @@
 LOOK = 0.05  # seconds between looks whether it is still taken
 
 
-def lease(ours: Settings, config: Config, store: Store | None, operators: Operators, upgrade: Upgrade | None,
-          peers: Peers, wheel: Wheel, stats: Stats, inherited: dict[str, Any] | None) -> Leases:
+def lease(
+    ours: Settings,
+    config: Config,
+    store: Store | None,
+    operators: Operators,
+    upgrade: Upgrade | None,
+    peers: Peers,
+    wheel: Wheel,
+    stats: Stats,
+    inherited: dict[str, Any] | None,
+) -> Leases:
     """Raises ConfigError where the others cannot be heard."""
     if config.peer_listen is None and config.settings.group_size > 1:
         raise ConfigError("leases.enabled: needs peer_listen and peers, by which dispatchers hear each other")
@@ -75,8 +84,12 @@
         try:
             async with self.wheel.limit(CONNECT):
                 connection = Connection(await connect(address(call.to, call.name)), False, lambda: None)
-            head = {"Host": call.to, "X-Lease": call.name, "X-Lease-Number": str(tenure.number),
-                    "Content-Length": "0"}
+            head = {
+                "Host": call.to,
+                "X-Lease": call.name,
+                "X-Lease-Number": str(tenure.number),
+                "Content-Length": "0",
+            }
             data = http1.request("POST", call.path.encode(), head)
             # From here to the kernel nothing else runs: what comes late is told by its number.
             if not tenure.guard(call.longest_s):
@@ -107,8 +120,11 @@
         self.wheel = wheel
         self.stats = stats
         self.acts: dict[str, Callable[[Call], bytes | Awaitable[bytes]]] = {
-            calls.LEASE_LIST: self._list, calls.LEASE_TAKE: self._take, calls.LEASE_GIVE: self._give,
-            calls.LEASE_HAND_OVER: self._hand_over}
+            calls.LEASE_LIST: self._list,
+            calls.LEASE_TAKE: self._take,
+            calls.LEASE_GIVE: self._give,
+            calls.LEASE_HAND_OVER: self._hand_over,
+        }
 
     def _list(self, _call: Call) -> bytes:
         return calls.shown(self.leases.show())
@@ -147,8 +163,10 @@
         lease = self.leases.lease(name)
         while self.wheel.now() < lease.taken_until:
             try:
-                async with asyncio.timeout(max(0.0, lease.taken_until - self.wheel.now())) as wait, \
-                        self.leases.hold(name):
+                async with (
+                    asyncio.timeout(max(0.0, lease.taken_until - self.wheel.now())) as wait,
+                    self.leases.hold(name),
+                ):
                     wait.reschedule(None)
                     while self.wheel.now() < lease.taken_until:
                         await asyncio.sleep(LOOK)
--- a/beaconhinge/net/leases.py
+++ b/beaconhinge/net/leases.py
@@ -138,8 +138,16 @@
 
 
 class Leases:
-    def __init__(self, ours: Settings, config: Config, store: Store | None, peers: Peers, wheel: Wheel,
-                 stats: Stats, rng: Callable[[], float] = random.random) -> None:
+    def __init__(
+        self,
+        ours: Settings,
+        config: Config,
+        store: Store | None,
+        peers: Peers,
+        wheel: Wheel,
+        stats: Stats,
+        rng: Callable[[], float] = random.random,
+    ) -> None:
         self.config = config
         self.store = store
         self.peers = peers
@@ -157,8 +165,10 @@
 
     def _read(self, ours: Settings) -> tuple[Council, Terms]:
         members = frozenset(ours.members or range(self.config.settings.group_size))
-        return (Council(ours.number, members, frozenset(ours.members_before)),
-                Terms(ours.span_s, ours.span_before_s, spread=self.config.settings.group_size // CROWD))
+        return (
+            Council(ours.number, members, frozenset(ours.members_before)),
+            Terms(ours.span_s, ours.span_before_s, spread=self.config.settings.group_size // CROWD),
+        )
 
     def open(self, inherited: dict[str, Any] | None = None) -> None:
         """`inherited`: what the other process of this dispatcher has handed over."""
@@ -171,16 +181,28 @@
         now = self.wheel.now()
         floor = round(now * 1000)  # wall time, above every number of an earlier life that a folder has lost
         numbers = {lease: max(number, floor) for lease, number in self._numbers()}
-        made = node.new(self.config.settings.own_number, self.council, self.terms, now, self.random, floor,
-                        self.store is not None, numbers)
+        made = node.new(
+            self.config.settings.own_number,
+            self.council,
+            self.terms,
+            now,
+            self.random,
+            floor,
+            self.store is not None,
+            numbers,
+        )
         if inherited is not None:
             try:
                 made.take_over(now, max(0.0, time.monotonic() - float(inherited["at"])), inherited["node"])
             except (KeyError, TypeError, ValueError) as error:
                 self.stats.complain("leases_not_inherited", why=f"{type(error).__name__}: {error}")
         self.node = made
-        self.stats.log("leases_open", members=len(self.council.members), number=self.council.number,
-                       silent_for=max(0.0, made.member.silent_until - now))
+        self.stats.log(
+            "leases_open",
+            members=len(self.council.members),
+            number=self.council.number,
+            silent_for=max(0.0, made.member.silent_until - now),
+        )
         self._steps()
         for lease in self._leases.values():
             if lease.turn.locked():
@@ -208,7 +230,7 @@
             for place, data in self.store.scan(PREFIX):
                 body = lives.read_signed(data, name, number)
                 if body is not None and len(body) == _NUMBER.size:
-                    yield int.from_bytes(place[len(PREFIX):], "big"), _NUMBER.unpack(body)[0]
+                    yield int.from_bytes(place[len(PREFIX) :], "big"), _NUMBER.unpack(body)[0]
         except StoreError as error:  # wall time stands above them
             self.stats.complain("leases_not_read", why=f"{type(error).__name__}: {error}")
 
@@ -275,13 +297,21 @@
             held = self.now_held(lease)
             vote = member.votes.get(lease.key) if member is not None else None
             shown[lease.name] = {
-                "held": held is not None, "number": held.number if held is not None else 0,
+                "held": held is not None,
+                "number": held.number if held is not None else 0,
                 "left_s": round(max(0.0, held.end - now), 3) if held is not None else 0.0,
-                "vote_for": vote.holder if vote is not None and now < vote.until else -1}
+                "vote_for": vote.holder if vote is not None and now < vote.until else -1,
+            }
         votes_in = max(0.0, member.voting_at - now) if member is not None else -1.0
-        return json.dumps({"council": self.council.number, "members": sorted(self.council.members),
-                           "votes_in_s": round(votes_in, 3) if votes_in < math.inf else -1.0,
-                           "leases": shown}, separators=(",", ":"))
+        return json.dumps(
+            {
+                "council": self.council.number,
+                "members": sorted(self.council.members),
+                "votes_in_s": round(votes_in, 3) if votes_in < math.inf else -1.0,
+                "leases": shown,
+            },
+            separators=(",", ":"),
+        )
 
     def leave(self) -> None:
         """Before the last word to the others. What an act is under way for ends by its span."""
--- a/beaconhinge/net/management.py
+++ b/beaconhinge/net/management.py
@@ -20,11 +20,15 @@
 
 
 class Management:
-    """`acts` names what each call does: given a worker's id or nothing, it answers whole bytes, some later.
-    """
+    """`acts` says what each call does: given a worker's id or nothing, it answers bytes, some later."""
 
-    def __init__(self, address: Address, acts: dict[str, Callable[[Call], bytes | Awaitable[bytes]]],
-                 wheel: Wheel, stats: Stats) -> None:
+    def __init__(
+        self,
+        address: Address,
+        acts: dict[str, Callable[[Call], bytes | Awaitable[bytes]]],
+        wheel: Wheel,
+        stats: Stats,
+    ) -> None:
         self.address = address
         self.acts = acts
         self.wheel = wheel
--- a/beaconhinge/net/operators.py
+++ b/beaconhinge/net/operators.py
@@ -17,8 +17,9 @@
 
 
 class Operators:
-    def __init__(self, config: Config, core: Core, workers: Workers, requests: Requests,
-                 frontend: Frontend) -> None:
+    def __init__(
+        self, config: Config, core: Core, workers: Workers, requests: Requests, frontend: Frontend
+    ) -> None:
         self.config = config
         self.core = core
         self.workers = workers
@@ -31,9 +32,12 @@
         self.keep: Callable[[str, bool], Awaitable[str]] | None = None  # on the disk; says why not
         self.phase: Callable[[], str] | None = None  # of a return, where there are phases
         self.acts: dict[str, Callable[[Call], bytes | Awaitable[bytes]]] = {
-            calls.READY: self._ready, calls.SHOW_STAT: self._show_stat,
-            calls.DISABLE: self._take_out_or_put_back, calls.ENABLE: self._take_out_or_put_back,
-            calls.DRAIN: self._drain_or_resume, calls.RESUME: self._drain_or_resume,
+            calls.READY: self._ready,
+            calls.SHOW_STAT: self._show_stat,
+            calls.DISABLE: self._take_out_or_put_back,
+            calls.ENABLE: self._take_out_or_put_back,
+            calls.DRAIN: self._drain_or_resume,
+            calls.RESUME: self._drain_or_resume,
         }
         for name in (calls.LEASE_LIST, calls.LEASE_TAKE, calls.LEASE_GIVE, calls.LEASE_HAND_OVER):
             self.acts[name] = lambda call: calls.failure("leases are not switched on")
@@ -50,8 +54,16 @@
     def _show_stat(self, _call: Call) -> bytes:
         listed = self.workers.workers
         down = figures.down(self.core.dispatcher, listed, self.core.wheel.now())
-        return calls.shown(figures.show(self.core.stats.counters, self.config.class_names, self.requests.owed,
-                                        len(listed), down, self.phase() if self.phase else ""))
+        return calls.shown(
+            figures.show(
+                self.core.stats.counters,
+                self.config.class_names,
+                self.requests.owed,
+                len(listed),
+                down,
+                self.phase() if self.phase else "",
+            )
+        )
 
     def _take_out_or_put_back(self, call: Call) -> bytes | Awaitable[bytes]:
         if call.word not in self.out and not self.workers.lists(call.word):
--- a/beaconhinge/net/peers.py
+++ b/beaconhinge/net/peers.py
@@ -114,8 +114,11 @@
             target = self.everyone
         else:
             target = self.peers[number] if number < len(self.peers) else None
-        if self._sock is None or target is None or not self.stats.holds(
-                len(payload) <= MAX_BYTES, "datagram_within_bound"):
+        if (
+            self._sock is None
+            or target is None
+            or not self.stats.holds(len(payload) <= MAX_BYTES, "datagram_within_bound")
+        ):
             self.stats.count("datagrams_without_way")
             return
         try:
--- a/beaconhinge/net/recovery.py
+++ b/beaconhinge/net/recovery.py
@@ -31,9 +31,21 @@
 SPREAD = 0.002  # seconds for each dispatcher, over which they ask where all may have stood still together
 
 
-def recover(ours: Settings, config: Config, store: Store | None, core: Core, wheel: Wheel, requests: Requests,
-            workers: Workers, discovery: Discovery, peers: Peers, frontend: Frontend, operators: Operators,
-            upgrade: Upgrade | None, stats: Stats) -> Returning:
+def recover(
+    ours: Settings,
+    config: Config,
+    store: Store | None,
+    core: Core,
+    wheel: Wheel,
+    requests: Requests,
+    workers: Workers,
+    discovery: Discovery,
+    peers: Peers,
+    frontend: Frontend,
+    operators: Operators,
+    upgrade: Upgrade | None,
+    stats: Stats,
+) -> Returning:
     """Before the door opens: from then on jobs and datagrams come."""
     recovery = Recovery(ours.stall_s, core, wheel, requests, discovery, peers, stats)
     returning = Returning(config, store, wheel, peers, stats, recovery.hold_for_return)
@@ -61,8 +73,17 @@
 
 
 class Recovery:
-    def __init__(self, after: float, core: Core, wheel: Wheel, requests: Requests, discovery: Discovery,
-                 peers: Peers, stats: Stats, rng: Callable[[], float] = random.random) -> None:
+    def __init__(
+        self,
+        after: float,
+        core: Core,
+        wheel: Wheel,
+        requests: Requests,
+        discovery: Discovery,
+        peers: Peers,
+        stats: Stats,
+        rng: Callable[[], float] = random.random,
+    ) -> None:
         self.watch = StallWatch(after)
         self.core = core
         self.wheel = wheel
--- a/beaconhinge/net/returning.py
+++ b/beaconhinge/net/returning.py
@@ -26,8 +26,15 @@
 
 
 class Returning:
-    def __init__(self, config: Config, store: Store | None, wheel: Wheel, peers: Peers, stats: Stats,
-                 hold: Callable[[bool], None]) -> None:
+    def __init__(
+        self,
+        config: Config,
+        store: Store | None,
+        wheel: Wheel,
+        peers: Peers,
+        stats: Stats,
+        hold: Callable[[bool], None],
+    ) -> None:
         self.config = config
         self.store = store
         self.wheel = wheel
@@ -53,8 +60,7 @@
         return self.machine.phase == NORMAL
 
     def open(self, taken_over: bool) -> None:
-        """The door is open. A process that took over from another of this dispatcher serves on as that did.
-        """
+        """The door is open. A process that took over from another of this dispatcher serves on as before."""
         if taken_over:
             self.machine.phase = NORMAL
             self._entered([NORMAL])
@@ -78,8 +84,13 @@
     def _entered(self, entered: list[int]) -> None:
         for phase in entered:
             self.stats.count(f"phase_{NAMES[phase]}")
-            self.stats.log("phase", name=NAMES[phase], listed=self.machine.listed,
-                           silent=len(self.machine.silent), serving=len(self.machine.serving))
+            self.stats.log(
+                "phase",
+                name=NAMES[phase],
+                listed=self.machine.listed,
+                silent=len(self.machine.silent),
+                serving=len(self.machine.serving),
+            )
         if entered:
             self.hold(not self.serving)
 
@@ -144,8 +155,14 @@
     `left_to_finish` says of a request whether somebody may come for its result.
     """
 
-    def __init__(self, workers: Workers, wheel: Wheel, stats: Stats, until: float,
-                 left_to_finish: Callable[[str], bool]) -> None:
+    def __init__(
+        self,
+        workers: Workers,
+        wheel: Wheel,
+        stats: Stats,
+        until: float,
+        left_to_finish: Callable[[str], bool],
+    ) -> None:
         self.workers = workers
         self.wheel = wheel
         self.stats = stats
@@ -192,7 +209,7 @@
         try:
             for place, data in self.store.scan(HAND):
                 if data == self._sign:
-                    apply(place[len(HAND):].decode(), True)
+                    apply(place[len(HAND) :].decode(), True)
                 else:
                     foreign += 1
         except (StoreError, ValueError) as error:
--- a/beaconhinge/net/streams.py
+++ b/beaconhinge/net/streams.py
@@ -73,8 +73,9 @@
 
 
 class Streams:
-    def __init__(self, told: Progress, config: Config, requests: Requests, wheel: Wheel,
-                 stats: Stats) -> None:
+    def __init__(
+        self, told: Progress, config: Config, requests: Requests, wheel: Wheel, stats: Stats
+    ) -> None:
         self.told = told
         self.config = config
         self.requests = requests
@@ -82,8 +83,9 @@
         self.stats = stats
         self.open: Counter[int] = Counter()  # streams by tenant
         self.watches: dict[str, _Watch] = {}  # by job, as long as the registry knows it
-        self.registry = Registry(told.detached_s, told.keep_outcome_s, told.max_detached,
-                                 int(KEPT_PART * config.limits.body_bytes))
+        self.registry = Registry(
+            told.detached_s, told.keep_outcome_s, told.max_detached, int(KEPT_PART * config.limits.body_bytes)
+        )
         wheel.after(LOOK, self._look)
 
     def asked_for(self, message: Message) -> bool:
@@ -166,8 +168,9 @@
             return True
         return False
 
-    async def _read(self, connection: Connection, entry: Entry, watch: _Watch, seen: int,
-                    close: bool) -> None:
+    async def _read(
+        self, connection: Connection, entry: Entry, watch: _Watch, seen: int, close: bool
+    ) -> None:
         """Write a stream to one reader, to its outcome or until a newer reader takes over."""
         number = self.registry.attach(entry)
         watch.wake()  # the one before sees that it has been taken over from
@@ -184,8 +187,9 @@
             raise
         self.registry.left(entry, number, self.wheel.now())
 
-    async def _write(self, connection: Connection, entry: Entry, watch: _Watch, number: int, seen: int,
-                     close: bool) -> None:
+    async def _write(
+        self, connection: Connection, entry: Entry, watch: _Watch, number: int, seen: int, close: bool
+    ) -> None:
         chunked = not close  # a connection that ends with its stream needs no chunks
         reader = Reader(watch.feed, self.wheel.now(), seen, self.told.events_per_s, self.told.keep_alive_s)
         data = _head(close)
@@ -193,9 +197,12 @@
             now = self.wheel.now()
             taken_over = entry.reader != number
             said = [] if taken_over else reader.take(now)
-            text = b"".join(codec.json_event(one.name, one.number, one.content,
-                                             self.told.retry_ms if one.name == ACCEPTED else None)
-                            for one in said)
+            text = b"".join(
+                codec.json_event(
+                    one.name, one.number, one.content, self.told.retry_ms if one.name == ACCEPTED else None
+                )
+                for one in said
+            )
             if taken_over:
                 text = codec.comment("another reader has taken this stream over")
             elif not text and reader.keep_alive(now):
@@ -225,8 +232,7 @@
             raise
 
     async def _wait(self, connection: Connection, watch: _Watch, most: float | None) -> asyncio.Task[bool]:
-        """Until something is told, the answer is there, the client sends or leaves, or `most` s have passed.
-        """
+        """Until there is news, the answer is there, the client sends or leaves, or `most` s have passed."""
         reading, news = connection.reading(), watch.news()
         waits: set[asyncio.Future[Any]] = {news, reading}
         if not watch.feed.milestones:
@@ -250,8 +256,12 @@
 
 
 def _head(close: bool) -> bytes:
-    lines = ["HTTP/1.1 200 OK", f"Content-Type: {codec.MEDIA_TYPE}", "Cache-Control: no-store",
-             "Connection: close" if close else "Transfer-Encoding: chunked"]
+    lines = [
+        "HTTP/1.1 200 OK",
+        f"Content-Type: {codec.MEDIA_TYPE}",
+        "Cache-Control: no-store",
+        "Connection: close" if close else "Transfer-Encoding: chunked",
+    ]
     return ("\r\n".join(lines) + "\r\n\r\n").encode()
 
 
--- a/beaconhinge/net/upgrade.py
+++ b/beaconhinge/net/upgrade.py
@@ -96,9 +96,21 @@
 
 
 class Upgrade:
-    def __init__(self, config: Config, mgmt: Address, shared: Path, core: Core, workers: Workers,
-                 discovery: Discovery, peers: Peers, frontend: Frontend, operators: Operators, budget: Budget,
-                 wheel: Wheel, stats: Stats) -> None:
+    def __init__(
+        self,
+        config: Config,
+        mgmt: Address,
+        shared: Path,
+        core: Core,
+        workers: Workers,
+        discovery: Discovery,
+        peers: Peers,
+        frontend: Frontend,
+        operators: Operators,
+        budget: Budget,
+        wheel: Wheel,
+        stats: Stats,
+    ) -> None:
         self.mgmt = mgmt
         self.core = core
         self.workers = workers
@@ -229,10 +241,15 @@
             return "not the word that this process has left"
         if self.after is not None or self.frontend.ending:
             return "another has taken over" if self.after is not None else "this process is ending"
-        form = handover.seal({
-            "module": handover.take(self.core.dispatcher), "out": sorted(self.operators.out),
-            "list": self.discovery.inventory.write(self.discovery.version or 0, self.workers.hosts()),
-            "discovery": self.discovery.address, **{name: give() for name, (give, _) in self.parts.items()}})
+        form = handover.seal(
+            {
+                "module": handover.take(self.core.dispatcher),
+                "out": sorted(self.operators.out),
+                "list": self.discovery.inventory.write(self.discovery.version or 0, self.workers.hosts()),
+                "discovery": self.discovery.address,
+                **{name: give() for name, (give, _) in self.parts.items()},
+            }
+        )
         link = self.after = Link(sock, self.stats)
         link.start(self._from_after, self._after_ended)
         self._told = self._out()
--- a/beaconhinge/net/workers.py
+++ b/beaconhinge/net/workers.py
@@ -236,8 +236,12 @@
             attempt.begun = True
             idle_for = self.wheel.now() - connection.used_at if connection.used_at else 0.0
             left = max(int((attempt.until - self.wheel.now()) * 1000), 1)
-            headers = {"Host": SERVICE, "X-Request-ID": job.id, "X-Timeout-Ms": str(left),
-                       "Content-Length": str(len(carried.body))}
+            headers = {
+                "Host": SERVICE,
+                "X-Request-ID": job.id,
+                "X-Timeout-Ms": str(left),
+                "Content-Length": str(len(carried.body)),
+            }
             if job.dedup_key:
                 headers["Idempotency-Key"] = job.dedup_key
             self.core.monitor.written(job.id, carried.host.id, self.wheel.now(), left)
@@ -281,19 +285,28 @@
         """The guard's answer for this moment: what is written next is written in this turn of the loop."""
         attempt, others = carried.attempt, carried.attempt.others()
         worker = self.workers.get(attempt.worker)
-        return refusal(SendState(
-            list_usable=self.list_usable(), chosen=carried.host.member,
-            listed=None if worker is None else worker.host.member,
-            same_address=worker is not None and worker.host.address == carried.host.address,
-            out_by_hand=self.out_by_hand(carried.host.id), open=attempt.open, wanted=attempt.wanted(),
-            time_left=attempt.until - self.wheel.now(), others_at_worker=others.at_worker,
-            others_out=others.out, may_have_run=others.may_have_run,
-            unsafe=self.config.settings.classes[attempt.job.cls].semantics == api.FRAGILE))
+        return refusal(
+            SendState(
+                list_usable=self.list_usable(),
+                chosen=carried.host.member,
+                listed=None if worker is None else worker.host.member,
+                same_address=worker is not None and worker.host.address == carried.host.address,
+                out_by_hand=self.out_by_hand(carried.host.id),
+                open=attempt.open,
+                wanted=attempt.wanted(),
+                time_left=attempt.until - self.wheel.now(),
+                others_at_worker=others.at_worker,
+                others_out=others.out,
+                may_have_run=others.may_have_run,
+                unsafe=self.config.settings.classes[attempt.job.cls].semantics == api.FRAGILE,
+            )
+        )
 
     def _refuse(self, carried: _Carried, why: Refusal) -> None:
         self.stats.count(f"send_refused_{why.value}")
-        self.stats.trace("attempts", "send_refused", request=carried.attempt.job.id, worker=carried.host.id,
-                         why=why.value)
+        self.stats.trace(
+            "attempts", "send_refused", request=carried.attempt.job.id, worker=carried.host.id, why=why.value
+        )
         carried.attempt.end(api.NOT_SENT)
 
     def _answered(self, attempt: Attempt, message: Message) -> None:
@@ -302,8 +315,14 @@
         # Blamed on the worker, a faulty request went to three of them and had each of these left out.
         unusable = 400 <= status < 500 and status not in (408, 429)  # those two speak of the moment
         if not unrun and status != 500:
-            self.stats.complain("worker_answer_unexpected", worker=attempt.worker, status=status,
-                                request=attempt.job.id, target=attempt.job.target, why=message.body)
+            self.stats.complain(
+                "worker_answer_unexpected",
+                worker=attempt.worker,
+                status=status,
+                request=attempt.job.id,
+                target=attempt.job.target,
+                why=message.body,
+            )
         outcome = api.FULL if unrun else api.UNUSABLE if unusable else api.ERROR
         attempt.end(outcome, load=self._load(message.headers.get("x-server-load")))
 
--- a/beaconhinge/progress/codec.py
+++ b/beaconhinge/progress/codec.py
@@ -1,5 +1,4 @@
-"""Server-sent events as text (WHATWG HTML, 9.2 "Server-sent events"): events out, `Last-Event-ID` in. Pure.
-"""
+"""Server-sent events as text (WHATWG HTML, 9.2 "Server-sent events"): events out, `Last-Event-ID` in."""
 
 from __future__ import annotations
 
--- a/beaconhinge/progress/feed.py
+++ b/beaconhinge/progress/feed.py
@@ -88,8 +88,9 @@
 class Reader:
     """One reader's place, its pace and its patience. Times are seconds of any clock that goes forward."""
 
-    def __init__(self, feed: Feed, now: float, seen: int = 0, events_per_s: float = 4.0,
-                 keep_alive_s: float = 15.0) -> None:
+    def __init__(
+        self, feed: Feed, now: float, seen: int = 0, events_per_s: float = 4.0, keep_alive_s: float = 15.0
+    ) -> None:
         self.feed = feed
         self.seen = min(max(seen, 0), feed._last)  # a number that was never given out counts as the last one
         self.gap = 1 / events_per_s
--- a/beaconhinge/progress/registry.py
+++ b/beaconhinge/progress/registry.py
@@ -31,8 +31,9 @@
 class Registry:
     """Times are seconds of any clock that goes forward."""
 
-    def __init__(self, detached_s: float, keep_outcome_s: float, max_detached: int,
-                 max_kept_bytes: int) -> None:
+    def __init__(
+        self, detached_s: float, keep_outcome_s: float, max_detached: int, max_kept_bytes: int
+    ) -> None:
         self.detached_s = detached_s
         self.keep_outcome_s = keep_outcome_s
         self.max_detached = max_detached
--- a/beaconhinge/recovery/keys.py
+++ b/beaconhinge/recovery/keys.py
@@ -84,7 +84,7 @@
     if kind == bytes([PART]) and _PART.size <= size <= _PART.size + PART_BYTES:
         _, number, part, parts, check = _PART.unpack_from(payload)
         whole = part < parts <= MOST_PARTS
-        return Part(number, part, parts, check, payload[_PART.size:]) if whole else None
+        return Part(number, part, parts, check, payload[_PART.size :]) if whole else None
     return None
 
 
@@ -94,7 +94,7 @@
     if fetch.part >= parts or parts > MOST_PARTS:
         return None
     start = fetch.part * PART_BYTES
-    return Part(fetch.number, fetch.part, parts, zlib.crc32(result), result[start:start + PART_BYTES])
+    return Part(fetch.number, fetch.part, parts, zlib.crc32(result), result[start : start + PART_BYTES])
 
 
 def record(taken_at: float, request: str) -> bytes:
@@ -108,7 +108,7 @@
     (taken_at,) = _RECORD.unpack_from(data)
     if not abs(taken_at) < 1e12:  # nan too
         raise ValueError("a record of a key has no time")
-    return taken_at, data[_RECORD.size:].decode()
+    return taken_at, data[_RECORD.size :].decode()
 
 
 def owner(name: str, number: int, unsure_until: float) -> bytes:
@@ -120,7 +120,7 @@
     """By the journal's own word. One that is new, another's or damaged tells nothing; the clock may have
     stepped, so that nobody waits for longer than the window.
     """
-    if found is None or found[_RECORD.size:] != owner(name, number, 0.0)[_RECORD.size:]:
+    if found is None or found[_RECORD.size :] != owner(name, number, 0.0)[_RECORD.size :]:
         return now + window
     (until,) = _RECORD.unpack_from(found)
     return min(until, now + window) if until == until else now + window
--- a/beaconhinge/recovery/lives.py
+++ b/beaconhinge/recovery/lives.py
@@ -19,7 +19,7 @@
 def read_signed(data: bytes | None, name: str, number: int) -> bytes | None:
     """None for a record that is missing, or another's."""
     own = signed(name, number, b"")
-    return data[len(own):] if data is not None and data.startswith(own) else None
+    return data[len(own) :] if data is not None and data.startswith(own) else None
 
 
 def next_life(body: bytes | None) -> int:
--- a/beaconhinge/request.py
+++ b/beaconhinge/request.py
@@ -101,8 +101,9 @@
     """The module has heard of the job, and what it said at once stands before this."""
 
 
-Step: TypeAlias = (api.Send | api.Refuse | api.Abort | api.Cancel | Ended | Told | ClientLeft | Overdue
-                   | Admitted)
+Step: TypeAlias = (
+    api.Send | api.Refuse | api.Abort | api.Cancel | Ended | Told | ClientLeft | Overdue | Admitted
+)
 
 
 class Watcher(Protocol):
@@ -130,9 +131,17 @@
 class Attempt:
     """One send to one worker. The first end counts, whoever reports it; all later ones are passed over."""
 
-    def __init__(self, job: Job, number: int, worker: int, sent_at: float, until: float,
-                 tell: Callable[[Step], None], wanted: Callable[[], bool],
-                 others: Callable[[Attempt], Others]) -> None:
+    def __init__(
+        self,
+        job: Job,
+        number: int,
+        worker: int,
+        sent_at: float,
+        until: float,
+        tell: Callable[[Step], None],
+        wanted: Callable[[], bool],
+        others: Callable[[Attempt], Others],
+    ) -> None:
         self.job = job
         self.number = number
         self.worker = worker
@@ -177,8 +186,15 @@
 class Requests:
     """All requests in hand."""
 
-    def __init__(self, core: Core, carrier: Carrier, wheel: Wheel, stats: Stats,
-                 settings: api.Settings, class_names: Sequence[str]) -> None:
+    def __init__(
+        self,
+        core: Core,
+        carrier: Carrier,
+        wheel: Wheel,
+        stats: Stats,
+        settings: api.Settings,
+        class_names: Sequence[str],
+    ) -> None:
         self.class_names = class_names
         self.core = core
         self.carrier = carrier
@@ -207,8 +223,9 @@
         self.stats.count(figures.counter(figures.BUSY, self.class_names[job.cls]))
         return Answer(REFUSED, retry_after=self.settings.max_retry_after)
 
-    def take(self, job: Job, watcher: Watcher | None = None,
-             has_left: Callable[[], bool] = lambda: False) -> Request:
+    def take(
+        self, job: Job, watcher: Watcher | None = None, has_left: Callable[[], bool] = lambda: False
+    ) -> Request:
         """`has_left` tells whether the client has gone, as far as can be seen this moment."""
         # Numbers stay under 2^32 like the simulator's; the module adds to them for its timers.
         self._last = self._last % 0xFFFF0000 + 1
@@ -219,8 +236,14 @@
 
 
 class Request:
-    def __init__(self, all_of_them: Requests, number: int, job: Job, watcher: Watcher | None,
-                 has_left: Callable[[], bool]) -> None:
+    def __init__(
+        self,
+        all_of_them: Requests,
+        number: int,
+        job: Job,
+        watcher: Watcher | None,
+        has_left: Callable[[], bool],
+    ) -> None:
         self.all = all_of_them
         self.number = number
         self.job = job
@@ -260,10 +283,21 @@
                 self._finish(Answer(api.SERVED, known.result))
                 return
             left, patience = (max(span - spent, 0.0) for span in (job.remaining, job.patience))
-            core.feed(api.Job(self.number, job.cls, job.tenant, left, job.route_key,
-                              size_hint=job.work, slots=job.slots, memory=job.memory,
-                              flags=api.REPEAT if job.repeat else 0, doubted=known.doubted,
-                              patience=patience))
+            core.feed(
+                api.Job(
+                    self.number,
+                    job.cls,
+                    job.tenant,
+                    left,
+                    job.route_key,
+                    size_hint=job.work,
+                    slots=job.slots,
+                    memory=job.memory,
+                    flags=api.REPEAT if job.repeat else 0,
+                    doubted=known.doubted,
+                    patience=patience,
+                )
+            )
             if self.watcher is not None:
                 self._steps.put_nowait(Admitted())
             # The last steps count as well: each send is due its outcome, and the module each outcome.
@@ -283,8 +317,11 @@
                             self.watcher.accepted()
                     case Told():
                         self._show(step)
-                        core.feed(api.Notice(self.number, step.attempt.worker, step.attempt.number, step.what,
-                                             step.share))
+                        core.feed(
+                            api.Notice(
+                                self.number, step.attempt.worker, step.attempt.number, step.what, step.share
+                            )
+                        )
                     case Ended():
                         self._ended(step)
                     case ClientLeft():
@@ -326,8 +363,16 @@
     def _send(self, order: api.Send) -> None:
         now = self.all.wheel.now()
         until = min(self.job.deadline, now + order.timeout if order.timeout > 0 else self.job.deadline)
-        attempt = Attempt(self.job, len(self._attempts), order.worker, now, until, self._steps.put_nowait,
-                          self.wanted, self._others)
+        attempt = Attempt(
+            self.job,
+            len(self._attempts),
+            order.worker,
+            now,
+            until,
+            self._steps.put_nowait,
+            self.wanted,
+            self._others,
+        )
         busy = any(a.open and a.worker == order.worker for a in self._attempts)
         self._attempts.append(attempt)
         self.all.stats.count("attempts")
@@ -336,8 +381,9 @@
             attempt.end(api.NOT_SENT)
             return
         attempt.timer = self.all.wheel.after(until - now, lambda: attempt.end(api.TIMEOUT))
-        self.all.stats.trace("attempts", "attempt", request=self.job.id, worker=order.worker,
-                             number=attempt.number)
+        self.all.stats.trace(
+            "attempts", "attempt", request=self.job.id, worker=order.worker, number=attempt.number
+        )
         self.all.carrier.start(attempt)
 
     def _others(self, attempt: Attempt) -> Others:
@@ -358,14 +404,28 @@
         if self.watcher is not None and step.outcome != api.SERVED:
             self.watcher.lost(attempt.number)
         self.all.stats.count("outcome_" + step.outcome)
-        self.all.stats.trace("attempts", "attempt_ended", request=self.job.id, worker=attempt.worker,
-                             number=attempt.number, outcome=step.outcome)
+        self.all.stats.trace(
+            "attempts",
+            "attempt_ended",
+            request=self.job.id,
+            worker=attempt.worker,
+            number=attempt.number,
+            outcome=step.outcome,
+        )
         if step.outcome == api.SERVED:
             self._finish(Answer(api.SERVED, step.body))
         latency = self.all.own_seconds(attempt.sent_at, self.all.wheel.now())
-        self.all.core.feed(api.Outcome(self.number, attempt.worker, attempt.number,
-                                       self.all.excuse(attempt, step.outcome), self.answer.done(), latency,
-                                       step.load))
+        self.all.core.feed(
+            api.Outcome(
+                self.number,
+                attempt.worker,
+                attempt.number,
+                self.all.excuse(attempt, step.outcome),
+                self.answer.done(),
+                latency,
+                step.load,
+            )
+        )
 
     def _finish(self, answer: Answer) -> bool:
         """The first final answer stands."""
@@ -377,8 +437,9 @@
             if not attempt.begun:  # it waits for its connection, and nobody for it
                 attempt.end(api.NOT_SENT)
         self.all.stats.count("answer_" + answer.end)
-        self.all.stats.trace("attempts", "answered", request=self.job.id, end=answer.end,
-                             attempts=len(self._attempts))
+        self.all.stats.trace(
+            "attempts", "answered", request=self.job.id, end=answer.end, attempts=len(self._attempts)
+        )
         if answer.end in FIGURE:
             self.all.stats.count(figures.counter(FIGURE[answer.end], self.all.class_names[self.job.cls]))
         return True
--- a/beaconhinge/standin/__init__.py
+++ b/beaconhinge/standin/__init__.py
@@ -1,2 +1,1 @@
-"""Stand-ins for what is outside: disks, script boxes, discovery, clients. For tests, the demo and rehearsals.
-"""
+"""Stand-ins for what is outside: disks, script boxes, discovery, clients. For tests, demo, rehearsals."""
--- a/beaconhinge/standin/boxes.py
+++ b/beaconhinge/standin/boxes.py
@@ -56,8 +56,16 @@
 class Box:
     """One worker. `means` gives each class's mean run time in seconds; runs are drawn from the seed."""
 
-    def __init__(self, name: str, dispatcher: int, means: Mapping[str, float], slots: int = 4, queue: int = 4,
-                 seed: int = 0, rack: Rack | None = None) -> None:
+    def __init__(
+        self,
+        name: str,
+        dispatcher: int,
+        means: Mapping[str, float],
+        slots: int = 4,
+        queue: int = 4,
+        seed: int = 0,
+        rack: Rack | None = None,
+    ) -> None:
         self.name = name
         self.means = means
         self.slots = slots
@@ -89,8 +97,16 @@
 
     def entry(self, zone: str, kind: str, cell: int) -> dict[str, object]:
         """This box as discovery lists it."""
-        return {"id": self.name, "addr": self.server.address, "zone": zone, "kind": kind, "cell": cell,
-                "state": "Ready", "weight": 1.0, "started_ms": 0}
+        return {
+            "id": self.name,
+            "addr": self.server.address,
+            "zone": zone,
+            "kind": kind,
+            "cell": cell,
+            "state": "Ready",
+            "weight": 1.0,
+            "started_ms": 0,
+        }
 
     async def _answer(self, back: Caller, message: Message) -> bytes | None:
         path = message.target.decode("latin-1").split("?")[0]
--- a/beaconhinge/standin/clients.py
+++ b/beaconhinge/standin/clients.py
@@ -26,8 +26,14 @@
 
 
 class Clients:
-    def __init__(self, port: int, kinds: Sequence[Kind], tenants: Sequence[tuple[str, float]], rate: float,
-                 seed: int = 0) -> None:
+    def __init__(
+        self,
+        port: int,
+        kinds: Sequence[Kind],
+        tenants: Sequence[tuple[str, float]],
+        rate: float,
+        seed: int = 0,
+    ) -> None:
         self.caller = Caller(port)
         self.kinds = kinds
         self.tenants = tenants
@@ -62,8 +68,13 @@
         kind = self.random.choices(self.kinds, [k.part for k in self.kinds])[0]
         tenant = self.random.choices([t for t, _ in self.tenants], [part for _, part in self.tenants])[0]
         number = f"{self.random.getrandbits(64):016x}"
-        head = {"Host": "service", "X-Request-ID": number, "X-Tenant-Id": tenant,
-                "X-Timeout-Ms": str(kind.timeout_ms), "Content-Length": "4"}
+        head = {
+            "Host": "service",
+            "X-Request-ID": number,
+            "X-Tenant-Id": tenant,
+            "X-Timeout-Ms": str(kind.timeout_ms),
+            "Content-Length": "4",
+        }
         if kind.keyed:
             head["Idempotency-Key"] = number * 2
         begun = asyncio.get_running_loop().time()
--- a/beaconhinge/standin/discovery.py
+++ b/beaconhinge/standin/discovery.py
@@ -111,7 +111,7 @@
         if spoil is Spoil.SLOW_BODY:
             return Paced(answer, SLOW_ANSWER_S)
         if spoil is Spoil.CUT_BODY:
-            return Paced(answer[:-len(answer) // 4], 0.0, cut=True)
+            return Paced(answer[: -len(answer) // 4], 0.0, cut=True)
         return answer
 
     def _spoilt_content(self, spoil: Spoil, content: dict[str, object]) -> dict[str, object]:
@@ -124,7 +124,11 @@
         if spoil is Spoil.OLD_CONTENT:
             return {**content, "full": True, "servers": list(self._before.values())}
         if spoil is Spoil.ID_AND_STATE:
-            return {**content, "servers": [
-                {"id": entry["id"], "state": entry["state"]} if entry["id"] in self._changed else entry
-                for entry in servers]}
+            return {
+                **content,
+                "servers": [
+                    {"id": entry["id"], "state": entry["state"]} if entry["id"] in self._changed else entry
+                    for entry in servers
+                ],
+            }
         return content
--- a/beaconhinge/standin/disk.py
+++ b/beaconhinge/standin/disk.py
@@ -63,11 +63,11 @@
 
 def _do(content: bytearray, op: _Write | _Truncate) -> None:
     if isinstance(op, _Truncate):
-        del content[op.size:]
+        del content[op.size :]
         content.extend(bytes(op.size - len(content)))
         return
     content.extend(bytes(max(0, op.offset - len(content))))  # a hole reads as zeros
-    content[op.offset:op.offset + len(op.data)] = op.data
+    content[op.offset : op.offset + len(op.data)] = op.data
 
 
 def _do_name(names: dict[str, _Inode], change: _NameChange) -> None:
@@ -103,7 +103,7 @@
     def read(self, offset: int, size: int) -> bytes:
         if self._name in self._disk.unreadable:
             raise OSError(errno.EIO, "unreadable")
-        return bytes(self._inode.current[offset:offset + size])
+        return bytes(self._inode.current[offset : offset + size])
 
     def size(self) -> int:
         return len(self._inode.current)
@@ -247,10 +247,14 @@
         """What is found after the process alone has died: everything, and all that was unsynced still is."""
         left = SimDisk()
         copies: dict[_Inode, _Inode] = {}
-        for inode in [*self._names.values(), *self._synced.values(),
-                      *(c.inode for c in self._changes if not isinstance(c, _Unlink))]:
-            copies.setdefault(inode, _Inode(bytearray(inode.synced), bytearray(inode.current),
-                                            list(inode.pending)))
+        for inode in [
+            *self._names.values(),
+            *self._synced.values(),
+            *(c.inode for c in self._changes if not isinstance(c, _Unlink)),
+        ]:
+            copies.setdefault(
+                inode, _Inode(bytearray(inode.synced), bytearray(inode.current), list(inode.pending))
+            )
         left._names = {name: copies[inode] for name, inode in self._names.items()}
         left._synced = {name: copies[inode] for name, inode in self._synced.items()}
         for change in self._changes:
--- a/beaconhinge/standin/fleet/discovery.py
+++ b/beaconhinge/standin/fleet/discovery.py
@@ -19,8 +19,13 @@
 class Discovery:
     """A call that has waited too long has failed, and is worked on all the same."""
 
-    def __init__(self, clock: Clock, rng: random.Random, calls_a_second: float,
-                 tell: Callable[[int, api.Membership], None]) -> None:
+    def __init__(
+        self,
+        clock: Clock,
+        rng: random.Random,
+        calls_a_second: float,
+        tell: Callable[[int, api.Membership], None],
+    ) -> None:
         self.clock = clock
         self.random = rng
         self.calls_a_second = calls_a_second
--- a/beaconhinge/standin/fleet/plan.py
+++ b/beaconhinge/standin/fleet/plan.py
@@ -8,8 +8,21 @@
 
 from ospreyroute import api
 
-TROUBLES = ("", "zone", "join", "herd", "roll", "hub", "cut", "split", "mute", "burst", "slow", "drain",
-            "hang")
+TROUBLES = (
+    "",
+    "zone",
+    "join",
+    "herd",
+    "roll",
+    "hub",
+    "cut",
+    "split",
+    "mute",
+    "burst",
+    "slow",
+    "drain",
+    "hang",
+)
 
 
 @dataclass(frozen=True)
@@ -72,16 +85,28 @@
 
 
 SCRIPTS = Site(
-    (Sort("render", 0.69, 0.57, 0.25, 2.0, 7.5, 3.0),
-     Sort("publish", 0.31, 2.3, 0.6, 2.5, 25.0, 9.0, api.DEDUP, "cell", 40.0)),
-    (Kind(0.32, 4, 5, 1.3), Kind(0.39, 5, 6, 0.95), Kind(0.29, 5, 5, 0.7)), (0.54, 0.29, 0.17))
+    (
+        Sort("render", 0.69, 0.57, 0.25, 2.0, 7.5, 3.0),
+        Sort("publish", 0.31, 2.3, 0.6, 2.5, 25.0, 9.0, api.DEDUP, "cell", 40.0),
+    ),
+    (Kind(0.32, 4, 5, 1.3), Kind(0.39, 5, 6, 0.95), Kind(0.29, 5, 5, 0.7)),
+    (0.54, 0.29, 0.17),
+)
 # Long jobs, some of two slots, three classes of which the shortest is asked for most, one zone, no tenants.
 LONG_JOBS = Site(
-    (Sort("lookup", 0.49, 0.8, 0.4, 2.5, 10.0, 2.0, cv=0.7),
-     Sort("summary", 0.27, 3.2, 1.5, 2.5, 25.0, 1.0, wide=0.2, cv=0.5),
-     Sort("close", 0.24, 4.9, 4.0, 2.0, 25.0, 5.0, api.DEDUP, "cell", 40.0, wide=0.2, cv=0.5)),
-    (Kind(0.3, 5, 6, 1.45), Kind(0.7, 4, 4, 0.95)), zones=1, reports=("depth", "x0"), marks_retry=False,
-    attempts=5, fall_multiple=3.0, tip_after=1.0)
+    (
+        Sort("lookup", 0.49, 0.8, 0.4, 2.5, 10.0, 2.0, cv=0.7),
+        Sort("summary", 0.27, 3.2, 1.5, 2.5, 25.0, 1.0, wide=0.2, cv=0.5),
+        Sort("close", 0.24, 4.9, 4.0, 2.0, 25.0, 5.0, api.DEDUP, "cell", 40.0, wide=0.2, cv=0.5),
+    ),
+    (Kind(0.3, 5, 6, 1.45), Kind(0.7, 4, 4, 0.95)),
+    zones=1,
+    reports=("depth", "x0"),
+    marks_retry=False,
+    attempts=5,
+    fall_multiple=3.0,
+    tip_after=1.0,
+)
 
 
 @dataclass(frozen=True)
@@ -118,27 +143,47 @@
     told = {
         "requestClasses.count": str(len(site.sorts)),
         "membershipMode": "pushed" if site.pushed else "on_request",
-        "clients.marksRetry": str(site.marks_retry).lower(), "policyLimits.maxAttempts": str(site.attempts),
-        "policyLimits.retryAfter": "true", "policyLimits.maxRetryAfter": "2",
+        "clients.marksRetry": str(site.marks_retry).lower(),
+        "policyLimits.maxAttempts": str(site.attempts),
+        "policyLimits.retryAfter": "true",
+        "policyLimits.maxRetryAfter": "2",
         "policyLimits.cancel": str(site.cancel).lower(),
-        "policyLimits.mayDuplicate": str(site.may_duplicate).lower(), "policyLimits.probes": "true",
-        "policyLimits.peers": str(peers).lower(), "policyLimits.connectTimeout": "0.25",
-        "policyLimits.idleClose": "5", "familyInfo.tellsStart": str(site.tells_start).lower(),
+        "policyLimits.mayDuplicate": str(site.may_duplicate).lower(),
+        "policyLimits.probes": "true",
+        "policyLimits.peers": str(peers).lower(),
+        "policyLimits.connectTimeout": "0.25",
+        "policyLimits.idleClose": "5",
+        "familyInfo.tellsStart": str(site.tells_start).lower(),
         "familyInfo.progress": "1" if site.tells_start else "0",
         "familyInfo.classStretch": ",".join(str(sort.stretch) for sort in site.sorts),
-        "familyInfo.reportX0": "free_slots", "report.source": "answers" if site.reports else "none",
-        "report.names": ",".join(site.reports), "overShareWorth": "0.2", "quantum": "0.002",
-        "rules.mustAskIn": "10", "rules.coldShare": "0.38", "rules.warmWithin": "8.4",
-        "rules.drainGrace": "0.4", "rules.fallMultiple": str(site.fall_multiple),
-        "rules.tipAfter": str(site.tip_after), "rules.graceToAnswer": "0.008", "costs.crossZone": "0.03",
-        "costs.waste": "0.04", "costs.peer": "0.01", "orgs.count": str(len(site.shares)),
+        "familyInfo.reportX0": "free_slots",
+        "report.source": "answers" if site.reports else "none",
+        "report.names": ",".join(site.reports),
+        "overShareWorth": "0.2",
+        "quantum": "0.002",
+        "rules.mustAskIn": "10",
+        "rules.coldShare": "0.38",
+        "rules.warmWithin": "8.4",
+        "rules.drainGrace": "0.4",
+        "rules.fallMultiple": str(site.fall_multiple),
+        "rules.tipAfter": str(site.tip_after),
+        "rules.graceToAnswer": "0.008",
+        "costs.crossZone": "0.03",
+        "costs.waste": "0.04",
+        "costs.peer": "0.01",
+        "orgs.count": str(len(site.shares)),
     }
     for i, sort in enumerate(site.sorts):
         path = f"requestClasses.{i}."
-        told |= {path + "aim": str(sort.aim), path + "hardLimit": str(sort.deadline),
-                 path + "group": sort.group, path + "semantics": sort.semantics,
-                 path + "dedupWindow": str(sort.window), path + "importance": str(sort.worth),
-                 path + "name": sort.name}
+        told |= {
+            path + "aim": str(sort.aim),
+            path + "hardLimit": str(sort.deadline),
+            path + "group": sort.group,
+            path + "semantics": sort.semantics,
+            path + "dedupWindow": str(sort.window),
+            path + "importance": str(sort.worth),
+            path + "name": sort.name,
+        }
     for i, share in enumerate(site.shares):
         told |= {f"orgs.{i}.share": str(share), f"orgs.{i}.quotaRps": f"{site.quota * capacity * share:.1f}"}
     return told
--- a/beaconhinge/standin/fleet/result.py
+++ b/beaconhinge/standin/fleet/result.py
@@ -42,12 +42,15 @@
 
 def result(world: World) -> Result:
     wishes, count = world.wishes, world.count
-    windows = [[w for w in wishes if start <= w.at < start + WINDOW]
-               for start in range(max(1, int(world.plan.seconds) - WINDOW + 1))]
+    windows = [
+        [w for w in wishes if start <= w.at < start + WINDOW]
+        for start in range(max(1, int(world.plan.seconds) - WINDOW + 1))
+    ]
     whole, worst = _worth(wishes), min(map(_worth, windows))
     worst_class = min(classes(world).values())
-    worst_tenant = min(_worth([w for w in wishes if w.tenant == t])
-                       for t in range(max(1, len(world.plan.site.shares))))
+    worst_tenant = min(
+        _worth([w for w in wishes if w.tenant == t]) for t in range(max(1, len(world.plan.site.shares)))
+    )
     jobs = max(1, len(wishes))
     peer = PEER_PRICE * count["charged"] / (256 * jobs)
     cross = CROSS_PRICE * count["cross_zone"] / jobs
@@ -57,12 +60,26 @@
     waste = WASTE_PRICE * max(0.0, spent - sum(w.work for w in served)) / asked
     figure = 0.25 * whole + 0.45 * worst + 0.2 * worst_class + 0.1 * worst_tenant - peer - cross - waste
     return Result(
-        figure, whole, worst, worst_class, worst_tenant, peer, cross, waste,
-        late=sum(not w.in_time for w in served) / jobs, refused=_ended(wishes, "refused"),
-        failed=_ended(wishes, "failed"), waited=sum(w > 0.1 for w in world.waits) / max(1, len(world.waits)),
-        attempts=count["attempts"] / jobs, no_connection=count["outcome_" + api.NO_CONNECTION],
-        calls=world.discovery.calls, calls_refused=world.discovery.refusals, datagrams=count["datagrams"],
-        cold_most=max(box.most_sent for box in world.boxes.values()), broken=len(world.broken))
+        figure,
+        whole,
+        worst,
+        worst_class,
+        worst_tenant,
+        peer,
+        cross,
+        waste,
+        late=sum(not w.in_time for w in served) / jobs,
+        refused=_ended(wishes, "refused"),
+        failed=_ended(wishes, "failed"),
+        waited=sum(w > 0.1 for w in world.waits) / max(1, len(world.waits)),
+        attempts=count["attempts"] / jobs,
+        no_connection=count["outcome_" + api.NO_CONNECTION],
+        calls=world.discovery.calls,
+        calls_refused=world.discovery.refusals,
+        datagrams=count["datagrams"],
+        cold_most=max(box.most_sent for box in world.boxes.values()),
+        broken=len(world.broken),
+    )
 
 
 def classes(world: World) -> dict[str, float]:
--- a/beaconhinge/standin/fleet/world.py
+++ b/beaconhinge/standin/fleet/world.py
@@ -137,8 +137,18 @@
         of, rng = self.plan.site.kinds[kind], self.random
         speed = of.speed * max(0.5, rng.gauss(1, self.plan.speed_cv))
         cell = 2 * rng.randrange(3) + zone
-        box = Box(self.clock, rng, self.reports, rng.getrandbits(32), kind, of, zone, cell, speed,
-                  cold_share=rng.uniform(0.4, 0.55))
+        box = Box(
+            self.clock,
+            rng,
+            self.reports,
+            rng.getrandbits(32),
+            kind,
+            of,
+            zone,
+            cell,
+            speed,
+            cold_share=rng.uniform(0.4, 0.55),
+        )
         self.boxes[box.id] = box
         return box
 
@@ -156,9 +166,14 @@
     # ---- dispatchers ---------------------------------------------------------------------------------------
 
     def _module(self, number: int) -> Dispatcher:
-        told = api.Settings.from_pairs({**self.told, "groupSize": str(self.plan.dispatchers),
-                                        "myNumber": str(number),
-                                        "zone": str(number % self.plan.site.zones)})
+        told = api.Settings.from_pairs(
+            {
+                **self.told,
+                "groupSize": str(self.plan.dispatchers),
+                "myNumber": str(number),
+                "zone": str(number % self.plan.site.zones),
+            }
+        )
         return self.modules(told, self.random.getrandbits(48))
 
     def _start(self, node: Node) -> None:
@@ -248,8 +263,9 @@
         node, wish, now = request.node, request.wish, self.clock.now
         self._check_send(request, box)
         work = wish.work * max(0.3, self.random.gauss(1, 0.15))
-        attempt = Attempt(request, len(request.attempts), box, now, work, wish.sort.work * wish.slots,
-                          slots=wish.slots)
+        attempt = Attempt(
+            request, len(request.attempts), box, now, work, wish.sort.work * wish.slots, slots=wish.slots
+        )
         request.attempts.append(attempt)
         self.count["attempts"] += 1
         self.count["cross_zone"] += box.zone != node.zone
@@ -334,8 +350,12 @@
         assert isinstance(request, Request)
         if request.live:
             latency = self.clock.now - attempt.sent_at
-            self.feed(request.node, api.Outcome(request.number, attempt.box.id, attempt.number, outcome,
-                                                request.answered, latency, load))
+            self.feed(
+                request.node,
+                api.Outcome(
+                    request.number, attempt.box.id, attempt.number, outcome, request.answered, latency, load
+                ),
+            )
             self._forget(request)
 
     # ---- clients -------------------------------------------------------------------------------------------
@@ -503,7 +523,7 @@
         """Six in ten boxes are replaced within 7 s."""
         old = self.random.sample(list(self.boxes.values()), int(0.6 * len(self.boxes)))
         self._swap(old[: len(old) // 2])
-        self.clock.after(4.5, partial(self._swap, old[len(old) // 2:]))
+        self.clock.after(4.5, partial(self._swap, old[len(old) // 2 :]))
 
     def _release(self) -> None:
         """Boxes are replaced in waves, and seven in ten dispatchers are killed at once and start again."""
--- a/beaconhinge/standin/http.py
+++ b/beaconhinge/standin/http.py
@@ -91,7 +91,7 @@
     for start in range(0, len(answer.data), size):
         if start:
             await asyncio.sleep(answer.seconds / (PIECES - 1))
-        await connection.send(answer.data[start:start + size])
+        await connection.send(answer.data[start : start + size])
 
 
 class Caller:
--- a/beaconhinge/standin/rig/clients.py
+++ b/beaconhinge/standin/rig/clients.py
@@ -19,8 +19,9 @@
 
 
 class Clients:
-    def __init__(self, scenario: Scenario, ports: list[int], late: Callable[[], float],
-                 sent: Callable[[str], bool]) -> None:
+    def __init__(
+        self, scenario: Scenario, ports: list[int], late: Callable[[], float], sent: Callable[[str], bool]
+    ) -> None:
         """`late`: seconds for which they go on asking beyond the scenario's own end. `sent`: whether a worker
         has had that request.
         """
@@ -69,8 +70,9 @@
             turn += 1
             await asyncio.sleep(0.0 if self.answered[number] else AGAIN)
 
-    async def _ask(self, tenant: str, cls: str, key: str, name: str, at: int, seconds: float,
-                   again: bool) -> str:
+    async def _ask(
+        self, tenant: str, cls: str, key: str, name: str, at: int, seconds: float, again: bool
+    ) -> str:
         head = {"Host": "service", "X-Request-ID": name, "X-Tenant-Id": tenant, "Content-Length": "4"}
         head |= {"Idempotency-Key": key} if key else {}
         head |= {"X-Retried": "1"} if again else {}
--- a/beaconhinge/standin/rig/judge.py
+++ b/beaconhinge/standin/rig/judge.py
@@ -68,8 +68,11 @@
     for process in run.processes:
         for box, began, ended in run.drains:
             told = _notified_at(run, process.number, began)
-            late = [at - told - DRAIN_GRACE_S for at, port in box.taken
-                    if port == process.port and told + DRAIN_GRACE_S < at < ended]
+            late = [
+                at - told - DRAIN_GRACE_S
+                for at, port in box.taken
+                if port == process.port and told + DRAIN_GRACE_S < at < ended
+            ]
             if late:
                 found.append(f"dispatcher {process.number} sent to {box.name}, {late[-1]:.2f} s too late")
     return found
@@ -81,8 +84,13 @@
     for counts in run.shim_counts:
         run.hits.update({f"shim_{kind}": times for kind, times in shim.hits(counts).items()})
     counters, runs, ejections = _counters(run), _runs(run), _ejections(run)
-    broken = [*_broken_by_requests(run, runs), *_broken_by_processes(run, counters, ejections),
-              *_broken_by_sends(run), *_broken_by_leases(run), *_nothing_shown(run)]
+    broken = [
+        *_broken_by_requests(run, runs),
+        *_broken_by_processes(run, counters, ejections),
+        *_broken_by_sends(run),
+        *_broken_by_leases(run),
+        *_nothing_shown(run),
+    ]
     first_fault = run.began + min((fault.at_s for fault in scenario.faults), default=scenario.seconds)
     judged_from = _last_fault_ended(run) + SERVICE_JUDGED_AFTER_S
     end = run.began + scenario.seconds + run.late_by_s
@@ -90,10 +98,16 @@
     within = [t for t in tries if t.tenant == "north"]
     greedy = [t for t in tries if t.tenant == "south" and back <= t.at < back + FIRST_SHARES_S]
     return Verdict(
-        name=scenario.name, seed=scenario.seed, asked=len(tries),
-        ends=dict(sorted(Counter(t.end for t in tries).items())), keys=len(answered),
-        keys_unanswered=sum(not done for done in answered.values()), runs=runs.total(),
-        benched=dict(ejections), faults=dict(run.hits), counters=dict(sorted(counters.items())),
+        name=scenario.name,
+        seed=scenario.seed,
+        asked=len(tries),
+        ends=dict(sorted(Counter(t.end for t in tries).items())),
+        keys=len(answered),
+        keys_unanswered=sum(not done for done in answered.values()),
+        runs=runs.total(),
+        benched=dict(ejections),
+        faults=dict(run.hits),
+        counters=dict(sorted(counters.items())),
         served_before=served(tries, run.began, first_fault),
         served_after=served(tries, judged_from, end),
         plain_after=served([t for t in tries if not t.key], judged_from, end),
@@ -101,8 +115,11 @@
         greedy_share=sum(t.end == "200" for t in greedy) / (FIRST_SHARES_S * scenario.quota_rps),
         acts=sum(act.accepted for act in run.acts),
         tenures=len({(act.lease, act.number) for act in run.acts}),
-        stale=sum(not act.accepted for act in run.acts), orphans=run.orphans, broken=broken,
-        last=run.events[-EVENTS_TOLD:] if broken else [])
+        stale=sum(not act.accepted for act in run.acts),
+        orphans=run.orphans,
+        broken=broken,
+        last=run.events[-EVENTS_TOLD:] if broken else [],
+    )
 
 
 def _counters(run: ScenarioRun) -> Counter[str]:
@@ -183,7 +200,7 @@
     scenario = run.scenario
     if scenario.faults and not run.hits.total():
         yield "no fault hit anything"
-    planned = scenario.faults[:len(scenario.faults) - scenario.drawn]
+    planned = scenario.faults[: len(scenario.faults) - scenario.drawn]
     for kind in sorted({fault.what for fault in planned}):
         if scenario.every_fault_hits and not run.hits[kind]:
             yield f"the fault {kind} hit nothing"
--- a/beaconhinge/standin/rig/links.py
+++ b/beaconhinge/standin/rig/links.py
@@ -28,8 +28,10 @@
 
     def addresses(self, number: int) -> tuple[list[str], str]:
         """What a dispatcher is configured with: where it finds each by number, and all at once."""
-        peers = [_name(self.real[number] if j == number else self._pairs[number, j].getsockname())
-                 for j in range(len(self.real))]
+        peers = [
+            _name(self.real[number] if j == number else self._pairs[number, j].getsockname())
+            for j in range(len(self.real))
+        ]
         return peers, _name(self._all[number].getsockname())
 
     def start(self) -> None:
--- a/beaconhinge/standin/rig/process.py
+++ b/beaconhinge/standin/rig/process.py
@@ -18,8 +18,15 @@
 class Process:
     """Several lives of one dispatcher. `stood` are the spans of the rig's clock in which it did not run."""
 
-    def __init__(self, number: int, port: int, folder: Path, platform: Mapping[str, object],
-                 ours: str, environment: Mapping[str, str] | None = None) -> None:
+    def __init__(
+        self,
+        number: int,
+        port: int,
+        folder: Path,
+        platform: Mapping[str, object],
+        ours: str,
+        environment: Mapping[str, str] | None = None,
+    ) -> None:
         self.number = number
         self.port = port
         self.folder = folder
--- a/beaconhinge/standin/rig/runner.py
+++ b/beaconhinge/standin/rig/runner.py
@@ -42,8 +42,9 @@
 class ScenarioRun:
     """One run of a scenario, and what was recorded of it."""
 
-    def __init__(self, scenario: Scenario, folder: Path,
-                 told: Callable[[str], None] = lambda line: None) -> None:
+    def __init__(
+        self, scenario: Scenario, folder: Path, told: Callable[[str], None] = lambda line: None
+    ) -> None:
         self.scenario = scenario
         self.told = told
         self.events: list[str] = []
@@ -69,40 +70,83 @@
         racks = [Rack(WINDOW) for _ in range(scenario.racks)]
         means = {"render": scenario.render_s, "publish": scenario.publish_s, "transfer": scenario.publish_s}
         self.boxes = [
-            Box(f"s-{scenario.seed:04x}{n:04x}", ports[0], means, scenario.slots, 4 * scenario.slots,
-                seed=scenario.seed, rack=racks[n % scenario.racks]) for n in range(scenario.boxes)]
+            Box(
+                f"s-{scenario.seed:04x}{n:04x}",
+                ports[0],
+                means,
+                scenario.slots,
+                4 * scenario.slots,
+                seed=scenario.seed,
+                rack=racks[n % scenario.racks],
+            )
+            for n in range(scenario.boxes)
+        ]
         for box in self.boxes:
             for port in ports[1:]:
                 box.door(port)
         # Each dispatcher reaches a box at an address of its own, and so has a list of its own.
-        self.lists = [Discovery([{**box.entry("ab"[n % 2], "plain", n % scenario.racks),
-                                  "addr": box.servers[i].address} for n, box in enumerate(self.boxes)])
-                      for i in range(count)]
-        self.processes = [Process(i, ports[i], folder / f"n{i}", self._platform(i, ports[i], real[i]),
-                                  self._ours(), self._environment(i, folder)) for i in range(count)]
-        self.clients = Clients(scenario, ports, self.late, lambda request: any(
-            given.request == request for box in self.boxes for given in box.deadlines))
+        self.lists = [
+            Discovery(
+                [
+                    {**box.entry("ab"[n % 2], "plain", n % scenario.racks), "addr": box.servers[i].address}
+                    for n, box in enumerate(self.boxes)
+                ]
+            )
+            for i in range(count)
+        ]
+        self.processes = [
+            Process(
+                i,
+                ports[i],
+                folder / f"n{i}",
+                self._platform(i, ports[i], real[i]),
+                self._ours(),
+                self._environment(i, folder),
+            )
+            for i in range(count)
+        ]
+        self.clients = Clients(
+            scenario,
+            ports,
+            self.late,
+            lambda request: any(given.request == request for box in self.boxes for given in box.deadlines),
+        )
         self.began = 0.0
 
     def _platform(self, number: int, port: int, listen: tuple[str, int]) -> dict[str, object]:
         peers, everyone = self.links.addresses(number)
         limits = {**SETTINGS["policyLimits"], "peers": True, "connectTimeout": 0.25}
-        tenants = [{"name": "north", "share": 0.85, "quotaRps": 0.0},
-                   {"name": "south", "share": 0.15, "quotaRps": self.scenario.quota_rps}]
+        tenants = [
+            {"name": "north", "share": 0.85, "quotaRps": 0.0},
+            {"name": "south", "share": 0.15, "quotaRps": self.scenario.quota_rps},
+        ]
         classes, family = SETTINGS["requestClasses"], SETTINGS["familyInfo"]
         if self.scenario.unsafe:
             classes = [*classes, UNSAFE_CLASS]
             family = {**family, "classKind": [-1] * 3, "classStretch": [2.0] * 3}
-        settings = {**SETTINGS, "requestClasses": classes, "familyInfo": family, "orgs": tenants,
-                    "groupSize": self.scenario.processes, "myNumber": number,
-                    "policyLimits": limits, "clients": {"marksRetry": True},
-                    "rules": {"mustAskIn": 10.0, "graceToAnswer": 0.008},
-                    "membershipMode": "pushed" if self.scenario.pushed else "on_request"}
-        return {"name": f"n{number}", "listen": f"127.0.0.1:{port}",
-                "seed": self.scenario.seed * 1000 + number, "settings": settings,
-                "discovery": self.lists[number].server.address,
-                "known": self.lists[number].whole(), "peer_listen": f"{listen[0]}:{listen[1]}",
-                "peers": peers, "peers_all": everyone}
+        settings = {
+            **SETTINGS,
+            "requestClasses": classes,
+            "familyInfo": family,
+            "orgs": tenants,
+            "groupSize": self.scenario.processes,
+            "myNumber": number,
+            "policyLimits": limits,
+            "clients": {"marksRetry": True},
+            "rules": {"mustAskIn": 10.0, "graceToAnswer": 0.008},
+            "membershipMode": "pushed" if self.scenario.pushed else "on_request",
+        }
+        return {
+            "name": f"n{number}",
+            "listen": f"127.0.0.1:{port}",
+            "seed": self.scenario.seed * 1000 + number,
+            "settings": settings,
+            "discovery": self.lists[number].server.address,
+            "known": self.lists[number].whole(),
+            "peer_listen": f"{listen[0]}:{listen[1]}",
+            "peers": peers,
+            "peers_all": everyone,
+        }
 
     def _environment(self, number: int, folder: Path) -> dict[str, str]:
         """Every second process has system calls that fail, where the scenario wants that."""
@@ -111,14 +155,20 @@
         if not self.shim_counts:
             self._library = shim.build(folder)
         self.shim_counts.append(folder / f"shim-{number}")
-        return shim.environment(self._library, self.shim_counts[-1], self.scenario.system_calls,
-                                self.scenario.seed * 1000 + number)
+        return shim.environment(
+            self._library,
+            self.shim_counts[-1],
+            self.scenario.system_calls,
+            self.scenario.seed * 1000 + number,
+        )
 
     def _ours(self) -> str:
         store = '[store]\nfolder = "store"\n' if self.scenario.store else ""
-        return (f'[platform]\nconfig = "balancer.json"\n[log]\nformat = "json"\n{store}'
-                f"[recovery]\nenabled = {str(self.scenario.recovery).lower()}\n"
-                f"stall_s = {self.scenario.stall_s}\n")
+        return (
+            f'[platform]\nconfig = "balancer.json"\n[log]\nformat = "json"\n{store}'
+            f"[recovery]\nenabled = {str(self.scenario.recovery).lower()}\n"
+            f"stall_s = {self.scenario.stall_s}\n"
+        )
 
     # ---- the scenario --------------------------------------------------------------------------------------
 
@@ -155,16 +205,22 @@
     async def _start_resource(self) -> None:
         """Where acts go. Every dispatcher's configuration is written with its address when it starts."""
         self.resource = await asyncio.create_subprocess_exec(
-            sys.executable, "-m", "beaconhinge.standin.resource", str(self.scenario.seed),
-            stdout=asyncio.subprocess.PIPE)
+            sys.executable,
+            "-m",
+            "beaconhinge.standin.resource",
+            str(self.scenario.seed),
+            stdout=asyncio.subprocess.PIPE,
+        )
         assert self.resource.stdout is not None
         port = json.loads(await self.resource.stdout.readline())["port"]
         for process in self.processes:
             process.ours += f"[leases]\nenabled = true\nspan_s = {self.scenario.span_s}\n"
             for lease in self.leases:
-                process.ours += (f'[[leases.calls]]\nname = "{lease}"\nto = "127.0.0.1:{port}"\n'
-                                 f"every_s = {self.scenario.act_s}\n"
-                                 f"longest_s = {0.4 * self.scenario.span_s}\n")
+                process.ours += (
+                    f'[[leases.calls]]\nname = "{lease}"\nto = "127.0.0.1:{port}"\n'
+                    f"every_s = {self.scenario.act_s}\n"
+                    f"longest_s = {0.4 * self.scenario.span_s}\n"
+                )
         self.reading = asyncio.create_task(self._read_acts(self.resource.stdout))
 
     async def _read_acts(self, lines: asyncio.StreamReader) -> None:
@@ -199,10 +255,19 @@
         await asyncio.sleep(max(0.0, self.began + fault.at_s - time.monotonic()))
         who = self.scenario.hit(fault)
         self._say(f"{fault.what} {','.join(map(str, who))} for {fault.for_s:g} s")
-        act = {"stop": self._stop, "kill": self._restart, "term": self._restart, "cut": self._drop,
-                "lossy": self._drop, "discovery": self._no_discovery, "mute": self._mute,
-                "drain": self._drain, "spoil": self._spoil, "reload": self._reload,
-                "workers": self._trouble_workers}[fault.what]
+        act = {
+            "stop": self._stop,
+            "kill": self._restart,
+            "term": self._restart,
+            "cut": self._drop,
+            "lossy": self._drop,
+            "discovery": self._no_discovery,
+            "mute": self._mute,
+            "drain": self._drain,
+            "spoil": self._spoil,
+            "reload": self._reload,
+            "workers": self._trouble_workers,
+        }[fault.what]
         hit = await act(fault, who)  # first: another of its kind may have been counted meanwhile
         self.hits[fault.what] += hit
         self.late_by_s = self.late()
@@ -219,8 +284,11 @@
     async def _restart(self, fault: Fault, who: list[int]) -> int:
         # One that another fault is ending comes back by that one; one that is starting has not learned yet
         # to end in order.
-        hit = [p for p in (self.processes[n] for n in who) if p.running and not p.ending
-               and not (p.starting and fault.what == "term")]
+        hit = [
+            p
+            for p in (self.processes[n] for n in who)
+            if p.running and not p.ending and not (p.starting and fault.what == "term")
+        ]
         ports = {process.port for process in hit}
         old = [(box, job) for box in self.boxes for job in box.held if job[0] in ports and job[1] in box.runs]
         number = signal.SIGKILL if fault.what == "kill" else signal.SIGTERM
--- a/beaconhinge/standin/rig/scenario.py
+++ b/beaconhinge/standin/rig/scenario.py
@@ -33,8 +33,9 @@
     """
 
     at_s: float
-    what: Literal["stop", "kill", "term", "cut", "lossy", "discovery", "mute", "drain", "spoil", "reload",
-                  "workers"]
+    what: Literal[
+        "stop", "kill", "term", "cut", "lossy", "discovery", "mute", "drain", "spoil", "reload", "workers"
+    ]
     for_s: float
     who: list[int] = []  # dispatchers, by number; none: all of them
     to: list[int] = []  # for `cut`; none: all of them
@@ -81,13 +82,26 @@
         return fault.who or list(range(self.processes))
 
     def problem(self) -> str | None:
-        bounds = {"processes": (1, MOST_PROCESSES), "boxes": (1, MOST_BOXES), "racks": (1, self.boxes),
-                  "slots": (1, 64), "rate": (0.1, MOST_RATE), "seconds": (0.1, MOST_SECONDS), "keyed": (0, 1),
-                  "unsafe": (0, 1), "leaving": (0, 1),
-                  "render_s": (0.001, 60), "publish_s": (0.001, 60), "patience_s": (0.1, 60),
-                  "quota_rps": (0.1, MOST_RATE), "greedy": (0, 10),
-                  "span_s": (0.5, 60), "act_s": (0.05, 60), "drawn": (0, 100),
-                  "leases": (0, 20)}
+        bounds = {
+            "processes": (1, MOST_PROCESSES),
+            "boxes": (1, MOST_BOXES),
+            "racks": (1, self.boxes),
+            "slots": (1, 64),
+            "rate": (0.1, MOST_RATE),
+            "seconds": (0.1, MOST_SECONDS),
+            "keyed": (0, 1),
+            "unsafe": (0, 1),
+            "leaving": (0, 1),
+            "render_s": (0.001, 60),
+            "publish_s": (0.001, 60),
+            "patience_s": (0.1, 60),
+            "quota_rps": (0.1, MOST_RATE),
+            "greedy": (0, 10),
+            "span_s": (0.5, 60),
+            "act_s": (0.05, 60),
+            "drawn": (0, 100),
+            "leases": (0, 20),
+        }
         for key, (least, most) in bounds.items():
             if not least <= getattr(self, key) <= most:
                 return f"{key}: must be between {least} and {most}"
@@ -113,8 +127,15 @@
         who = rng.sample(range(scenario.processes), rng.randint(1, max(1, scenario.processes // 2)))
         if what in ("kill", "term"):
             every = what == "kill" and rng.random() < 0.2
-            found.append(Fault(at, what, rng.uniform(0.05, 0.5), [] if every else who,
-                               folder=rng.choice(("same", "empty")) if what == "kill" else "same"))
+            found.append(
+                Fault(
+                    at,
+                    what,
+                    rng.uniform(0.05, 0.5),
+                    [] if every else who,
+                    folder=rng.choice(("same", "empty")) if what == "kill" else "same",
+                )
+            )
         elif what == "stop":
             found.append(Fault(at, what, spans * rng.choice((0.33, 0.9, 1.1, 2.0)), who))
         elif what == "cut":
--- a/beaconhinge/standin/rig/shim.py
+++ b/beaconhinge/standin/rig/shim.py
@@ -37,8 +37,12 @@
     """For a process whose calls fail as `failing` says:
     "accept=0.02,connect=0.02,short=0.2,step=3600,socket=0.02".
     """
-    return {"LD_PRELOAD": str(library), "BEACONHINGE_SHIM": failing, "BEACONHINGE_SHIM_SEED": str(seed),
-            "BEACONHINGE_SHIM_COUNTS": str(counts)}
+    return {
+        "LD_PRELOAD": str(library),
+        "BEACONHINGE_SHIM": failing,
+        "BEACONHINGE_SHIM_SEED": str(seed),
+        "BEACONHINGE_SHIM_COUNTS": str(counts),
+    }
 
 
 def hits(counts: Path) -> Counter[str]:
--- a/beaconhinge/standin/rig/soak.py
+++ b/beaconhinge/standin/rig/soak.py
@@ -32,17 +32,52 @@
         faults.append(_fault(rng, min(max(at, FIRST), LAST), processes, drain.boxes))
     faults = [fault for fault in faults if not (pushed and fault.what == "spoil")]
     recovery = rng.random() < 0.3  # without it nobody knows a key that another dispatcher has
-    return Scenario(f"soak of {processes}", seed=seed, processes=processes, boxes=8, racks=4, slots=8,
-                 rate=12.0 * processes, keyed=0.15 if recovery else 0.0, unsafe=0.15, leaving=0.1,
-                 render_s=0.1, publish_s=0.3, patience_s=2.0, seconds=SECONDS, pushed=pushed,
-                 recovery=recovery, store=False, ejections_judged=False, every_fault_hits=False,
-                 system_calls=SYSTEM_CALLS, faults=faults)
+    return Scenario(
+        f"soak of {processes}",
+        seed=seed,
+        processes=processes,
+        boxes=8,
+        racks=4,
+        slots=8,
+        rate=12.0 * processes,
+        keyed=0.15 if recovery else 0.0,
+        unsafe=0.15,
+        leaving=0.1,
+        render_s=0.1,
+        publish_s=0.3,
+        patience_s=2.0,
+        seconds=SECONDS,
+        pushed=pushed,
+        recovery=recovery,
+        store=False,
+        ejections_judged=False,
+        every_fault_hits=False,
+        system_calls=SYSTEM_CALLS,
+        faults=faults,
+    )
 
 
 def _fault(rng: random.Random, at: float, processes: int, draining: int) -> Fault:
     who = rng.sample(range(processes), rng.randint(1, max(1, processes // 2)))
-    what = rng.choice(("stop", "stop", "kill", "kill", "term", "reload", "cut", "lossy", "discovery", "mute",
-                       "spoil", "spoil", "spoil", "workers", "workers"))
+    what = rng.choice(
+        (
+            "stop",
+            "stop",
+            "kill",
+            "kill",
+            "term",
+            "reload",
+            "cut",
+            "lossy",
+            "discovery",
+            "mute",
+            "spoil",
+            "spoil",
+            "spoil",
+            "workers",
+            "workers",
+        )
+    )
     if what == "stop":
         return Fault(at, "stop", rng.choice((0.2, 0.5, 2.0, 7.0)), who)
     if what == "kill":
--- a/beaconhinge/standin/rig/verdict.py
+++ b/beaconhinge/standin/rig/verdict.py
@@ -70,16 +70,26 @@
 
 def benched(lines: Iterable[Mapping[str, Any]]) -> Counter[str]:
     """Boxes, by number, that the module says it has benched."""
-    return Counter(str(line["text"]).split()[1] for line in lines
-                   if line.get("event") == "module" and " benched" in str(line.get("text")))
+    return Counter(
+        str(line["text"]).split()[1]
+        for line in lines
+        if line.get("event") == "module" and " benched" in str(line.get("text"))
+    )
 
 
 def unexcused(asked: Iterable[Asked], stood: Sequence[Sequence[Span]], grace: float) -> list[Asked]:
     """Tries without one final answer whose dispatcher ran all the while. A connection that waited in front of
     a process as it went on may be served late, for which it has `grace` seconds.
     """
-    return [try_ for try_ in asked if try_.end == "missing" and not any(
-        begun - grace <= try_.ended and try_.at <= ended + grace for begun, ended in stood[try_.dispatcher])]
+    return [
+        try_
+        for try_ in asked
+        if try_.end == "missing"
+        and not any(
+            begun - grace <= try_.ended and try_.at <= ended + grace
+            for begun, ended in stood[try_.dispatcher]
+        )
+    ]
 
 
 def collisions(acts: Iterable[Act]) -> list[str]:
@@ -88,8 +98,10 @@
     for act in sorted((act for act in acts if act.accepted), key=lambda act: act.begin):
         before = last.get(act.lease, act)
         if before.number != act.number and act.begin < before.end:
-            found.append(f"acts under {before.number} and {act.number} of lease {act.lease} overlap by "
-                         f"{before.end - act.begin:.3f} s")
+            found.append(
+                f"acts under {before.number} and {act.number} of lease {act.lease} overlap by "
+                f"{before.end - act.begin:.3f} s"
+            )
         if act.number < before.number:
             found.append(f"lease {act.lease}: {act.number} was accepted after {before.number}")
         last[act.lease] = max(before, act, key=lambda act: act.end)
@@ -99,19 +111,29 @@
 def overstated(asked: Iterable[Asked], deadlines: Iterable[Deadline], slack: float) -> list[str]:
     """Attempts that gave a worker more time than their client had left, with so many seconds of slack."""
     ends = {try_.request: try_.at + try_.patience_s for try_ in asked}
-    over = [(given.request, given.came_at + given.time_left - ends[given.request])
-            for given in deadlines if given.request in ends]
-    return [f"request {request}: a worker was given {seconds:.2f} s more than was left"
-            for request, seconds in over if seconds > slack]
+    over = [
+        (given.request, given.came_at + given.time_left - ends[given.request])
+        for given in deadlines
+        if given.request in ends
+    ]
+    return [
+        f"request {request}: a worker was given {seconds:.2f} s more than was left"
+        for request, seconds in over
+        if seconds > slack
+    ]
 
 
 def begun_for_nobody(asked: Iterable[Asked], deadlines: Iterable[Deadline], grace: float) -> list[str]:
     """Attempts that came to a worker more than so many seconds after their client had left."""
     left = {try_.request: try_.left_at for try_ in asked if try_.left_at}
-    late = [(given.request, given.came_at - left[given.request])
-            for given in deadlines if given.request in left]
-    return [f"request {request}: an attempt began {seconds:.2f} s after its client had left"
-            for request, seconds in late if seconds > grace]
+    late = [
+        (given.request, given.came_at - left[given.request]) for given in deadlines if given.request in left
+    ]
+    return [
+        f"request {request}: an attempt began {seconds:.2f} s after its client had left"
+        for request, seconds in late
+        if seconds > grace
+    ]
 
 
 def run_twice(runs: Mapping[str, int]) -> list[str]:
--- a/beaconhinge/standin/scene.py
+++ b/beaconhinge/standin/scene.py
@@ -1,5 +1,4 @@
-"""A dispatcher as a process of its own, among stand-in discovery, boxes and clients on free loopback ports.
-"""
+"""A dispatcher as a process among stand-in discovery, boxes and clients on free loopback ports."""
 
 from __future__ import annotations
 
@@ -29,15 +28,31 @@
 MEANS = {"render": 0.15, "publish": 1.5}
 TENANTS = (("north", 0.54), ("south", 0.29), ("east", 0.17))
 SETTINGS: dict[str, Any] = {
-    "membershipMode": "on_request", "dcs": ["a", "b"], "kinds": ["plain"], "zone": 0,
+    "membershipMode": "on_request",
+    "dcs": ["a", "b"],
+    "kinds": ["plain"],
+    "zone": 0,
     "requestClasses": [
         {"name": "render", "aim": 0.5, "hardLimit": 7.5, "semantics": "retryable"},
-        {"name": "publish", "aim": 2.0, "hardLimit": 25.0, "semantics": "dedup", "group": "cell",
-         "dedupWindow": 40.0}],
+        {
+            "name": "publish",
+            "aim": 2.0,
+            "hardLimit": 25.0,
+            "semantics": "dedup",
+            "group": "cell",
+            "dedupWindow": 40.0,
+        },
+    ],
     "orgs": [{"name": name, "share": share, "quotaRps": 0.0} for name, share in TENANTS],
     "familyInfo": {"classKind": [-1, -1], "classStretch": [2.0, 2.0], "progress": 1.0, "tellsStart": True},
-    "policyLimits": {"cancel": True, "retryAfter": True, "maxRetryAfter": 2.0, "mayDuplicate": True,
-                     "idleClose": 5.0, "mostHeld": 2000},
+    "policyLimits": {
+        "cancel": True,
+        "retryAfter": True,
+        "maxRetryAfter": 2.0,
+        "mayDuplicate": True,
+        "idleClose": 5.0,
+        "mostHeld": 2000,
+    },
 }
 START, ENDING = 10.0, 10.0  # seconds that a dispatcher may take to be up, and to end
 
@@ -70,12 +85,18 @@
 async def start(environment: Mapping[str, str], *options: str) -> asyncio.subprocess.Process:
     """A dispatcher as a process; its log comes on standard error."""
     return await asyncio.create_subprocess_exec(
-        sys.executable, *options, "-m", "beaconhinge", stderr=asyncio.subprocess.PIPE,
-        env={**os.environ, **environment})
-
-
-async def until_up(process: asyncio.subprocess.Process, port: int,
-                   lines: Sequence[Mapping[str, Any]]) -> None:
+        sys.executable,
+        *options,
+        "-m",
+        "beaconhinge",
+        stderr=asyncio.subprocess.PIPE,
+        env={**os.environ, **environment},
+    )
+
+
+async def until_up(
+    process: asyncio.subprocess.Process, port: int, lines: Sequence[Mapping[str, Any]]
+) -> None:
     """Raises SceneError when it ends, or is not up in time; `lines` are its log so far."""
     caller, asked = Caller(port), http1.request("GET", b"/up", {"Host": "x"})
     try:
@@ -129,14 +150,22 @@
 
     def platform(self, **more: object) -> dict[str, object]:
         """The platform's configuration of the dispatcher."""
-        return {"name": "demo", "listen": f"127.0.0.1:{self.port}", "seed": 1, "settings": SETTINGS,
-                "discovery": self.discovery.server.address, "known": self.discovery.whole(), **more}
+        return {
+            "name": "demo",
+            "listen": f"127.0.0.1:{self.port}",
+            "seed": 1,
+            "settings": SETTINGS,
+            "discovery": self.discovery.server.address,
+            "known": self.discovery.whole(),
+            **more,
+        }
 
     def write_configuration(self) -> Path:
         (self.folder / "balancer.json").write_text(json.dumps(self.platform()))
         ours = self.folder / "edge.toml"
-        ours.write_text('[platform]\nconfig = "balancer.json"\n\n[log]\nformat = "json"\n\n'
-                        '[store]\nfolder = "store"\n')
+        ours.write_text(
+            '[platform]\nconfig = "balancer.json"\n\n[log]\nformat = "json"\n\n[store]\nfolder = "store"\n'
+        )
         return ours
 
     async def start(self) -> None:
@@ -170,9 +199,18 @@
         answers, waits = self.clients.answers, sorted(self.clients.waits) or [0.0]
         known = {name: answers[name] for name in ("200", "503", "502", "missing")}
         return Figures(
-            seconds, self.clients.asked, known["200"], known["503"], known["502"], known["missing"],
-            answers.total() - sum(known.values()), 1000 * waits[len(waits) // 2],
-            1000 * waits[int(0.99 * len(waits))], sum(box.runs.total() for box in self.boxes), exit_status)
+            seconds,
+            self.clients.asked,
+            known["200"],
+            known["503"],
+            known["502"],
+            known["missing"],
+            answers.total() - sum(known.values()),
+            1000 * waits[len(waits) // 2],
+            1000 * waits[int(0.99 * len(waits))],
+            sum(box.runs.total() for box in self.boxes),
+            exit_status,
+        )
 
 
 @contextlib.asynccontextmanager
--- a/beaconhinge/stats.py
+++ b/beaconhinge/stats.py
@@ -13,9 +13,13 @@
 
 
 class Stats:
-    def __init__(self, now: Callable[[], float], sink: TextIO | None = None,
-                 writer: Callable[[str, dict[str, object]], None] | None = None,
-                 traced: frozenset[str] = frozenset()) -> None:
+    def __init__(
+        self,
+        now: Callable[[], float],
+        sink: TextIO | None = None,
+        writer: Callable[[str, dict[str, object]], None] | None = None,
+        traced: frozenset[str] = frozenset(),
+    ) -> None:
         self.now = now
         self.sink = sink or sys.stderr
         self._write = writer or self._plain_line  # another form comes from `beaconhinge.logs`
--- a/beaconhinge/store/__init__.py
+++ b/beaconhinge/store/__init__.py
@@ -24,6 +24,18 @@
 from .store import Store
 
 __all__ = [
-    "Change", "Delete", "Options", "Put", "Store", "StoreClosed", "StoreCorrupt", "StoreError", "StoreFailed",
-    "StoreFull", "StoreLocked", "StoreTooLarge", "StoreUnreadable", "StoreVersion",
+    "Change",
+    "Delete",
+    "Options",
+    "Put",
+    "Store",
+    "StoreClosed",
+    "StoreCorrupt",
+    "StoreError",
+    "StoreFailed",
+    "StoreFull",
+    "StoreLocked",
+    "StoreTooLarge",
+    "StoreUnreadable",
+    "StoreVersion",
 ]
--- a/beaconhinge/store/bench.py
+++ b/beaconhinge/store/bench.py
@@ -15,8 +15,12 @@
 VALUE = 200  # bytes
 
 
-def measure(folder: Path | None, commits: int, writers: int,
-            progress: Callable[[int, int], None] = lambda done, total: None) -> dict[str, int | float]:
+def measure(
+    folder: Path | None,
+    commits: int,
+    writers: int,
+    progress: Callable[[int, int], None] = lambda done, total: None,
+) -> dict[str, int | float]:
     """Commits a second, each of one key of 16 bytes with a value of 200. Raises OSError, StoreError."""
     with tempfile.TemporaryDirectory(prefix="store-bench-", dir=folder) as place:
         bare = bare_appends(Path(place) / "bare", commits)
@@ -25,8 +29,13 @@
         progress(2, 3)
         many = asyncio.run(store_commits(Path(place) / "many", max(commits, writers), writers))
         progress(3, 3)
-    return {"bare_appends_per_s": round(bare), "one_writer_per_s": round(one), "writers": writers,
-            "many_writers_per_s": round(many), "one_writer_of_bare": round(one / bare, 3)}
+    return {
+        "bare_appends_per_s": round(bare),
+        "one_writer_per_s": round(one),
+        "writers": writers,
+        "many_writers_per_s": round(many),
+        "one_writer_of_bare": round(one / bare, 3),
+    }
 
 
 def bare_appends(file: Path, count: int) -> float:
--- a/beaconhinge/store/codec.py
+++ b/beaconhinge/store/codec.py
@@ -21,8 +21,11 @@
 SEGMENT_MAGIC, INDEX_MAGIC, MANIFEST_MAGIC = b"BHSG", b"BHIX", b"BHMF"
 PUT, DELETE = 1, 2  # kinds of a frame
 FIRST, END = 0x40, 0x80  # set on the kind of a batch's first and last frame
-_KINDS = {kind | mark: (kind, bool(mark & FIRST), bool(mark & END))
-          for kind in (PUT, DELETE) for mark in (0, FIRST, END, FIRST | END)}
+_KINDS = {
+    kind | mark: (kind, bool(mark & FIRST), bool(mark & END))
+    for kind in (PUT, DELETE)
+    for mark in (0, FIRST, END, FIRST | END)
+}
 MAX_SEGMENT = 1 << 30  # bytes: offsets within a segment take 4 bytes
 MAX_KEY = 0xFFFF
 
@@ -111,7 +114,7 @@
     magic, version, _, its_store, its_number = _HEADER.unpack_from(data)
     if magic != SEGMENT_MAGIC:
         raise StoreCorrupt(file, 0, f"no segment: it begins with {magic!r}")
-    if checksum(data[:_HEADER.size]) != salt_of(data):
+    if checksum(data[: _HEADER.size]) != salt_of(data):
         raise StoreCorrupt(file, _HEADER.size, "the header's checksum does not match")
     if version > VERSION:
         raise StoreVersion(file, version, VERSION)
@@ -142,11 +145,20 @@
     kind, first, last = meaning
     if kind == DELETE and key_length != length:
         return None
-    if _extend(salt, data[offset + _SUMMED:end]) != crc:
+    if _extend(salt, data[offset + _SUMMED : end]) != crc:
         return None
     middle = offset + FRAME_BYTES + key_length
-    return Frame(offset if at is None else at, batch, group, kind, first, last,
-                 data[offset + FRAME_BYTES:middle], data[middle:end], FRAME_BYTES + length)
+    return Frame(
+        offset if at is None else at,
+        batch,
+        group,
+        kind,
+        first,
+        last,
+        data[offset + FRAME_BYTES : middle],
+        data[middle:end],
+        FRAME_BYTES + length,
+    )
 
 
 def value_of(data: bytes, salt: int, key: bytes) -> bytes | None:
@@ -155,8 +167,12 @@
         return None
     crc, length, _, _, marked, key_length = _FRAME.unpack_from(data)
     middle = FRAME_BYTES + key_length
-    if _extend(salt, data[_SUMMED:]) != crc or FRAME_BYTES + length != len(data) or not marked & PUT \
-            or data[FRAME_BYTES:middle] != key:
+    if (
+        _extend(salt, data[_SUMMED:]) != crc
+        or FRAME_BYTES + length != len(data)
+        or not marked & PUT
+        or data[FRAME_BYTES:middle] != key
+    ):
         return None
     return data[middle:]
 
@@ -186,14 +202,16 @@
     return _ENTRY.pack(offset, size, kind, len(key)) + key
 
 
-def encode_index(store_id: bytes, number: int, salt: int, segment_bytes: int, count: int,
-                 entries: bytes | bytearray) -> bytes:
+def encode_index(
+    store_id: bytes, number: int, salt: int, segment_bytes: int, count: int, entries: bytes | bytearray
+) -> bytes:
     head = _INDEX_HEADER.pack(INDEX_MAGIC, VERSION, 0, store_id, number, segment_bytes, count, salt)
     return head + bytes(entries) + _CRC.pack(_extend(checksum(head), bytes(entries)))
 
 
-def decode_index(data: bytes, store_id: bytes, number: int, salt: int,
-                 segment_bytes: int) -> Iterator[tuple[int, int, int, bytes]] | None:
+def decode_index(
+    data: bytes, store_id: bytes, number: int, salt: int, segment_bytes: int
+) -> Iterator[tuple[int, int, int, bytes]] | None:
     """Entries (offset, bytes on disk, kind, key) of a sealed segment in order; None for an index that cannot
     be used. It holds nothing that the segment does not hold, so that a bad one costs time and no more.
     """
@@ -202,7 +220,13 @@
         return None
     magic, version, _, its_store, its_number, its_bytes, count, its_salt = _INDEX_HEADER.unpack_from(data)
     if (magic, version, its_store, its_number, its_bytes, its_salt) != (
-            INDEX_MAGIC, VERSION, store_id, number, segment_bytes, salt):
+        INDEX_MAGIC,
+        VERSION,
+        store_id,
+        number,
+        segment_bytes,
+        salt,
+    ):
         return None
     return _entries(data, size, count)
 
@@ -212,7 +236,7 @@
     for _ in range(count):
         offset, frame, kind, key_length = unpack(data, at)
         at += size + key_length
-        yield offset, frame, kind, data[at - key_length:at]
+        yield offset, frame, kind, data[at - key_length : at]
 
 
 # ---- the manifest --------------------------------------------------------------------------------------
--- a/beaconhinge/store/engine.py
+++ b/beaconhinge/store/engine.py
@@ -127,8 +127,9 @@
         name = codec.index_name(segment.number)
         if name not in names:
             return False
-        entries = codec.decode_index(read_whole(self.disk, name), self.store_id, segment.number, segment.salt,
-                                     segment.size)
+        entries = codec.decode_index(
+            read_whole(self.disk, name), self.store_id, segment.number, segment.salt, segment.size
+        )
         if entries is None:
             self.counters["store_index_unusable"] += 1
             self.log("store_index_unusable", file=name)
@@ -229,15 +230,19 @@
         replace(self.disk, MANIFEST, codec.encode_manifest(manifest))
         self._sync_names()
 
-    def _manifest(self, active: int, floor: int, without: int | None = None,
-                  sealing: Segment | None = None) -> Manifest:
+    def _manifest(
+        self, active: int, floor: int, without: int | None = None, sealing: Segment | None = None
+    ) -> Manifest:
         sealed = [*self.sealed.values(), *([sealing] if sealing else [])]
-        return Manifest(self.store_id, active, floor,
-                        [(s.number, s.size, s.last_batch) for s in sealed if s.number != without])
+        return Manifest(
+            self.store_id,
+            active,
+            floor,
+            [(s.number, s.size, s.last_batch) for s in sealed if s.number != without],
+        )
 
     def _roll(self) -> None:
-        """Seal the active segment and begin the next. Raises OSError, with nothing changed, or StoreFailed.
-        """
+        """Seal the active segment and begin the next. Raises OSError (nothing changed) or StoreFailed."""
         old = self.active
         number = max([old.number, *self.sealed]) + 1
         new = self._new_segment(number)
@@ -274,8 +279,9 @@
         """
         if not segment.count or segment.number not in self.sealed:
             return
-        data = codec.encode_index(self.store_id, segment.number, segment.salt, segment.size, segment.count,
-                                  segment.entries)
+        data = codec.encode_index(
+            self.store_id, segment.number, segment.salt, segment.size, segment.count, segment.entries
+        )
         segment.entries, segment.count = bytearray(), 0
         try:
             replace(self.disk, codec.index_name(segment.number), data)
@@ -295,7 +301,8 @@
             if len(change.key) > told.max_key_bytes:
                 self.counters["store_limit_max_key_bytes"] += 1
                 raise StoreTooLarge(
-                    f"a key of {len(change.key)} bytes; max_key_bytes is {told.max_key_bytes}")
+                    f"a key of {len(change.key)} bytes; max_key_bytes is {told.max_key_bytes}"
+                )
             if size > told.max_value_bytes:
                 self.counters["store_limit_max_value_bytes"] += 1
                 raise StoreTooLarge(f"a value of {size} bytes; max_value_bytes is {told.max_value_bytes}")
@@ -441,8 +448,13 @@
     def candidate(self, at_least: float) -> Segment | None:
         """The sealed segment that is best cleaned next, if its dead share is worth it."""
         live = self.index.live
-        number = choose([Sealed(s.number, s.size - HEADER_BYTES, live.get(s.number, 0), s.deletions)
-                         for s in self.sealed.values()], at_least)
+        number = choose(
+            [
+                Sealed(s.number, s.size - HEADER_BYTES, live.get(s.number, 0), s.deletions)
+                for s in self.sealed.values()
+            ],
+            at_least,
+        )
         return None if number is None else self.sealed[number]
 
     def wasted(self, segment: Segment) -> bool:
--- a/beaconhinge/store/options.py
+++ b/beaconhinge/store/options.py
@@ -1,5 +1,4 @@
-"""Limits of the store, by name, with their defaults. `[store]` in the TOML configuration holds the same keys.
-"""
+"""Limits of the store, by name, with their defaults. `[store]` in the TOML file has the same keys."""
 
 from __future__ import annotations
 
--- a/beaconhinge/store/repair.py
+++ b/beaconhinge/store/repair.py
@@ -63,8 +63,11 @@
             result.frames += len(found.frames)
             result.torn += found.torn
             index = codec.index_name(number)
-            if index in names and codec.decode_index(read_whole(disk, index), manifest.store_id, number, salt,
-                                                     len(data)) is None:
+            if (
+                index in names
+                and codec.decode_index(read_whole(disk, index), manifest.store_id, number, salt, len(data))
+                is None
+            ):
                 result.indexes_unusable += 1
         except StoreCorrupt as error:
             result.damage.append(Damage(error.file, error.offset, max(0, size - error.offset), error.reason))
@@ -82,8 +85,14 @@
     lost: list[Damage] = field(default_factory=list)
 
 
-def salvage(source: Disk, target: Disk, options: Options, log: Callable[..., None],
-            new_id: Callable[[], bytes], progress: Progress = _quiet) -> Salvaged:
+def salvage(
+    source: Disk,
+    target: Disk,
+    options: Options,
+    log: Callable[..., None],
+    new_id: Callable[[], bytes],
+    progress: Progress = _quiet,
+) -> Salvaged:
     """Write each whole batch that can be read into a new store at `target`, which must be empty.
 
     A batch of which any frame is lost is left out whole, and listed. A key whose last change is lost has its
--- a/beaconhinge/store/scan.py
+++ b/beaconhinge/store/scan.py
@@ -62,8 +62,9 @@
     offset = HEADER_BYTES
     for frame in frames(data, salt):
         if frame.first != (not held) or frame.batch != (held[0].batch if held else frame.batch):
-            raise StoreCorrupt(file, frame.offset,
-                               f"batch {frame.batch} begins within another or has no beginning")
+            raise StoreCorrupt(
+                file, frame.offset, f"batch {frame.batch} begins within another or has no beginning"
+            )
         if frame.first and frame.batch <= result.last_batch:
             raise StoreCorrupt(file, frame.offset, f"batch {frame.batch} after batch {result.last_batch}")
         if frame.group > frame.offset:
@@ -81,8 +82,12 @@
         raise StoreCorrupt(file, offset, "no whole batch stands here, in a segment that was sealed")
     later = _claims(data, salt, offset, result.end)
     if later is not None:
-        raise StoreCorrupt(file, offset, f"no valid frame stands here, but the one at byte {later.offset} "
-                           f"was written when all before byte {later.group} was durable")
+        raise StoreCorrupt(
+            file,
+            offset,
+            f"no valid frame stands here, but the one at byte {later.offset} "
+            f"was written when all before byte {later.group} was durable",
+        )
     return result
 
 
--- a/beaconhinge/store/store.py
+++ b/beaconhinge/store/store.py
@@ -1,5 +1,4 @@
-"""The store as other code calls it: commits of many callers share one write and one sync, off the event loop.
-"""
+"""The store as other code calls it: commits of many callers share one write and sync, off the loop."""
 
 from __future__ import annotations
 
@@ -57,9 +56,16 @@
         self._groups = 0
 
     @classmethod
-    def open(cls, folder: str | os.PathLike[str], options: Options | None = None, *, disk: Disk | None = None,
-             log: Callable[..., None] = _silent, now: Callable[[], float] = time.monotonic,
-             new_id: Callable[[], bytes] = lambda: os.urandom(16)) -> Store:
+    def open(
+        cls,
+        folder: str | os.PathLike[str],
+        options: Options | None = None,
+        *,
+        disk: Disk | None = None,
+        log: Callable[..., None] = _silent,
+        now: Callable[[], float] = time.monotonic,
+        new_id: Callable[[], bytes] = lambda: os.urandom(16),
+    ) -> Store:
         """Recover the folder's store, or make a new one; blocking.
 
         Raises StoreLocked, StoreCorrupt or StoreVersion with nothing changed on disk, StoreFailed when the
@@ -119,11 +125,18 @@
         self._writing = True
         batches = [waiting.changes for waiting in group]
         records = moves[0] if moves else ()
-        self._submit(lambda: self.engine.write(batches, records),
-                     lambda written, error: self._wrote(group, moves[1] if moves else None, written, error))
-
-    def _wrote(self, group: Sequence[_Waiting], moved: asyncio.Future[bool] | None, written: Written | None,
-               error: BaseException | None) -> None:
+        self._submit(
+            lambda: self.engine.write(batches, records),
+            lambda written, error: self._wrote(group, moves[1] if moves else None, written, error),
+        )
+
+    def _wrote(
+        self,
+        group: Sequence[_Waiting],
+        moved: asyncio.Future[bool] | None,
+        written: Written | None,
+        error: BaseException | None,
+    ) -> None:
         if written is not None:
             self.engine.apply(written.placed)
         for i, waiting in enumerate(group):
@@ -192,8 +205,13 @@
         elif self._groups % LOOK_EVERY:
             return
         idle = self._cleaner is None or self._cleaner.done()
-        if idle and not self._closed and self.engine.failure is None and self._now() >= self._clean_after \
-                and self.engine.candidate(self.engine.options.compact_dead_share) is not None:
+        if (
+            idle
+            and not self._closed
+            and self.engine.failure is None
+            and self._now() >= self._clean_after
+            and self.engine.candidate(self.engine.options.compact_dead_share) is not None
+        ):
             self._cleaner = asyncio.get_running_loop().create_task(self._clean_up())
 
     async def _clean_up(self) -> None:
@@ -284,9 +302,14 @@
         engine = self.engine
         live = sum(engine.index.live.values())
         return {
-            "id": engine.store_id.hex(), "keys": len(engine.index), "segments": len(engine.sealed) + 1,
-            "disk_bytes": engine.disk_bytes, "live_bytes": live, "index_bytes": engine.index.memory,
-            "last_batch": engine.batch, "state": "failed" if engine.failure else "open",
+            "id": engine.store_id.hex(),
+            "keys": len(engine.index),
+            "segments": len(engine.sealed) + 1,
+            "disk_bytes": engine.disk_bytes,
+            "live_bytes": live,
+            "index_bytes": engine.index.memory,
+            "last_batch": engine.batch,
+            "state": "failed" if engine.failure else "open",
             **dict(sorted(engine.counters.items())),
         }
 
--- a/beaconhinge/verification.py
+++ b/beaconhinge/verification.py
@@ -52,8 +52,9 @@
 class Verification:
     """Whether the believed list is confirmed, and what has to be read when to have it confirmed."""
 
-    def __init__(self, pushed: bool, group_size: int, now: float, chance: float,
-                 version: int | None = None) -> None:
+    def __init__(
+        self, pushed: bool, group_size: int, now: float, chance: float, version: int | None = None
+    ) -> None:
         self.pushed = pushed
         turn = 0.0 if pushed else group_size / FLEET_READS_PER_SECOND
         self._latest = max(AFTER_CHANGE_LATEST, AFTER_CHANGE_EARLIEST + turn)
--- a/benchmarks/lean.py
+++ b/benchmarks/lean.py
@@ -38,12 +38,21 @@
         made.write_configuration()
         for server in (made.discovery.server, *(box.server for box in made.boxes)):
             server.start()
-        environment = {"RELAY_CONFIG": f"{folder}/balancer.json", "PATH": os.environ["PATH"],
-                       "PYTHONPATH": str(checkout)}
+        environment = {
+            "RELAY_CONFIG": f"{folder}/balancer.json",
+            "PATH": os.environ["PATH"],
+            "PYTHONPATH": str(checkout),
+        }
         begun = time.perf_counter()
         made.process = await asyncio.create_subprocess_exec(
-            sys.executable, "-O", "-m", "beaconhinge", cwd=checkout, env=environment,
-            stderr=asyncio.subprocess.PIPE)
+            sys.executable,
+            "-O",
+            "-m",
+            "beaconhinge",
+            cwd=checkout,
+            env=environment,
+            stderr=asyncio.subprocess.PIPE,
+        )
         assert made.process.stderr is not None
         line = await made.process.stderr.readline()
         assert b" started " in line, line
@@ -57,12 +66,17 @@
         used, after = cpu(made.process.pid) - before, resident(made.process.pid)
         assert made.clients.answers.total() == made.clients.asked
         await made.stop()
-        return {"start, s": started, "memory at the start, MB": memory, "memory after, MB": after,
-                "CPU a request, ms": 1000 * used / made.clients.asked}
+        return {
+            "start, s": started,
+            "memory at the start, MB": memory,
+            "memory after, MB": after,
+            "CPU a request, ms": 1000 * used / made.clients.asked,
+        }
 
 
-def paired(measure: Callable[[Path], dict[str, float]], other: Path,
-           number: int) -> tuple[dict[str, float], dict[str, float]]:
+def paired(
+    measure: Callable[[Path], dict[str, float]], other: Path, number: int
+) -> tuple[dict[str, float], dict[str, float]]:
     """This checkout and the other, in an order that alternates: the second has warmer caches."""
     if number % 2:
         second = measure(other)
@@ -77,24 +91,34 @@
     parser.add_argument("--rounds", type=int, default=5)
     told = parser.parse_args()
     other = told.other.resolve()
-    rounds = [paired(lambda checkout: asyncio.run(play(checkout, 1)), other, number)
-              for number in range(told.rounds)]
-    starts = [paired(lambda checkout: asyncio.run(play(checkout, 0, 0.0)), other, number)
-              for number in range(4 * told.rounds)]
+    rounds = [
+        paired(lambda checkout: asyncio.run(play(checkout, 1)), other, number)
+        for number in range(told.rounds)
+    ]
+    starts = [
+        paired(lambda checkout: asyncio.run(play(checkout, 0, 0.0)), other, number)
+        for number in range(4 * told.rounds)
+    ]
     for name in ("start, s", "memory at the start, MB"):  # cheap enough for more rounds
-        print(f"{name}: ratios from {min(a[name] / b[name] for a, b in starts):.3f} "
-              f"to {max(a[name] / b[name] for a, b in starts):.3f}")
+        print(
+            f"{name}: ratios from {min(a[name] / b[name] for a, b in starts):.3f} "
+            f"to {max(a[name] / b[name] for a, b in starts):.3f}"
+        )
     for at, (a, b) in enumerate(rounds):
         for name in ("start, s", "memory at the start, MB"):
             for side, figures in enumerate((a, b)):
-                figures[name] = median(pair[side][name] for pair in starts[4 * at:4 * at + 4])
+                figures[name] = median(pair[side][name] for pair in starts[4 * at : 4 * at + 4])
     result: dict[str, dict[str, float]] = {}
     for name in rounds[0][0]:
-        result[name] = {"here": median(a[name] for a, _ in rounds),
-                         "other": median(b[name] for _, b in rounds),
-                         "ratio": median(a[name] / b[name] for a, b in rounds)}
-        print(f"{name:26} here {result[name]['here']:8.3f}  other {result[name]['other']:8.3f}  "
-              f"ratio {result[name]['ratio']:.3f}")
+        result[name] = {
+            "here": median(a[name] for a, _ in rounds),
+            "other": median(b[name] for _, b in rounds),
+            "ratio": median(a[name] / b[name] for a, b in rounds),
+        }
+        print(
+            f"{name:26} here {result[name]['here']:8.3f}  other {result[name]['other']:8.3f}  "
+            f"ratio {result[name]['ratio']:.3f}"
+        )
     told.file.parent.mkdir(parents=True, exist_ok=True)
     told.file.write_text(json.dumps(result, indent=1) + "\n")
 
--- a/benchmarks/leases.py
+++ b/benchmarks/leases.py
@@ -54,8 +54,14 @@
         stats = Stats(clock.now, writer=lambda event, fields: None)
         wheel = Wheel(clock.now, stats.failure)
         settings = SimpleNamespace(own_number=number, group_size=count)
-        config: Any = SimpleNamespace(name=f"n{number}", settings=settings, peer_listen=addresses[number],
-                                      peers=addresses, peers_all=addresses[number], mgmt=None)
+        config: Any = SimpleNamespace(
+            name=f"n{number}",
+            settings=settings,
+            peer_listen=addresses[number],
+            peers=addresses,
+            peers_all=addresses[number],
+            mgmt=None,
+        )
         core: Any = SimpleNamespace(owners={}, feed=lambda event: None)
         peers = Peers(config, core, wheel, stats)
         peers.listen()
@@ -86,8 +92,10 @@
             if leases.store is not None:
                 await leases.store.close()
     where = f"{count} members, {'with a disk' if disk else 'without'}"
-    return {name: shown(name, values) for name, values in ((f"free to granted, {where}", free),
-                                                           (f"given up to next, {where}", handed))}
+    return {
+        name: shown(name, values)
+        for name, values in ((f"free to granted, {where}", free), (f"given up to next, {where}", handed))
+    }
 
 
 class Killed(ScenarioRun):
@@ -108,8 +116,13 @@
                 while len(self.acts) < count + 10:
                     await asyncio.sleep(0.01)
                 number = self.acts[-1].number
-                [holder] = [process for process in self.processes if any(
-                    line["event"] == "lease_held" and line["number"] == number for line in process.lines)]
+                [holder] = [
+                    process
+                    for process in self.processes
+                    if any(
+                        line["event"] == "lease_held" and line["number"] == number for line in process.lines
+                    )
+                ]
                 died = time.monotonic()
                 await holder.end(signal.SIGKILL)
                 while self.acts[-1].number == number:
--- a/benchmarks/loglines.py
+++ b/benchmarks/loglines.py
@@ -28,8 +28,15 @@
 def line_cost(stats: Stats) -> float:
     begun = time.perf_counter()
     for number in range(LINES):
-        stats.log("worker_answer_unexpected", total=number, worker=17, status=500, request="9b1f03aa5c7e2d41",
-                  target="/render", why="no such script")
+        stats.log(
+            "worker_answer_unexpected",
+            total=number,
+            worker=17,
+            status=500,
+            request="9b1f03aa5c7e2d41",
+            target="/render",
+            why="no such script",
+        )
     return (time.perf_counter() - begun) / LINES * 1e6
 
 
@@ -38,8 +45,10 @@
         return lambda sink: Stats(time.time, writer=writer(form, sink, time.time))
 
     forms: dict[str, Callable[[TextIO], Stats]] = {
-        "plain": lambda sink: Stats(time.time, sink), "logfmt": structured("logfmt"),
-        "json": structured("json")}
+        "plain": lambda sink: Stats(time.time, sink),
+        "logfmt": structured("logfmt"),
+        "json": structured("json"),
+    }
     rounds: dict[str, list[float]] = {name: [] for name in forms}
     with open(os.devnull, "w") as sink:
         for _ in range(ROUNDS):
@@ -49,10 +58,16 @@
         ratio = median(a / b for a, b in zip(costs, rounds["plain"], strict=True))
         print(f"{name:8} {median(costs):6.1f} us a line, {ratio:.2f} of plain")
     for what in ("pass", "import logging", "import structlog", "import beaconhinge.__main__"):
-        runs = [subprocess.run([sys.executable, "-c", IMPORT.format(what)], capture_output=True, text=True,
-                               check=True).stdout.split() for _ in range(ROUNDS)]
-        print(f"{what:28} {1000 * median(float(r[0]) for r in runs):7.1f} ms, "
-              f"{median(float(r[1]) for r in runs):.1f} MB")
+        runs = [
+            subprocess.run(
+                [sys.executable, "-c", IMPORT.format(what)], capture_output=True, text=True, check=True
+            ).stdout.split()
+            for _ in range(ROUNDS)
+        ]
+        print(
+            f"{what:28} {1000 * median(float(r[0]) for r in runs):7.1f} ms, "
+            f"{median(float(r[1]) for r in runs):.1f} MB"
+        )
 
 
 if __name__ == "__main__":
--- a/benchmarks/module.py
+++ b/benchmarks/module.py
@@ -24,8 +24,12 @@
     told = {**settings(5.0 * workers, True), "groupSize": str(group), "myNumber": "0"}
     made = Dispatcher(api.Settings.from_pairs(told), 1)
     made.handle(1000.0, api.Start())
-    made.handle(1000.0, api.Membership(api.REMEMBERED, 1, [
-        api.Member(n * 7919 + 1, cell=n % 6, zone=n % 2) for n in range(workers)]))
+    made.handle(
+        1000.0,
+        api.Membership(
+            api.REMEMBERED, 1, [api.Member(n * 7919 + 1, cell=n % 6, zone=n % 2) for n in range(workers)]
+        ),
+    )
     return made
 
 
@@ -75,8 +79,12 @@
             name = f"{group} x {workers}"
             result[name] = play(group, workers)
             first = result[f"{GROUPS[0]} x {FLEETS[0]}"]
-            print(f"{name:>22} " + " ".join(
-                f"{result[name][kind]:>12.1f} ({result[name][kind] / first[kind]:5.2f})" for kind in KINDS))
+            print(
+                f"{name:>22} "
+                + " ".join(
+                    f"{result[name][kind]:>12.1f} ({result[name][kind] / first[kind]:5.2f})" for kind in KINDS
+                )
+            )
     file.parent.mkdir(parents=True, exist_ok=True)
     file.write_text(json.dumps(result, indent=1) + "\n")
 
--- a/benchmarks/operations.py
+++ b/benchmarks/operations.py
@@ -34,7 +34,8 @@
         config.write_text(json.dumps(self.scene.platform(mgmt=f"127.0.0.1:{self.mgmt}")))
         environment = {**os.environ, "RELAY_CONFIG": str(config), "TMPDIR": str(self.scene.folder)}
         self.process = await asyncio.create_subprocess_exec(
-            sys.executable, "-O", "-m", "beaconhinge", env=environment, stderr=asyncio.subprocess.DEVNULL)
+            sys.executable, "-O", "-m", "beaconhinge", env=environment, stderr=asyncio.subprocess.DEVNULL
+        )
         while not (await self.call("ready")).startswith(b"SUCCESS"):
             await asyncio.sleep(0.02)
 
@@ -70,6 +71,7 @@
 
 async def crowd(port: int) -> None:
     """Connect and say nothing, again and again."""
+
     async def one() -> None:
         while True:
             reader, writer = await asyncio.open_connection("127.0.0.1", port)
@@ -110,13 +112,19 @@
     for server in (scene.discovery.server, *(box.server for box in scene.boxes)):
         await server.stop()
     answers = scene.clients.answers
-    return {"call, idle, ms (median)": 1000 * median(idle), "call, idle, ms (longest)": 1000 * max(idle),
-            "call, loaded, ms (median)": 1000 * median(busy), "call, loaded, ms (longest)": 1000 * max(busy),
-            "call, loaded to idle (ratio of medians)": median(busy) / median(idle),
-            "memory for an idle connection, KB": each / 1024,
-            "upgrade, s until ready (median)": median(ready), "upgrade, s until ready (longest)": max(ready),
-            "jobs asked": scene.clients.asked, "jobs served": answers["200"],
-            "jobs unanswered": answers["missing"]}
+    return {
+        "call, idle, ms (median)": 1000 * median(idle),
+        "call, idle, ms (longest)": 1000 * max(idle),
+        "call, loaded, ms (median)": 1000 * median(busy),
+        "call, loaded, ms (longest)": 1000 * max(busy),
+        "call, loaded to idle (ratio of medians)": median(busy) / median(idle),
+        "memory for an idle connection, KB": each / 1024,
+        "upgrade, s until ready (median)": median(ready),
+        "upgrade, s until ready (longest)": max(ready),
+        "jobs asked": scene.clients.asked,
+        "jobs served": answers["200"],
+        "jobs unanswered": answers["missing"],
+    }
 
 
 def main() -> None:
--- a/benchmarks/recovery.py
+++ b/benchmarks/recovery.py
@@ -25,22 +25,36 @@
 
 def figures(verdict: Verdict) -> dict[str, float]:
     twice = sum(1 for line in verdict.broken if line.startswith("key "))
-    return {"keys": verdict.keys, "ran twice": twice, "without a result": verdict.keys_unanswered,
-            "healthy boxes benched": sum(verdict.benched.values()),
-            "stalls": verdict.counters.get("stalls", 0)}
+    return {
+        "keys": verdict.keys,
+        "ran twice": twice,
+        "without a result": verdict.keys_unanswered,
+        "healthy boxes benched": sum(verdict.benched.values()),
+        "stalls": verdict.counters.get("stalls", 0),
+    }
 
 
 async def all_plays(seeds: int) -> dict[str, dict[str, list[dict[str, float]]]]:
     limit, found = asyncio.Semaphore(AT_A_TIME), {name: {"off": [], "on": []} for name in SCENARIOS}
 
     async def one(name: str, on: bool, seed: int) -> None:
-        scenario = Scenario(name, seed=seed, rate=40.0, slots=8, keyed=0.4, seconds=14.0, patience_s=4.0,
-                      recovery=on, faults=SCENARIOS[name])
+        scenario = Scenario(
+            name,
+            seed=seed,
+            rate=40.0,
+            slots=8,
+            keyed=0.4,
+            seconds=14.0,
+            patience_s=4.0,
+            recovery=on,
+            faults=SCENARIOS[name],
+        )
         async with limit:
             found[name]["on" if on else "off"].append(figures(await run_scenario(scenario)))
 
-    await asyncio.gather(*(one(name, on, seed) for seed in range(1, seeds + 1) for name in SCENARIOS
-                           for on in (False, True)))
+    await asyncio.gather(
+        *(one(name, on, seed) for seed in range(1, seeds + 1) for name in SCENARIOS for on in (False, True))
+    )
     return found
 
 
@@ -55,8 +69,10 @@
         for way, plays in both.items():
             for figure in plays[0]:
                 values = [row[figure] for row in plays]
-                print(f"{name:<12} {way:<8} {figure:<24} {sum(values):>6} {statistics.median(values):>7g} "
-                      f"{max(values):>6}")
+                print(
+                    f"{name:<12} {way:<8} {figure:<24} {sum(values):>6} {statistics.median(values):>7g} "
+                    f"{max(values):>6}"
+                )
     if options.write:
         options.write.write_text(json.dumps(found, indent=1))
 
--- a/benchmarks/store.py
+++ b/benchmarks/store.py
@@ -123,11 +123,9 @@
             "bare append + fdatasync": lambda p=place: bare_appends(p / "bare", count),  # type: ignore[misc]
             "store, 1 writer": lambda p=place: uvloop.run(store_commits(p / "s1", count, 1)),  # type: ignore[misc]
             "SQLite, 1 writer": lambda p=place: sqlite_commits(p / "q1", count, 1),  # type: ignore[misc]
-            "SQLite by a thread, 1 writer":
-                lambda p=place: sqlite_through_a_thread(p / "qt", count),  # type: ignore[misc]
+            "SQLite by a thread, 1 writer": lambda p=place: sqlite_through_a_thread(p / "qt", count),  # type: ignore[misc]
             "LMDB, 1 writer": lambda p=place: lmdb_commits(p / "l1", count, 1),  # type: ignore[misc]
-            "store, 64 writers":
-                lambda p=place: uvloop.run(store_commits(p / "s64", 8 * count, 64)),  # type: ignore[misc]
+            "store, 64 writers": lambda p=place: uvloop.run(store_commits(p / "s64", 8 * count, 64)),  # type: ignore[misc]
             "SQLite, 64 writers": lambda p=place: sqlite_commits(p / "q64", count, 64),  # type: ignore[misc]
             "LMDB, 64 writers": lambda p=place: lmdb_commits(p / "l64", count, 64),  # type: ignore[misc]
         }
@@ -185,9 +183,12 @@
                 assert transaction.get(wanted)
             rounds.setdefault("LMDB", []).append((time.perf_counter() - begun) / count * 1e6)
     store.shut()
-    return {**{f"read, {name}, us": median(times) for name, times in rounds.items()},
-            "reads a second of SQLite's (aim 2)": median(
-                b / a for a, b in zip(rounds["store"], rounds["SQLite"], strict=True))}
+    return {
+        **{f"read, {name}, us": median(times) for name, times in rounds.items()},
+        "reads a second of SQLite's (aim 2)": median(
+            b / a for a, b in zip(rounds["store"], rounds["SQLite"], strict=True)
+        ),
+    }
 
 
 RECOVER = """
@@ -246,6 +247,7 @@
 
 def cleaning(folder: Path, count: int) -> dict[str, Any]:
     """p99 of a commit while old segments are cleaned, and while none are."""
+
     async def run(name: str, dead_share: float) -> tuple[list[float], int]:
         options = Options(segment_bytes=2 * 1024 * 1024, compact_dead_share=dead_share)
         store = Store.open(folder / name, options)
@@ -267,10 +269,12 @@
         busy, cleaned = uvloop.run(run(f"busy{number}", 0.2))
         rows.append((still[int(0.99 * count)], busy[int(0.99 * count)], cleaned, none))
         ratios.append(rows[-1][1] / rows[-1][0])
-    return {"commit p99 without cleaning, us": median(r[0] for r in rows) * 1e6,
-            "commit p99 while cleaning, us": median(r[1] for r in rows) * 1e6,
-            "segments cleaned meanwhile": median(r[2] for r in rows),
-            "p99 while cleaning of that without (aim 3)": median(ratios)}
+    return {
+        "commit p99 without cleaning, us": median(r[0] for r in rows) * 1e6,
+        "commit p99 while cleaning, us": median(r[1] for r in rows) * 1e6,
+        "segments cleaned meanwhile": median(r[2] for r in rows),
+        "p99 while cleaning of that without (aim 3)": median(ratios),
+    }
 
 
 def main() -> None:
@@ -279,8 +283,10 @@
     parser.add_argument("--commits", type=int, default=3000)
     parser.add_argument("--keys", type=int, default=1_000_000)
     told = parser.parse_args()
-    figures: dict[str, Any] = {"machine": f"{platform.machine()}, {os.cpu_count()} cores, Python "
-                               f"{platform.python_version()}, {platform.system()} {platform.release()}"}
+    figures: dict[str, Any] = {
+        "machine": f"{platform.machine()}, {os.cpu_count()} cores, Python "
+        f"{platform.python_version()}, {platform.system()} {platform.release()}"
+    }
     sizes = [size for size in (10_000, 100_000, 1_000_000) if size <= told.keys]
     told.file.parent.mkdir(parents=True, exist_ok=True)
     with tempfile.TemporaryDirectory(prefix="bench-", dir=told.file.parent) as place:
--- a/ospreyroute/api.py
+++ b/ospreyroute/api.py
@@ -112,19 +112,21 @@
             semantics = pairs.get(path + "semantics", RETRYABLE)
             if semantics not in (RETRYABLE, DEDUP, FRAGILE):
                 raise ValueError(f"{path}semantics: {semantics!r} is not known")
-            classes.append(RequestClass(
-                aim=read.seconds(path + "aim", 1.0),
-                deadline=read.seconds(path + "hardLimit", 10.0),
-                semantics=semantics,
-                dedup_group=pairs.get(path + "group", "all"),
-                dedup_window=read.seconds(path + "dedupWindow", 0.0),
-                late_worth=read.seconds(path + "lateWorth", 0.0),
-                importance=read.seconds(path + "importance", 1.0),
-                stretch=read.seconds(path + "aimStretch", stretches[i] if i < len(stretches) else 0.0),
-                kind=int(kinds[i]) if i < len(kinds) else -1,
-                stream=read.flag(path + "stream"),
-                priority=int(priorities[i]) if i < len(priorities) else 0,
-            ))
+            classes.append(
+                RequestClass(
+                    aim=read.seconds(path + "aim", 1.0),
+                    deadline=read.seconds(path + "hardLimit", 10.0),
+                    semantics=semantics,
+                    dedup_group=pairs.get(path + "group", "all"),
+                    dedup_window=read.seconds(path + "dedupWindow", 0.0),
+                    late_worth=read.seconds(path + "lateWorth", 0.0),
+                    importance=read.seconds(path + "importance", 1.0),
+                    stretch=read.seconds(path + "aimStretch", stretches[i] if i < len(stretches) else 0.0),
+                    kind=int(kinds[i]) if i < len(kinds) else -1,
+                    stream=read.flag(path + "stream"),
+                    priority=int(priorities[i]) if i < len(priorities) else 0,
+                )
+            )
         tenants = tuple(
             Tenant(read.seconds(f"orgs.{i}.share", 1.0), read.seconds(f"orgs.{i}.quotaRps", 0.0))
             for i in range(read.whole("orgs.count", 0))
@@ -347,8 +349,19 @@
 
 
 Event: TypeAlias = (
-    Start | Membership | Maintenance | Elsewhere | Job | Notice | StreamStarted | Outcome | ClientGone
-    | PeerMessage | ProbeResult | Stalled | Timer
+    Start
+    | Membership
+    | Maintenance
+    | Elsewhere
+    | Job
+    | Notice
+    | StreamStarted
+    | Outcome
+    | ClientGone
+    | PeerMessage
+    | ProbeResult
+    | Stalled
+    | Timer
 )
 
 # ---- actions ------------------------------------------------------------------------------------------
--- a/ospreyroute/benchlink.py
+++ b/ospreyroute/benchlink.py
@@ -78,29 +78,45 @@
 
 def _job(line: _Line) -> api.Job:
     return api.Job(
-        line.whole(2, "call"), line.whole(3, "cls"), line.whole(4, "clientGroup", 0),
-        line.number(6, "remaining"), line.text(5, "routeKey"),
-        line.number(7, "sizeHint", 0.0), line.number(8, "width", 1.0),
-        line.number(9, "memory", 0.0), line.whole(10, "flags", 0),
+        line.whole(2, "call"),
+        line.whole(3, "cls"),
+        line.whole(4, "clientGroup", 0),
+        line.number(6, "remaining"),
+        line.text(5, "routeKey"),
+        line.number(7, "sizeHint", 0.0),
+        line.number(8, "width", 1.0),
+        line.number(9, "memory", 0.0),
+        line.whole(10, "flags", 0),
     )
 
 
 def _resolved(line: _Line) -> api.Outcome:
     return api.Outcome(
-        line.whole(2, "call"), line.whole(3, "worker"), line.whole(7, "seqNo"), line.outcome(5, "outcome"),
-        line.text(6, "settled") == "1", line.number(8, "latency", 0.0), line.load(9, "pressure"),
+        line.whole(2, "call"),
+        line.whole(3, "worker"),
+        line.whole(7, "seqNo"),
+        line.outcome(5, "outcome"),
+        line.text(6, "settled") == "1",
+        line.number(8, "latency", 0.0),
+        line.load(9, "pressure"),
         line.whole(4, "detail", 0),
     )
 
 
 def _notice(line: _Line) -> api.Notice:
-    return api.Notice(line.whole(2, "call"), line.whole(3, "worker"), line.whole(4, "seqNo"),
-                      line.whole(5, "what"), line.number(6, "x", 0.0))
+    return api.Notice(
+        line.whole(2, "call"),
+        line.whole(3, "worker"),
+        line.whole(4, "seqNo"),
+        line.whole(5, "what"),
+        line.number(6, "x", 0.0),
+    )
 
 
 def _head(line: _Line) -> api.StreamStarted:
-    return api.StreamStarted(line.whole(2, "call"), line.whole(3, "worker"), line.whole(5, "seqNo"),
-                             line.number(4, "latency", 0.0))
+    return api.StreamStarted(
+        line.whole(2, "call"), line.whole(3, "worker"), line.whole(5, "seqNo"), line.number(4, "latency", 0.0)
+    )
 
 
 def _peer(line: _Line) -> api.PeerMessage:
@@ -108,8 +124,12 @@
 
 
 def _probe(line: _Line) -> api.ProbeResult:
-    return api.ProbeResult(line.whole(2, "worker"), line.outcome(3, "outcome"),
-                           line.number(4, "latency", 0.0), line.load(5, "pressure"))
+    return api.ProbeResult(
+        line.whole(2, "worker"),
+        line.outcome(3, "outcome"),
+        line.number(4, "latency", 0.0),
+        line.load(5, "pressure"),
+    )
 
 
 PARSERS: dict[str, Callable[[_Line], api.Event]] = {
@@ -248,10 +268,17 @@
             status = item.text(3, "health")
             if status not in (api.UP, api.DRAINING, api.GONE):
                 raise item.fail("health", f"{status!r} is not known")
-            members.append(api.Member(
-                item.whole(4, "worker"), status, item.whole(1, "classOfHost", 0), item.whole(2, "cluster", 0),
-                item.whole(7, "dc", 0), item.number(5, "scale", 1.0), item.number(6, "onlineSince", 0.0),
-            ))
+            members.append(
+                api.Member(
+                    item.whole(4, "worker"),
+                    status,
+                    item.whole(1, "classOfHost", 0),
+                    item.whole(2, "cluster", 0),
+                    item.whole(7, "dc", 0),
+                    item.number(5, "scale", 1.0),
+                    item.number(6, "onlineSince", 0.0),
+                )
+            )
         event = api.Membership(how, line.whole(3, "version", 0), members)
         self.handle(now, line.whole(1, "dispatcher"), event, reply)
         return number
--- a/ospreyroute/decide.py
+++ b/ospreyroute/decide.py
@@ -3,6 +3,7 @@
 `Dispatcher(settings, seed).handle(now, event)` answers with a list of actions, without clock, I/O or state
 outside. A job's life: its tenant's bucket admits or refuses it on arrival; it goes to a random ready worker,
 or is held for a slot; each outcome ends it, sends it elsewhere, or fails it."""
+
 import math
 import random
 from bisect import insort
@@ -281,8 +282,16 @@
         first_try = self.now - (longest - given if repeat else 0.0)
         due = first_try + cls.aim + cls.stretch * run
         request = self.requests[job.request] = _Request(
-            job.request, cls, max(job.slots, 1.0), work, first_try, self.now + job.remaining, due, expected,
-            start_by=max(first_try + cls.aim / 2, due - expected))
+            job.request,
+            cls,
+            max(job.slots, 1.0),
+            work,
+            first_try,
+            self.now + job.remaining,
+            due,
+            expected,
+            start_by=max(first_try + cls.aim / 2, due - expected),
+        )
         hopeless = self.now > (request.start_by if cls.late_worth == 0 else self.give_up_at(request))
         if job.doubted or hopeless or job.remaining < min(given, expected):
             self.refuse(request)  # a client's repeat: a second run, or worthless by now; or we end before it
@@ -332,8 +341,9 @@
         demand = self.total_demand()
         if self.fulls >= 3 and self.fulls > FULL_SHARE * self.sends:
             self.rate = CUT * min(self.rate, max(admitted, 1e-3))
-            self.actions.append(api.Log(
-                f"fleet rate cut to {self.rate:.2f} after {self.fulls} full of {self.sends}"))
+            self.actions.append(
+                api.Log(f"fleet rate cut to {self.rate:.2f} after {self.fulls} full of {self.sends}")
+            )
         elif self.rate < INF and self.fulls <= 0:
             self.rate += STEP * max(admitted, self.rate)
             if self.rate > 1.2 * sum(demand.values()):
@@ -496,8 +506,11 @@
         if self.many:
             # Many see the same free slot and hear late of claims on it: while slots are scarce each claims
             # by chance, so that about one does. Slots that own jobs leave are claimed at once.
-            room = sum(max(0.0, self.limit(w) - self.out(w)) for w in self.pool[-1]
-                       if not w.trial and not self.cold(w))
+            room = sum(
+                max(0.0, self.limit(w) - self.out(w))
+                for w in self.pool[-1]
+                if not w.trial and not self.cold(w)
+            )
             self.chance = min(1.0, CLAIM * room / max(self.send_rate * UNHEARD, 1.0))
 
     def learn_wait(self, attempt: _Attempt) -> None:
@@ -889,7 +902,17 @@
             self.copy_stranded()
 
     HANDLERS: ClassVar[dict[type, Callable[..., None]]] = {
-        api.Start: on_start, api.Membership: on_membership, api.Maintenance: on_maintenance,
-        api.Elsewhere: on_elsewhere, api.Job: on_job, api.Outcome: on_outcome, api.Notice: on_notice,
-        api.StreamStarted: on_gone, api.ClientGone: on_gone, api.PeerMessage: on_peer, api.Timer: on_timer,
-        api.Stalled: on_stalled, api.ProbeResult: on_probed}
+        api.Start: on_start,
+        api.Membership: on_membership,
+        api.Maintenance: on_maintenance,
+        api.Elsewhere: on_elsewhere,
+        api.Job: on_job,
+        api.Outcome: on_outcome,
+        api.Notice: on_notice,
+        api.StreamStarted: on_gone,
+        api.ClientGone: on_gone,
+        api.PeerMessage: on_peer,
+        api.Timer: on_timer,
+        api.Stalled: on_stalled,
+        api.ProbeResult: on_probed,
+    }
--- a/ospreyroute/fleet.py
+++ b/ospreyroute/fleet.py
@@ -206,8 +206,11 @@
         self.mates = [n for n in members if n != own_number]
         self.everyone = [-1] if self.circles == 1 else self.mates
         self.standing = (group_size - 1) / max(1, len(self.mates))  # for how many dispatchers a mate stands
-        self.far = {c: Circle([n for n in range(group_size) if of[n] == c])
-                    for c in range(self.circles) if c != circle}
+        self.far = {
+            c: Circle([n for n in range(group_size) if of[n] == c])
+            for c in range(self.circles)
+            if c != circle
+        }
         self.abroad: Counter[int] = Counter()  # slots that other circles have out, by key of a worker
         self._abroad_at = self._far_at = -INF
         self._far_told: Counter[int] = Counter()  # as the hub, those told longest ago first
@@ -331,8 +334,9 @@
         self.abroad = Counter({key: round(scale * slots) for key, slots in sums.items()})
         self._abroad_at = now
         # Sorting keeps the order of what has changed alike, or not at all: the one told longest ago is first.
-        order = sorted({**self._far_told, **self.abroad},
-                       key=lambda key: -abs(self.abroad[key] - self._far_told[key]))
+        order = sorted(
+            {**self._far_told, **self.abroad}, key=lambda key: -abs(self.abroad[key] - self._far_told[key])
+        )
         for key in order[:FAR_MOST]:
             del self._far_told[key]
             self._far_told[key] = self.abroad[key]
