--- a/ospreyroute/peerwire.py
+++ b/ospreyroute/peerwire.py
@@ -78,11 +78,13 @@
 
 
 def encode_board(board: Board) -> bytes:
-    head = _BOARD.pack(FAR if board.far else BOARD, board.incarnation & 0xFF, board.sequence & 0xFF,
-                       min(255, board.sends))
+    head = _BOARD.pack(
+        FAR if board.far else BOARD, board.incarnation & 0xFF, board.sequence & 0xFF, min(255, board.sends)
+    )
     return head + b"".join(
         _ENTRY.pack(k, min(31, max(0, slots)) << 3 | min(3, failures) << 1 | served)
-        for k, slots, failures, served in board.entries[:BOARD_MOST])
+        for k, slots, failures, served in board.entries[:BOARD_MOST]
+    )
 
 
 def encode(report: Report) -> bytes:
@@ -92,11 +94,22 @@
     room -= len(buckets) * _BUCKET.size
     workers = report.slots_out[: room // _WORKER.size]
     span = min(65535, max(1, round(report.span * 1000)))
-    parts = [_REPORT.pack(REPORT, report.incarnation & 0xFF, report.sequence & 0xFFFF, span, len(limits),
-                          len(buckets), len(workers))]
+    parts = [
+        _REPORT.pack(
+            REPORT,
+            report.incarnation & 0xFF,
+            report.sequence & 0xFFFF,
+            span,
+            len(limits),
+            len(buckets),
+            len(workers),
+        )
+    ]
     parts += [_KIND.pack(kind & 255, min(255, round(limit * 8))) for kind, limit in limits]
-    parts += [_BUCKET.pack(tenant & 255, cls & 255, _to_byte(allowed), _to_byte(denied))
-              for tenant, cls, allowed, denied in buckets]
+    parts += [
+        _BUCKET.pack(tenant & 255, cls & 255, _to_byte(allowed), _to_byte(denied))
+        for tenant, cls, allowed, denied in buckets
+    ]
     parts += [_WORKER.pack(worker, min(255, slots)) for worker, slots in workers]
     return b"".join(parts)
 
@@ -106,11 +119,13 @@
         return None
     if payload[0] == NEWS and len(payload) % 2:
         _, incarnation, sequence = _NEWS.unpack_from(payload)
-        words = struct.unpack(f">{len(payload) // 2 - 1}H", payload[_NEWS.size:])
+        words = struct.unpack(f">{len(payload) // 2 - 1}H", payload[_NEWS.size :])
         return News(incarnation, sequence, [(word >> 2, word & 3) for word in words])
     if payload[0] in (BOARD, FAR) and len(payload) % _ENTRY.size == _BOARD.size % _ENTRY.size:
         what, incarnation, sequence, sends = _BOARD.unpack_from(payload)
-        entries = [(k, b >> 3, b >> 1 & 3, bool(b & 1)) for k, b in _ENTRY.iter_unpack(payload[_BOARD.size:])]
+        entries = [
+            (k, b >> 3, b >> 1 & 3, bool(b & 1)) for k, b in _ENTRY.iter_unpack(payload[_BOARD.size :])
+        ]
         return Board(incarnation, sequence, sends, entries, what == FAR)
     if payload[0] != REPORT or len(payload) < _REPORT.size:
         return None
@@ -120,11 +135,16 @@
     if span == 0 or len(payload) != at + workers * _WORKER.size:
         return None
     return Report(
-        incarnation, sequence, span / 1000,
-        [(tenant, cls, _from_byte(allowed), _from_byte(denied))
-         for tenant, cls, allowed, denied in _BUCKET.iter_unpack(payload[middle:at])],
-        [(kind, limit / 8) for kind, limit in _KIND.iter_unpack(payload[_REPORT.size:middle])],
-        list(_WORKER.iter_unpack(payload[at:])))
+        incarnation,
+        sequence,
+        span / 1000,
+        [
+            (tenant, cls, _from_byte(allowed), _from_byte(denied))
+            for tenant, cls, allowed, denied in _BUCKET.iter_unpack(payload[middle:at])
+        ],
+        [(kind, limit / 8) for kind, limit in _KIND.iter_unpack(payload[_REPORT.size : middle])],
+        list(_WORKER.iter_unpack(payload[at:])),
+    )
 
 
 def _to_byte(work: float) -> int:
--- a/tests/books/test_books.py
+++ b/tests/books/test_books.py
@@ -101,10 +101,16 @@
     assert restored(25.0).buckets[0, 0].tokens == 12.0  # a bucket holds no more than its burst
 
 
-@pytest.mark.parametrize(("age", "changes", "why"), [
-    (31.0, {}, "31.0 s old"), (-5.0, {}, "in the future"),
-    (1.0, {"groupSize": str(GROUP + 1)}, "other settings"), (1.0, {"orgs.1.share": "0.3"}, "other settings"),
-    (1.0, {"requestClasses.0.aim": "0.6"}, "other settings")])
+@pytest.mark.parametrize(
+    ("age", "changes", "why"),
+    [
+        (31.0, {}, "31.0 s old"),
+        (-5.0, {}, "in the future"),
+        (1.0, {"groupSize": str(GROUP + 1)}, "other settings"),
+        (1.0, {"orgs.1.share": "0.3"}, "other settings"),
+        (1.0, {"requestClasses.0.aim": "0.6"}, "other settings"),
+    ],
+)
 def test_what_is_stale_or_from_elsewhere_is_refused(age: float, changes: dict[str, str], why: str) -> None:
     taken = record.take(busy(), 1000.0)
     with pytest.raises(record.Stale, match=why):
--- a/tests/books/world.py
+++ b/tests/books/world.py
@@ -21,10 +21,16 @@
 RATES = (70.0, 60.0, 120.0)  # jobs a second that the tenants ask for: the smallest share asks for most
 
 PAIRS = {
-    "groupSize": str(GROUP), "requestClasses.count": "1", "requestClasses.0.aim": "0.5",
-    "requestClasses.0.hardLimit": "2.0", "requestClasses.0.semantics": "retryable", "orgs.count": "3",
+    "groupSize": str(GROUP),
+    "requestClasses.count": "1",
+    "requestClasses.0.aim": "0.5",
+    "requestClasses.0.hardLimit": "2.0",
+    "requestClasses.0.semantics": "retryable",
+    "orgs.count": "3",
     **{f"orgs.{i}.share": str(share) for i, share in enumerate(SHARES)},
-    "policyLimits.peers": "true", "policyLimits.retryAfter": "true", "policyLimits.mostHeld": "100",
+    "policyLimits.peers": "true",
+    "policyLimits.retryAfter": "true",
+    "policyLimits.mostHeld": "100",
 }
 
 
@@ -38,8 +44,14 @@
 
 
 class World:
-    def __init__(self, seed: int, restart_at: float, keep_books: bool, down: float = 1.0,
-                 edit: Callable[[bytes], bytes] = lambda data: data) -> None:
+    def __init__(
+        self,
+        seed: int,
+        restart_at: float,
+        keep_books: bool,
+        down: float = 1.0,
+        edit: Callable[[bytes], bytes] = lambda data: data,
+    ) -> None:
         self.random = random.Random(seed)
         self.now = 1000.0
         self.agenda: list[tuple[float, int, Callable[[], None]]] = []
@@ -80,10 +92,14 @@
         if self.keep_books and node.written:
             try:
                 found = record.decode(self.edit(node.written))
-                record.restore(node.dispatcher, found, self.now, record.check(found, settings, self.now, 30.0))
+                record.restore(
+                    node.dispatcher, found, self.now, record.check(found, settings, self.now, 30.0)
+                )
             except record.Stale as why:
                 self.dropped.append(str(why))
-        self.feed(node, api.Membership(api.REMEMBERED, 1, [api.Member(worker=100 + i) for i in range(WORKERS)]))
+        self.feed(
+            node, api.Membership(api.REMEMBERED, 1, [api.Member(worker=100 + i) for i in range(WORKERS)])
+        )
         self.write(node, node.life)
 
     def write(self, node: Node, life: int) -> None:
--- a/tests/cli/test_cli.py
+++ b/tests/cli/test_cli.py
@@ -37,15 +37,33 @@
     return status, out, err
 
 
-def test_wrong_use_ends_with_status_2_and_one_line(capsys: pytest.CaptureFixture[str], tmp_path: Path) -> None:
-    for arguments in (["sto"], ["store", "verify"], ["store", "verify", "/not/there"], ["demo", "--seconds", "x"],
-                      ["config", "show"], ["run"], ["store", "repair", str(tmp_path), str(ROOT)]):
+def test_wrong_use_ends_with_status_2_and_one_line(
+    capsys: pytest.CaptureFixture[str], tmp_path: Path
+) -> None:
+    for arguments in (
+        ["sto"],
+        ["store", "verify"],
+        ["store", "verify", "/not/there"],
+        ["demo", "--seconds", "x"],
+        ["config", "show"],
+        ["run"],
+        ["store", "repair", str(tmp_path), str(ROOT)],
+    ):
         status, out, err = told(capsys, *arguments)
-        assert (status, out) == (2, "") and err.startswith("beaconhinge: ") and err.count("\n") == 1, arguments
+        assert (status, out) == (2, "") and err.startswith("beaconhinge: ") and err.count("\n") == 1, (
+            arguments
+        )
 
 
 def test_help_has_examples(capsys: pytest.CaptureFixture[str]) -> None:
-    for arguments in (["store", "stat"], ["store", "repair"], ["config", "check"], ["demo"], ["run"], ["logs", "sum"]):
+    for arguments in (
+        ["store", "stat"],
+        ["store", "repair"],
+        ["config", "check"],
+        ["demo"],
+        ["run"],
+        ["logs", "sum"],
+    ):
         status, out, _ = told(capsys, *arguments, "--help")
         assert status == 0 and f"beaconhinge {' '.join(arguments)}" in out and "Example" in out
 
@@ -56,7 +74,10 @@
     assert list(tmp_path.iterdir()) == []
     store = Store.open(tmp_path / "s")
     try:
-        for command in (["stat", str(tmp_path / "s")], ["repair", str(tmp_path / "s"), str(tmp_path / "new")]):
+        for command in (
+            ["stat", str(tmp_path / "s")],
+            ["repair", str(tmp_path / "s"), str(tmp_path / "new")],
+        ):
             status, _, err = told(capsys, "store", *command)
             assert status == 1 and "another process" in err
     finally:
@@ -79,7 +100,8 @@
 
 
 def test_verify_finds_damage_with_status_3_and_repair_salvages_the_rest(
-        capsys: pytest.CaptureFixture[str], tmp_path: Path) -> None:
+    capsys: pytest.CaptureFixture[str], tmp_path: Path
+) -> None:
     folder = filled(tmp_path / "s")
     segment = folder / codec.segment_name(2)
     data = bytearray(segment.read_bytes())
@@ -100,7 +122,9 @@
 
 
 def test_bench_measures_here(capsys: pytest.CaptureFixture[str], tmp_path: Path) -> None:
-    status, out, _ = told(capsys, "store", "bench", str(tmp_path), "--commits", "20", "--writers", "4", "--json")
+    status, out, _ = told(
+        capsys, "store", "bench", str(tmp_path), "--commits", "20", "--writers", "4", "--json"
+    )
     assert status == 0 and json.loads(out)["one_writer_per_s"] > 0 and list(tmp_path.iterdir()) == []
 
 
@@ -113,19 +137,24 @@
     assert told(capsys, "config", "check", str(ROOT / "deploy" / "edge.toml"))[0] == 0
 
 
-@pytest.mark.parametrize(("text", "says"), [
-    ("[stroe]\n", "stroe: no such key; did you mean store?"),
-    ("[store]\nsegment_byte = 4\n", "store.segment_byte: no such key; did you mean store.segment_bytes?"),
-    ("[store]\nqqq = 4\n", "store.qqq: no such key"),
-    ('[store]\nsegment_bytes = "many"\n', "store.segment_bytes: Expected `int`, got `str`"),
-    ("[store]\nsegment_bytes = 0\n", "store.segment_bytes: must be more than 0"),
-    ("store = 4\n", "store: Expected `object`, got `int`"),
-    ('[log]\nformat = "xml"\n', "log.format: Invalid enum value 'xml'"),
-    ("[books]\ninterval_s = -1.0\n", "books.interval_s: must be a number of seconds, more than 0"),
-    ("[books]\ninterval_s = nan\n", "books.interval_s: must be a number"),
-    ("[store\n", "line 1")])
-def test_a_faulty_key_is_named_in_one_line(text: str, says: str, capsys: pytest.CaptureFixture[str],
-                                           tmp_path: Path) -> None:
+@pytest.mark.parametrize(
+    ("text", "says"),
+    [
+        ("[stroe]\n", "stroe: no such key; did you mean store?"),
+        ("[store]\nsegment_byte = 4\n", "store.segment_byte: no such key; did you mean store.segment_bytes?"),
+        ("[store]\nqqq = 4\n", "store.qqq: no such key"),
+        ('[store]\nsegment_bytes = "many"\n', "store.segment_bytes: Expected `int`, got `str`"),
+        ("[store]\nsegment_bytes = 0\n", "store.segment_bytes: must be more than 0"),
+        ("store = 4\n", "store: Expected `object`, got `int`"),
+        ('[log]\nformat = "xml"\n', "log.format: Invalid enum value 'xml'"),
+        ("[books]\ninterval_s = -1.0\n", "books.interval_s: must be a number of seconds, more than 0"),
+        ("[books]\ninterval_s = nan\n", "books.interval_s: must be a number"),
+        ("[store\n", "line 1"),
+    ],
+)
+def test_a_faulty_key_is_named_in_one_line(
+    text: str, says: str, capsys: pytest.CaptureFixture[str], tmp_path: Path
+) -> None:
     file = tmp_path / "edge.toml"
     file.write_text(text)
     status, out, err = told(capsys, "config", "check", str(file))
@@ -155,8 +184,10 @@
 
 
 def test_the_platforms_start_loads_no_library_of_the_extras() -> None:
-    code = ("import sys, beaconhinge.__main__; "
-            "print(sorted({'typer', 'rich', 'structlog', 'msgspec', 'sortedcontainers', 'google_crc32c', "
-            "'beaconhinge.store', 'beaconhinge.cli', 'beaconhinge.books'} & set(sys.modules)))")
+    code = (
+        "import sys, beaconhinge.__main__; "
+        "print(sorted({'typer', 'rich', 'structlog', 'msgspec', 'sortedcontainers', 'google_crc32c', "
+        "'beaconhinge.store', 'beaconhinge.cli', 'beaconhinge.books'} & set(sys.modules)))"
+    )
     done = subprocess.run([sys.executable, "-c", code], capture_output=True, text=True, check=True, cwd=ROOT)
     assert done.stdout.strip() == "[]"
--- a/tests/cli/test_demo.py
+++ b/tests/cli/test_demo.py
@@ -1,5 +1,4 @@
-"""The demo: a dispatcher process among stand-ins; a request without its one answer shows in the exit status.
-"""
+"""The demo: a dispatcher process among stand-ins; a request without its one answer shows in the exit status."""
 
 from __future__ import annotations
 
--- a/tests/cli/test_logs_sum.py
+++ b/tests/cli/test_logs_sum.py
@@ -36,8 +36,12 @@
 ) -> None:
     for name, start in (("n0", 1000.0), ("n1", 1001.0)):
         (tmp_path / f"{name}.log").write_text(
-            "".join(f"[{n}] {line}\n" if form == "plain" else line + "\n"
-                    for n, line in enumerate(written(form, start).splitlines())) + "a stranger's line\n\n")
+            "".join(
+                f"[{n}] {line}\n" if form == "plain" else line + "\n"
+                for n, line in enumerate(written(form, start).splitlines())
+            )
+            + "a stranger's line\n\n"
+        )
     files = [str(tmp_path / "n0.log"), str(tmp_path / "n1.log")]
     assert main(["logs", "sum", "--json", *files]) == 0
     told = json.loads(capsys.readouterr().out)
@@ -50,6 +54,8 @@
     assert "requests_taken 70" in lines and lines[-1].startswith("2 lines")
 
 
-@pytest.mark.parametrize("line", ["", "{", "{}", '{"time": "x", "event": 1}', "12 started", "1.5", "1.5 a=b", "[" * 99999])
+@pytest.mark.parametrize(
+    "line", ["", "{", "{}", '{"time": "x", "event": 1}', "12 started", "1.5", "1.5 a=b", "[" * 99999]
+)
 def test_other_lines_are_none_of_ours(line: str) -> None:
     assert summary.read(line) is None
--- a/tests/cli/test_soak.py
+++ b/tests/cli/test_soak.py
@@ -28,8 +28,15 @@
     assert {fault.trouble for fault in faults if fault.what == "workers"} == set(Trouble)
     assert all(scenario.problem() is None for scenario in scenarios)
     assert all(fault.at_s <= LAST < SECONDS - 6.0 for fault in faults)
-    overlapping = [scenario for scenario in scenarios if any(
-        one.at_s < other.at_s < one.at_s + one.for_s for one in scenario.faults[1:] for other in scenario.faults[1:])]
+    overlapping = [
+        scenario
+        for scenario in scenarios
+        if any(
+            one.at_s < other.at_s < one.at_s + one.for_s
+            for one in scenario.faults[1:]
+            for other in scenario.faults[1:]
+        )
+    ]
     assert len(overlapping) > 50
 
 
@@ -61,7 +68,9 @@
 
 def test_the_shim_makes_each_kind_of_call_fail_and_counts_it(tmp_path: Path) -> None:
     library, counts = shim.build(tmp_path), tmp_path / "counts"
-    environment = shim.environment(library, counts, "accept=0.2,connect=0.2,short=0.3,step=3600,socket=0.2", 5)
+    environment = shim.environment(
+        library, counts, "accept=0.2,connect=0.2,short=0.3,step=3600,socket=0.2", 5
+    )
     subprocess.run([sys.executable, "-c", PROBE], env=environment, check=True, timeout=30)
     hits = shim.hits(counts)
     assert set(hits) == set(shim.KINDS) and min(hits.values()) > 0
@@ -82,8 +91,16 @@
 
 def test_a_soak_that_is_terminated_leaves_no_process_behind() -> None:
     """Its dispatchers went on, and called ports that other programs had got meanwhile."""
-    command = [sys.executable, "-c", "import sys; from beaconhinge.cli import main; sys.exit(main(sys.argv[1:]))",
-               "soak", "--seeds", "7", "--processes", "3"]
+    command = [
+        sys.executable,
+        "-c",
+        "import sys; from beaconhinge.cli import main; sys.exit(main(sys.argv[1:]))",
+        "soak",
+        "--seeds",
+        "7",
+        "--processes",
+        "3",
+    ]
     with subprocess.Popen(command, stdout=subprocess.DEVNULL, stderr=subprocess.DEVNULL) as soak:
         children = Path(f"/proc/{soak.pid}/task/{soak.pid}/children")
         until = time.monotonic() + 20.0
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -16,7 +16,10 @@
 
 def _starts_processes(module: ModuleType) -> bool:
     ways = ("stage", "subprocess", "beaconhinge.standin.rig", "beaconhinge.standin.scene", "beaconhinge.cli")
-    names = (getattr(value, "__module__", None) or getattr(value, "__name__", "") for value in vars(module).values())
+    names = (
+        getattr(value, "__module__", None) or getattr(value, "__name__", "")
+        for value in vars(module).values()
+    )
     return any(str(name).startswith(ways) for name in names)
 
 
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -87,7 +87,9 @@
         self.left: dict[int, float] = {}
         self.started_at: dict[int, float] = {}
         self.cold: dict[int, list[tuple[float, float]]] = {}
-        self.used: dict[int, float] = {}  # worker: last send, outcome or notice since which nothing was given back
+        self.used: dict[
+            int, float
+        ] = {}  # worker: last send, outcome or notice since which nothing was given back
         self.broken: list[str] = []
 
     def event(self, now: float, event: api.Event) -> None:
--- a/tests/leases/lease_defects.py
+++ b/tests/leases/lease_defects.py
@@ -96,15 +96,19 @@
 
 
 class GrantedBeforeWritten(World):
-    """One member is cut from power again and again, another contender hears only of it, and comes only then.
-    """
+    """One member is cut from power again and again, another contender hears only of it, and comes only then."""
 
     weights = {"write": 0.5, "crash": 1.0, "give": 2.0, "upgrade": 0.05}
 
     def moves(self) -> list[Move]:
         lost = self.tally["crash"] > 0
-        return [move for move in super().moves() if (move[0] != "crash" or move[1:] == (2, True))
-                and (move[0] != "want" or lost or move[1] == 0) and move[:3] != ("deliver", 0, 1)]
+        return [
+            move
+            for move in super().moves()
+            if (move[0] != "crash" or move[1:] == (2, True))
+            and (move[0] != "want" or lost or move[1] == 0)
+            and move[:3] != ("deliver", 0, 1)
+        ]
 
     def _perform(self, process: Any, actions: list[Any]) -> None:
         for action in actions:
@@ -129,7 +133,15 @@
 
 
 class Hurried(World):
-    weights = {"act": 8.0, "check": 0.1, "give": 0.05, "tick": 3.0, "turn": 2.0, "crash": 0.01, "upgrade": 0.01}
+    weights = {
+        "act": 8.0,
+        "check": 0.1,
+        "give": 0.05,
+        "tick": 3.0,
+        "turn": 2.0,
+        "crash": 0.01,
+        "upgrade": 0.01,
+    }
 
     def __init__(self, **settings: Any) -> None:
         super().__init__(**settings)
@@ -159,25 +171,55 @@
 
 
 DEFECTS: dict[str, tuple[str, type[World], list[tuple[type, str, Callable[..., Any]]]]] = {
-    "the span counted from the answer": ("3 members, slow holder", World, [(Holder, "_granted", _span_from_the_answer)]),
+    "the span counted from the answer": (
+        "3 members, slow holder",
+        World,
+        [(Holder, "_granted", _span_from_the_answer)],
+    ),
     "no silence after a start": ("3 members, 2 leases", NoSilence, []),
-    "a renewal that revives an ended tenure": ("3 members, slow holder", World, [
-        (Member, "_asked", _ended_tenure_renewed), (Holder, "_stand_down", _ended_tenure_kept)]),
+    "a renewal that revives an ended tenure": (
+        "3 members, slow holder",
+        World,
+        [(Member, "_asked", _ended_tenure_renewed), (Holder, "_stand_down", _ended_tenure_kept)],
+    ),
     "a number granted before it is durable": ("3 members with a disk", GrantedBeforeWritten, []),
     "wall time": ("3 members, 2 leases", WallTime, []),
-    "an old answer taken for a new one": ("3 members, 2 leases", World, [(Holder, "hear", _old_answer_for_new)]),
-    "majorities that do not overlap": ("3 members, 2 leases", World, [
-        (Council, "majority", lambda real: property(lambda self: len(self.members) // 2))]),
+    "an old answer taken for a new one": (
+        "3 members, 2 leases",
+        World,
+        [(Holder, "hear", _old_answer_for_new)],
+    ),
+    "majorities that do not overlap": (
+        "3 members, 2 leases",
+        World,
+        [(Council, "majority", lambda real: property(lambda self: len(self.members) // 2))],
+    ),
     "a number that starts anew": ("3 members, 2 leases", NumbersAnew, []),
-    "an act without its time left": ("3 members, 2 leases", Hurried, [
-        (Tenure, "guard", lambda real: lambda self, now, longest, drift: now < self.end)]),
-    "the old process of an upgrade that goes on": ("3 members, 2 leases", World, [
-        (Node, "hand_over", _old_process_renews)]),
-    "a step while the one before is in force": ("3 to 5 members", SomeLag, [
-        (Council, "moved", lambda real: lambda self, numbers: True)]),
-    "the same name taken for the same tenure": ("3 members, 2 leases", World, [
-        (Member, "_asked", _same_name_same_tenure)]),
-    "a release by name, come late": ("3 members, slow holder", LateWords, [(Member, "hear", _release_by_number)]),
+    "an act without its time left": (
+        "3 members, 2 leases",
+        Hurried,
+        [(Tenure, "guard", lambda real: lambda self, now, longest, drift: now < self.end)],
+    ),
+    "the old process of an upgrade that goes on": (
+        "3 members, 2 leases",
+        World,
+        [(Node, "hand_over", _old_process_renews)],
+    ),
+    "a step while the one before is in force": (
+        "3 to 5 members",
+        SomeLag,
+        [(Council, "moved", lambda real: lambda self, numbers: True)],
+    ),
+    "the same name taken for the same tenure": (
+        "3 members, 2 leases",
+        World,
+        [(Member, "_asked", _same_name_same_tenure)],
+    ),
+    "a release by name, come late": (
+        "3 members, slow holder",
+        LateWords,
+        [(Member, "hear", _release_by_number)],
+    ),
 }
 
 
--- a/tests/leases/lease_explorer.py
+++ b/tests/leases/lease_explorer.py
@@ -80,8 +80,16 @@
     node_type: type[Node] = Node
     weights: ClassVar[dict[str, float]] = {}  # of moves, where they are not the usual ones
 
-    def __init__(self, rates: tuple[float, ...], leases: int = 1, durable: bool = False, bounds: Bounds | None = None,
-                 councils: tuple[Council, ...] = (), contenders: int = 2, copies: int = 2) -> None:
+    def __init__(
+        self,
+        rates: tuple[float, ...],
+        leases: int = 1,
+        durable: bool = False,
+        bounds: Bounds | None = None,
+        councils: tuple[Council, ...] = (),
+        contenders: int = 2,
+        copies: int = 2,
+    ) -> None:
         self.left = bounds or Bounds()
         self.copies = copies  # how often a message may come
         self.durable = durable
@@ -94,7 +102,9 @@
         self.granted: dict[tuple[int, int], set[int]] = {}  # who really granted a number
         self.numbers: dict[int, int] = {}  # the highest tenure yet, by lease
         self.fenced: dict[int, int] = {}  # the highest number that the resource has accepted
-        self.plain: dict[int, tuple[float, int]] = {}  # the last act at a resource that checks nothing: its end
+        self.plain: dict[
+            int, tuple[float, int]
+        ] = {}  # the last act at a resource that checks nothing: its end
         self.tally: Counter[str] = Counter()
         self.gone: list[tuple[Process, Node]] = []  # processes that others have taken over
         self.processes = [Process(n, rate, 100.0 * n) for n, rate in enumerate(rates)]
@@ -112,8 +122,16 @@
 
     def _start(self, process: Process, floor: int) -> None:
         council = self.councils[self.at[process.number]]
-        made = node_.new(process.number, council, TERMS, self.clock(process), process.random, floor, self.durable,
-                         process.disk)
+        made = node_.new(
+            process.number,
+            council,
+            TERMS,
+            self.clock(process),
+            process.random,
+            floor,
+            self.durable,
+            process.disk,
+        )
         process.node = self.node_type(made.member, made.random)
 
     # ---- moves ---------------------------------------------------------------------------------------------
@@ -170,7 +188,9 @@
         for action in actions:
             if isinstance(action, Say):
                 if action.message.kind == GRANT:
-                    self.granted.setdefault((action.message.lease, action.message.number), set()).add(process.number)
+                    self.granted.setdefault((action.message.lease, action.message.number), set()).add(
+                        process.number
+                    )
                 self.flying.append((process.number, action.to, action.message, self.copies))
             elif isinstance(action, Write):
                 process.writes.append(action)
@@ -195,7 +215,7 @@
     def _deliver(self, source: int, to: int, message: Message) -> bool:
         for index, (src, dst, flying, copies) in enumerate(self.flying):
             if (src, dst, flying) == (source, to, message):
-                self.flying[index:index + 1] = [(src, dst, flying, copies - 1)] if copies > 1 else []
+                self.flying[index : index + 1] = [(src, dst, flying, copies - 1)] if copies > 1 else []
                 process = self.processes[to]
                 if process.node is not None:
                     self._perform(process, process.node.hear(self.clock(process), source, flying))
@@ -312,17 +332,33 @@
         """No two hold one lease in true time, whether they run or are stopped."""
         nodes = [(p, p.node) for p in self.processes if p.node is not None] + self.gone
         for lease in self.leases:
-            holding = [p.number for p, node in nodes if (held := node.holders.get(lease)) is not None
-                       and held.tenure is not None and self.clock(p) < held.tenure.end]
+            holding = [
+                p.number
+                for p, node in nodes
+                if (held := node.holders.get(lease)) is not None
+                and held.tenure is not None
+                and self.clock(p) < held.tenure.end
+            ]
             if len(holding) > 1:
                 raise Broken("two hold one lease")
 
     _start_move = None
 
     def key(self) -> bytes:
-        return pickle.dumps((self.t, self.at, sorted(self.flying, key=repr), self.left, self.numbers, self.fenced,
-                             self.plain, [(p.node, sorted(p.disk.items()), p.writes, p.checked) for p in self.processes],
-                             [node for _, node in self.gone]), -1)
+        return pickle.dumps(
+            (
+                self.t,
+                self.at,
+                sorted(self.flying, key=repr),
+                self.left,
+                self.numbers,
+                self.fenced,
+                self.plain,
+                [(p.node, sorted(p.disk.items()), p.writes, p.checked) for p in self.processes],
+                [node for _, node in self.gone],
+            ),
+            -1,
+        )
 
 
 def _start_move(self: World, process: Process) -> bool:
@@ -345,8 +381,21 @@
     return world.do(move)
 
 
-WEIGHTS = {"deliver": 6.0, "tick": 2.0, "turn": 3.0, "write": 4.0, "start": 2.0, "want": 2.0, "act": 2.0, "check": 0.7,
-           "begin": 0.7, "crash": 0.25, "upgrade": 0.4, "step": 0.5, "give": 0.3}
+WEIGHTS = {
+    "deliver": 6.0,
+    "tick": 2.0,
+    "turn": 3.0,
+    "write": 4.0,
+    "start": 2.0,
+    "want": 2.0,
+    "act": 2.0,
+    "check": 0.7,
+    "begin": 0.7,
+    "crash": 0.25,
+    "upgrade": 0.4,
+    "step": 0.5,
+    "give": 0.3,
+}
 
 
 def walk(world: World, rng: random.Random, length: int) -> tuple[list[Move], str]:
@@ -368,6 +417,7 @@
 
 def shortest(make: Callable[[], World], trace: list[Move], broken: str) -> list[Move]:
     """Leave out what is not needed for the same fault."""
+
     def breaks(moves: list[Move]) -> bool:
         world = make()
         try:
@@ -381,7 +431,7 @@
     while size:
         index = 0
         while index < len(trace):
-            fewer = trace[:index] + trace[index + size:]
+            fewer = trace[:index] + trace[index + size :]
             if breaks(fewer):
                 trace = fewer
             else:
@@ -409,20 +459,47 @@
 
 
 THREE = (SLOW, FAST, FAST)
-GROWING = (Council(1, frozenset({0, 1, 2})), Council(2, frozenset({0, 1, 2, 3}), frozenset({0, 1, 2})),
-           Council(3, frozenset({0, 1, 2, 3, 4}), frozenset({0, 1, 2, 3})))
+GROWING = (
+    Council(1, frozenset({0, 1, 2})),
+    Council(2, frozenset({0, 1, 2, 3}), frozenset({0, 1, 2})),
+    Council(3, frozenset({0, 1, 2, 3, 4}), frozenset({0, 1, 2, 3})),
+)
 SETTINGS: dict[str, Callable[[], dict[str, Any]]] = {
-    "3 members, 2 leases": lambda: {"rates": THREE, "leases": 2, "bounds": Bounds(ticks=16, wants=8, crashes=2)},
-    "3 members, slow holder": lambda: {"rates": THREE, "bounds": Bounds(ticks=16, wants=8, crashes=0, upgrades=0)},
-    "3 members, fast holder": lambda: {"rates": (FAST, SLOW, SLOW), "bounds": Bounds(ticks=16, wants=6, crashes=2)},
-    "3 members with a disk": lambda: {"rates": THREE, "durable": True, "bounds": Bounds(ticks=20, wants=8, crashes=3, gives=4)},
-    "5 members, 1 lease": lambda: {"rates": (SLOW, FAST, SLOW, FAST, FAST), "contenders": 3,
-                                   "bounds": Bounds(ticks=16, wants=6, crashes=2)},
+    "3 members, 2 leases": lambda: {
+        "rates": THREE,
+        "leases": 2,
+        "bounds": Bounds(ticks=16, wants=8, crashes=2),
+    },
+    "3 members, slow holder": lambda: {
+        "rates": THREE,
+        "bounds": Bounds(ticks=16, wants=8, crashes=0, upgrades=0),
+    },
+    "3 members, fast holder": lambda: {
+        "rates": (FAST, SLOW, SLOW),
+        "bounds": Bounds(ticks=16, wants=6, crashes=2),
+    },
+    "3 members with a disk": lambda: {
+        "rates": THREE,
+        "durable": True,
+        "bounds": Bounds(ticks=20, wants=8, crashes=3, gives=4),
+    },
+    "5 members, 1 lease": lambda: {
+        "rates": (SLOW, FAST, SLOW, FAST, FAST),
+        "contenders": 3,
+        "bounds": Bounds(ticks=16, wants=6, crashes=2),
+    },
     "3 members, 2 more contend": lambda: {
-        "rates": (FAST, SLOW, FAST, SLOW, SLOW), "councils": (Council(1, frozenset({0, 1, 2})),), "contenders": 5,
-        "bounds": Bounds(ticks=16, wants=8, crashes=2)},
-    "3 to 5 members": lambda: {"rates": (SLOW, FAST, SLOW, FAST, FAST), "councils": GROWING, "contenders": 5,
-                               "bounds": Bounds(ticks=22, wants=6, crashes=1, steps=10)},
+        "rates": (FAST, SLOW, FAST, SLOW, SLOW),
+        "councils": (Council(1, frozenset({0, 1, 2})),),
+        "contenders": 5,
+        "bounds": Bounds(ticks=16, wants=8, crashes=2),
+    },
+    "3 to 5 members": lambda: {
+        "rates": (SLOW, FAST, SLOW, FAST, FAST),
+        "councils": GROWING,
+        "contenders": 5,
+        "bounds": Bounds(ticks=22, wants=6, crashes=1, steps=10),
+    },
 }
 
 
@@ -445,7 +522,11 @@
             trace, broken = walk(world, random.Random(f"{options.seed}/{name}/{number}"), 160)
             total += world.tally
             if broken:
-                print(f"walk {number}: {broken}", *shortest(lambda name=name: world_of(name), trace, broken), sep="\n  ")  # type: ignore[misc]
+                print(
+                    f"walk {number}: {broken}",
+                    *shortest(lambda name=name: world_of(name), trace, broken),
+                    sep="\n  ",
+                )  # type: ignore[misc]
                 sys.exit(3)
         print(f"{name}: {options.walks} walks, {dict(sorted(total.items()))}")
 
--- a/tests/leases/lease_fleet.py
+++ b/tests/leases/lease_fleet.py
@@ -40,8 +40,9 @@
         self.wakes: dict[int, float] = {}
 
     def start(self, number: int) -> None:
-        self.nodes[number] = node_.new(number, self.council, self.terms, self.now, self.random.random,
-                                       round(1000 * self.now))
+        self.nodes[number] = node_.new(
+            number, self.council, self.terms, self.now, self.random.random, round(1000 * self.now)
+        )
 
     def want(self, numbers: Any) -> None:
         for number in numbers:
@@ -55,7 +56,11 @@
                 self.sent[number] += 1
                 apart = (number in self.cut) != (action.to in self.cut)
                 if not apart and self.random.random() >= self.loss:
-                    self.at(self.now + self.random.uniform(0.0002, 0.002), "hear", (action.to, number, action.message))
+                    self.at(
+                        self.now + self.random.uniform(0.0002, 0.002),
+                        "hear",
+                        (action.to, number, action.message),
+                    )
         at = self.nodes[number].next_at if number in self.nodes else float("inf")
         if at < self.wakes.get(number, float("inf")):
             self.wakes[number] = at
@@ -76,5 +81,10 @@
         self.now = until
 
     def holders(self, lease: int) -> list[int]:
-        return [number for number, node in self.nodes.items() if (held := node.holders.get(lease)) is not None
-                and held.tenure is not None and self.now < held.tenure.end]
+        return [
+            number
+            for number, node in self.nodes.items()
+            if (held := node.holders.get(lease)) is not None
+            and held.tenure is not None
+            and self.now < held.tenure.end
+        ]
--- a/tests/leases/test_lease_rehearsals.py
+++ b/tests/leases/test_lease_rehearsals.py
@@ -8,8 +8,17 @@
 from beaconhinge.standin.rig import Fault, Scenario, Verdict, run_scenario
 from beaconhinge.standin.rig.verdict import Act, collisions
 
-QUIET: dict[str, Any] = {"boxes": 3, "racks": 1, "rate": 5.0, "keyed": 0.0, "render_s": 0.1, "patience_s": 2.0,
-                         "leases": 4, "span_s": 1.0, "stall_s": 0.5}
+QUIET: dict[str, Any] = {
+    "boxes": 3,
+    "racks": 1,
+    "rate": 5.0,
+    "keyed": 0.0,
+    "render_s": 0.1,
+    "patience_s": 2.0,
+    "leases": 4,
+    "span_s": 1.0,
+    "stall_s": 0.5,
+}
 
 
 def rehearsed(*scenarios: Scenario) -> list[Verdict]:
@@ -26,15 +35,22 @@
 
 
 def test_no_two_processes_act_at_once_whatever_is_drawn_to_befall_them() -> None:
-    scenarios = [Scenario("drawn", seed=seed, processes=processes, seconds=11.0, drawn=8, **QUIET)
-               for processes, seed in ((3, 31), (3, 32), (3, 33), (5, 34), (5, 35), (9, 36))]
+    scenarios = [
+        Scenario("drawn", seed=seed, processes=processes, seconds=11.0, drawn=8, **QUIET)
+        for processes, seed in ((3, 31), (3, 32), (3, 33), (5, 34), (5, 35), (9, 36))
+    ]
     verdicts = rehearsed(*scenarios)
     for verdict in verdicts:
         assert verdict.broken == [], (verdict.seed, verdict.last)
         assert verdict.acts > 150 and verdict.tenures >= 4
     assert sum(verdict.tenures for verdict in verdicts) >= 40
     assert {kind for verdict in verdicts for kind, hits in verdict.faults.items() if hits} >= {
-        "stop", "kill", "term", "cut", "lossy"}
+        "stop",
+        "kill",
+        "term",
+        "cut",
+        "lossy",
+    }
 
 
 def test_who_is_stopped_for_about_a_span_or_cut_off_holds_nothing_as_it_comes_back() -> None:
@@ -42,8 +58,12 @@
     stops = [Fault(1.5 + 2.0 * n, "stop", length, [n]) for n, length in enumerate((0.9, 1.1, 1.8))]
     cuts = [Fault(2.0, "cut", 4.0, [0], [1, 2]), Fault(2.0, "cut", 4.0, [1, 2], [0])]
     one_way = [Fault(2.0, "cut", 2.5, [0], [1, 2]), Fault(5.0, "cut", 2.5, [1, 2], [0])]
-    verdicts = rehearsed(*(Scenario(name, seed=seed, processes=3, seconds=11.0, faults=faults, **QUIET)
-                           for name, seed, faults in (("stops", 41, stops), ("cut off", 42, cuts), ("one way", 43, one_way))))
+    verdicts = rehearsed(
+        *(
+            Scenario(name, seed=seed, processes=3, seconds=11.0, faults=faults, **QUIET)
+            for name, seed, faults in (("stops", 41, stops), ("cut off", 42, cuts), ("one way", 43, one_way))
+        )
+    )
     for verdict in verdicts:
         assert verdict.broken == [], (verdict.name, verdict.last)
         assert verdict.acts > 200 and verdict.ends["200"] > 40
@@ -51,8 +71,15 @@
 
 
 def test_all_processes_lose_power_and_the_numbers_go_on() -> None:
-    scenario = Scenario("power", seed=51, processes=3, seconds=8.0, store=False, **QUIET,
-                  faults=[Fault(3.0, "kill", 0.2, folder="empty")])
+    scenario = Scenario(
+        "power",
+        seed=51,
+        processes=3,
+        seconds=8.0,
+        store=False,
+        **QUIET,
+        faults=[Fault(3.0, "kill", 0.2, folder="empty")],
+    )
     verdict = rehearsed(scenario)[0]
     assert verdict.broken == [] and verdict.tenures >= 8 and verdict.acts > 100
 
--- a/tests/leases/test_nodes.py
+++ b/tests/leases/test_nodes.py
@@ -15,8 +15,15 @@
 from beaconhinge.leases.votes import Say
 from beaconhinge.leases.wire import ASK, GRANT, Message
 
-MESSAGES = st.builds(Message, st.integers(1, 6), st.integers(0, 3), st.integers(0, 5), st.integers(1, 2),
-                     st.integers(0, 9), st.sampled_from((0, 500, 2000, 2**32 - 1)))
+MESSAGES = st.builds(
+    Message,
+    st.integers(1, 6),
+    st.integers(0, 3),
+    st.integers(0, 5),
+    st.integers(1, 2),
+    st.integers(0, 9),
+    st.sampled_from((0, 500, 2000, 2**32 - 1)),
+)
 
 
 def test_two_hundred_with_twenty_leases_have_one_holder_each_through_the_cut_of_a_zone() -> None:
@@ -31,7 +38,9 @@
     fleet.run(8.0)  # a span
     for _ in range(40):
         fleet.run(fleet.now + 0.1)
-        assert all(len(fleet.holders(lease)) <= 1 and not set(fleet.holders(lease)) & minority for lease in range(20))
+        assert all(
+            len(fleet.holders(lease)) <= 1 and not set(fleet.holders(lease)) & minority for lease in range(20)
+        )
     assert all(len(fleet.holders(lease)) == 1 for lease in range(20))
     fleet.cut = frozenset()
     fleet.sent.clear()
@@ -78,7 +87,9 @@
 
 
 @given(st.lists(st.tuples(st.integers(0, 4), MESSAGES, st.floats(0.0, 1.0)), max_size=30))
-def test_foreign_messages_raise_nothing_and_make_nobody_a_holder(told: list[tuple[int, Message, float]]) -> None:
+def test_foreign_messages_raise_nothing_and_make_nobody_a_holder(
+    told: list[tuple[int, Message, float]],
+) -> None:
     """Of other councils, to no question, of those who have no vote; the process asks meanwhile."""
     council, now = Council(1, frozenset({0, 1, 2})), 100.0
     made = node.new(0, council, Terms(2.0), now, random.Random(1).random)
@@ -90,7 +101,9 @@
         if message.round in asked and message.kind == GRANT:
             continue
         done = made.hear(now, sender, message)
-        asked |= {action.message.round for action in done if isinstance(action, Say) and action.message.kind == ASK}
+        asked |= {
+            action.message.round for action in done if isinstance(action, Say) and action.message.kind == ASK
+        }
         assert not any(isinstance(action, Held | Lost) for action in done)
         assert all(vote.until <= now + Terms(2.0).granted for vote in made.member.votes.values())
 
@@ -116,4 +129,8 @@
     assert made.member.voting_at == float("inf")  # one of three has left the step before
     made.hear(111.0, 2, Message(wire.STEP, 2))
     assert made.member.voting_at == 111.0 + Terms(2.0).silence and made.member.steps() == []
-    assert terms.NAME.fullmatch("restart.0") and not terms.NAME.fullmatch("Restart") and not terms.NAME.fullmatch("a b")
+    assert (
+        terms.NAME.fullmatch("restart.0")
+        and not terms.NAME.fullmatch("Restart")
+        and not terms.NAME.fullmatch("a b")
+    )
--- a/tests/leases/test_process.py
+++ b/tests/leases/test_process.py
@@ -37,17 +37,28 @@
     def write(self, which: int) -> Path:
         """The configuration of one of two processes, which differ in `mgmt` alone."""
         file = self.folder / f"balancer-{which}.json"
-        file.write_text(json.dumps(self.platform(mgmt=f"127.0.0.1:{self.mgmt[which]}", peer_listen=self.peers,
-                                                 peers=[self.peers], peers_all=self.peers)))
+        file.write_text(
+            json.dumps(
+                self.platform(
+                    mgmt=f"127.0.0.1:{self.mgmt[which]}",
+                    peer_listen=self.peers,
+                    peers=[self.peers],
+                    peers_all=self.peers,
+                )
+            )
+        )
         ours = self.folder / f"edge-{which}.toml"
-        ours.write_text(f'[platform]\nconfig = "{file.name}"\n[log]\nformat = "json"\n[leases]\nenabled = true\n'
-                        f"number = {self.number}\nspan_s = {SPAN}\n[[leases.calls]]\nname = \"export\"\n"
-                        f'to = "127.0.0.1:{self.to}"\nevery_s = 0.05\nlongest_s = 0.2\n')
+        ours.write_text(
+            f'[platform]\nconfig = "{file.name}"\n[log]\nformat = "json"\n[leases]\nenabled = true\n'
+            f'number = {self.number}\nspan_s = {SPAN}\n[[leases.calls]]\nname = "export"\n'
+            f'to = "127.0.0.1:{self.to}"\nevery_s = 0.05\nlongest_s = 0.2\n'
+        )
         return ours
 
     async def begin(self) -> None:
         self.resource = await asyncio.create_subprocess_exec(
-            sys.executable, "-m", "beaconhinge.standin.resource", "1", stdout=asyncio.subprocess.PIPE)
+            sys.executable, "-m", "beaconhinge.standin.resource", "1", stdout=asyncio.subprocess.PIPE
+        )
         assert self.resource.stdout is not None
         self.to = json.loads(await self.resource.stdout.readline())["port"]
         for server in (self.discovery.server, *(box.server for box in self.boxes)):
@@ -152,7 +163,11 @@
         good = file.read_text()
         file.write_text(good.replace(f"span_s = {SPAN}", "span_s = 0.9"))
         process.send_signal(signal.SIGHUP)
-        await until(lambda: any(line["event"] == "reload_refused" and "leases.number" in str(line["why"]) for line in lines))
+        await until(
+            lambda: any(
+                line["event"] == "reload_refused" and "leases.number" in str(line["why"]) for line in lines
+            )
+        )
         file.write_text(good.replace("number = 1", "number = 2"))
         process.send_signal(signal.SIGHUP)
         await until(lambda: any(line["event"] == "leases_step" and line["number"] == 2 for line in lines))
@@ -163,7 +178,9 @@
     assert collisions(played(tmp_path, story).acts) == []
 
 
-def test_operators_list_run_under_and_hand_over_leases(tmp_path: Path, capfd: pytest.CaptureFixture[str]) -> None:
+def test_operators_list_run_under_and_hand_over_leases(
+    tmp_path: Path, capfd: pytest.CaptureFixture[str]
+) -> None:
     async def story(led: Led) -> None:
         process, _ = await led.process(0, tmp_path)
         mgmt = f"127.0.0.1:{led.mgmt[0]}"
@@ -171,16 +188,28 @@
         async def cli(*words: str) -> int:
             return await asyncio.to_thread(main, ["leases", *words])
 
-        assert await cli("run", "nightly", "--mgmt", mgmt, "--", "sh", "-c",
-                         "echo number=$BEACONHINGE_LEASE_NUMBER left=$BEACONHINGE_LEASE_LEFT_MS; exit 7") == 7
+        assert (
+            await cli(
+                "run",
+                "nightly",
+                "--mgmt",
+                mgmt,
+                "--",
+                "sh",
+                "-c",
+                "echo number=$BEACONHINGE_LEASE_NUMBER left=$BEACONHINGE_LEASE_LEFT_MS; exit 7",
+            )
+            == 7
+        )
         told = capfd.readouterr().out
         assert "number=1" in told and "left=" in told and "left=\n" not in told
         listed = json.loads((await led.call("lease-list")).splitlines()[0])
         assert listed["members"] == [0] and listed["leases"]["export"]["held"]
         assert await cli("list", "--mgmt", mgmt) == 0
         assert "export" in capfd.readouterr().out
-        both = await asyncio.gather(*(cli("run", "restart", "--slots", "2", "--mgmt", mgmt, "--", "sleep", "0.2")
-                                      for _ in range(2)))
+        both = await asyncio.gather(
+            *(cli("run", "restart", "--slots", "2", "--mgmt", mgmt, "--", "sleep", "0.2") for _ in range(2))
+        )
         assert both == [0, 0]
         running = asyncio.create_task(cli("run", "long", "--mgmt", mgmt, "--", "sleep", "30"))
         while '"long":{"held":true' not in await led.call("lease-list"):
@@ -194,12 +223,20 @@
     played(tmp_path, story)
 
 
-@pytest.mark.parametrize(("table", "named"), [
-    ({"number": 0}, "leases.number"), ({"span_s": 0.1}, "leases.span_s"), ({"members": [1, 1]}, "leases.members"),
-    ({"members": [0, 1], "members_before": [0, 2], "number": 2}, "one at a time"),
-    ({"calls": [{"name": "Bad", "to": "127.0.0.1:1"}]}, "leases.calls"), ({"calls": [{"name": "a", "to": "x"}]}, "a: "),
-    ({"calls": [{"name": "a", "to": "127.0.0.1:1", "longest_s": 1.5}]}, "longest_s"),
-    ({"calls": [{"name": "a", "to": "127.0.0.1:1", "path": "/a b"}]}, "path"), ({"spam_s": 1.0}, "span_s")])
+@pytest.mark.parametrize(
+    ("table", "named"),
+    [
+        ({"number": 0}, "leases.number"),
+        ({"span_s": 0.1}, "leases.span_s"),
+        ({"members": [1, 1]}, "leases.members"),
+        ({"members": [0, 1], "members_before": [0, 2], "number": 2}, "one at a time"),
+        ({"calls": [{"name": "Bad", "to": "127.0.0.1:1"}]}, "leases.calls"),
+        ({"calls": [{"name": "a", "to": "x"}]}, "a: "),
+        ({"calls": [{"name": "a", "to": "127.0.0.1:1", "longest_s": 1.5}]}, "longest_s"),
+        ({"calls": [{"name": "a", "to": "127.0.0.1:1", "path": "/a b"}]}, "path"),
+        ({"spam_s": 1.0}, "span_s"),
+    ],
+)
 def test_a_faulty_table_is_refused_by_the_name_of_its_key(table: dict[str, Any], named: str) -> None:
     with pytest.raises(ConfigError, match=named):
         convert({"leases": table}, "x.toml")
--- a/tests/management/test_calls.py
+++ b/tests/management/test_calls.py
@@ -11,21 +11,38 @@
 
 
 @pytest.mark.parametrize("end", [b"", b"\n", b"\r\n"])
-@pytest.mark.parametrize(("line", "call"), [
-    (b"ready", Call("ready")), (b"show-stat", Call("show-stat")), (b"drain", Call("drain")),
-    (b"  resume ", Call("resume")), (b"disable-server s-5be2a07c", Call("disable-server", "s-5be2a07c")),
-    (b"enable-server  s-1", Call("enable-server", "s-1"))])
+@pytest.mark.parametrize(
+    ("line", "call"),
+    [
+        (b"ready", Call("ready")),
+        (b"show-stat", Call("show-stat")),
+        (b"drain", Call("drain")),
+        (b"  resume ", Call("resume")),
+        (b"disable-server s-5be2a07c", Call("disable-server", "s-5be2a07c")),
+        (b"enable-server  s-1", Call("enable-server", "s-1")),
+    ],
+)
 def test_a_call_is_read_whatever_ends_its_line(line: bytes, call: Call, end: bytes) -> None:
     assert calls.parse(line + end) == call
 
 
-@pytest.mark.parametrize(("line", "why"), [
-    (b"", "no call"), (b"\n", "no call"), (b"   \n", "no call"), (b"reboot\n", "reboot: no such call"),
-    (b"Ready\n", "Ready: no such call"), (b"ready now\n", "ready: now is one word too many"),
-    (b"disable-server\n", "disable-server: a worker's id is missing"),
-    (b"enable-server s-1 s-2\n", "enable-server: s-2 is one word too many"),
-    (b"ready\x00\n", "no printable text"), (b"\xff\xfe\n", "no printable text"),
-    (b"ready\rdrain\n", "no printable text"), (b"x" * 513, "over 512 bytes")])
+@pytest.mark.parametrize(
+    ("line", "why"),
+    [
+        (b"", "no call"),
+        (b"\n", "no call"),
+        (b"   \n", "no call"),
+        (b"reboot\n", "reboot: no such call"),
+        (b"Ready\n", "Ready: no such call"),
+        (b"ready now\n", "ready: now is one word too many"),
+        (b"disable-server\n", "disable-server: a worker's id is missing"),
+        (b"enable-server s-1 s-2\n", "enable-server: s-2 is one word too many"),
+        (b"ready\x00\n", "no printable text"),
+        (b"\xff\xfe\n", "no printable text"),
+        (b"ready\rdrain\n", "no printable text"),
+        (b"x" * 513, "over 512 bytes"),
+    ],
+)
 def test_what_is_wrong_with_a_line_is_named(line: bytes, why: str) -> None:
     with pytest.raises(BadCall, match=why):
         calls.parse(line)
@@ -33,7 +50,15 @@
 
 def test_any_bytes_are_a_call_or_a_bad_call_and_the_answer_is_one_line() -> None:
     draw = random.Random(11)
-    words = [word.encode() for word in calls.WORDS] + [b" ", b"\n", b"\r", b"\x00", b"\xe9", b"s-1", b"x" * 300]
+    words = [word.encode() for word in calls.WORDS] + [
+        b" ",
+        b"\n",
+        b"\r",
+        b"\x00",
+        b"\xe9",
+        b"s-1",
+        b"x" * 300,
+    ]
     for _ in range(2000):
         line = b"".join(draw.choice(words) for _ in range(draw.randrange(6)))
         try:
--- a/tests/management/test_handover.py
+++ b/tests/management/test_handover.py
@@ -64,7 +64,7 @@
         with pytest.raises(Unusable):
             handover.unseal(form[:at])
         with pytest.raises(Unusable):
-            handover.unseal(form[:at] + bytes([form[at] ^ 1]) + form[at + 1:])
+            handover.unseal(form[:at] + bytes([form[at] ^ 1]) + form[at + 1 :])
     with pytest.raises(Unusable, match="another version"):
         handover.unseal(form.replace(b" 1 ", b" 0 ", 1))
 
@@ -88,7 +88,7 @@
         frames, got, at = Frames(), [], 0
         while at < len(data):
             size = draw.choice([1, 2, 7, 500, 5000])
-            got += frames.feed(data[at:at + size])
+            got += frames.feed(data[at : at + size])
             at += size
         assert got == sent
     with pytest.raises(Unusable, match="a frame of"):
--- a/tests/management/test_management.py
+++ b/tests/management/test_management.py
@@ -80,13 +80,15 @@
 
 
 def test_callers_that_say_nothing_delay_nobody_and_crowds_of_clients_take_no_descriptor_of_theirs(
-    monkeypatch: pytest.MonkeyPatch
+    monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     monkeypatch.setattr("beaconhinge.net.sockets.SPARE", 40)
 
     async def story(scene: Stage, operator: Operator) -> None:
         clients = [await scene.open() for _ in range(64)]
-        mute = [await asyncio.open_connection("127.0.0.1", operator.port) for _ in range(2 * management.CALLERS)]
+        mute = [
+            await asyncio.open_connection("127.0.0.1", operator.port) for _ in range(2 * management.CALLERS)
+        ]
         assert await operator.call("ready") == "SUCCESS ready\n"
         assert (await mute[0][0].read()).startswith(b"FAILURE too many callers")
         for _, writer in (*clients, *mute):
@@ -98,7 +100,14 @@
 def test_figures_are_what_the_stand_ins_counted(monkeypatch: pytest.MonkeyPatch) -> None:
     """Served, refused, failed, retried after a reset, turned away, never connected, abandoned, and in work."""
     sent: list[str] = []
-    ends = {"served": "done", "failed": "failed", "reset": None, "away": "away", "held": "held", "gone": "held"}
+    ends = {
+        "served": "done",
+        "failed": "failed",
+        "reset": None,
+        "away": "away",
+        "held": "held",
+        "gone": "held",
+    }
 
     async def script(message: Seen) -> bytes | None:
         if not message.start.startswith("POST"):
@@ -142,8 +151,10 @@
         writer.close()
         while (shown := await operator.figures())["inflight"] != 1:
             await asyncio.sleep(0.01)
-        assert shown["calls"] == {"publish": {"success": 1, "busy": 0, "failure": 1},
-                                  "render": {"success": 3, "busy": 2, "failure": 0}}
+        assert shown["calls"] == {
+            "publish": {"success": 1, "busy": 0, "failure": 1},
+            "render": {"success": 3, "busy": 2, "failure": 0},
+        }
         assert shown["backend_calls"] == len(sent)
         assert shown["hosts_listed"] == 2
         await post("held-1", "done")
@@ -183,8 +194,12 @@
     out = dispatcher.handle(101.0, api.Maintenance(100, True))
     assert not sends(out)
     dispatcher.handle(101.0, api.Maintenance(100, True))
-    for how, changed in ((api.SNAPSHOT, members(2)), (api.CHANGES, [api.Member(100, api.GONE)]),
-                         (api.CHANGES, [api.Member(100, started_at=102.0)]), (api.REMEMBERED, members(2))):
+    for how, changed in (
+        (api.SNAPSHOT, members(2)),
+        (api.CHANGES, [api.Member(100, api.GONE)]),
+        (api.CHANGES, [api.Member(100, started_at=102.0)]),
+        (api.REMEMBERED, members(2)),
+    ):
         dispatcher.handle(103.0, api.Membership(how, 2, changed))
         assert {s.worker for n in range(20) for s in sends(dispatcher.handle(103.0, work(n)))} <= {101}
         for n in range(20):
--- a/tests/management/test_upgrade.py
+++ b/tests/management/test_upgrade.py
@@ -206,17 +206,23 @@
     upgrade(story, tmp_path)
 
 
-@pytest.mark.parametrize("fault", ["torn", "foreign", "older", "other frame", "silence", "no process", "no word",
-                                   "other settings"])
+@pytest.mark.parametrize(
+    "fault", ["torn", "foreign", "older", "other frame", "silence", "no process", "no word", "other settings"]
+)
 def test_without_a_whole_form_the_new_process_starts_from_nothing(
     fault: str, tmp_path: Path, monkeypatch: pytest.MonkeyPatch, capsys: pytest.CaptureFixture[str]
 ) -> None:
     monkeypatch.setattr("beaconhinge.net.upgrade.ANSWER", 0.2)
     monkeypatch.setattr("beaconhinge.net.upgrade.READY_BY", 0.3)
     form = handover.seal({"module": {}})
-    forms = {"torn": form[:-1], "foreign": b"{}", "older": form.replace(b" 1 ", b" 0 ", 1),
-             "other settings": handover.seal({"module": {"settings": "others"}, "out": ["s-0"],
-                                              "discovery": ["127.0.0.1", 1], "list": LIST})}
+    forms = {
+        "torn": form[:-1],
+        "foreign": b"{}",
+        "older": form.replace(b" 1 ", b" 0 ", 1),
+        "other settings": handover.seal(
+            {"module": {"settings": "others"}, "out": ["s-0"], "discovery": ["127.0.0.1", 1], "list": LIST}
+        ),
+    }
 
     async def old(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         await reader.readline()
@@ -232,15 +238,24 @@
         port, mgmt = server.sockets[0].getsockname()[1], free_port()
         if fault == "no process":
             server.close()
-        said = b"{}" if fault == "no word" else json.dumps({"mgmt": f"127.0.0.1:{port}", "token": "t"}).encode()
+        said = (
+            b"{}" if fault == "no word" else json.dumps({"mgmt": f"127.0.0.1:{port}", "token": "t"}).encode()
+        )
         from stage import stage
 
         async def accept(_message: Seen) -> bytes | None:
             return None
 
-        async with asyncio.timeout(10), stage(accept, 1, {"mgmt": f"127.0.0.1:{mgmt}"}, shared=tmp_path,
-                                              before=lambda listen: (tmp_path / f"beaconhinge-127.0.0.1-{listen}.json"
-                                                                     ).write_bytes(said)) as scene:
+        async with (
+            asyncio.timeout(10),
+            stage(
+                accept,
+                1,
+                {"mgmt": f"127.0.0.1:{mgmt}"},
+                shared=tmp_path,
+                before=lambda listen: (tmp_path / f"beaconhinge-127.0.0.1-{listen}.json").write_bytes(said),
+            ) as scene,
+        ):
             while (await scene.ask(UP)).status == 503:  # until discovery has answered
                 await asyncio.sleep(0.01)
             await Operator(mgmt).ready()
@@ -266,9 +281,13 @@
             operators.append(Operator(free_port()))
             config = tmp_path / f"{len(processes)}.json"
             config.write_text(json.dumps(scene.platform(mgmt=f"127.0.0.1:{operators[-1].port}")))
-            processes.append(subprocess.Popen(
-                [sys.executable, "-O", "-m", "beaconhinge"], stderr=subprocess.PIPE,
-                env={**os.environ, "RELAY_CONFIG": str(config), "TMPDIR": str(tmp_path)}))
+            processes.append(
+                subprocess.Popen(
+                    [sys.executable, "-O", "-m", "beaconhinge"],
+                    stderr=subprocess.PIPE,
+                    env={**os.environ, "RELAY_CONFIG": str(config), "TMPDIR": str(tmp_path)},
+                )
+            )
             await operators[-1].ready()
 
         await start()
--- a/tests/progress/test_codec.py
+++ b/tests/progress/test_codec.py
@@ -29,8 +29,16 @@
     assert (name, data, identity) == ("progress", expected, str(number))
 
 
-@given(st.recursive(st.none() | st.booleans() | st.integers(-2**53, 2**53) | st.text(
-    st.characters(exclude_categories=["Cs"])), lambda inner: st.lists(inner, max_size=3), max_leaves=5))
+@given(
+    st.recursive(
+        st.none()
+        | st.booleans()
+        | st.integers(-(2**53), 2**53)
+        | st.text(st.characters(exclude_categories=["Cs"])),
+        lambda inner: st.lists(inner, max_size=3),
+        max_leaves=5,
+    )
+)
 def test_json_comes_back_exactly(value: object) -> None:
     [(_, data, _, _)] = read(codec.json_event("outcome", 3, {"result": value}))
     assert json.loads(data) == {"result": value}
@@ -38,7 +46,9 @@
 
 @pytest.mark.parametrize("text", ["", "\r\n\0é\u2028", "x" * 65536, "event: outcome\n\ndata: forged"])
 def test_a_result_forges_no_event(text: str) -> None:
-    [(name, data, _, _)] = read(codec.json_event("outcome", 1, {"result": text}) + codec.comment("end\nof it"))
+    [(name, data, _, _)] = read(
+        codec.json_event("outcome", 1, {"result": text}) + codec.comment("end\nof it")
+    )
     assert name == "outcome" and json.loads(data)["result"] == text
 
 
@@ -49,13 +59,27 @@
         codec.event("a\nb", 1, "")
 
 
-@pytest.mark.parametrize(("header", "wanted"), [
-    ("text/event-stream", True), ("TEXT/Event-Stream", True), ("", False), ("*/*", False),
-    ("application/json", False), ("text/event-stream;q=0", False), ("text/event-stream;q=0.000", False),
-    ("text/event-stream;q=0.5, application/json", False), ("text/event-stream, */*;q=0.1", True),
-    ("application/json;q=0.5, text/event-stream;q=0.9", True), ("text/event-stream;q=2", False),
-    ("text/event-stream;q=", False), ("text/event-stream;q=0.1234", False), (",;,q=1;;", False),
-    ("text/event-stream;charset=utf-8;q=1.0", True), ("text/*", False)])
+@pytest.mark.parametrize(
+    ("header", "wanted"),
+    [
+        ("text/event-stream", True),
+        ("TEXT/Event-Stream", True),
+        ("", False),
+        ("*/*", False),
+        ("application/json", False),
+        ("text/event-stream;q=0", False),
+        ("text/event-stream;q=0.000", False),
+        ("text/event-stream;q=0.5, application/json", False),
+        ("text/event-stream, */*;q=0.1", True),
+        ("application/json;q=0.5, text/event-stream;q=0.9", True),
+        ("text/event-stream;q=2", False),
+        ("text/event-stream;q=", False),
+        ("text/event-stream;q=0.1234", False),
+        (",;,q=1;;", False),
+        ("text/event-stream;charset=utf-8;q=1.0", True),
+        ("text/*", False),
+    ],
+)
 def test_accept_is_weighed(header: str, wanted: bool) -> None:
     assert codec.accepts(header) is wanted
 
@@ -67,7 +91,9 @@
     assert number is None or number >= 0
 
 
-@pytest.mark.parametrize(("text", "number"), [
-    ("", None), ("7", 7), ("-1", None), ("1.5", None), ("٣", None), ("9" * 10, None), ("0", 0)])
+@pytest.mark.parametrize(
+    ("text", "number"),
+    [("", None), ("7", 7), ("-1", None), ("1.5", None), ("٣", None), ("9" * 10, None), ("0", 0)],
+)
 def test_last_event_id_is_a_number_of_ours_or_nothing(text: str, number: int | None) -> None:
     assert codec.last_event_id(text) == number
--- a/tests/progress/test_feed.py
+++ b/tests/progress/test_feed.py
@@ -116,13 +116,17 @@
         assert reader.take(0.0) == [] and reader.done
 
 
-EVENTS = st.lists(st.one_of(
-    st.tuples(st.just("started"), st.integers(0, 3)),
-    st.tuples(st.just("lost"), st.integers(0, 3)),
-    st.tuples(st.just("progress"), st.integers(0, 3), st.floats(-0.5, 1.5)),
-    st.tuples(st.just("read"), st.floats(0, 1)),
-    st.tuples(st.just("come back"), st.integers(-2, 30)),
-    st.tuples(st.just("outcome"))), max_size=60)
+EVENTS = st.lists(
+    st.one_of(
+        st.tuples(st.just("started"), st.integers(0, 3)),
+        st.tuples(st.just("lost"), st.integers(0, 3)),
+        st.tuples(st.just("progress"), st.integers(0, 3), st.floats(-0.5, 1.5)),
+        st.tuples(st.just("read"), st.floats(0, 1)),
+        st.tuples(st.just("come back"), st.integers(-2, 30)),
+        st.tuples(st.just("outcome")),
+    ),
+    max_size=60,
+)
 
 
 @given(EVENTS)
--- a/tests/progress/test_registry.py
+++ b/tests/progress/test_registry.py
@@ -7,7 +7,13 @@
 
 
 def registry(**changes: float) -> Registry:
-    told = {"detached_s": 5.0, "keep_outcome_s": 10.0, "max_detached": 2, "max_kept_bytes": 10 * OVERHEAD, **changes}
+    told = {
+        "detached_s": 5.0,
+        "keep_outcome_s": 10.0,
+        "max_detached": 2,
+        "max_kept_bytes": 10 * OVERHEAD,
+        **changes,
+    }
     return Registry(**told)  # type: ignore[arg-type]
 
 
--- a/tests/progress/test_streams.py
+++ b/tests/progress/test_streams.py
@@ -30,7 +30,9 @@
 class Stream:
     """A client's side of one stream, read by a client library's decoder."""
 
-    def __init__(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter, chunked: bool = True) -> None:
+    def __init__(
+        self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter, chunked: bool = True
+    ) -> None:
         self.reader = reader
         self.writer = writer  # one that nobody holds closes its connection
         self.chunked = chunked
@@ -69,8 +71,9 @@
         return found
 
 
-async def opened(scene: Stage, name: str = "r1", http: str = "1.1",
-                 **headers: str | None) -> tuple[Seen, Stream, asyncio.StreamWriter]:
+async def opened(
+    scene: Stage, name: str = "r1", http: str = "1.1", **headers: str | None
+) -> tuple[Seen, Stream, asyncio.StreamWriter]:
     reader, writer = await scene.open()
     data = job(X_Request_ID=name, Accept="text/event-stream", **headers)
     writer.write(data.replace(b"HTTP/1.1", b"HTTP/" + http.encode(), 1))
@@ -195,7 +198,8 @@
 
 @pytest.mark.parametrize(("http", "connection"), [("1.0", None), ("1.0", "keep-alive"), ("1.1", "close")])
 def test_where_chunks_cannot_be_the_end_of_the_connection_ends_the_stream(
-        http: str, connection: str | None) -> None:
+    http: str, connection: str | None
+) -> None:
     async def story(scene: Stage) -> None:
         head, stream, _ = await opened(scene, http=http, Connection=connection)
         assert not stream.chunked and head.headers["connection"] == "close"
@@ -238,8 +242,9 @@
 STAYS = Ours(progress=Progress(enabled=True, events_per_s=1000.0, detached_s=5.0))
 
 
-async def back(scene: Stage, token: str, seen: int = 0, name: str = "r1",
-               query: bool = False, **headers: str) -> tuple[Seen, Stream, asyncio.StreamWriter]:
+async def back(
+    scene: Stage, token: str, seen: int = 0, name: str = "r1", query: bool = False, **headers: str
+) -> tuple[Seen, Stream, asyncio.StreamWriter]:
     reader, writer = await scene.open()
     given = {"Host": "x", **headers}
     if seen:
@@ -284,9 +289,15 @@
         _, stream, _ = await opened(scene)
         token = await token_of(stream)
         wrong = token[:-1] + ("A" if token[-1] != "A" else "B")
-        for given, name, headers in ((wrong, "r1", {}), ("", "r1", {}), (token, "r2", {}), ("\xe9", "r1", {}),
-                                     (token, "r1", {"X_Tenant_Id": "umbrella"}),
-                                     (token, "r1", {"X_Tenant_Id": "nobody"}), (token, "", {})):
+        for given, name, headers in (
+            (wrong, "r1", {}),
+            ("", "r1", {}),
+            (token, "r2", {}),
+            ("\xe9", "r1", {}),
+            (token, "r1", {"X_Tenant_Id": "umbrella"}),
+            (token, "r1", {"X_Tenant_Id": "nobody"}),
+            (token, "", {}),
+        ):
             head, _, _ = await back(scene, given, name=name, **headers)
             assert head.status == 404, (given, name, headers)
         head, _, _ = await back(scene, "&".join(["x=1"] * 50), query=True)
@@ -372,8 +383,13 @@
             class_names = ("render",)
             limits = Limits()
 
-        streams = Streams(Progress(enabled=True, stalled_s=0.05), Sites(), All(),  # type: ignore[arg-type]
-                          Wheel(loop.time, stats.failure), stats)
+        streams = Streams(
+            Progress(enabled=True, stalled_s=0.05),
+            Sites(),
+            All(),  # type: ignore[arg-type]
+            Wheel(loop.time, stats.failure),
+            stats,
+        )
         connection = Connection(here, True, lambda: None)
         with pytest.raises(Closed):
             await streams.answer(connection, Job("r1", 0, 0, 5.0, 0.0, b"/render", b""), False)
--- a/tests/recovery/test_clients_that_leave.py
+++ b/tests/recovery/test_clients_that_leave.py
@@ -8,14 +8,32 @@
 from beaconhinge.standin.rig import Fault, Scenario, run_scenario
 from beaconhinge.standin.rig.verdict import Asked, begun_for_nobody
 
-SMALL = {"processes": 4, "boxes": 6, "slots": 8, "rate": 100.0, "keyed": 0.0, "render_s": 0.15, "publish_s": 0.3,
-         "patience_s": 2.0, "seconds": 7.0, "store": False, "recovery": False, "ejections_judged": False}
+SMALL = {
+    "processes": 4,
+    "boxes": 6,
+    "slots": 8,
+    "rate": 100.0,
+    "keyed": 0.0,
+    "render_s": 0.15,
+    "publish_s": 0.3,
+    "patience_s": 2.0,
+    "seconds": 7.0,
+    "store": False,
+    "recovery": False,
+    "ejections_judged": False,
+}
 
 
 def test_nothing_begins_for_a_client_that_has_left_and_no_unsafe_job_runs_twice() -> None:
-    faults = [Fault(0.5, "discovery", 1.5), Fault(1.0, "kill", 0.3, [0]), Fault(1.2, "stop", 1.5, [1]),
-              Fault(2.0, "term", 0.3, [2]), Fault(1.5, "workers", 1.0, trouble=Trouble.HANG),
-              Fault(3.0, "workers", 1.0, trouble=Trouble.RESET), Fault(4.2, "workers", 0.8, trouble=Trouble.FULL)]
+    faults = [
+        Fault(0.5, "discovery", 1.5),
+        Fault(1.0, "kill", 0.3, [0]),
+        Fault(1.2, "stop", 1.5, [1]),
+        Fault(2.0, "term", 0.3, [2]),
+        Fault(1.5, "workers", 1.0, trouble=Trouble.HANG),
+        Fault(3.0, "workers", 1.0, trouble=Trouble.RESET),
+        Fault(4.2, "workers", 0.8, trouble=Trouble.FULL),
+    ]
     scenario = Scenario("leaving", seed=71, faults=faults, unsafe=0.4, leaving=0.4, **SMALL)
     verdict = asyncio.run(run_scenario(scenario))
     assert verdict.broken == [], verdict.last
@@ -23,7 +41,9 @@
 
 
 def test_the_judge_sees_an_attempt_that_begins_for_nobody() -> None:
-    asked = [Asked("", "render", 0, 10.0, request="r1", patience_s=3.0, left_at=11.0),
-             Asked("", "render", 0, 10.0, request="r2", patience_s=3.0)]
+    asked = [
+        Asked("", "render", 0, 10.0, request="r1", patience_s=3.0, left_at=11.0),
+        Asked("", "render", 0, 10.0, request="r2", patience_s=3.0),
+    ]
     assert begun_for_nobody(asked, [Deadline("r1", 11.05, 1.0), Deadline("r2", 12.9, 0.1)], 0.1) == []
     assert len(begun_for_nobody(asked, [Deadline("r1", 11.2, 1.0)], 0.1)) == 1
--- a/tests/recovery/test_deadlines.py
+++ b/tests/recovery/test_deadlines.py
@@ -10,15 +10,28 @@
 from beaconhinge.standin.rig import Fault, Scenario, run_scenario
 from beaconhinge.standin.rig.verdict import Asked, overstated
 
-SMALL = {"processes": 4, "boxes": 6, "slots": 8, "rate": 120.0, "keyed": 0.0, "render_s": 0.1, "patience_s": 3.0,
-         "seconds": 6.0, "store": False}
+SMALL = {
+    "processes": 4,
+    "boxes": 6,
+    "slots": 8,
+    "rate": 120.0,
+    "keyed": 0.0,
+    "render_s": 0.1,
+    "patience_s": 3.0,
+    "seconds": 6.0,
+    "store": False,
+}
 
 
 @pytest.mark.parametrize("recovery", [False, True])
-def test_a_request_that_came_while_the_process_stood_still_has_only_the_rest_of_its_time(recovery: bool) -> None:
+def test_a_request_that_came_while_the_process_stood_still_has_only_the_rest_of_its_time(
+    recovery: bool,
+) -> None:
     """Its time was counted from when it was read: a worker was told of up to 1.5 s that the client did not have."""
     stops = [Fault(1.0, "stop", 1.5, [0, 1]), Fault(3.2, "stop", 0.7, [2, 3])]
-    verdict = asyncio.run(run_scenario(Scenario("stopped", seed=61, faults=stops, recovery=recovery, **SMALL)))
+    verdict = asyncio.run(
+        run_scenario(Scenario("stopped", seed=61, faults=stops, recovery=recovery, **SMALL))
+    )
     assert verdict.broken == [], verdict.last
     assert verdict.faults["stop"] == 4 and verdict.ends["200"] > 0.8 * verdict.asked > 400
 
--- a/tests/recovery/test_drains.py
+++ b/tests/recovery/test_drains.py
@@ -8,19 +8,50 @@
 
 from beaconhinge.standin.rig import Fault, Scenario, Verdict, run_scenario
 
-SMALL = {"processes": 5, "boxes": 6, "slots": 8, "rate": 60.0, "keyed": 0.0, "render_s": 0.1,
-         "patience_s": 0.8, "seconds": 9.0, "store": False, "recovery": False}
+SMALL = {
+    "processes": 5,
+    "boxes": 6,
+    "slots": 8,
+    "rate": 60.0,
+    "keyed": 0.0,
+    "render_s": 0.1,
+    "patience_s": 0.8,
+    "seconds": 9.0,
+    "store": False,
+    "recovery": False,
+}
 WHOLE = [Fault(0.7, "drain", 8.0, boxes=2)]
 
 SCENARIOS = [
-    Scenario("watches fall silent as boxes begin to drain", seed=41, faults=[Fault(0.6, "mute", 0.1), *WHOLE], **SMALL),
+    Scenario(
+        "watches fall silent as boxes begin to drain",
+        seed=41,
+        faults=[Fault(0.6, "mute", 0.1), *WHOLE],
+        **SMALL,
+    ),
     Scenario("the same, pushed", seed=42, pushed=True, faults=[Fault(0.6, "mute", 0.1), *WHOLE], **SMALL),
-    Scenario("agents away as boxes begin to drain", seed=43, pushed=True,
-          faults=[Fault(0.5, "discovery", 1.5), *WHOLE], **SMALL),
-    Scenario("started again with an old list, pushed", seed=44, pushed=True,
-          faults=[*WHOLE, Fault(2.0, "kill", 0.2, [1]), Fault(2.5, "term", 0.2, [3])], **SMALL),
-    Scenario("stopped as boxes begin to drain", seed=45, pushed=True, faults=[Fault(0.5, "stop", 1.5, [1, 2]), *WHOLE],
-          **{**SMALL, "recovery": True})]
+    Scenario(
+        "agents away as boxes begin to drain",
+        seed=43,
+        pushed=True,
+        faults=[Fault(0.5, "discovery", 1.5), *WHOLE],
+        **SMALL,
+    ),
+    Scenario(
+        "started again with an old list, pushed",
+        seed=44,
+        pushed=True,
+        faults=[*WHOLE, Fault(2.0, "kill", 0.2, [1]), Fault(2.5, "term", 0.2, [3])],
+        **SMALL,
+    ),
+    Scenario(
+        "stopped as boxes begin to drain",
+        seed=45,
+        pushed=True,
+        faults=[Fault(0.5, "stop", 1.5, [1, 2]), *WHOLE],
+        **{**SMALL, "recovery": True},
+    ),
+]
 
 
 @pytest.fixture(scope="module")
@@ -38,7 +69,9 @@
 
 
 @pytest.mark.parametrize("scenario", SCENARIOS, ids=lambda scenario: scenario.name)
-def test_nothing_goes_to_a_box_that_counts_as_leaving(scenario: Scenario, verdicts: dict[str, Verdict]) -> None:
+def test_nothing_goes_to_a_box_that_counts_as_leaving(
+    scenario: Scenario, verdicts: dict[str, Verdict]
+) -> None:
     """Silent watches were noticed when what they missed counted as told; agents were never asked at all."""
     verdict = verdicts[scenario.name]
     assert verdict.broken == [], verdict.last
--- a/tests/recovery/test_keys.py
+++ b/tests/recovery/test_keys.py
@@ -55,7 +55,11 @@
     blank, whole = book(complete=False), book()
     assert (blank.word(100.0, 7), whole.word(100.0, 7)) == (UNKNOWN, NOT_HERE)
     assert blank.word(100.0 + WINDOW, 7) == NOT_HERE
-    assert whole.restore(100.0, 7, 90.0, "r1") and whole.word(149.9, 7) == HERE and whole.word(150.0, 7) == NOT_HERE
+    assert (
+        whole.restore(100.0, 7, 90.0, "r1")
+        and whole.word(149.9, 7) == HERE
+        and whole.word(150.0, 7) == NOT_HERE
+    )
     assert not whole.restore(100.0, 8, 40.0, "r2")  # too old to matter
     assert whole.restore(100.0, 9, 5000.0, "r3")  # the clock has stepped back
     assert whole.word(100.0 + WINDOW - 0.1, 9) == HERE and whole.word(100.0 + WINDOW, 9) == NOT_HERE
@@ -66,8 +70,16 @@
     assert keys.unsure_until(keys.owner("n", 1, 0.0), "n", 1, 100.0, WINDOW) == 0.0
     # Empty a moment ago and killed again: what the life before that had is still not known.
     assert keys.unsure_until(keys.owner("n", 1, 150.0), "n", 1, 100.0, WINDOW) == 150.0
-    assert keys.unsure_until(keys.owner("n", 1, 1e9), "n", 1, 100.0, WINDOW) == 160.0  # the clock stepped back
-    for other in (keys.owner("m", 1, 0.0), keys.owner("n", 2, 0.0), b"", b"1234", keys.owner("n", 1, float("nan"))):
+    assert (
+        keys.unsure_until(keys.owner("n", 1, 1e9), "n", 1, 100.0, WINDOW) == 160.0
+    )  # the clock stepped back
+    for other in (
+        keys.owner("m", 1, 0.0),
+        keys.owner("n", 2, 0.0),
+        b"",
+        b"1234",
+        keys.owner("n", 1, float("nan")),
+    ):
         assert keys.unsure_until(other, "n", 1, 100.0, WINDOW) == 160.0
 
 
@@ -97,7 +109,10 @@
         made.leave(at, 1, True, b"12345678")
         assert made.result(at, 1) == b"12345678"
     made.take(900.0, 2, "twice")
-    assert not made.told(900.0, "twice", b"12345678") and made.limits_hit() == (0, 1)  # no room beside the other
+    assert not made.told(900.0, "twice", b"12345678") and made.limits_hit() == (
+        0,
+        1,
+    )  # no room beside the other
     made.sweep(900.0)
     assert made.told(900.0, "twice", b"12345678")
     made.leave(901.0, 2, True, b"87654321")  # another attempt's, counted once
@@ -118,7 +133,11 @@
     assert made.word(100.0 + WINDOW, 99) == NOT_HERE
 
 
-@given(st.dictionaries(st.integers(0, 6), st.lists(st.sampled_from((NOT_HERE, HERE, UNKNOWN, KEPT)), min_size=1, max_size=3)))
+@given(
+    st.dictionaries(
+        st.integers(0, 6), st.lists(st.sampled_from((NOT_HERE, HERE, UNKNOWN, KEPT)), min_size=1, max_size=3)
+    )
+)
 def test_only_the_no_of_every_other_is_a_no(said: dict[int, list[int]]) -> None:
     inquiry = Inquiry(frozenset(range(5)))
     for number, words in said.items():
@@ -232,7 +251,9 @@
 
 
 @given(st.binary(max_size=16 * PART_BYTES), st.randoms(use_true_random=False))
-def test_a_result_comes_whole_over_lost_repeated_and_mixed_up_parts_or_not_at_all(result: bytes, rng: random.Random) -> None:
+def test_a_result_comes_whole_over_lost_repeated_and_mixed_up_parts_or_not_at_all(
+    result: bytes, rng: random.Random
+) -> None:
     assembly = Assembly()
     for _ in range(200):
         if not assembly.missing:
@@ -245,7 +266,10 @@
                 if other is not None:  # of a later run, after the first has come
                     assembly.hear(other)
     assert assembly.result == result
-    assert keys.part_of(result, Fetch(7, 1, 16)) is None and keys.part_of(bytes(17 * PART_BYTES), Fetch(7, 1, 0)) is None
+    assert (
+        keys.part_of(result, Fetch(7, 1, 16)) is None
+        and keys.part_of(bytes(17 * PART_BYTES), Fetch(7, 1, 0)) is None
+    )
     forged = Assembly()
     forged.hear(Part(7, 0, 1, 5, b"not that"))
     assert forged.missing == [] and forged.result is None
@@ -267,7 +291,12 @@
         assert keys.decode(wire + b"x") is None and keys.decode(b"\x00" + wire[1:]) is None
     part = Part(9, 15, 16, 2**32 - 1, bytes(PART_BYTES))
     assert keys.decode(keys.encode(part)) == part and len(keys.encode(part)) <= 256
-    for bad in (Part(9, 16, 16, 0, b""), Part(9, 0, 0, 0, b""), Part(9, 0, 17, 0, b""), Part(9, 0, 1, 0, bytes(241))):
+    for bad in (
+        Part(9, 16, 16, 0, b""),
+        Part(9, 0, 0, 0, b""),
+        Part(9, 0, 17, 0, b""),
+        Part(9, 0, 1, 0, bytes(241)),
+    ):
         assert keys.decode(keys.encode(bad)) is None
     assert keys.decode(keys.encode(Fetch(1, 2, 16))) is None and keys.decode(b"") is None
     assert keys.decode(keys.encode(Reply(5, HERE))[:-1] + b"\x09") is None
@@ -296,11 +325,19 @@
 
     async def story() -> list[object]:
         disk, stats = Disk(), Stats(lambda: 100.0, writer=lambda event, fields: None)
-        settings = Settings.from_pairs({"requestClasses.count": "1", "requestClasses.0.semantics": "dedup",
-                                        "requestClasses.0.dedupWindow": "40", "requestClasses.0.hardLimit": "20",
-                                        "clients.marksRetry": "true"})
+        settings = Settings.from_pairs(
+            {
+                "requestClasses.count": "1",
+                "requestClasses.0.semantics": "dedup",
+                "requestClasses.0.dedupWindow": "40",
+                "requestClasses.0.hardLimit": "20",
+                "clients.marksRetry": "true",
+            }
+        )
         config = SimpleNamespace(name="n0", settings=settings, keyed=lambda cls: True)
-        wired = Keys(config, disk, 10, 10, SimpleNamespace(talk={}), Wheel(lambda: 100.0, stats.failure), stats)  # type: ignore[arg-type]
+        wired = Keys(
+            config, disk, 10, 10, SimpleNamespace(talk={}), Wheel(lambda: 100.0, stats.failure), stats
+        )  # type: ignore[arg-type]
         first, second = (Job(name, 0, 0, 9.0, 100.0, b"/", b"", dedup_key="k") for name in ("a", "b"))
         assert (await wired.enter(first)).entered
         wired.left(first, False, None)  # spawns the delete
--- a/tests/recovery/test_phases.py
+++ b/tests/recovery/test_phases.py
@@ -25,13 +25,19 @@
 
 OTHERS = frozenset(range(1, 4))
 EVENTS = st.one_of(
-    st.just(phases.Opened()), st.builds(phases.Asked, st.frozensets(st.integers(1, 3))), st.just(phases.Listed()),
-    st.builds(phases.Heard, st.integers(1, 3), st.integers(READING, NORMAL)), st.builds(phases.Woke, st.just(OTHERS)),
-    st.just(phases.Turn()))
+    st.just(phases.Opened()),
+    st.builds(phases.Asked, st.frozensets(st.integers(1, 3))),
+    st.just(phases.Listed()),
+    st.builds(phases.Heard, st.integers(1, 3), st.integers(READING, NORMAL)),
+    st.builds(phases.Woke, st.just(OTHERS)),
+    st.just(phases.Turn()),
+)
 
 
 @given(st.lists(st.tuples(st.floats(0.0, 1.0), EVENTS), max_size=40))
-def test_phases_come_as_drawn_within_their_bounds_whatever_is_heard(events: list[tuple[float, phases.Event]]) -> None:
+def test_phases_come_as_drawn_within_their_bounds_whatever_is_heard(
+    events: list[tuple[float, phases.Event]],
+) -> None:
     machine, now, entered = Return(100.0), 100.0, [READING]
     for passed, event in events:
         now += passed
@@ -55,7 +61,9 @@
     assert machine.feed(110.6, phases.Turn()) == [] and machine.feed(110.8, phases.Turn()) == [NORMAL]
     alone = Return(0.0)
     alone.feed(0.0, phases.Opened())
-    assert alone.feed(0.0, phases.Asked(frozenset())) == [ASKING] and alone.feed(0.01, phases.Listed()) == [NORMAL]
+    assert alone.feed(0.0, phases.Asked(frozenset())) == [ASKING] and alone.feed(0.01, phases.Listed()) == [
+        NORMAL
+    ]
     slow_disk = Return(0.0)
     slow_disk.feed(0.0, phases.Opened())
     assert slow_disk.feed(1.0, phases.Turn()) == [ASKING] and slow_disk.feed(1.1, phases.Asked(OTHERS)) == []
@@ -74,12 +82,21 @@
 def test_records_count_for_their_own_dispatcher_and_words_survive_the_wire() -> None:
     record = lives.signed("n1", 1, lives.life_record(7))
     assert lives.next_life(lives.read_signed(record, "n1", 1)) == 8
-    for name, number, data in (("n1", 2, record), ("n", 1, record), ("n1", 1, None), ("n1", 1, record[:-1]), ("n1", 1, b"")):
+    for name, number, data in (
+        ("n1", 2, record),
+        ("n", 1, record),
+        ("n1", 1, None),
+        ("n1", 1, record[:-1]),
+        ("n1", 1, b""),
+    ):
         assert lives.next_life(lives.read_signed(data, name, number)) == 1
     for hello in (Hello(NORMAL, 2**32 - 1, 2**32 - 1, True, True), Hello(0, 0, 0)):
         wire = lives.encode(hello)
         assert lives.decode(wire) == hello and len(wire) == 11
-        assert all(lives.decode(wire[:cut]) is None for cut in range(len(wire))) and lives.decode(wire + b"x") is None
+        assert (
+            all(lives.decode(wire[:cut]) is None for cut in range(len(wire)))
+            and lives.decode(wire + b"x") is None
+        )
     assert lives.decode(b"\x7c\xff" + bytes(9)) is None and lives.decode(bytes(11)) is None
 
 
@@ -97,7 +114,9 @@
 
         stats = Stats(lambda: now[0], writer=lambda event, fields: None)
         workers: Any = SimpleNamespace(withdraw=withdraw)
-        orphans = Orphans(workers, Wheel(lambda: now[0], stats.failure), stats, 10.0, lambda request: request == "keyed")
+        orphans = Orphans(
+            workers, Wheel(lambda: now[0], stats.failure), stats, 10.0, lambda request: request == "keyed"
+        )
         for _ in range(2):
             for number in range(9):
                 orphans.told(f"r{number}", 7)
@@ -147,7 +166,9 @@
         await self.start()
 
 
-def test_a_worker_out_by_hand_stays_out_over_a_kill_until_the_call_back(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_worker_out_by_hand_stays_out_over_a_kill_until_the_call_back(
+    tmp_path: Path, monkeypatch: pytest.MonkeyPatch
+) -> None:
     monkeypatch.setenv("TMPDIR", str(tmp_path))
 
     async def story() -> list[int]:
@@ -205,6 +226,9 @@
         assert disk.changes == [Put(b"hand/s-3", lives.signed("n0", 0, b""))]
         disk.full, call.word = True, "s-4"
         answer = await operators.acts["disable-server"](call)  # type: ignore[misc]
-        assert answer.startswith(b"FAILURE s-4 is out, but not after a restart: StoreError") and "s-4" in operators.out
+        assert (
+            answer.startswith(b"FAILURE s-4 is out, but not after a restart: StoreError")
+            and "s-4" in operators.out
+        )
 
     asyncio.run(story())
--- a/tests/recovery/test_rehearsals.py
+++ b/tests/recovery/test_rehearsals.py
@@ -15,8 +15,16 @@
 from beaconhinge.standin.rig.runner import ScenarioRun
 from beaconhinge.standin.rig.verdict import Asked, benched, run_twice, served, unexcused
 
-SMALL = {"processes": 4, "boxes": 6, "slots": 8, "rate": 50.0, "render_s": 0.15, "publish_s": 0.4,
-         "patience_s": 0.8, "seconds": 6.0}
+SMALL = {
+    "processes": 4,
+    "boxes": 6,
+    "slots": 8,
+    "rate": 50.0,
+    "render_s": 0.15,
+    "publish_s": 0.4,
+    "patience_s": 0.8,
+    "seconds": 6.0,
+}
 
 
 def rehearsed(*scenarios: Scenario) -> list[Verdict]:
@@ -37,22 +45,37 @@
     stopped = [Fault(1.0, "stop", 2.0, [1])]
     scenarios = [
         Scenario("one", seed=1, faults=stopped, **SMALL),
-        Scenario("again and again", seed=2, faults=[Fault(at, "stop", 1.2, [2]) for at in (0.5, 2.0, 3.5)], **SMALL),
+        Scenario(
+            "again and again", seed=2, faults=[Fault(at, "stop", 1.2, [2]) for at in (0.5, 2.0, 3.5)], **SMALL
+        ),
         Scenario("all at once", seed=3, faults=[Fault(1.0, "stop", 2.0)], **SMALL),
-        Scenario("with half of the datagrams lost", seed=4, faults=[*stopped, Fault(0.5, "lossy", 4.0, part=0.5)], **SMALL),
-        Scenario("cut off, one direction", seed=5, faults=[*stopped, Fault(0.5, "cut", 4.0, [0], [1])], **SMALL),
-        Scenario("discovery out as it wakes", seed=6, faults=[*stopped, Fault(0.5, "discovery", 3.5)], **SMALL)]
+        Scenario(
+            "with half of the datagrams lost",
+            seed=4,
+            faults=[*stopped, Fault(0.5, "lossy", 4.0, part=0.5)],
+            **SMALL,
+        ),
+        Scenario(
+            "cut off, one direction", seed=5, faults=[*stopped, Fault(0.5, "cut", 4.0, [0], [1])], **SMALL
+        ),
+        Scenario(
+            "discovery out as it wakes", seed=6, faults=[*stopped, Fault(0.5, "discovery", 3.5)], **SMALL
+        ),
+    ]
     for scenario, verdict in zip(scenarios, rehearsed(*scenarios), strict=True):
         assert verdict.broken == [], (scenario.name, verdict.last)
         assert verdict.counters["stalls"] >= len([f for f in scenario.faults if f.what == "stop"])
         assert verdict.counters["datagrams_stale"] > 0 or scenario.name == "all at once"
-        assert verdict.served_after > 0.75 and verdict.plain_after > 0.9 and verdict.asked > 150, scenario.name
+        assert verdict.served_after > 0.75 and verdict.plain_after > 0.9 and verdict.asked > 150, (
+            scenario.name
+        )
 
 
 def test_a_process_that_is_killed_and_starts_empty_or_ends_by_sigterm_harms_nobody_else() -> None:
     scenarios = [
         Scenario("killed", seed=7, keyed=0.0, faults=[Fault(1.0, "kill", 0.5, [1], folder="empty")], **SMALL),
-        Scenario("ended", seed=8, keyed=0.0, faults=[Fault(1.0, "term", 0.5, [0])], **SMALL)]
+        Scenario("ended", seed=8, keyed=0.0, faults=[Fault(1.0, "term", 0.5, [0])], **SMALL),
+    ]
     for verdict in rehearsed(*scenarios):
         assert verdict.broken == [], verdict.last
         assert verdict.served_after > 0.75 and verdict.plain_after > 0.9
@@ -65,21 +88,34 @@
     scenarios = [
         Scenario("all lose power", seed=11, faults=[Fault(1.5, "kill", 0.3)], **many),
         Scenario("all lose power, no disk", seed=12, store=False, faults=[Fault(1.5, "kill", 0.3)], **many),
-        Scenario("one comes back empty, and once more", seed=13, **many,
-              faults=[Fault(1.0, "kill", 0.2, [1], folder="empty"), Fault(3.5, "kill", 0.2, [1])]),
-        Scenario("stopped beyond every patience, and cut in two", seed=14, **many,
-              faults=[Fault(1.0, "stop", 3.5, [2]), *halves])]
+        Scenario(
+            "one comes back empty, and once more",
+            seed=13,
+            **many,
+            faults=[Fault(1.0, "kill", 0.2, [1], folder="empty"), Fault(3.5, "kill", 0.2, [1])],
+        ),
+        Scenario(
+            "stopped beyond every patience, and cut in two",
+            seed=14,
+            **many,
+            faults=[Fault(1.0, "stop", 3.5, [2]), *halves],
+        ),
+    ]
     for scenario, verdict in zip(scenarios, rehearsed(*scenarios), strict=True):
         assert verdict.broken == [], (scenario.name, verdict.last)
         assert verdict.keys > 40 and verdict.runs > 40, scenario.name
-        assert sum(verdict.counters.get(f"keys_{word}", 0) for word in ("here", "elsewhere", "unknown")) > 0, scenario.name
+        assert (
+            sum(verdict.counters.get(f"keys_{word}", 0) for word in ("here", "elsewhere", "unknown")) > 0
+        ), scenario.name
 
 
 def test_a_folder_of_before_or_of_another_is_told_by_the_others_and_not_trusted() -> None:
     """Without the count of lives a backup that is put back says of its keys that it never had them."""
     many = {**SMALL, "processes": 3, "rate": 30.0, "keyed": 0.6, "publish_s": 0.8, "seconds": 5.0}
-    scenarios = [Scenario(folder, seed=seed, faults=[Fault(2.0, "kill", 0.3, [1], folder=folder)], **many)
-               for folder, seed in (("old", 26), ("old", 27), ("other", 28))]
+    scenarios = [
+        Scenario(folder, seed=seed, faults=[Fault(2.0, "kill", 0.3, [1], folder=folder)], **many)
+        for folder, seed in (("old", 26), ("old", 27), ("other", 28))
+    ]
     for scenario, verdict in zip(scenarios, rehearsed(*scenarios), strict=True):
         assert verdict.broken == [], (scenario.name, verdict.last)
         assert verdict.counters["folder_stale"] == 1 and verdict.counters["keys_unknown"] > 0, scenario.name
@@ -87,11 +123,26 @@
 
 def test_a_start_comes_through_its_phases_though_it_is_lost_again_stopped_and_told_nothing() -> None:
     many = {**SMALL, "processes": 3, "rate": 30.0, "keyed": 0.4, "publish_s": 0.8}
-    again = [Fault(1.0, "kill", 0.3), Fault(1.2, "discovery", 2.5), *(Fault(at, "kill", 0.1, [0]) for at in (1.7, 2.1, 2.5)),
-             Fault(2.6, "stop", 1.5, [1]), Fault(1.2, "cut", 2.5, [0, 1, 2], [2])]
-    long = {**SMALL, "processes": 3, "rate": 8.0, "keyed": 0.0, "render_s": 3.0, "patience_s": 7.0, "seconds": 4.0}
-    lost, orphans = rehearsed(Scenario("lost again", seed=23, faults=again, **many),
-                              Scenario("orphans", seed=24, faults=[Fault(2.0, "kill", 0.3)], **long))
+    again = [
+        Fault(1.0, "kill", 0.3),
+        Fault(1.2, "discovery", 2.5),
+        *(Fault(at, "kill", 0.1, [0]) for at in (1.7, 2.1, 2.5)),
+        Fault(2.6, "stop", 1.5, [1]),
+        Fault(1.2, "cut", 2.5, [0, 1, 2], [2]),
+    ]
+    long = {
+        **SMALL,
+        "processes": 3,
+        "rate": 8.0,
+        "keyed": 0.0,
+        "render_s": 3.0,
+        "patience_s": 7.0,
+        "seconds": 4.0,
+    }
+    lost, orphans = rehearsed(
+        Scenario("lost again", seed=23, faults=again, **many),
+        Scenario("orphans", seed=24, faults=[Fault(2.0, "kill", 0.3)], **long),
+    )
     assert lost.broken == [], lost.last
     assert lost.served_after > 0.75 and lost.plain_after > 0.9 and lost.counters["phase_normal"] >= 3
     assert orphans.broken == [], orphans.last
@@ -99,7 +150,15 @@
 
 
 def test_a_client_that_comes_again_has_the_result_that_was_told_to_the_next_life_at_any_dispatcher() -> None:
-    patient = {**SMALL, "processes": 3, "rate": 30.0, "keyed": 0.6, "publish_s": 1.5, "patience_s": 2.5, "seconds": 4.0}
+    patient = {
+        **SMALL,
+        "processes": 3,
+        "rate": 30.0,
+        "keyed": 0.6,
+        "publish_s": 1.5,
+        "patience_s": 2.5,
+        "seconds": 4.0,
+    }
     verdict = rehearsed(Scenario("power", seed=15, faults=[Fault(1.5, "kill", 0.2)], **patient))[0]
     assert verdict.broken == []
     assert verdict.counters["keys_results_late"] > 0 and verdict.counters["keys_answered"] > 0
@@ -107,8 +166,12 @@
 
 
 def test_the_checkers_see_what_is_wrong_and_excuse_what_a_fault_explains() -> None:
-    tries = [Asked("k", "publish", 0, 1.0, 2.0, "missing"), Asked("k", "publish", 1, 1.0, 2.0, "missing"),
-             Asked("", "render", 0, 9.0, 9.5, "missing"), Asked("", "render", 0, 9.0, 9.5, "503")]
+    tries = [
+        Asked("k", "publish", 0, 1.0, 2.0, "missing"),
+        Asked("k", "publish", 1, 1.0, 2.0, "missing"),
+        Asked("", "render", 0, 9.0, 9.5, "missing"),
+        Asked("", "render", 0, 9.0, 9.5, "503"),
+    ]
     assert unexcused(tries, [[(1.5, 4.0)], []], 0.5) == [tries[1], tries[2]]
     assert run_twice({"a": 1, "b": 2, "c": 0}) == ["b"]
     line = {"event": "module", "text": "worker 17 benched, failure share 0.30"}
@@ -136,21 +199,50 @@
             self.statuses.append(7)
             return len(who)
 
-    scenario = Scenario("badly", seed=16, processes=1, boxes=1, racks=1, rate=30.0, seconds=0.5, keyed=0.0,
-                  faults=[Fault(0.1, "term", 0.1, [0])])
+    scenario = Scenario(
+        "badly",
+        seed=16,
+        processes=1,
+        boxes=1,
+        racks=1,
+        rate=30.0,
+        seconds=0.5,
+        keyed=0.0,
+        faults=[Fault(0.1, "term", 0.1, [0])],
+    )
     assert asyncio.run(Badly(scenario, tmp_path).run()).broken == ["a dispatcher ended with status 7"]
 
 
 def test_a_fault_that_hits_nothing_and_a_story_without_service_are_broken() -> None:
-    none = rehearsed(Scenario("nobody asks", seed=9, processes=2, boxes=1, rate=0.1, seconds=0.2, keyed=0.0,
-                           faults=[Fault(0.1, "cut", 0.01, [0], [0])]))[0]
+    none = rehearsed(
+        Scenario(
+            "nobody asks",
+            seed=9,
+            processes=2,
+            boxes=1,
+            rate=0.1,
+            seconds=0.2,
+            keyed=0.0,
+            faults=[Fault(0.1, "cut", 0.01, [0], [0])],
+        )
+    )[0]
     assert "nothing was served" in none.broken and "the fault cut hit nothing" in none.broken
 
 
-def test_a_fault_of_links_lasts_until_it_has_hit_and_the_story_goes_on_for_as_much_longer(tmp_path: Path) -> None:
+def test_a_fault_of_links_lasts_until_it_has_hit_and_the_story_goes_on_for_as_much_longer(
+    tmp_path: Path,
+) -> None:
     """On a busy machine the processes that should have told each other something were still starting."""
-    scenario = Scenario("brief", seed=17, processes=2, boxes=1, rate=30.0, seconds=1.0, keyed=0.0,
-                  faults=[Fault(0.2, "cut", 0.0, [0, 1])])
+    scenario = Scenario(
+        "brief",
+        seed=17,
+        processes=2,
+        boxes=1,
+        rate=30.0,
+        seconds=1.0,
+        keyed=0.0,
+        faults=[Fault(0.2, "cut", 0.0, [0, 1])],
+    )
     play = ScenarioRun(scenario, tmp_path)
     verdict = asyncio.run(play.run())
     assert verdict.broken == [] and verdict.faults["cut"] >= 1
@@ -158,24 +250,37 @@
 
 
 def test_a_job_counts_once_however_often_its_client_came_and_where_it_was_first_asked() -> None:
-    tries = [Asked("k", "publish", 0, 1.0, 2.0, "missing"), Asked("k", "publish", 1, 2.3, 2.5, "200"),
-             Asked("m", "publish", 0, 2.0, 2.1, "503"), Asked("m", "publish", 1, 2.4, 2.5, "503"),
-             Asked("", "render", 0, 2.0, 2.2, "200"), Asked("", "render", 0, 2.1, 2.2, "502")]
+    tries = [
+        Asked("k", "publish", 0, 1.0, 2.0, "missing"),
+        Asked("k", "publish", 1, 2.3, 2.5, "200"),
+        Asked("m", "publish", 0, 2.0, 2.1, "503"),
+        Asked("m", "publish", 1, 2.4, 2.5, "503"),
+        Asked("", "render", 0, 2.0, 2.2, "200"),
+        Asked("", "render", 0, 2.1, 2.2, "502"),
+    ]
     assert served(tries, 0.0, 1.5) == 1.0  # though its own try of that time was lost
     assert served(tries, 2.0, 3.0) == pytest.approx(1 / 3)  # and that of the first job is not of this span
     assert served(tries, 5.0, 6.0) == 0.0
 
 
-def test_a_story_is_data_and_a_faulty_one_is_named_by_its_key(tmp_path: Path, capsys: pytest.CaptureFixture[str]) -> None:
+def test_a_story_is_data_and_a_faulty_one_is_named_by_its_key(
+    tmp_path: Path, capsys: pytest.CaptureFixture[str]
+) -> None:
     file = tmp_path / "scenario.toml"
-    for text, named in (('name = "x"\nsecond = 3.0', "second"), ('name = "x"\nprocesses = 900', "processes"),
-                        ('name = "x"\n[[faults]]\nwhat = "stop"\nat_s = 1.0\nfor_s = 1.0\nwho = [9]', "faults[0]"),
-                        ('name = "x"\n[[faults]]\nwhat = "burn"\nat_s = 1.0\nfor_s = 1.0', "what"), ("name", "key")):
+    for text, named in (
+        ('name = "x"\nsecond = 3.0', "second"),
+        ('name = "x"\nprocesses = 900', "processes"),
+        ('name = "x"\n[[faults]]\nwhat = "stop"\nat_s = 1.0\nfor_s = 1.0\nwho = [9]', "faults[0]"),
+        ('name = "x"\n[[faults]]\nwhat = "burn"\nat_s = 1.0\nfor_s = 1.0', "what"),
+        ("name", "key"),
+    ):
         file.write_text(text)
         with pytest.raises(ScenarioError, match=".") as caught:
             read(file)
         assert named in str(caught.value)
-    file.write_text('name = "short"\nseconds = 0.5\nprocesses = 2\nboxes = 2\nracks = 1\nrate = 30.0\nkeyed = 0.0')
+    file.write_text(
+        'name = "short"\nseconds = 0.5\nprocesses = 2\nboxes = 2\nracks = 1\nrate = 30.0\nkeyed = 0.0'
+    )
     assert main(["rehearse", str(file), "--seed", "3", "--json"]) == 0
     told = json.loads(capsys.readouterr().out)
     assert told["well"] and told["seed"] == 3 and told["asked"] > 3
--- a/tests/recovery/test_requests.py
+++ b/tests/recovery/test_requests.py
@@ -45,8 +45,20 @@
         module, told = Refusing(), []
         stats = Stats(lambda: clock[0], writer=lambda event, fields: told.append(event))
         wheel = Wheel(lambda: clock[0], stats.failure)
-        requests = Requests(Core(module, wheel, stats), None, wheel, stats, Settings.from_pairs({  # type: ignore[arg-type]
-            "requestClasses.count": "1", "requestClasses.0.aim": "0.25", "requestClasses.0.hardLimit": "7.5"}), ["publish"])
+        requests = Requests(
+            Core(module, wheel, stats),
+            None,
+            wheel,
+            stats,
+            Settings.from_pairs(
+                {  # type: ignore[arg-type]
+                    "requestClasses.count": "1",
+                    "requestClasses.0.aim": "0.25",
+                    "requestClasses.0.hardLimit": "7.5",
+                }
+            ),
+            ["publish"],
+        )
         book = requests.keys = Slow(wait)
         job = Job("a", 0, 0, remaining, clock[0], b"/publish", b"", dedup_key="k")
         answer = await asyncio.wait_for(requests.take(job).answer, 5)
--- a/tests/recovery/test_returns_by_old_lists.py
+++ b/tests/recovery/test_returns_by_old_lists.py
@@ -19,11 +19,26 @@
 
 
 @pytest.mark.parametrize("scenario", SCENARIOS, ids=lambda scenario: scenario.name)
-def test_a_process_that_comes_back_sends_nothing_by_a_list_that_it_has_not_confirmed(scenario: Scenario) -> None:
+def test_a_process_that_comes_back_sends_nothing_by_a_list_that_it_has_not_confirmed(
+    scenario: Scenario,
+) -> None:
     """One that started asked discovery up to 5 s later, and sent to whoever its configuration named until then."""
-    whole = msgspec.structs.replace(scenario, seed=3502, processes=12, boxes=8, rate=240.0, keyed=0.0, seconds=11.0,
-                                    render_s=0.1, patience_s=1.5, recovery=False, store=False)
+    whole = msgspec.structs.replace(
+        scenario,
+        seed=3502,
+        processes=12,
+        boxes=8,
+        rate=240.0,
+        keyed=0.0,
+        seconds=11.0,
+        render_s=0.1,
+        patience_s=1.5,
+        recovery=False,
+        store=False,
+    )
     verdict = asyncio.run(run_scenario(whole))
-    sent = [line for line in verdict.broken if " sent to " in line]  # ejections after a stop are `test_stall`'s
+    sent = [
+        line for line in verdict.broken if " sent to " in line
+    ]  # ejections after a stop are `test_stall`'s
     assert not sent, "\n".join(sent)
     assert min(verdict.faults.values()) >= 2
--- a/tests/recovery/test_shutdowns.py
+++ b/tests/recovery/test_shutdowns.py
@@ -9,8 +9,16 @@
 from beaconhinge.standin.rig.runner import ScenarioRun
 from beaconhinge.standin.rig.verdict import Asked
 
-FIVE = {"processes": 5, "boxes": 8, "slots": 8, "rate": 100.0, "keyed": 0.0, "render_s": 0.25, "patience_s": 1.5,
-        "seconds": 4.0}
+FIVE = {
+    "processes": 5,
+    "boxes": 8,
+    "slots": 8,
+    "rate": 100.0,
+    "keyed": 0.0,
+    "render_s": 0.25,
+    "patience_s": 1.5,
+    "seconds": 4.0,
+}
 ON_ITS_WAY = 0.02  # seconds before the signal, from which on a job may not have been taken yet
 
 
@@ -19,13 +27,20 @@
     play = ScenarioRun(scenario, folder)
     verdict = asyncio.run(play.run())
     ends = [(p.number, begun) for p in play.processes for begun, _ in p.stood]
-    taken = [t for t in play.clients.tries if any(
-        t.dispatcher == number and t.at < begun - ON_ITS_WAY and t.ended > begun for number, begun in ends)]
+    taken = [
+        t
+        for t in play.clients.tries
+        if any(
+            t.dispatcher == number and t.at < begun - ON_ITS_WAY and t.ended > begun for number, begun in ends
+        )
+    ]
     return verdict, taken, [t for t in taken if t.end == "missing"]
 
 
 def test_five_that_end_at_once_lose_nothing_they_had_taken(tmp_path: Path) -> None:
-    verdict, taken, lost = ended(Scenario("all at once", seed=31, faults=[Fault(1.5, "term", 0.3)], **FIVE), tmp_path)
+    verdict, taken, lost = ended(
+        Scenario("all at once", seed=31, faults=[Fault(1.5, "term", 0.3)], **FIVE), tmp_path
+    )
     assert verdict.broken == [] and verdict.faults["term"] == 5
     assert len(taken) >= 5 and lost == []
     assert sum(t.end == "200" for t in taken) >= 0.8 * len(taken)
--- a/tests/recovery/test_stall.py
+++ b/tests/recovery/test_stall.py
@@ -17,7 +17,9 @@
 
 
 @given(SPANS, st.floats(0.3, 5.0))
-def test_a_stall_is_noticed_once_exactly_where_two_turns_lie_too_far_apart(spans: list[float], after: float) -> None:
+def test_a_stall_is_noticed_once_exactly_where_two_turns_lie_too_far_apart(
+    spans: list[float], after: float
+) -> None:
     watch, now = StallWatch(after), 100.0
     assert watch.feed(now) is None
     for span in spans:
@@ -29,9 +31,15 @@
         assert watch.feed(now) is None
 
 
-@given(SPANS, st.floats(0.3, 5.0), st.integers(0, 8), st.sampled_from(sorted({*EXCUSED, api.SERVED, api.ERROR, api.FULL})))
+@given(
+    SPANS,
+    st.floats(0.3, 5.0),
+    st.integers(0, 8),
+    st.sampled_from(sorted({*EXCUSED, api.SERVED, api.ERROR, api.FULL})),
+)
 def test_own_time_and_blame_leave_out_what_the_process_slept_through(
-        spans: list[float], after: float, since: int, outcome: str) -> None:
+    spans: list[float], after: float, since: int, outcome: str
+) -> None:
     watch, turns = StallWatch(after), [100.0]
     watch.feed(100.0)
     for span in spans:
@@ -66,9 +74,19 @@
 
 
 def dispatcher(size: int) -> Dispatcher:
-    made = Dispatcher(Settings.from_pairs({
-        "requestClasses.count": "1", "requestClasses.0.aim": "0.25", "requestClasses.0.hardLimit": "7.5",
-        "groupSize": str(size), "myNumber": "0", "policyLimits.peers": "true"}), seed=1)
+    made = Dispatcher(
+        Settings.from_pairs(
+            {
+                "requestClasses.count": "1",
+                "requestClasses.0.aim": "0.25",
+                "requestClasses.0.hardLimit": "7.5",
+                "groupSize": str(size),
+                "myNumber": "0",
+                "policyLimits.peers": "true",
+            }
+        ),
+        seed=1,
+    )
     made.handle(100.0, api.Start())
     made.handle(100.0, api.Membership(api.REMEMBERED, 1, [api.Member(worker=n) for n in range(4)]))
     return made
--- a/tests/stage.py
+++ b/tests/stage.py
@@ -23,17 +23,48 @@
 from ospreyroute import api
 
 SETTINGS: dict[str, Any] = {
-    "groupSize": 2, "myNumber": 0, "kinds": ["fast", "slow"], "dcs": ["east", "west"], "zone": 0,
-    "membershipMode": "on_request", "quantum": 0.002, "report": {"names": ["err_ps", "x0"], "source": "answers"},
-    "familyInfo": {"classKind": [-1, -1], "classStretch": [2.0, 2.5], "progress": 1.0, "reportX0": "free slots",
-                   "tellsStart": True},
-    "orgs": [{"name": "acme", "share": 0.7, "quotaRps": 0.0}, {"name": "umbrella", "share": 0.3, "quotaRps": 0.0}],
-    "policyLimits": {"cancel": True, "connectTimeout": 0.25, "idleClose": 0.5, "maxAttempts": 3, "mostHeld": 100,
-                     "maxRetryAfter": 2.0, "mayDuplicate": True, "peers": True, "probes": True, "retryAfter": True},
+    "groupSize": 2,
+    "myNumber": 0,
+    "kinds": ["fast", "slow"],
+    "dcs": ["east", "west"],
+    "zone": 0,
+    "membershipMode": "on_request",
+    "quantum": 0.002,
+    "report": {"names": ["err_ps", "x0"], "source": "answers"},
+    "familyInfo": {
+        "classKind": [-1, -1],
+        "classStretch": [2.0, 2.5],
+        "progress": 1.0,
+        "reportX0": "free slots",
+        "tellsStart": True,
+    },
+    "orgs": [
+        {"name": "acme", "share": 0.7, "quotaRps": 0.0},
+        {"name": "umbrella", "share": 0.3, "quotaRps": 0.0},
+    ],
+    "policyLimits": {
+        "cancel": True,
+        "connectTimeout": 0.25,
+        "idleClose": 0.5,
+        "maxAttempts": 3,
+        "mostHeld": 100,
+        "maxRetryAfter": 2.0,
+        "mayDuplicate": True,
+        "peers": True,
+        "probes": True,
+        "retryAfter": True,
+    },
     "requestClasses": [
         {"name": "render", "aim": 0.25, "hardLimit": 7.5, "semantics": "retryable"},
-        {"name": "publish", "aim": 0.6, "hardLimit": 25.0, "semantics": "dedup", "group": "cell",
-         "dedupWindow": 40.0}],
+        {
+            "name": "publish",
+            "aim": 0.6,
+            "hardLimit": 25.0,
+            "semantics": "dedup",
+            "group": "cell",
+            "dedupWindow": 40.0,
+        },
+    ],
     "rules": {"graceToAnswer": 0.008, "mustAskIn": 10.0, "drainGrace": 0.4},
 }
 
@@ -107,7 +138,9 @@
 
 
 class Stage:
-    def __init__(self, worker: Script, workers: int, changes: dict[str, Any], ours: Ours | None = None) -> None:
+    def __init__(
+        self, worker: Script, workers: int, changes: dict[str, Any], ours: Ours | None = None
+    ) -> None:
         self.ours = ours
         self.workers = [Peer(worker) for _ in range(workers)]
         self.discovery = Peer(self.list)
@@ -126,17 +159,35 @@
         return reply(200, json.dumps({"version": 0, "full": False, "servers": []}).encode())
 
     def host(self, number: int = 0, **changes: Any) -> dict[str, Any]:
-        return {"id": f"s-{number}", "addr": f"127.0.0.1:{self.workers[number].port}", "zone": "east",
-                "kind": "fast", "cell": 0, "state": "Ready", "weight": 1.0, "started_ms": 0, **changes}
+        return {
+            "id": f"s-{number}",
+            "addr": f"127.0.0.1:{self.workers[number].port}",
+            "zone": "east",
+            "kind": "fast",
+            "cell": 0,
+            "state": "Ready",
+            "weight": 1.0,
+            "started_ms": 0,
+            **changes,
+        }
 
     def config(self) -> Config:
         hosts = [self.host(i) for i in range(len(self.workers))]
-        return parse({
-            "name": "n0", "listen": f"127.0.0.1:{self.port}", "discovery": f"127.0.0.1:{self.discovery.port}",
-            "seed": "1f", "limits": {"memory_mb": 192, "sockets": 1024}, "settings": SETTINGS,
-            "peer_listen": f"127.0.0.1:{self.peer_port}", "peers_all": f"127.0.0.1:{self.other_port}",
-            "peers": [f"127.0.0.1:{self.peer_port}", f"127.0.0.1:{self.other_port}"],
-            "known": {"version": 0, "full": True, "servers": hosts}, **self.changes})
+        return parse(
+            {
+                "name": "n0",
+                "listen": f"127.0.0.1:{self.port}",
+                "discovery": f"127.0.0.1:{self.discovery.port}",
+                "seed": "1f",
+                "limits": {"memory_mb": 192, "sockets": 1024},
+                "settings": SETTINGS,
+                "peer_listen": f"127.0.0.1:{self.peer_port}",
+                "peers_all": f"127.0.0.1:{self.other_port}",
+                "peers": [f"127.0.0.1:{self.peer_port}", f"127.0.0.1:{self.other_port}"],
+                "known": {"version": 0, "full": True, "servers": hosts},
+                **self.changes,
+            }
+        )
 
     async def open(self) -> tuple[asyncio.StreamReader, asyncio.StreamWriter]:
         return await asyncio.open_connection("127.0.0.1", self.port)
@@ -149,8 +200,9 @@
         finally:
             writer.close()
 
-    async def post(self, path: str = "/render", body: bytes = b"work", method: str = "POST",
-                   **headers: str | None) -> Seen:
+    async def post(
+        self, path: str = "/render", body: bytes = b"work", method: str = "POST", **headers: str | None
+    ) -> Seen:
         return await self.ask(job(path, body, method, **headers))
 
     async def news(self, number: int = 0, **content: Any) -> Seen:
@@ -175,15 +227,28 @@
 
 
 def job(path: str = "/render", body: bytes = b"work", method: str = "POST", **headers: str | None) -> bytes:
-    fields: dict[str, str | None] = {"X_Request_ID": "r1", "X_Tenant_Id": "acme", "X_Timeout_Ms": "5000",
-                                     "Content_Length": str(len(body)), **headers}
-    lines = "".join(f"{name.replace('_', '-')}: {value}\r\n" for name, value in fields.items() if value is not None)
+    fields: dict[str, str | None] = {
+        "X_Request_ID": "r1",
+        "X_Tenant_Id": "acme",
+        "X_Timeout_Ms": "5000",
+        "Content_Length": str(len(body)),
+        **headers,
+    }
+    lines = "".join(
+        f"{name.replace('_', '-')}: {value}\r\n" for name, value in fields.items() if value is not None
+    )
     return f"{method} {path} HTTP/1.1\r\nHost: x\r\n{lines}\r\n".encode() + body
 
 
 @contextlib.asynccontextmanager
-async def stage(worker: Script, workers: int, changes: dict[str, Any], ours: Ours | None = None,
-                shared: Path | None = None, before: Callable[[int], object] = id) -> AsyncIterator[Stage]:
+async def stage(
+    worker: Script,
+    workers: int,
+    changes: dict[str, Any],
+    ours: Ours | None = None,
+    shared: Path | None = None,
+    before: Callable[[int], object] = id,
+) -> AsyncIterator[Stage]:
     """`before` is called with the clients' port, before the dispatcher starts."""
     scene = Stage(worker, workers, changes, ours)
     before(scene.port)
@@ -199,8 +264,14 @@
             peer.server.close()
 
 
-def play(story: Callable[[Stage], Awaitable[None]], worker: Script = accept, workers: int = 1,
-         ours: Ours | None = None, shared: Path | None = None, **changes: Any) -> None:
+def play(
+    story: Callable[[Stage], Awaitable[None]],
+    worker: Script = accept,
+    workers: int = 1,
+    ours: Ours | None = None,
+    shared: Path | None = None,
+    **changes: Any,
+) -> None:
     """Run a story; it may take ten seconds at most."""
 
     async def run() -> None:
--- a/tests/store/explore.py
+++ b/tests/store/explore.py
@@ -16,8 +16,14 @@
 from beaconhinge.store.codec import HEADER_BYTES, Change
 from beaconhinge.store.engine import Engine
 
-SMALL = Options(max_key_bytes=8, max_value_bytes=64, max_batch_bytes=512, segment_bytes=300, group_bytes=400,
-                compact_step_bytes=80)
+SMALL = Options(
+    max_key_bytes=8,
+    max_value_bytes=64,
+    max_batch_bytes=512,
+    segment_bytes=300,
+    group_bytes=400,
+    compact_step_bytes=80,
+)
 Content = dict[bytes, bytes]
 
 
@@ -133,7 +139,11 @@
             except Cut:
                 pass
             for kind in ("none", "all", number):
-                recover(second.after_cut(draws(kind)), states, f"{told}, and again at {number}.{byte}, {kind} kept")
+                recover(
+                    second.after_cut(draws(kind)),
+                    states,
+                    f"{told}, and again at {number}.{byte}, {kind} kept",
+                )
     go_on = Run(probe)
     go_on.states = served
     go_on.commit(store, [[Put(b"after", b"cut")]])
@@ -141,8 +151,7 @@
 
 
 def runs(groups: list[list[list[Change]]], seeds: int = 2) -> Iterator[tuple[SimDisk, list[Content], str]]:
-    """The disk after each possible cut of a history, the states that may be found, and words for the place.
-    """
+    """The disk after each possible cut of a history, the states that may be found, and words for the place."""
     whole = Run(SimDisk())
     whole.play(groups)
     for number, (what, name, size) in enumerate(whole.disk.log):
--- a/tests/store/test_defects.py
+++ b/tests/store/test_defects.py
@@ -76,9 +76,15 @@
     patch.setattr(Engine, "_settle", settle)
 
 
-DEFECTS = [no_sync_before_the_acknowledgement, no_sync_of_the_folder, checksum_not_checked,
-           manifest_overwritten_in_place, segment_dropped_before_its_values_are_moved,
-           half_batches_taken, nothing_synced_at_recovery]
+DEFECTS = [
+    no_sync_before_the_acknowledgement,
+    no_sync_of_the_folder,
+    checksum_not_checked,
+    manifest_overwritten_in_place,
+    segment_dropped_before_its_values_are_moved,
+    half_batches_taken,
+    nothing_synced_at_recovery,
+]
 
 
 @pytest.mark.parametrize("defect", DEFECTS, ids=lambda defect: defect.__name__)
@@ -157,7 +163,9 @@
 def test_damage_taken_for_a_torn_tail_in_an_old_segment_is_found(monkeypatch: pytest.MonkeyPatch) -> None:
     right = scan.read
     disk, state = sealed_store()
-    monkeypatch.setattr(scan, "read", lambda file, data, salt, newest, after: right(file, data, salt, True, after))
+    monkeypatch.setattr(
+        scan, "read", lambda file, data, salt, newest, after: right(file, data, salt, True, after)
+    )
     monkeypatch.setattr(scan, "_claims", lambda *args: None)
     with pytest.raises(Broken):
         flips(disk, [state])
@@ -182,7 +190,9 @@
         except StoreError:
             errors += 1
         else:
-            assert found in states[-2:], offset  # only the last group may be taken for one that was never told
+            assert found in states[-2:], (
+                offset
+            )  # only the last group may be taken for one that was never told
             torn += 1
     assert errors > 30 and torn > 20
 
--- a/tests/store/test_kill.py
+++ b/tests/store/test_kill.py
@@ -1,5 +1,4 @@
-"""A process that commits is killed at random points; whatever it had printed as acknowledged is found again.
-"""
+"""A process that commits is killed at random points; whatever it had printed as acknowledged is found again."""
 
 from __future__ import annotations
 
@@ -19,8 +18,11 @@
 
 def killed_after(folder: Path, start: int, lines: int) -> list[str]:
     """What a committer printed until it was killed, right after its line of that number."""
-    with subprocess.Popen([sys.executable, "-m", "beaconhinge.standin.committer", str(folder), str(start)],
-                          stdout=subprocess.PIPE, text=True) as process:
+    with subprocess.Popen(
+        [sys.executable, "-m", "beaconhinge.standin.committer", str(folder), str(start)],
+        stdout=subprocess.PIPE,
+        text=True,
+    ) as process:
         assert process.stdout is not None
         seen = [process.stdout.readline() for _ in range(lines)]
         process.send_signal(signal.SIGKILL)
--- a/tests/store/test_store.py
+++ b/tests/store/test_store.py
@@ -119,8 +119,16 @@
 def test_cleaning_goes_on_beside_commits_and_reads() -> None:
     async def story() -> None:
         disk = SimDisk()
-        store = opened(disk, Options(**{**{f: getattr(SMALL, f) for f in SMALL.__struct_fields__},
-                                        "segment_bytes": 2000, "compact_bytes_per_s": 10**9}))
+        store = opened(
+            disk,
+            Options(
+                **{
+                    **{f: getattr(SMALL, f) for f in SMALL.__struct_fields__},
+                    "segment_bytes": 2000,
+                    "compact_bytes_per_s": 10**9,
+                }
+            ),
+        )
         state: dict[bytes, bytes] = {}
 
         async def write(writer: int) -> None:
@@ -296,7 +304,8 @@
         assert list(self.store.scan()) == sorted(self.model.items())
         assert len(self.store) == len(self.model)
         assert sum(self.store.engine.index.live.values()) == sum(
-            codec.FRAME_BYTES + len(k) + len(v) for k, v in self.model.items())
+            codec.FRAME_BYTES + len(k) + len(v) for k, v in self.model.items()
+        )
 
 
 TestAgainstADict = AgainstADict.TestCase
--- a/tests/store/test_trouble.py
+++ b/tests/store/test_trouble.py
@@ -142,8 +142,9 @@
     state = content(store)
     dead = store.candidate(0.99)
     assert dead is not None and not store.index.live.get(dead.number)
-    records = next(found for s in store.sealed.values()
-                   if (found := store.records(s, HEADER_BYTES, 10_000)[0]))
+    records = next(
+        found for s in store.sealed.values() if (found := store.records(s, HEADER_BYTES, 10_000)[0])
+    )
     disk.faults = full(0, disk)
     assert not store.write([], records).moved
     assert content(store) == state and content(engine(disk.after_cut(draws("none")))) == state
@@ -154,8 +155,17 @@
 
 
 def test_limits_are_named_and_counted() -> None:
-    store = engine(SimDisk(), Options(max_key_bytes=4, max_value_bytes=8, max_batch_bytes=80, segment_bytes=200,
-                                      max_disk_bytes=300, max_index_bytes=10_000))
+    store = engine(
+        SimDisk(),
+        Options(
+            max_key_bytes=4,
+            max_value_bytes=8,
+            max_batch_bytes=80,
+            segment_bytes=200,
+            max_disk_bytes=300,
+            max_index_bytes=10_000,
+        ),
+    )
     for change, name in ((Put(b"12345", b""), "max_key_bytes"), (Put(b"1", b"123456789"), "max_value_bytes")):
         with pytest.raises(StoreTooLarge, match=name):
             store.check([change])
@@ -178,10 +188,17 @@
     assert put(store, b"0", b"again") is None  # no new key
 
 
-@pytest.mark.parametrize(("change", "key"), [
-    ({"segment_bytes": 5}, "segment_bytes"), ({"max_batch_bytes": 10}, "max_batch_bytes"),
-    ({"compact_dead_share": 1.5}, "compact_dead_share"), ({"max_key_bytes": 70_000}, "max_key_bytes"),
-    ({"group_bytes": 0}, "group_bytes"), ({"segment_bytes": 1 << 30}, "segment_bytes")])
+@pytest.mark.parametrize(
+    ("change", "key"),
+    [
+        ({"segment_bytes": 5}, "segment_bytes"),
+        ({"max_batch_bytes": 10}, "max_batch_bytes"),
+        ({"compact_dead_share": 1.5}, "compact_dead_share"),
+        ({"max_key_bytes": 70_000}, "max_key_bytes"),
+        ({"group_bytes": 0}, "group_bytes"),
+        ({"segment_bytes": 1 << 30}, "segment_bytes"),
+    ],
+)
 def test_options_that_make_no_sense_name_the_key(change: dict[str, int], key: str) -> None:
     problem = Options(**change).problem()
     assert problem is not None and problem[0] == key
@@ -198,9 +215,11 @@
 
 @given(st.binary(max_size=300), st.booleans())
 def test_arbitrary_bytes_raise_store_errors_alone(data: bytes, with_magic: bool) -> None:
-    for magic, read in ((codec.SEGMENT_MAGIC, lambda d: codec.read_segment_header("x", d, b"S" * 16, 1)),
-                        (codec.MANIFEST_MAGIC, codec.decode_manifest),
-                        (b"", lambda d: scan.read("x", d, 7, False, 0))):
+    for magic, read in (
+        (codec.SEGMENT_MAGIC, lambda d: codec.read_segment_header("x", d, b"S" * 16, 1)),
+        (codec.MANIFEST_MAGIC, codec.decode_manifest),
+        (b"", lambda d: scan.read("x", d, 7, False, 0)),
+    ):
         try:
             read((magic if with_magic else b"") + data)
         except StoreError:
@@ -208,10 +227,16 @@
     assert codec.decode_index(data, b"S" * 16, 1, 7, 100) is None
 
 
-@given(st.lists(st.tuples(st.booleans(), st.binary(max_size=20), st.binary(max_size=90)), min_size=1, max_size=5),
-       st.integers(0, 2**32 - 1), st.integers(1, 2**48 - 1))
+@given(
+    st.lists(
+        st.tuples(st.booleans(), st.binary(max_size=20), st.binary(max_size=90)), min_size=1, max_size=5
+    ),
+    st.integers(0, 2**32 - 1),
+    st.integers(1, 2**48 - 1),
+)
 def test_frames_come_back_as_written_in_their_own_segment_alone(
-        parts: list[tuple[bool, bytes, bytes]], salt: int, batch: int) -> None:
+    parts: list[tuple[bool, bytes, bytes]], salt: int, batch: int
+) -> None:
     changes = [Put(key, value) if is_put else Delete(key) for is_put, key, value in parts]
     data = b"".join(codec.encode_batch(salt, batch, 0, changes))
     offset, seen = 0, []
@@ -343,7 +368,9 @@
     disk.flip(codec.segment_name(2), HEADER_BYTES + 60, 1)
     target = SimDisk()
     result = salvage(disk, target, SMALL, lambda event, **fields: None, lambda: b"N" * 16)
-    assert [damage.file for damage in result.lost] == [codec.segment_name(2)] and result.batches == len(want) - 1
+    assert [damage.file for damage in result.lost] == [codec.segment_name(2)] and result.batches == len(
+        want
+    ) - 1
     found = content(engine(target.fresh()))
     assert len(found) == len(want) - 1 and found.items() <= want.items()
 
@@ -377,7 +404,9 @@
         target = SimDisk()
         result = salvage(damaged, target, SMALL, lambda event, **fields: None, lambda: b"N" * 16)
         kept = [n for n in range(3) if n != gone]
-        assert sorted(content(engine(target.fresh()))) == sorted([b"%c%d" % (c, n) for c in b"ab" for n in kept])
+        assert sorted(content(engine(target.fresh()))) == sorted(
+            [b"%c%d" % (c, n) for c in b"ab" for n in kept]
+        )
         assert result.batches == 2 and result.lost
 
 
--- a/tests/test_asking.py
+++ b/tests/test_asking.py
@@ -9,15 +9,22 @@
 from ospreyroute.decide import ASKED, TICK, Dispatcher
 from ospreyroute.fleet import Reported, Spent
 
-ALONE = {"groupSize": "6", "policyLimits__probes": "true", "familyInfo__reportX0": "free_slots",
-         "report__source": "answers", "report__names": "depth,x0"}
+ALONE = {
+    "groupSize": "6",
+    "policyLimits__probes": "true",
+    "familyInfo__reportX0": "free_slots",
+    "report__source": "answers",
+    "report__names": "depth,x0",
+}
 
 
 def asked(actions: list[api.Action]) -> list[int]:
     return [a.worker for a in actions if isinstance(a, api.Probe)]
 
 
-def told(dispatcher: Dispatcher, now: float, worker: int, free: float, depth: float = 0.0) -> list[api.Action]:
+def told(
+    dispatcher: Dispatcher, now: float, worker: int, free: float, depth: float = 0.0
+) -> list[api.Action]:
     return dispatcher.handle(now, api.ProbeResult(worker, api.SERVED, 0.001, {"x0": free, "depth": depth}))
 
 
@@ -43,9 +50,12 @@
     assert all(len(sends(actions)) <= 1 for actions in late)
 
 
-@pytest.mark.parametrize("change", [
-    {"policyLimits__probes": "false"}, {"policyLimits__peers": "true"}, {"groupSize": "1"}])
-def test_nobody_is_asked_where_probes_are_forbidden_or_others_tell_or_there_are_none(change: dict[str, str]) -> None:
+@pytest.mark.parametrize(
+    "change", [{"policyLimits__probes": "false"}, {"policyLimits__peers": "true"}, {"groupSize": "1"}]
+)
+def test_nobody_is_asked_where_probes_are_forbidden_or_others_tell_or_there_are_none(
+    change: dict[str, str],
+) -> None:
     actions = started(20, **{**ALONE, **change}).handle(101.0, job(1))
     assert not asked(actions) and len(sends(actions)) == 1
 
@@ -53,8 +63,12 @@
 def test_a_job_that_nobody_can_be_asked_for_is_held_and_ends_in_time() -> None:
     dispatcher = started(0, **ALONE)
     assert dispatcher.handle(101.0, job(1, remaining=2.0)) == []
-    ends = [a for at in range(25) for a in dispatcher.handle(101.0 + at / 10, api.Timer(TICK))
-            if isinstance(a, (api.Refuse, api.Abort))]
+    ends = [
+        a
+        for at in range(25)
+        for a in dispatcher.handle(101.0 + at / 10, api.Timer(TICK))
+        if isinstance(a, (api.Refuse, api.Abort))
+    ]
     assert len(ends) == 1
 
 
--- a/tests/test_benchlink.py
+++ b/tests/test_benchlink.py
@@ -18,8 +18,10 @@
 
 
 def power_on(instance: int, seed: int = 5) -> str:
-    return (f"POWER_ON\t{instance}\t{seed}\t{SETTINGS}\nDIRECTORY_UPDATE\t{instance}\tremembered\t1\t2\n"
-            "ITEM\t0\t0\tU\t100\t1\t-\t0\nITEM\t0\t1\tU\t101\t1.5\t6.1\t0\n")
+    return (
+        f"POWER_ON\t{instance}\t{seed}\t{SETTINGS}\nDIRECTORY_UPDATE\t{instance}\tremembered\t1\t2\n"
+        "ITEM\t0\t0\tU\t100\t1\t-\t0\nITEM\t0\t1\tU\t101\t1.5\t6.1\t0\n"
+    )
 
 
 def batch(index: int, *lines: str, now: float = 100.0) -> str:
@@ -42,7 +44,8 @@
 
 def test_a_job_is_sent_and_its_outcome_ends_it() -> None:
     code, lines, complaints = run(
-        batch(1, power_on(3)) + batch(2, work(3, 7), now=100.1)
+        batch(1, power_on(3))
+        + batch(2, work(3, 7), now=100.1)
         + batch(3, "RESOLVED\t3\t7\t100\t-\tserved\t1\t0\t0.4\ttps:1,x0:2\n", now=100.5)
     )
     assert code == 0 and complaints == ""
@@ -53,7 +56,8 @@
 
 def test_retire_and_power_on_in_one_batch_forget_everything() -> None:
     code, lines, _ = run(
-        batch(1, power_on(0), work(0, 7)) + batch(2, "RETIRE\t0\n", power_on(0, 6), now=101.0)
+        batch(1, power_on(0), work(0, 7))
+        + batch(2, "RETIRE\t0\n", power_on(0, 6), now=101.0)
         + batch(3, "RESOLVED\t0\t7\t100\t-\tserver_error\t0\t0\t0.1\t-\n", "VANISHED\t0\t7\n", now=101.5)
     )
     assert code == 0 and lines[-1] == "OK\t3" and lines[-2] == "OK\t2"
@@ -65,10 +69,21 @@
 
 
 def test_every_event_is_read() -> None:
-    code, lines, complaints = run(batch(1, power_on(0), work(0, 7)) + batch(
-        2, "NOTICE\t0\t7\t100\t0\t1\t-\n", "HEAD_RECEIVED\t0\t7\t100\t0.01\t0\n", "NEIGHBOUR_SAYS\t0\t1\t6869\n",
-        "NEIGHBOUR_SAYS\t0\t1\t-\n", "CHECK_RESULT\t0\t100\tserved\t0.001\ttps:1\n", "REMINDER\t0\t77\n",
-        "VANISHED\t0\t7\n", "DIRECTORY_UPDATE\t0\trefused\t1\t0\n", now=100.2))
+    code, lines, complaints = run(
+        batch(1, power_on(0), work(0, 7))
+        + batch(
+            2,
+            "NOTICE\t0\t7\t100\t0\t1\t-\n",
+            "HEAD_RECEIVED\t0\t7\t100\t0.01\t0\n",
+            "NEIGHBOUR_SAYS\t0\t1\t6869\n",
+            "NEIGHBOUR_SAYS\t0\t1\t-\n",
+            "CHECK_RESULT\t0\t100\tserved\t0.001\ttps:1\n",
+            "REMINDER\t0\t77\n",
+            "VANISHED\t0\t7\n",
+            "DIRECTORY_UPDATE\t0\trefused\t1\t0\n",
+            now=100.2,
+        )
+    )
     assert code == 0 and complaints == "" and lines[-1] == "OK\t2"
 
 
@@ -77,14 +92,17 @@
     assert code == 0 and lines == ["OK\t1"] and complaints.count("COMET") == 1
 
 
-@pytest.mark.parametrize("line, field", [
-    ("WORK_ITEM\t0\tx\t0\t-\t-\t4\t-\t1\t-\t1\n", "call"),
-    ("WORK_ITEM\t0\t7\n", "cls"),
-    ("RESOLVED\t0\t7\t100\t-\tmelted\t1\t0\t0.4\t-\n", "outcome"),
-    ("NEIGHBOUR_SAYS\t0\t1\tzz\n", "contents"),
-    ("WORK_ITEM\t0\t7\t0\t-\t-\tnan\t-\t1\t-\t1\n", "remaining"),
-    ("DIRECTORY_UPDATE\t0\tall\t1\t2\nITEM\t0\t0\tU\t100\t1\t-\t0\n", "rows"),
-])
+@pytest.mark.parametrize(
+    "line, field",
+    [
+        ("WORK_ITEM\t0\tx\t0\t-\t-\t4\t-\t1\t-\t1\n", "call"),
+        ("WORK_ITEM\t0\t7\n", "cls"),
+        ("RESOLVED\t0\t7\t100\t-\tmelted\t1\t0\t0.4\t-\n", "outcome"),
+        ("NEIGHBOUR_SAYS\t0\t1\tzz\n", "contents"),
+        ("WORK_ITEM\t0\t7\t0\t-\t-\tnan\t-\t1\t-\t1\n", "remaining"),
+        ("DIRECTORY_UPDATE\t0\tall\t1\t2\nITEM\t0\t0\tU\t100\t1\t-\t0\n", "rows"),
+    ],
+)
 def test_a_malformed_line_is_named_plainly(line: str, field: str) -> None:
     code, _, complaints = run(batch(1, power_on(0)) + batch(2, line))
     assert code == 2 and "batch 2, line" in complaints and f"field {field}" in complaints
@@ -131,8 +149,14 @@
     replies = set()
     for seed in ("0", "1", "77"):
         done = subprocess.run(
-            [sys.executable, "-m", "ospreyroute.benchlink"], input=transcript([0, 1]), capture_output=True, text=True,
-            env={**os.environ, "PYTHONHASHSEED": seed}, cwd=ROOT, check=True, timeout=60,
+            [sys.executable, "-m", "ospreyroute.benchlink"],
+            input=transcript([0, 1]),
+            capture_output=True,
+            text=True,
+            env={**os.environ, "PYTHONHASHSEED": seed},
+            cwd=ROOT,
+            check=True,
+            timeout=60,
         )
         replies.add(done.stdout)
     assert len(replies) == 1
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -143,7 +143,7 @@
 
 
 def test_an_answer_ends_the_attempts_that_still_wait_for_their_connections(
-    monkeypatch: pytest.MonkeyPatch
+    monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     module, dialled = scripted(monkeypatch, api.Send(1, FIRST), api.Send(1, SECOND)), asyncio.Event()
 
@@ -274,7 +274,7 @@
 
 
 def test_the_end_waits_for_clients_that_never_close_no_longer_than_its_bound(
-    monkeypatch: pytest.MonkeyPatch
+    monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     monkeypatch.setattr("beaconhinge.net.frontend.LINGER", 0.2)
 
@@ -310,7 +310,9 @@
     play(story, limits={"sockets": 64})
 
 
-def test_a_first_message_that_came_while_this_process_was_late_is_read(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_first_message_that_came_while_this_process_was_late_is_read(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
     """The timer for it was due first, and the connection was closed over the unread request."""
     monkeypatch.setattr("beaconhinge.net.frontend.FIRST_MESSAGE", 0.1)
 
@@ -344,9 +346,14 @@
     play(story)
 
 
-@pytest.mark.parametrize("endless", [
-    b"HTTP/1.1 202 X\r\nX-", b"HTTP/1.1 202 X\r\nContent-Length: 400\r\n\r\nhalf",
-    b"HTTP/1.1 202 X\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nhalf"])
+@pytest.mark.parametrize(
+    "endless",
+    [
+        b"HTTP/1.1 202 X\r\nX-",
+        b"HTTP/1.1 202 X\r\nContent-Length: 400\r\n\r\nhalf",
+        b"HTTP/1.1 202 X\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nhalf",
+    ],
+)
 def test_a_workers_answer_without_end_costs_neither_its_result_nor_the_next_job(endless: bytes) -> None:
     async def spoilt(message: Seen) -> bytes | None:
         return endless if message.headers["x-request-id"] == "r1" else reply(202)
@@ -363,7 +370,9 @@
 
 
 @pytest.mark.parametrize("first", ["the result", "the withdrawal"])
-@pytest.mark.parametrize("told", [{"state": "done", "result": "late"}, {"state": "returned"}, {"state": "lost"}])
+@pytest.mark.parametrize(
+    "told", [{"state": "done", "result": "late"}, {"state": "returned"}, {"state": "lost"}]
+)
 def test_a_withdrawal_that_crosses_the_workers_word_ends_the_attempt_once(
     monkeypatch: pytest.MonkeyPatch, first: str, told: dict[str, str]
 ) -> None:
@@ -490,7 +499,9 @@
         return super().accept()
 
 
-@pytest.mark.parametrize("code", [errno.ECONNABORTED, errno.EPROTO, errno.ENETUNREACH, errno.EMFILE, errno.ENOBUFS])
+@pytest.mark.parametrize(
+    "code", [errno.ECONNABORTED, errno.EPROTO, errno.ENETUNREACH, errno.EMFILE, errno.ENOBUFS]
+)
 def test_a_failed_accept_as_the_listener_closes_costs_nobody_who_waits_in_its_queue(
     code: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
@@ -528,12 +539,22 @@
 def test_descriptors_that_are_short_after_all_do_not_spin_and_come_back(tmp_path: Path) -> None:
     """The platform may allow fewer than the configuration says: then accepting fails."""
     port = free_port()
-    given = {"name": "n0", "listen": f"127.0.0.1:{port}", "discovery": f"127.0.0.1:{free_port()}",
-             "settings": SETTINGS, "known": {"version": 1, "servers": []}}
+    given = {
+        "name": "n0",
+        "listen": f"127.0.0.1:{port}",
+        "discovery": f"127.0.0.1:{free_port()}",
+        "settings": SETTINGS,
+        "known": {"version": 1, "servers": []},
+    }
     (tmp_path / "config.json").write_text(json.dumps(given))
     few = lambda: resource.setrlimit(resource.RLIMIT_NOFILE, (40, 40))  # noqa: E731
-    program = subprocess.Popen([sys.executable, "-O", "-m", "beaconhinge"], cwd=ROOT, stderr=subprocess.PIPE,
-                               env={"RELAY_CONFIG": str(tmp_path / "config.json")}, preexec_fn=few)
+    program = subprocess.Popen(
+        [sys.executable, "-O", "-m", "beaconhinge"],
+        cwd=ROOT,
+        stderr=subprocess.PIPE,
+        env={"RELAY_CONFIG": str(tmp_path / "config.json")},
+        preexec_fn=few,
+    )
     assert program.stderr is not None
     try:
         while b" started " not in program.stderr.readline():
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -51,8 +51,10 @@
 def test_a_worker_that_drains_gets_nothing_new_and_a_bad_entry_costs_itself_alone() -> None:
     async def story(scene: Stage) -> None:
         bad, leaving, third = {"id": 5}, scene.host(0, state="Terminating"), {"id": "s-2", "state": "Odd"}
-        scene.lists = [{"version": 7, "full": False, "servers": [bad, leaving]},
-                       {"version": 7, "full": True, "servers": [leaving, scene.host(1), third]}]
+        scene.lists = [
+            {"version": 7, "full": False, "servers": [bad, leaving]},
+            {"version": 7, "full": True, "servers": [leaving, scene.host(1), third]},
+        ]
         while "wait" in (await scene.discovery.seen.get()).start:
             pass  # all is asked for once more, as an entry could not be read, and then no more
         watch = (await scene.discovery.seen.get()).start
@@ -74,8 +76,16 @@
     return int(start.split("wait=")[1].split()[0])
 
 
-HOST = {"id": "s-1", "addr": "127.0.0.1:9", "zone": "b", "kind": "k", "cell": 3, "state": "Ready", "weight": 1.0,
-        "started_ms": 1500}
+HOST = {
+    "id": "s-1",
+    "addr": "127.0.0.1:9",
+    "zone": "b",
+    "kind": "k",
+    "cell": 3,
+    "state": "Ready",
+    "weight": 1.0,
+    "started_ms": 1500,
+}
 
 
 def test_an_entry_turns_into_a_member_with_a_number_of_32_bits() -> None:
@@ -85,10 +95,21 @@
     assert 0 <= host.member.worker < 2**32
 
 
-@pytest.mark.parametrize("change", [
-    {"id": ""}, {"id": 4}, {"addr": "nowhere"}, {"addr": "h:0"}, {"addr": None}, {"state": "Odd"}, {"cell": "x"},
-    {"weight": "nan"}, {"started_ms": "x"}, {"kind": []},
-])
+@pytest.mark.parametrize(
+    "change",
+    [
+        {"id": ""},
+        {"id": 4},
+        {"addr": "nowhere"},
+        {"addr": "h:0"},
+        {"addr": None},
+        {"state": "Odd"},
+        {"cell": "x"},
+        {"weight": "nan"},
+        {"started_ms": "x"},
+        {"kind": []},
+    ],
+)
 def test_a_bad_entry_is_dropped_and_told(change: dict[str, object]) -> None:
     dropped: list[str] = []
     read = Inventory([], [], dropped.append).read({"version": 1, "servers": [{**HOST, **change}, HOST, 7]})
@@ -96,15 +117,29 @@
     assert len(dropped) == 2
 
 
-@pytest.mark.parametrize("content", [None, [], {}, {"version": 1}, {"version": "x", "servers": []},
-                                     {"version": True, "servers": []}, {"version": 1, "servers": {}}])
+@pytest.mark.parametrize(
+    "content",
+    [
+        None,
+        [],
+        {},
+        {"version": 1},
+        {"version": "x", "servers": []},
+        {"version": True, "servers": []},
+        {"version": 1, "servers": {}},
+    ],
+)
 def test_a_list_that_is_none_is_an_error(content: object) -> None:
     with pytest.raises(InventoryError):
         Inventory([], []).read(content)
 
 
-@pytest.mark.parametrize("answer", [reply(503), None, reply(200, b"[]"), reply(200, b"{"), b"nonsense\r\n\r\n"])
-def test_a_failed_watch_keeps_the_old_list_and_is_made_again_when_the_module_says(answer: bytes | None) -> None:
+@pytest.mark.parametrize(
+    "answer", [reply(503), None, reply(200, b"[]"), reply(200, b"{"), b"nonsense\r\n\r\n"]
+)
+def test_a_failed_watch_keeps_the_old_list_and_is_made_again_when_the_module_says(
+    answer: bytes | None,
+) -> None:
     async def script(_message: Seen) -> bytes | None:
         return answer
 
@@ -120,7 +155,9 @@
     play(story)
 
 
-def test_a_discovery_that_says_nothing_holds_up_no_job_and_is_not_hammered(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_discovery_that_says_nothing_holds_up_no_job_and_is_not_hammered(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
     monkeypatch.setattr("beaconhinge.membership.ANSWER", 0.1)
     calls = 0
 
@@ -227,7 +264,9 @@
     play(story, workers=2, settings={**SETTINGS, "membershipMode": "pushed"})
 
 
-def test_an_answer_without_the_list_that_was_asked_for_makes_no_list_current(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_an_answer_without_the_list_that_was_asked_for_makes_no_list_current(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
     """It counted as discovery's word: /up said yes, and jobs went out by the configured list."""
     whole = asyncio.Event()
 
@@ -250,7 +289,9 @@
     play(story)
 
 
-@pytest.mark.parametrize("news", [{"state": "Gone"}, {"state": "Terminating"}, {"addr": "127.0.0.1:9"}, {"started_ms": 5}])
+@pytest.mark.parametrize(
+    "news", [{"state": "Gone"}, {"state": "Terminating"}, {"addr": "127.0.0.1:9"}, {"started_ms": 5}]
+)
 def test_a_job_that_waited_for_the_list_reaches_nobody_who_has_left_and_is_held_against_nobody(
     news: dict[str, object], monkeypatch: pytest.MonkeyPatch
 ) -> None:
@@ -276,11 +317,21 @@
     play(story, workers=2)
 
 
-@pytest.mark.parametrize(("codes", "serves"), [
-    ([errno.ENETUNREACH], False), ([errno.EHOSTUNREACH], False), ([errno.EADDRNOTAVAIL] * 3, False),
-    ([errno.ENOBUFS] * 3, False), ([errno.ENFILE] * 3, False), ([errno.ECONNABORTED] * 3, False),
-    ([errno.ECONNREFUSED], False), ([errno.ECONNRESET], False), ([errno.ECONNREFUSED] * 2, True),
-    ([errno.ECONNREFUSED, errno.ECONNRESET], True)])
+@pytest.mark.parametrize(
+    ("codes", "serves"),
+    [
+        ([errno.ENETUNREACH], False),
+        ([errno.EHOSTUNREACH], False),
+        ([errno.EADDRNOTAVAIL] * 3, False),
+        ([errno.ENOBUFS] * 3, False),
+        ([errno.ENFILE] * 3, False),
+        ([errno.ECONNABORTED] * 3, False),
+        ([errno.ECONNREFUSED], False),
+        ([errno.ECONNRESET], False),
+        ([errno.ECONNREFUSED] * 2, True),
+        ([errno.ECONNREFUSED, errno.ECONNRESET], True),
+    ],
+)
 def test_only_a_discovery_that_refuses_twice_has_a_start_serve_by_its_configured_list(
     codes: list[int], serves: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
@@ -305,8 +356,9 @@
 
     async def run() -> None:
         looks = list[asyncio.Task[bytes]]()
-        async with asyncio.timeout(10), stage(
-            accept, 1, {}, before=lambda port: looks.append(asyncio.create_task(look(port)))
+        async with (
+            asyncio.timeout(10),
+            stage(accept, 1, {}, before=lambda port: looks.append(asyncio.create_task(look(port)))),
         ):
             assert (b" 200 " in await looks[0]) is serves
 
@@ -315,7 +367,7 @@
 
 
 def test_a_job_that_comes_as_the_list_turns_unknown_waits_without_holding_up_the_rest(
-    monkeypatch: pytest.MonkeyPatch
+    monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """Until the next look at the list its event was set still: the attempt asked again and again in one turn."""
     discoveries = list[Discovery]()
@@ -344,7 +396,7 @@
 
 
 def test_where_lists_are_pushed_a_start_is_ready_with_the_agents_list_and_not_before(
-    monkeypatch: pytest.MonkeyPatch
+    monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     held = asyncio.Event()
 
@@ -367,7 +419,7 @@
 
 
 def test_a_start_without_its_agent_is_ready_after_a_while_with_the_list_that_it_has(
-    monkeypatch: pytest.MonkeyPatch
+    monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     async def script(scene: Stage, message: Seen) -> bytes | None:
         return None  # away, for longer than anybody waits
@@ -383,7 +435,7 @@
 
 
 def test_a_connection_that_comes_up_late_brings_nothing_to_a_worker_that_drains_by_then(
-    monkeypatch: pytest.MonkeyPatch
+    monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """Within `connectTimeout` a drain may be told and its grace be over."""
     up = asyncio.Event()
@@ -439,10 +491,17 @@
     play(story, workers=2)
 
 
-@pytest.mark.parametrize("wrong", [
-    b"HTTP/1.1 200 X\r\nContent-Length: 400\r\n\r\n{\"version\": 8, \"full\": true, \"servers\": [",
-    b"HTTP/1.1 200 X\r\nTransfer-Encoding: chunked\r\n\r\n5\r\n{    \r\n", b"HTTP/1.1 200 X\r\nX-"])
-def test_an_answer_that_never_ends_costs_that_call_alone(wrong: bytes, monkeypatch: pytest.MonkeyPatch) -> None:
+@pytest.mark.parametrize(
+    "wrong",
+    [
+        b'HTTP/1.1 200 X\r\nContent-Length: 400\r\n\r\n{"version": 8, "full": true, "servers": [',
+        b"HTTP/1.1 200 X\r\nTransfer-Encoding: chunked\r\n\r\n5\r\n{    \r\n",
+        b"HTTP/1.1 200 X\r\nX-",
+    ],
+)
+def test_an_answer_that_never_ends_costs_that_call_alone(
+    wrong: bytes, monkeypatch: pytest.MonkeyPatch
+) -> None:
     monkeypatch.setattr("beaconhinge.net.discovery.STALL", 0.1)
 
     async def story(scene: Stage) -> None:
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -181,7 +181,11 @@
     assert all(circle.seen(5, key) == 1 for key in range(300))
 
 
-@given(st.binary(max_size=300), st.sampled_from([peerwire.NEWS, peerwire.BOARD, peerwire.REPORT]), st.integers(-1, 30))
+@given(
+    st.binary(max_size=300),
+    st.sampled_from([peerwire.NEWS, peerwire.BOARD, peerwire.REPORT]),
+    st.integers(-1, 30),
+)
 def test_no_bytes_raise_and_strangers_are_not_heard(data: bytes, kind: int, number: int) -> None:
     fleet = Fleet(20, 3, 7, 0.5)
     fleet.start(100.0)
--- a/tests/test_guard.py
+++ b/tests/test_guard.py
@@ -11,8 +11,20 @@
 from ospreyroute.api import DRAINING, GONE, UP, Member
 
 WORKER = Member(7, UP, started_at=50.0)
-ALLOWED = SendState(list_usable=True, chosen=WORKER, listed=WORKER, same_address=True, out_by_hand=False, open=True,
-                    wanted=True, time_left=1.0, others_at_worker=0, others_out=0, may_have_run=False, unsafe=False)
+ALLOWED = SendState(
+    list_usable=True,
+    chosen=WORKER,
+    listed=WORKER,
+    same_address=True,
+    out_by_hand=False,
+    open=True,
+    wanted=True,
+    time_left=1.0,
+    others_at_worker=0,
+    others_out=0,
+    may_have_run=False,
+    unsafe=False,
+)
 
 STOPPED: list[tuple[Refusal, dict[str, Any]]] = [
     (Refusal.LIST_UNKNOWN, {"list_usable": False}),
@@ -34,7 +46,9 @@
 def test_a_send_with_nothing_against_it_is_allowed() -> None:
     assert refusal(ALLOWED) is None
     # A safe class may have a copy elsewhere, and weights move.
-    assert refusal(replace(ALLOWED, others_out=1, may_have_run=True, listed=replace(WORKER, weight=2.0))) is None
+    assert (
+        refusal(replace(ALLOWED, others_out=1, may_have_run=True, listed=replace(WORKER, weight=2.0))) is None
+    )
 
 
 @pytest.mark.parametrize(("why", "change"), STOPPED)
@@ -44,4 +58,6 @@
 
 def test_every_reason_and_every_field_is_tried() -> None:
     assert {why for why, _ in STOPPED} == set(Refusal)
-    assert {name for _, change in STOPPED for name in change} | {"chosen"} == {field.name for field in fields(SendState)}
+    assert {name for _, change in STOPPED for name in change} | {"chosen"} == {
+        field.name for field in fields(SendState)
+    }
--- a/tests/test_http1.py
+++ b/tests/test_http1.py
@@ -19,15 +19,22 @@
     b"POST /render HTTP/1.1\r\nHost: x\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nwo\r\n2;x=y\r\nrk\r\n0\r\nT: u\r\n\r\n",
     b"GET /up HTTP/1.1\r\nHost: x\r\nConnection: close \r\n\r\n",
 ]
-FAULTY = [b"POST /render HTTP/1.1\r\nContent-Length: four\r\n\r\n", b"GET /up HTTP/1.1\r\nX" + b"y" * 20000,
-          b"POST / HTTP/1.1\r\nContent-Length: 70000 \r\n\r\n", b"\x00\x01\x02\r\n\r\n"]
+FAULTY = [
+    b"POST /render HTTP/1.1\r\nContent-Length: four\r\n\r\n",
+    b"GET /up HTTP/1.1\r\nX" + b"y" * 20000,
+    b"POST / HTTP/1.1\r\nContent-Length: 70000 \r\n\r\n",
+    b"\x00\x01\x02\r\n\r\n",
+]
 
 
 ANSWERS = [
     b"HTTP/1.1 202 Accepted\r\nContent-Length: 0\r\n\r\nHTTP/1.1 100 Continue\r\n\r\n"
     b"HTTP/1.1 503 Busy\r\nX-Not-Processed: 1 \r\nX-Server-Load: x0=1, x1=2 \r\nContent-Length: 2\r\n\r\nno",
     b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n0\r\n\r\n",
-    b"HTTP/1.0 200 OK\r\n\r\nuntil the end", b"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\ncut", b"HTP/1.1 200"]
+    b"HTTP/1.0 200 OK\r\n\r\nuntil the end",
+    b"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\ncut",
+    b"HTP/1.1 200",
+]
 
 
 async def told(data: bytes, cuts: list[int], requests: bool = True) -> list[Any]:
@@ -36,7 +43,9 @@
     near.setblocking(False)
     far.setblocking(False)
     connection, seen = Connection(near, requests=requests, closed=lambda: None), []
-    write = asyncio.ensure_future(_write(far, [data[a:b] for a, b in zip([0, *cuts], [*cuts, None], strict=True)]))
+    write = asyncio.ensure_future(
+        _write(far, [data[a:b] for a, b in zip([0, *cuts], [*cuts, None], strict=True)])
+    )
     try:
         while True:
             seen.append(dataclasses.asdict(await connection.next()))
@@ -57,9 +66,14 @@
     sock.shutdown(socket.SHUT_WR)
 
 
-@pytest.mark.parametrize(("data", "requests"), [
-    *((data, True) for data in (*WHOLE, WHOLE[0] + WHOLE[1] + WHOLE[2], *FAULTY)),
-    *((data, False) for data in ANSWERS)], ids=range(13))
+@pytest.mark.parametrize(
+    ("data", "requests"),
+    [
+        *((data, True) for data in (*WHOLE, WHOLE[0] + WHOLE[1] + WHOLE[2], *FAULTY)),
+        *((data, False) for data in ANSWERS),
+    ],
+    ids=range(13),
+)
 def test_pieces_of_any_size_are_read_as_the_whole(data: bytes, requests: bool) -> None:
     async def compare() -> None:
         whole, draw = await told(data, [], requests), random.Random(5)
@@ -73,6 +87,12 @@
 
 def test_blanks_around_a_value_are_none_of_it() -> None:
     message = uvloop.run(told(WHOLE[0], []))[0]
-    assert message["headers"] == {"host": "x", "x-request-id": "r1", "x-tenant-id": "two words", "x-empty": "",
-                                  "x-attrs": "a=1, b=2", "content-length": "4"}
+    assert message["headers"] == {
+        "host": "x",
+        "x-request-id": "r1",
+        "x-tenant-id": "two words",
+        "x-empty": "",
+        "x-attrs": "a=1, b=2",
+        "content-length": "4",
+    }
     assert message["body"] == b"work"
--- a/tests/test_invariants.py
+++ b/tests/test_invariants.py
@@ -20,7 +20,11 @@
 
 
 def listing(full: bool, **states: str) -> dict[str, Any]:
-    return {"version": 1, "full": full, "servers": [{"id": name, "state": state} for name, state in states.items()]}
+    return {
+        "version": 1,
+        "full": full,
+        "servers": [{"id": name, "state": state} for name, state in states.items()],
+    }
 
 
 def test_a_healthy_history_has_no_violation() -> None:
@@ -37,7 +41,9 @@
     assert history.found == []
 
 
-@pytest.mark.parametrize("left", [listing(False, a="Terminating"), listing(False, a="Gone"), listing(True, b="Ready")])
+@pytest.mark.parametrize(
+    "left", [listing(False, a="Terminating"), listing(False, a="Gone"), listing(True, b="Ready")]
+)
 def test_a_send_to_a_worker_that_has_left(left: dict[str, Any]) -> None:
     history = History()
     history.monitor.list_taken(left, 100.0)
@@ -63,10 +69,16 @@
     assert history.found == [Rule.LOST, Rule.LOST]
 
 
-@pytest.mark.parametrize(("unsafe", "second", "ended", "unrun", "found"), [
-    (False, "a", False, False, [Rule.DUPLICATE]), (False, "b", False, False, []),
-    (True, "b", False, False, [Rule.DUPLICATE]), (True, "b", True, False, [Rule.DUPLICATE]),
-    (True, "b", True, True, [])])
+@pytest.mark.parametrize(
+    ("unsafe", "second", "ended", "unrun", "found"),
+    [
+        (False, "a", False, False, [Rule.DUPLICATE]),
+        (False, "b", False, False, []),
+        (True, "b", False, False, [Rule.DUPLICATE]),
+        (True, "b", True, False, [Rule.DUPLICATE]),
+        (True, "b", True, True, []),
+    ],
+)
 def test_a_second_attempt(unsafe: bool, second: str, ended: bool, unrun: bool, found: list[Rule]) -> None:
     history = History(unsafe)
     history.monitor.written("r1", "a", 100.0, 5000)
--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -22,25 +22,44 @@
     (folder / "pytest.ini").write_text("[pytest]\n")
     if red is not None:
         (folder / "KNOWN-RED.txt").write_text(red)
-    done = subprocess.run([sys.executable, "-m", "pytest", "-q", "-p", "no:cacheprovider"], cwd=folder,
-                          capture_output=True, text=True, timeout=60)
+    done = subprocess.run(
+        [sys.executable, "-m", "pytest", "-q", "-p", "no:cacheprovider"],
+        cwd=folder,
+        capture_output=True,
+        text=True,
+        timeout=60,
+    )
     return done.returncode, done.stdout + done.stderr
 
 
-RED, GREEN = "tests/test_story.py::test_red | a fault | 7\n", "tests/test_story.py::test_green | a fault | 7\n"
+RED, GREEN = (
+    "tests/test_story.py::test_red | a fault | 7\n",
+    "tests/test_story.py::test_green | a fault | 7\n",
+)
 
 
-@pytest.mark.parametrize(("red", "passes", "said"), [
-    (None, False, "1 failed, 1 passed"),
-    ("", False, "1 failed, 1 passed"),
-    (RED, True, "known red: tests/test_story.py::test_red: a fault (7)"),
-    (RED + GREEN, False, "XPASS(strict)"),
-    (RED + "tests/test_story.py::test_gone | a fault | 7", False, "no such test: tests/test_story.py::test_gone"),
-    (RED + "tests/test_gone.py::test_red | a fault | 7", False, "no such test: tests/test_gone.py::test_red"),
-    ("tests/test_story.py::test_red | a fault", False, "not 'test | cause | issue'"),
-    (RED + RED, False, "twice"),
-    (RED + GREEN * 3, False, "4 lines, 3 at most"),
-])
+@pytest.mark.parametrize(
+    ("red", "passes", "said"),
+    [
+        (None, False, "1 failed, 1 passed"),
+        ("", False, "1 failed, 1 passed"),
+        (RED, True, "known red: tests/test_story.py::test_red: a fault (7)"),
+        (RED + GREEN, False, "XPASS(strict)"),
+        (
+            RED + "tests/test_story.py::test_gone | a fault | 7",
+            False,
+            "no such test: tests/test_story.py::test_gone",
+        ),
+        (
+            RED + "tests/test_gone.py::test_red | a fault | 7",
+            False,
+            "no such test: tests/test_gone.py::test_red",
+        ),
+        ("tests/test_story.py::test_red | a fault", False, "not 'test | cause | issue'"),
+        (RED + RED, False, "twice"),
+        (RED + GREEN * 3, False, "4 lines, 3 at most"),
+    ],
+)
 def test_just_the_named_tests_may_fail(tmp_path: Path, red: str | None, passes: bool, said: str) -> None:
     status, output = run(tmp_path, red)
     assert (status == 0) is passes and said in output, output
--- a/tests/test_large_fleet.py
+++ b/tests/test_large_fleet.py
@@ -14,8 +14,9 @@
 UNTIL = 5.5  # seconds: hubs have been followed, restarted dispatchers are back
 
 
-@pytest.mark.parametrize(("trouble", "loss", "served"), [
-    ("hub", 0.0, 0.9), ("cut", 0.0, 0.9), ("roll", 0.0, 0.8), ("", 1.0, 0.9)])
+@pytest.mark.parametrize(
+    ("trouble", "loss", "served"), [("hub", 0.0, 0.9), ("cut", 0.0, 0.9), ("roll", 0.0, 0.8), ("", 1.0, 0.9)]
+)
 def test_the_rules_hold_at_full_size(trouble: str, loss: float, served: float) -> None:
     world = World(Plan(trouble=trouble, loss=loss, **SIZE))  # type: ignore[arg-type]
     world.clock.run(UNTIL)
@@ -31,8 +32,17 @@
 
 def test_a_fleet_of_two_hundred_finds_its_way_back_from_a_slow_down() -> None:
     """Each circle knew its own fifth alone and queued the rest at random: 0.61 were in time to the end, 0.77 now."""
-    plan = Plan(trouble="slow", dispatchers=200, boxes=200, seconds=11.0, at=1.0, load=0.85, swing=0.0,
-                calls_a_second=30.0, seed=2)
+    plan = Plan(
+        trouble="slow",
+        dispatchers=200,
+        boxes=200,
+        seconds=11.0,
+        at=1.0,
+        load=0.85,
+        swing=0.0,
+        calls_a_second=30.0,
+        seed=2,
+    )
     world = World(plan)
     world.clock.run(12.0)
     assert world.broken == []
@@ -50,8 +60,14 @@
     assert result(world).refused < 0.3
 
 
-COLD = [(5, 12, SCRIPTS, "join", 3), (20, 24, LONG_JOBS, "join", 2), (30, 36, LONG_JOBS, "join", 3),
-        (30, 36, SCRIPTS, "join", 4), (40, 60, SCRIPTS, "zone", 2), (200, 80, SCRIPTS, "join", 2)]
+COLD = [
+    (5, 12, SCRIPTS, "join", 3),
+    (20, 24, LONG_JOBS, "join", 2),
+    (30, 36, LONG_JOBS, "join", 3),
+    (30, 36, SCRIPTS, "join", 4),
+    (40, 60, SCRIPTS, "zone", 2),
+    (200, 80, SCRIPTS, "join", 2),
+]
 
 
 @pytest.mark.parametrize(("dispatchers", "boxes", "site", "trouble", "seed"), COLD)
@@ -62,8 +78,18 @@
     chance. Twenty sent a box 6.9 where 1.8 were allowed, five 30.6 where 13.2 were: jobs were counted at the mean
     of all classes and kinds, weighed to short ones, and slots by the most that a box had ever seemed to have.
     """
-    plan = Plan(site=site, peers=site is SCRIPTS, trouble=trouble, loss=1.0, load=0.95, dispatchers=dispatchers,
-                boxes=boxes, seconds=14.0, at=1.0, seed=seed)
+    plan = Plan(
+        site=site,
+        peers=site is SCRIPTS,
+        trouble=trouble,
+        loss=1.0,
+        load=0.95,
+        dispatchers=dispatchers,
+        boxes=boxes,
+        seconds=14.0,
+        at=1.0,
+        seed=seed,
+    )
     world = World(plan)
     world.clock.run(12.0 if dispatchers < 100 else 8.0)
     assert world.broken == []
@@ -95,7 +121,9 @@
     other = fleet()
     assert len(list(other.hear(100.0, 8, news))) == 1
     assert list(other.hear(100.1, 8, news)) == []  # repeated
-    assert list(other.hear(100.1, 8, peerwire.encode_news(peerwire.News(3, 4, [(9, peerwire.SENT)])))) == []  # old
+    assert (
+        list(other.hear(100.1, 8, peerwire.encode_news(peerwire.News(3, 4, [(9, peerwire.SENT)])))) == []
+    )  # old
     assert other.board.out[9] == 1
     for number in (-1, 7, 199, 200, 2**31):  # nobody, itself, another circle, out of range
         assert list(fleet().hear(100.0, number, news)) == []
@@ -189,7 +217,9 @@
     plain = peerwire.encode_board(peerwire.Board(1, 1, 0, [(7, 3, 0, False)]))
     whole = peerwire.encode_board(peerwire.Board(1, 1, 0, [(7, 3, 0, False)], far=True))
     assert (peerwire.decode(plain), peerwire.decode(whole)) == (
-        peerwire.Board(1, 1, 0, [(7, 3, 0, False)]), peerwire.Board(1, 1, 0, [(7, 3, 0, False)], far=True))
+        peerwire.Board(1, 1, 0, [(7, 3, 0, False)]),
+        peerwire.Board(1, 1, 0, [(7, 3, 0, False)], far=True),
+    )
     member = Fleet(200, 5, 1, 0.5)
     member.start(100.0)
     hub = led(0)
--- a/tests/test_large_groups.py
+++ b/tests/test_large_groups.py
@@ -41,10 +41,15 @@
                 if self.random.random() < rate * 0.1:
                     self.jobs += 1
                     for send in self.carry(number, dispatcher.handle(self.now, job(self.jobs))):
-                        self.carry(number, dispatcher.handle(self.now, outcome(send.request, send.worker, api.SERVED)))
+                        self.carry(
+                            number,
+                            dispatcher.handle(self.now, outcome(send.request, send.worker, api.SERVED)),
+                        )
                 if self.now >= self.report_at[number]:
                     actions = dispatcher.handle(self.now, api.Timer(decide.REPORT))
-                    timers = [a.after for a in actions if isinstance(a, api.SetTimer) and a.token == decide.REPORT]
+                    timers = [
+                        a.after for a in actions if isinstance(a, api.SetTimer) and a.token == decide.REPORT
+                    ]
                     self.report_at[number] = self.now + timers[0]
                     self.carry(number, actions)
 
@@ -141,7 +146,10 @@
         now += 0.1
     given = group[0].settings
     for start, _ in sent:
-        ramp = given.cold_share + (1 - given.cold_share) * (start + given.tip_after - 100.0 + age) / given.warm_within
+        ramp = (
+            given.cold_share
+            + (1 - given.cold_share) * (start + given.tip_after - 100.0 + age) / given.warm_within
+        )
         window = sum(load for at, load in sent if start <= at < start + given.tip_after)
         assert window <= given.fall_multiple * ramp * slots * given.tip_after
     assert len(sent) >= 2
--- a/tests/test_lifecycle.py
+++ b/tests/test_lifecycle.py
@@ -20,8 +20,13 @@
 
 
 def test_a_cancel_before_the_202_closes_the_connection(monkeypatch: pytest.MonkeyPatch) -> None:
-    module = scripted(monkeypatch, api.Send(1, FIRST), api.SetTimer(9, 0.05), Timer=[api.Cancel(1, 0)],
-                      Outcome=[api.Abort(1)])
+    module = scripted(
+        monkeypatch,
+        api.Send(1, FIRST),
+        api.SetTimer(9, 0.05),
+        Timer=[api.Cancel(1, 0)],
+        Outcome=[api.Abort(1)],
+    )
 
     async def script(_message: Seen) -> bytes | None:
         await asyncio.sleep(0.3)
@@ -53,7 +58,9 @@
     play(story)
 
 
-@pytest.mark.parametrize(("timeout", "wait", "least"), [(0.1, "5000", 0.1), (0.0, "150", 0.14), (9.0, "150", 0.14)])
+@pytest.mark.parametrize(
+    ("timeout", "wait", "least"), [(0.1, "5000", 0.1), (0.0, "150", 0.14), (9.0, "150", 0.14)]
+)
 def test_an_attempt_ends_at_its_time_out_or_the_deadline(
     monkeypatch: pytest.MonkeyPatch, timeout: float, wait: str, least: float
 ) -> None:
@@ -69,7 +76,9 @@
     play(story)
 
 
-def test_the_first_result_is_the_answer_and_the_second_copy_ends_settled(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_the_first_result_is_the_answer_and_the_second_copy_ends_settled(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
     module = scripted(monkeypatch, api.Send(1, FIRST), api.Send(1, SECOND))
 
     async def story(scene: Stage) -> None:
@@ -107,14 +116,18 @@
 
 
 @pytest.mark.parametrize("where", ["dead", "unreachable"])
-def test_a_connection_that_does_not_come_up_has_run_nothing(monkeypatch: pytest.MonkeyPatch, where: str) -> None:
+def test_a_connection_that_does_not_come_up_has_run_nothing(
+    monkeypatch: pytest.MonkeyPatch, where: str
+) -> None:
     module = scripted(monkeypatch, api.Send(1, FIRST), Outcome=[api.Refuse(1)])
 
     async def story(scene: Stage) -> None:
         scene.workers[0].server.close()
         if where == "unreachable":  # its machine takes no more connections: they never come up
+
             async def never(address: tuple[str, int]) -> None:
                 await asyncio.Event().wait()
+
             monkeypatch.setattr("beaconhinge.net.workers.connect", never)
         assert (await scene.post()).status == 503
         assert (await event(module, api.Outcome)).outcome == api.NO_CONNECTION
@@ -124,7 +137,9 @@
 
 def test_one_worker_has_one_attempt_of_a_request_at_a_time(monkeypatch: pytest.MonkeyPatch) -> None:
     module = scripted(monkeypatch, api.Send(1, FIRST), api.Send(1, FIRST))
-    monkeypatch.setattr("beaconhinge.stats.Stats.holds", lambda self, condition, name: condition)  # as under -O
+    monkeypatch.setattr(
+        "beaconhinge.stats.Stats.holds", lambda self, condition, name: condition
+    )  # as under -O
 
     async def story(scene: Stage) -> None:
         asked = asyncio.create_task(scene.post())
@@ -154,7 +169,7 @@
 
 
 def test_a_module_that_forgets_a_request_does_not_leave_its_client_without_answer(
-    monkeypatch: pytest.MonkeyPatch
+    monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     scripted(monkeypatch)
     monkeypatch.setattr("beaconhinge.stats.Stats.holds", lambda self, condition, name: condition)
@@ -165,9 +180,13 @@
     play(story)
 
 
-@pytest.mark.parametrize(("action", "start"), [
-    (api.Probe(FIRST), "GET /metrics/load HTTP/1.1"), (api.Fetch(), "GET /discovery/hosts HTTP/1.1")])
-def test_other_actions_reach_their_owner(monkeypatch: pytest.MonkeyPatch, action: api.Action, start: str) -> None:
+@pytest.mark.parametrize(
+    ("action", "start"),
+    [(api.Probe(FIRST), "GET /metrics/load HTTP/1.1"), (api.Fetch(), "GET /discovery/hosts HTTP/1.1")],
+)
+def test_other_actions_reach_their_owner(
+    monkeypatch: pytest.MonkeyPatch, action: api.Action, start: str
+) -> None:
     module = scripted(monkeypatch, action, api.Refuse(1))
 
     async def script(_message: Seen) -> bytes | None:
@@ -180,7 +199,11 @@
             pass
         if isinstance(action, api.Probe):
             result = await event(module, api.ProbeResult)
-            assert (result.worker, result.outcome, result.load) == (FIRST, api.SERVED, {"err_ps": 0.5, "x0": 3.0})
+            assert (result.worker, result.outcome, result.load) == (
+                FIRST,
+                api.SERVED,
+                {"err_ps": 0.5, "x0": 3.0},
+            )
 
     play(story, script)
 
@@ -207,7 +230,7 @@
 
 
 def test_an_answer_at_the_deadline_is_the_modules_own_though_the_loop_is_late(
-    monkeypatch: pytest.MonkeyPatch
+    monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     scripted(monkeypatch, api.Send(1, FIRST), Outcome=[api.Refuse(1, 1.0)])
 
--- a/tests/test_logs.py
+++ b/tests/test_logs.py
@@ -21,8 +21,14 @@
 
 def test_json_lines_hold_time_event_and_fields() -> None:
     [line] = lines("json", lambda s: s.log("started", name="n0", workers=3, load=0.12345, up=True))
-    assert json.loads(line) == {"time": 12.5, "event": "started", "name": "n0", "workers": 3, "load": 0.123,
-                                "up": True}
+    assert json.loads(line) == {
+        "time": 12.5,
+        "event": "started",
+        "name": "n0",
+        "workers": 3,
+        "load": 0.123,
+        "up": True,
+    }
 
 
 def test_logfmt_lines_begin_with_time_and_event() -> None:
--- a/tests/test_mechanism.py
+++ b/tests/test_mechanism.py
@@ -124,7 +124,12 @@
     dispatcher = group(1, 0)
     dispatcher.handle(100.0, report(5, 10, 5.0))
     before = dict(dispatcher.fleet.peers[1].demand)
-    for payload in (report(5, 10, 90.0), report(5, 9, 90.0), api.PeerMessage(1, b"xx"), api.PeerMessage(3, b"")):
+    for payload in (
+        report(5, 10, 90.0),
+        report(5, 9, 90.0),
+        api.PeerMessage(1, b"xx"),
+        api.PeerMessage(3, b""),
+    ):
         dispatcher.handle(100.1, payload)
     assert dispatcher.fleet.peers[1].demand == before and 3 not in dispatcher.fleet.peers
 
@@ -151,9 +156,16 @@
     assert out() == 1
     dispatcher.handle(100.0, report(5, 2, 1.0, out=1))
     sent, ended = (worker, peerwire.SENT), (worker, peerwire.SERVED)
-    for message, there in ((news(5, 3, sent, sent), 3), (news(5, 3, sent, sent), 3), (news(5, 2, sent), 3),
-                           (news(5, 5, ended, ended, ended, ended), 0), (news(5, 6, sent), 1),
-                           (report(5, 7, 1.0, out=4), 4), (news(6, 8, sent), 1), (report(6, 9, 1.0, out=2), 2)):
+    for message, there in (
+        (news(5, 3, sent, sent), 3),
+        (news(5, 3, sent, sent), 3),
+        (news(5, 2, sent), 3),
+        (news(5, 5, ended, ended, ended, ended), 0),
+        (news(5, 6, sent), 1),
+        (report(5, 7, 1.0, out=4), 4),
+        (news(6, 8, sent), 1),
+        (report(6, 9, 1.0, out=2), 2),
+    ):
         dispatcher.handle(100.1, message)
         assert out() == there
     dispatcher.handle(100.2, api.PeerMessage(1, news(6, 10, sent).payload[:-1]))
@@ -182,7 +194,9 @@
 
 
 def test_report_bytes_round_trip_and_stay_in_the_limit() -> None:
-    full = peerwire.Report(7, 7000, 0.5, [(t, 0, 1.0, 2.0) for t in range(20)], [(0, 5.25)], [(w, 2) for w in range(90)])
+    full = peerwire.Report(
+        7, 7000, 0.5, [(t, 0, 1.0, 2.0) for t in range(20)], [(0, 5.25)], [(w, 2) for w in range(90)]
+    )
     data = peerwire.encode(full)
     assert len(data) <= peerwire.MAX_BYTES
     back = peerwire.decode(data)
@@ -227,7 +241,9 @@
 
 
 def test_threshold_learns_from_free_slots_and_from_full() -> None:
-    dispatcher = started(count=1, report__source="answers", report__names="tps,x0", familyInfo__reportX0="free_slots")
+    dispatcher = started(
+        count=1, report__source="answers", report__names="tps,x0", familyInfo__reportX0="free_slots"
+    )
     dispatcher.handle(100.0, job(1))
     done = outcome(1, 100, api.SERVED)
     done.load = {"x0": 4.1}
@@ -255,6 +271,7 @@
 
 def test_a_cold_workers_budget_counts_a_class_by_what_its_jobs_take_on_that_kind() -> None:
     """All classes were counted at the mean of all, weighed to short ones: long jobs pushed it over threefold."""
+
     def placed(cls: int, seconds: float) -> int:
         dispatcher = started(count=0, groupSize="3")
         dispatcher.handle(102.0, api.Membership(api.SNAPSHOT, 2, members(1, started_at=98.0)))
@@ -279,7 +296,9 @@
 
 
 @pytest.mark.parametrize("books", [False, True])
-def test_what_an_earlier_life_may_have_sent_to_a_cold_worker_counts_until_its_time_is_over(books: bool) -> None:
+def test_what_an_earlier_life_may_have_sent_to_a_cold_worker_counts_until_its_time_is_over(
+    books: bool,
+) -> None:
     """A process that was killed and came back in time had its budget anew; with books, which say nothing of that,
     also after this was mended: they moved the start back by which it is known.
     """
@@ -427,10 +446,19 @@
 # ---- settings
 
 
-@pytest.mark.parametrize("key, value", [
-    ("requestClasses.count", "0"), ("requestClasses.0.aim", "-1"), ("groupSize", "0"), ("myNumber", "5"),
-    ("rules.tipAfter", "x"), ("rules.drainRelease", "-1"), ("rules.drainRelease", "soon"), ("requestClasses.0.semantics", "odd"),
-])
+@pytest.mark.parametrize(
+    "key, value",
+    [
+        ("requestClasses.count", "0"),
+        ("requestClasses.0.aim", "-1"),
+        ("groupSize", "0"),
+        ("myNumber", "5"),
+        ("rules.tipAfter", "x"),
+        ("rules.drainRelease", "-1"),
+        ("rules.drainRelease", "soon"),
+        ("requestClasses.0.semantics", "odd"),
+    ],
+)
 def test_senseless_settings_name_their_key(key: str, value: str) -> None:
     with pytest.raises(ValueError, match=key.replace(".", r"\.")):
         api.Settings.from_pairs({**PAIRS, key: value})
@@ -491,11 +519,14 @@
     assert dispatcher.speed(dispatcher.workers[slow]) > decide.SLOW
 
 
-@pytest.mark.parametrize(("shares", "copied"), [
-    ((), True),  # started, then silent
-    ((0.3, 0.6, 0.9), False),
-    ((0.3, 0.31, 0.32), True),  # 100 s to go here, 3 elsewhere
-])
+@pytest.mark.parametrize(
+    ("shares", "copied"),
+    [
+        ((), True),  # started, then silent
+        ((0.3, 0.6, 0.9), False),
+        ((0.3, 0.31, 0.32), True),  # 100 s to go here, 3 elsewhere
+    ],
+)
 def test_a_job_that_will_be_late_where_it_is_gets_a_copy_where_a_slot_is_free(
     shares: tuple[float, ...], copied: bool
 ) -> None:
@@ -508,7 +539,9 @@
     assert [send.request for send in again if send.worker != first] == [1] * copied
 
 
-@pytest.mark.parametrize(("noticed", "cls", "copied"), [(False, 0, True), (True, 0, False), (False, 2, False)])
+@pytest.mark.parametrize(
+    ("noticed", "cls", "copied"), [(False, 0, True), (True, 0, False), (False, 2, False)]
+)
 def test_a_job_without_a_start_notice_gets_a_copy_where_a_repeat_is_harmless(
     noticed: bool, cls: int, copied: bool
 ) -> None:
@@ -525,7 +558,9 @@
 
 
 def test_a_class_that_a_worker_with_free_slots_turns_away_is_barred_there_alone() -> None:
-    dispatcher = started(count=2, report__names="x0", report__source="answers", familyInfo__reportX0="free_slots")
+    dispatcher = started(
+        count=2, report__names="x0", report__source="answers", familyInfo__reportX0="free_slots"
+    )
     worker = sends(dispatcher.handle(100.0, job(1)))[0].worker
     rate, limit = dispatcher.rate, dispatcher.limit(dispatcher.workers[worker])
     again = sends(dispatcher.handle(100.1, full(1, worker, 3.0)))
@@ -534,7 +569,9 @@
     assert placed and worker not in placed  # jobs of that class go elsewhere
     others = [send.worker for n in range(5, 11) for send in sends(dispatcher.handle(100.2, job(n, 1)))]
     assert worker in others  # and those of others do not
-    assert (dispatcher.rate, dispatcher.fulls) == (rate, 0) and dispatcher.limit(dispatcher.workers[worker]) >= limit
+    assert (dispatcher.rate, dispatcher.fulls) == (rate, 0) and dispatcher.limit(
+        dispatcher.workers[worker]
+    ) >= limit
     for n in range(1, 11):
         dispatcher.handle(100.3, api.ClientGone(n))
         for attempt, send in enumerate(dispatcher.requests[n].attempts if n in dispatcher.requests else ()):
@@ -543,7 +580,9 @@
     assert worker in later
 
 
-@pytest.mark.parametrize(("breaks", "sign", "benched"), [(1, False, False), (2, False, True), (2, True, False)])
+@pytest.mark.parametrize(
+    ("breaks", "sign", "benched"), [(1, False, False), (2, False, True), (2, True, False)]
+)
 def test_a_single_broken_connection_does_not_bench_a_worker_that_works(
     breaks: int, sign: bool, benched: bool
 ) -> None:
@@ -575,11 +614,16 @@
 
 def test_a_repeat_leaves_its_connection_the_time_to_come_up_within_the_window() -> None:
     """It was decided just inside the window, and written up to `connectTimeout` later, beyond it."""
+
     def repeated(at: float) -> bool:
         dispatcher = started(count=3, policyLimits__connectTimeout="0.25")  # 100 and 102 share a cell
         dispatcher.limits[0] = 20.0
-        [first] = [send for n in range(1, 9) for send in sends(dispatcher.handle(100.0, job(n, 1)))
-                   if send.worker == 100][:1]
+        [first] = [
+            send
+            for n in range(1, 9)
+            for send in sends(dispatcher.handle(100.0, job(n, 1)))
+            if send.worker == 100
+        ][:1]
         again = sends(dispatcher.handle(at, outcome(first.request, 100, api.RESET)))
         return [send.worker for send in again if send.request == first.request] == [102]
 
@@ -587,20 +631,35 @@
     assert [repeated(at) for at in (100.5, 101.7, 101.8, 102.0)] == [True, True, False, False]
 
 
-@pytest.mark.parametrize(("remaining", "flags", "marks", "expected"), [
-    (3.0, 0, "true", [True, True, False]), (3.0, api.REPEAT, "true", [True, False, False]),
-    (3.0, 0, "false", [True, False, False]), (4.0, 0, "false", [True, True, False])])
+@pytest.mark.parametrize(
+    ("remaining", "flags", "marks", "expected"),
+    [
+        (3.0, 0, "true", [True, True, False]),
+        (3.0, api.REPEAT, "true", [True, False, False]),
+        (3.0, 0, "false", [True, False, False]),
+        (4.0, 0, "false", [True, True, False]),
+    ],
+)
 def test_the_window_counts_from_the_clients_first_try_which_another_dispatcher_may_have_sent(
     remaining: float, flags: int, marks: str, expected: list[bool]
 ) -> None:
     """It was counted from this one's own first send, when the rack's may have been over."""
+
     def repeated(at: float) -> bool:
-        dispatcher = started(count=3, requestClasses__1__aim="3", clients__marksRetry=marks,
-                             policyLimits__connectTimeout="0.25")
+        dispatcher = started(
+            count=3,
+            requestClasses__1__aim="3",
+            clients__marksRetry=marks,
+            policyLimits__connectTimeout="0.25",
+        )
         dispatcher.limits[0] = 20.0
         dispatcher.longest[1] = 4.0  # so that 3 s left tell of a first try a second ago
-        [first] = [send for n in range(1, 9) for send in sends(dispatcher.handle(100.0, job(n, 1, remaining=remaining, flags=flags)))
-                   if send.worker == 100][:1]
+        [first] = [
+            send
+            for n in range(1, 9)
+            for send in sends(dispatcher.handle(100.0, job(n, 1, remaining=remaining, flags=flags)))
+            if send.worker == 100
+        ][:1]
         again = sends(dispatcher.handle(at, outcome(first.request, 100, api.RESET)))
         return [send.worker for send in again if send.request == first.request] == [102]
 
@@ -632,7 +691,9 @@
 
 @pytest.mark.parametrize("marks", ["true", "false"])
 @pytest.mark.parametrize("flags", [0, api.REPEAT])
-def test_a_process_that_ends_does_not_take_its_own_end_for_a_clients_long_wait(marks: str, flags: int) -> None:
+def test_a_process_that_ends_does_not_take_its_own_end_for_a_clients_long_wait(
+    marks: str, flags: int
+) -> None:
     """The less time that a job had there was read as time gone since its client's first try: all were refused."""
     dispatcher = started(clients__marksRetry=marks)
     assert sends(dispatcher.handle(100.0, job(1, 2, remaining=4.0, size_hint=0.5)))
@@ -646,7 +707,9 @@
     """Taken, it would be lost with the process, and may have run: another dispatcher can still have it."""
     dispatcher = started(clients__marksRetry="true")
     dispatcher.pace = 1.0
-    assert finals(dispatcher.handle(100.0, job(1, remaining=1.0, size_hint=2.0, patience=4.0))) == [api.Refuse]
+    assert finals(dispatcher.handle(100.0, job(1, remaining=1.0, size_hint=2.0, patience=4.0))) == [
+        api.Refuse
+    ]
     assert sends(dispatcher.handle(100.0, job(2, remaining=1.0, size_hint=0.5, patience=4.0)))
     assert sends(dispatcher.handle(100.0, job(3, remaining=1.0, size_hint=2.0)))  # its client's own choice
 
@@ -654,7 +717,9 @@
 def test_an_older_start_under_a_newer_version_leaves_a_cold_worker_cold() -> None:
     """A list may hold old content, and a wall clock that was set back gives a restart an older time."""
     dispatcher = started(1, rules__warmWithin="10")
-    for version, (told, own) in enumerate([(98.0, 98.0), (40.0, 40.0), (97.5 - 3600, 99.5), (0.0, 0.0)], start=2):
+    for version, (told, own) in enumerate(
+        [(98.0, 98.0), (40.0, 40.0), (97.5 - 3600, 99.5), (0.0, 0.0)], start=2
+    ):
         member = api.Member(100, started_at=told, slow_start_from=own)
         dispatcher.handle(100.0, api.Membership(api.CHANGES, version, [member]))
         assert dispatcher.cold(dispatcher.workers[100])
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -146,7 +146,11 @@
         following = group[number] = watching(size=size)
         following.next_call()
         moved = way == "all moved"
-        pause = following.moved(now=0.0, chance=rng.random()) if moved else following.fail(silent=False, chance=rng.random())
+        pause = (
+            following.moved(now=0.0, chance=rng.random())
+            if moved
+            else following.fail(silent=False, chance=rng.random())
+        )
         events.append((4.0 + pause, number))
     had, calls = dict[int, float](), 0
     while events:
@@ -237,7 +241,9 @@
 
 
 @pytest.mark.parametrize(("size", "whole_again"), [(18, True), (19, False), (230, False)])
-def test_the_whole_list_of_another_discovery_is_read_twice_in_a_small_group_alone(size: int, whole_again: bool) -> None:
+def test_the_whole_list_of_another_discovery_is_read_twice_in_a_small_group_alone(
+    size: int, whole_again: bool
+) -> None:
     """After SIGHUP all of a group ask for whole lists; a second time, they would keep it from answering."""
     following = watching(size=size)
     following.moved(0.0, 0.5)
@@ -252,7 +258,9 @@
     assert (whole == 1) is whole_again
 
 
-@pytest.mark.parametrize(("size", "prompt"), [(1, True), (18, True), (19, False), (230, False), (1024, False)])
+@pytest.mark.parametrize(
+    ("size", "prompt"), [(1, True), (18, True), (19, False), (230, False), (1024, False)]
+)
 def test_what_a_start_missed_is_confirmed_at_once_in_a_small_group(size: int, prompt: bool) -> None:
     """A large group that asks for whole lists as well keeps discovery from answering anybody."""
     following = watching(size=size)
--- a/tests/test_other_deployments.py
+++ b/tests/test_other_deployments.py
@@ -31,9 +31,17 @@
     come again at once, `retries` times.
     """
 
-    def __init__(self, weights: list[float], hangs_for: float = 0.0, late: float = 0.0, retries: int = 0) -> None:
-        reports = {"report__source": "answers", "report__names": "depth,x0", "familyInfo__reportX0": "free_slots"}
-        self.dispatcher = Dispatcher(settings(requestClasses__2__hardLimit=str(WAITS), **(reports if late else {})), 1)
+    def __init__(
+        self, weights: list[float], hangs_for: float = 0.0, late: float = 0.0, retries: int = 0
+    ) -> None:
+        reports = {
+            "report__source": "answers",
+            "report__names": "depth,x0",
+            "familyInfo__reportX0": "free_slots",
+        }
+        self.dispatcher = Dispatcher(
+            settings(requestClasses__2__hardLimit=str(WAITS), **(reports if late else {})), 1
+        )
         self.sent: list[tuple[float, int, int]] = []  # when, to whom, which job
         self.ended: Counter[str] = Counter()
         self.hangs_for, self.late, self.retries = hangs_for, late, retries
@@ -102,8 +110,12 @@
     play.jobs(rate, 60.0)
     there = [at for at, worker, _ in play.sent if worker == HANGING]
     first = [at for at in there if at < there[0] + WAITS]
-    assert 1 <= len(first) <= 4  # of up to 225: two slots before any worker has taught better, and those it seems to gain
-    assert len(there) - len(first) <= len(first) + (60.0 - WAITS) / BENCH_MOST  # then one at a time, ever rarer
+    assert (
+        1 <= len(first) <= 4
+    )  # of up to 225: two slots before any worker has taught better, and those it seems to gain
+    assert (
+        len(there) - len(first) <= len(first) + (60.0 - WAITS) / BENCH_MOST
+    )  # then one at a time, ever rarer
     assert max(Counter(request for _, _, request in play.sent).values()) == 1  # none has been sent twice
     assert not play.ended["Refuse"] and not play.ended["Abort"]  # the others had room for all
 
--- a/tests/test_parts.py
+++ b/tests/test_parts.py
@@ -25,18 +25,32 @@
 from beaconhinge.wheel import SLOTS, TICK, Wheel
 
 ROOT = Path(__file__).resolve().parent.parent
-GIVEN: dict[str, Any] = {"name": "n0", "listen": "127.0.0.1:9000", "discovery": "127.0.0.1:8500", "seed": "8c1f",
-                         "settings": SETTINGS}
+GIVEN: dict[str, Any] = {
+    "name": "n0",
+    "listen": "127.0.0.1:9000",
+    "discovery": "127.0.0.1:8500",
+    "seed": "8c1f",
+    "settings": SETTINGS,
+}
 
 
 def test_nested_settings_become_the_pairs_of_the_module() -> None:
-    assert flatten({"a": {"b": True, "c": [1, 2.5], "d": "x y,z"}, "e": [{"f": False}, {"f": None}], "g": []}) == {
-        "a.b": "true", "a.c": "1,2.5", "a.d": "x_y_z", "e.count": "2", "e.0.f": "false", "e.1.f": "-", "g": ""}
+    assert flatten(
+        {"a": {"b": True, "c": [1, 2.5], "d": "x y,z"}, "e": [{"f": False}, {"f": None}], "g": []}
+    ) == {
+        "a.b": "true",
+        "a.c": "1,2.5",
+        "a.d": "x_y_z",
+        "e.count": "2",
+        "e.0.f": "false",
+        "e.1.f": "-",
+        "g": "",
+    }
 
 
 def test_a_good_configuration_is_read_with_defaults() -> None:
     config = parse(GIVEN)
-    assert (config.listen, config.seed, config.limits.sockets) == (("127.0.0.1", 9000), 0x8c1f, 1024)
+    assert (config.listen, config.seed, config.limits.sockets) == (("127.0.0.1", 9000), 0x8C1F, 1024)
     assert (config.class_names, config.tenant_names) == (("render", "publish"), ("acme", "umbrella"))
     assert (config.keyed(0), config.keyed(1), config.known) == (False, True, None)
     assert config.settings.classes[1].dedup_group == "cell"
@@ -53,16 +67,40 @@
     return content
 
 
-@pytest.mark.parametrize(("key", "value"), [
-    ("name", ""), ("listen", None), ("listen", "nowhere"), ("listen", "h:99999"), ("listen", "h:\u0663"),
-    ("discovery", 7), ("seed", "xyz"), ("seed", []), ("limits", []), ("limits", {"sockets": "many"}),
-    ("limits", {"sockets": 3}), ("limits", {"memory_mb": float("nan")}), ("peers", 5), ("peers", ["x"]),
-    ("peer_listen", "x"), ("peers_all", {}), ("known", []), ("known", {"version": -1, "servers": []}),
-    ("settings", None), ("settings.requestClasses", []), ("settings.requestClasses.0.aim", "soon"),
-    ("settings.requestClasses.0.semantics", "odd"), ("settings.requestClasses.1.name", "render"),
-    ("settings.requestClasses.1", 5), ("settings.orgs.1.name", ""), ("settings.groupSize", 0),
-    ("settings.myNumber", 9), ("settings.rules.drainGrace", -1), ("settings.dcs", [["east"]]),
-])
+@pytest.mark.parametrize(
+    ("key", "value"),
+    [
+        ("name", ""),
+        ("listen", None),
+        ("listen", "nowhere"),
+        ("listen", "h:99999"),
+        ("listen", "h:\u0663"),
+        ("discovery", 7),
+        ("seed", "xyz"),
+        ("seed", []),
+        ("limits", []),
+        ("limits", {"sockets": "many"}),
+        ("limits", {"sockets": 3}),
+        ("limits", {"memory_mb": float("nan")}),
+        ("peers", 5),
+        ("peers", ["x"]),
+        ("peer_listen", "x"),
+        ("peers_all", {}),
+        ("known", []),
+        ("known", {"version": -1, "servers": []}),
+        ("settings", None),
+        ("settings.requestClasses", []),
+        ("settings.requestClasses.0.aim", "soon"),
+        ("settings.requestClasses.0.semantics", "odd"),
+        ("settings.requestClasses.1.name", "render"),
+        ("settings.requestClasses.1", 5),
+        ("settings.orgs.1.name", ""),
+        ("settings.groupSize", 0),
+        ("settings.myNumber", 9),
+        ("settings.rules.drainGrace", -1),
+        ("settings.dcs", [["east"]]),
+    ],
+)
 def test_a_bad_configuration_is_refused_by_the_name_of_its_key(key: str, value: Any) -> None:
     last = key.split(".")[-1] if not key.split(".")[-1].isdigit() else "requestClasses"
     with pytest.raises(ConfigError, match=last):
@@ -76,8 +114,14 @@
     path = tmp_path / "config.json"
     if content is not None:
         path.write_bytes(content)
-    done = subprocess.run([sys.executable, "-O", "-m", "beaconhinge"], cwd=ROOT, capture_output=True, text=True,
-                          env={"RELAY_CONFIG": str(path)}, timeout=20)
+    done = subprocess.run(
+        [sys.executable, "-O", "-m", "beaconhinge"],
+        cwd=ROOT,
+        capture_output=True,
+        text=True,
+        env={"RELAY_CONFIG": str(path)},
+        timeout=20,
+    )
     assert done.returncode == 2
     assert re.fullmatch(r"beaconhinge: RELAY_CONFIG: [^\n]+\n", done.stderr)
 
@@ -93,6 +137,7 @@
 def test_the_clock_is_unix_time_and_never_goes_back() -> None:
     clock = Clock()
     import time
+
     assert abs(clock.now() - time.time()) < 0.1
     times = [clock.now() for _ in range(1000)]
     assert times == sorted(times)
@@ -181,9 +226,13 @@
 def test_what_must_hold_is_asserted_in_debug_and_counted_in_release() -> None:
     with pytest.raises(AssertionError, match="name"):
         Stats(lambda: 1.0).holds(False, "name")
-    code = ("from beaconhinge.stats import Stats; s = Stats(lambda: 1.0)\n"
-            "print(s.holds(False, 'name'), s.holds(True, 'name'), s.counters['broken_name'])")
-    done = subprocess.run([sys.executable, "-O", "-c", code], cwd=ROOT, capture_output=True, text=True, timeout=20)
+    code = (
+        "from beaconhinge.stats import Stats; s = Stats(lambda: 1.0)\n"
+        "print(s.holds(False, 'name'), s.holds(True, 'name'), s.counters['broken_name'])"
+    )
+    done = subprocess.run(
+        [sys.executable, "-O", "-c", code], cwd=ROOT, capture_output=True, text=True, timeout=20
+    )
     assert done.stdout == "False True 1\n"
 
 
@@ -227,8 +276,12 @@
     """SIGHUP ends a process that has no handler for it yet, as a restart and a new configuration at once had it."""
     path, ports = tmp_path / "config.json", [free_port() for _ in range(3)]
     os.mkfifo(path)  # the program waits here, in the middle of its start
-    program = subprocess.Popen([sys.executable, "-O", "-m", "beaconhinge"], cwd=ROOT, stderr=subprocess.PIPE,
-                               env={"RELAY_CONFIG": str(path)})
+    program = subprocess.Popen(
+        [sys.executable, "-O", "-m", "beaconhinge"],
+        cwd=ROOT,
+        stderr=subprocess.PIPE,
+        env={"RELAY_CONFIG": str(path)},
+    )
     assert program.stderr is not None
     try:
         for number, discovery in enumerate(ports[:2]):
@@ -237,7 +290,9 @@
                     program.send_signal(signal.SIGHUP)
                     os.mkfifo(tmp_path / "next")
                     os.replace(tmp_path / "next", path)  # for the second reading, which the signal brings
-                json.dump({**GIVEN, "listen": f"127.0.0.1:{ports[2]}", "discovery": f"127.0.0.1:{discovery}"}, pipe)
+                json.dump(
+                    {**GIVEN, "listen": f"127.0.0.1:{ports[2]}", "discovery": f"127.0.0.1:{discovery}"}, pipe
+                )
         log = b""
         while b" reloaded " not in log:
             assert (line := program.stderr.readline()), log
@@ -261,8 +316,12 @@
     path = tmp_path / "config.json"
     port = free_port()
     path.write_text(json.dumps({**GIVEN, "listen": f"127.0.0.1:{port}"}))
-    program = subprocess.Popen([sys.executable, "-O", "-m", "beaconhinge"], cwd=ROOT, stderr=subprocess.PIPE,
-                               env={"RELAY_CONFIG": str(path)})
+    program = subprocess.Popen(
+        [sys.executable, "-O", "-m", "beaconhinge"],
+        cwd=ROOT,
+        stderr=subprocess.PIPE,
+        env={"RELAY_CONFIG": str(path)},
+    )
     assert program.stderr is not None
     assert b" started " in program.stderr.readline()
     names = [task.read_text().strip() for task in Path(f"/proc/{program.pid}/task").glob("*/comm")]
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -21,8 +21,10 @@
     monkeypatch.setattr("beaconhinge.__main__.Dispatcher", lambda settings, seed: module)
 
     async def story(scene: Stage) -> None:
-        with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as peer, \
-                socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as stranger:
+        with (
+            socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as peer,
+            socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as stranger,
+        ):
             peer.bind(("127.0.0.1", scene.other_port))
             peer.settimeout(0.2)
             await scene.post()
@@ -31,9 +33,16 @@
             else:
                 with pytest.raises(TimeoutError):
                     peer.recv(300)
-            for sender, payload in ((stranger, b"stranger"), (peer, b"x" * 257), (peer, b""), (peer, b"known")):
+            for sender, payload in (
+                (stranger, b"stranger"),
+                (peer, b"x" * 257),
+                (peer, b""),
+                (peer, b"known"),
+            ):
                 sender.sendto(payload, ("127.0.0.1", scene.peer_port))
-            told = [e for e in [await module.events.get() for _ in range(3)] if isinstance(e, api.PeerMessage)]
+            told = [
+                e for e in [await module.events.get() for _ in range(3)] if isinstance(e, api.PeerMessage)
+            ]
             assert told == [api.PeerMessage(1, b""), api.PeerMessage(1, b"known")]
 
     play(story)
--- a/tests/test_ports.py
+++ b/tests/test_ports.py
@@ -10,8 +10,10 @@
 
 from beaconhinge.standin import ports
 
-DRAW = ("import random, sys; random.seed(5); from beaconhinge.standin.ports import free_ports\n"
-        "print(*free_ports(20), flush=True); sys.stdin.read()")
+DRAW = (
+    "import random, sys; random.seed(5); from beaconhinge.standin.ports import free_ports\n"
+    "print(*free_ports(20), flush=True); sys.stdin.read()"
+)
 
 
 def test_no_port_is_handed_out_twice() -> None:
@@ -20,7 +22,9 @@
     here = ports.free_ports(20)
     random.seed(5)
     again = ports.free_ports(20)
-    with subprocess.Popen([sys.executable, "-c", DRAW], stdin=subprocess.PIPE, stdout=subprocess.PIPE) as other:
+    with subprocess.Popen(
+        [sys.executable, "-c", DRAW], stdin=subprocess.PIPE, stdout=subprocess.PIPE
+    ) as other:
         assert other.stdout is not None
         elsewhere = [int(port) for port in other.stdout.readline().split()]
         assert len({*here, *again, *elsewhere}) == 60
--- a/tests/test_reload.py
+++ b/tests/test_reload.py
@@ -66,9 +66,15 @@
     play(story, workers=2)
 
 
-@pytest.mark.parametrize(("changes", "key"), [
-    ({"discovery": "nowhere"}, "discovery"), ({"discovery": "127.0.0.1:9", "limits": []}, "limits"),
-    ({"discovery": "127.0.0.1:9", "settings": {}}, "requestClasses"), ({"peers": 5}, "peers")])
+@pytest.mark.parametrize(
+    ("changes", "key"),
+    [
+        ({"discovery": "nowhere"}, "discovery"),
+        ({"discovery": "127.0.0.1:9", "limits": []}, "limits"),
+        ({"discovery": "127.0.0.1:9", "settings": {}}, "requestClasses"),
+        ({"peers": 5}, "peers"),
+    ],
+)
 def test_nothing_of_a_faulty_configuration_counts(
     changes: dict[str, Any], key: str, capfd: pytest.CaptureFixture[str]
 ) -> None:
@@ -89,7 +95,7 @@
 
 
 def test_keys_that_wait_for_a_restart_are_named_and_reports_go_to_the_new_peers(
-    capfd: pytest.CaptureFixture[str]
+    capfd: pytest.CaptureFixture[str],
 ) -> None:
     async def story(scene: Stage) -> None:
         scene.reload(limits={"sockets": 512}, name="n7", peers_all=None)
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -38,7 +38,9 @@
             case ("wait", seconds):
                 driver.advance(driver.now + seconds)
             case ("member", index, status, restarted):
-                member = api.Member(100 + index, status, cell=index % 2, started_at=driver.now if restarted else 0.0)
+                member = api.Member(
+                    100 + index, status, cell=index % 2, started_at=driver.now if restarted else 0.0
+                )
                 driver.feed(api.Membership(api.CHANGES, 2, [member]))
             case ("gone", index) if number:
                 request = 1 + index % number
@@ -64,8 +66,12 @@
 )
 def test_no_history_breaks_a_rule(steps: list[tuple], group: str, late: str, limit: str, size: str) -> None:
     chosen = settings(
-        requestClasses__1__group=group, requestClasses__0__lateWorth=late, requestClasses__2__hardLimit=limit,
-        groupSize=size, policyLimits__peers="true", rules__drainRelease="0.8",
+        requestClasses__1__group=group,
+        requestClasses__0__lateWorth=late,
+        requestClasses__2__hardLimit=limit,
+        groupSize=size,
+        policyLimits__peers="true",
+        rules__drainRelease="0.8",
     )
     dispatcher = Dispatcher(chosen, 7)
     driver = Driver(chosen, dispatcher.handle)
--- a/tests/test_serving.py
+++ b/tests/test_serving.py
@@ -43,16 +43,19 @@
     play(story, late)
 
 
-@pytest.mark.parametrize(("answer", "outcome"), [
-    (reply(500), "server_error"),
-    (reply(503), "server_error"),
-    (reply(503, X_Not_Processed="1"), "turned_away"),
-    (reply(504, X_Not_Processed="1"), "turned_away"),
-    (reply(400), "unusable"),
-    (reply(429), "server_error"),
-    (None, "connection_lost"),
-    (b"nonsense\r\n\r\n", "connection_lost"),
-])
+@pytest.mark.parametrize(
+    ("answer", "outcome"),
+    [
+        (reply(500), "server_error"),
+        (reply(503), "server_error"),
+        (reply(503, X_Not_Processed="1"), "turned_away"),
+        (reply(504, X_Not_Processed="1"), "turned_away"),
+        (reply(400), "unusable"),
+        (reply(429), "server_error"),
+        (None, "connection_lost"),
+        (b"nonsense\r\n\r\n", "connection_lost"),
+    ],
+)
 def test_what_a_worker_answers_is_told_to_the_module(
     answer: bytes | None, outcome: str, capfd: pytest.CaptureFixture[str]
 ) -> None:
@@ -70,28 +73,39 @@
     assert re.search(rf"outcome_{outcome}=\d", capfd.readouterr().err)
 
 
-@pytest.mark.parametrize(("status", "why", "data"), [
-    (400, b"X-Request-ID", job(X_Request_ID=None)),
-    (400, b"X-Request-ID", job(X_Request_ID="a b")),
-    (400, b"X-Tenant-Id", job(X_Tenant_Id="nobody")),
-    (400, b"X-Tenant-Id", job(X_Tenant_Id=None)),
-    (400, b"X-Timeout-Ms", job(X_Timeout_Ms=None)),
-    (400, b"X-Timeout-Ms", job(X_Timeout_Ms="-5")),
-    (400, b"X-Timeout-Ms", job(X_Timeout_Ms="0")),
-    (400, b"X-Timeout-Ms", job(X_Timeout_Ms="9" * 400)),
-    (400, b"Idempotency-Key", job("/publish")),
-    (400, b"X-Attrs", job(X_Attrs="slots=nan")),
-    (404, b"class", job("/unknown")),
-    (404, b"no such path", job("/unknown", method="GET")),
-    (405, b"POST", job(method="GET")),
-    (405, b"GET", job("/up")),
-    (405, b"POST", job("/_jobs/news", method="PUT")),
-    (413, b"65536", job(body=b"x" * 65537)),
-    (413, b"65536", b"POST /render HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n" + b"8000\r\n"
-     + b"x" * 0x8000 + b"\r\n8001\r\n" + b"x" * 0x8001 + b"\r\n0\r\n\r\n"),
-    (431, b"16384", b"POST /render HTTP/1.1\r\nA: " + b"x" * 40000),
-    (400, b"malformed", b"what is this\r\n\r\n"),
-])
+@pytest.mark.parametrize(
+    ("status", "why", "data"),
+    [
+        (400, b"X-Request-ID", job(X_Request_ID=None)),
+        (400, b"X-Request-ID", job(X_Request_ID="a b")),
+        (400, b"X-Tenant-Id", job(X_Tenant_Id="nobody")),
+        (400, b"X-Tenant-Id", job(X_Tenant_Id=None)),
+        (400, b"X-Timeout-Ms", job(X_Timeout_Ms=None)),
+        (400, b"X-Timeout-Ms", job(X_Timeout_Ms="-5")),
+        (400, b"X-Timeout-Ms", job(X_Timeout_Ms="0")),
+        (400, b"X-Timeout-Ms", job(X_Timeout_Ms="9" * 400)),
+        (400, b"Idempotency-Key", job("/publish")),
+        (400, b"X-Attrs", job(X_Attrs="slots=nan")),
+        (404, b"class", job("/unknown")),
+        (404, b"no such path", job("/unknown", method="GET")),
+        (405, b"POST", job(method="GET")),
+        (405, b"GET", job("/up")),
+        (405, b"POST", job("/_jobs/news", method="PUT")),
+        (413, b"65536", job(body=b"x" * 65537)),
+        (
+            413,
+            b"65536",
+            b"POST /render HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n"
+            + b"8000\r\n"
+            + b"x" * 0x8000
+            + b"\r\n8001\r\n"
+            + b"x" * 0x8001
+            + b"\r\n0\r\n\r\n",
+        ),
+        (431, b"16384", b"POST /render HTTP/1.1\r\nA: " + b"x" * 40000),
+        (400, b"malformed", b"what is this\r\n\r\n"),
+    ],
+)
 def test_bad_input_is_answered_with_what_is_wrong(status: int, why: bytes, data: bytes) -> None:
     async def story(scene: Stage) -> None:
         answer = await scene.ask(data)
@@ -107,21 +121,35 @@
 CHUNKED = b"%x\r\n%s\r\n0\r\n\r\n" % (len(HIDDEN), HIDDEN)
 
 
-@pytest.mark.parametrize("data", [
-    job(body=b"0\r\n\r\n" + HIDDEN, Transfer_Encoding="chunked"),
-    job(body=HIDDEN, Transfer_Encoding="chunked, identity"),
-    job(body=CHUNKED, Transfer_Encoding="xchunked", Content_Length=None),
-    job(body=CHUNKED, Transfer_Encoding=" chunked", Content_Length="0"),
-    job(body=HIDDEN, Content_Length=f"0\r\nContent-Length: {len(HIDDEN)}"),
-    job(body=HIDDEN, Content_Length="4, 4"),
-    *(job(body=HIDDEN, Content_Length=length) for length in (
-        "-1", "+4", "4x", "0x4", "", "9" * 30, "18446744073709551620")),
-    *(job(body=chunk + HIDDEN, Transfer_Encoding="chunked", Content_Length=None) for chunk in (
-        b"-1\r\n", b"+1\r\nx\r\n", b"zz\r\n", b"ffffffffffffffffff\r\n", b"4\r\nlonger than that", b"\n4\r\n")),
-    job(body=HIDDEN, Bad_Header="a\x00b"),
-    job(body=HIDDEN, method="PO ST"),
-    job().replace(b"\r\n\r\n", b"\r\nno colon\r\n\r\n", 1),
-])
+@pytest.mark.parametrize(
+    "data",
+    [
+        job(body=b"0\r\n\r\n" + HIDDEN, Transfer_Encoding="chunked"),
+        job(body=HIDDEN, Transfer_Encoding="chunked, identity"),
+        job(body=CHUNKED, Transfer_Encoding="xchunked", Content_Length=None),
+        job(body=CHUNKED, Transfer_Encoding=" chunked", Content_Length="0"),
+        job(body=HIDDEN, Content_Length=f"0\r\nContent-Length: {len(HIDDEN)}"),
+        job(body=HIDDEN, Content_Length="4, 4"),
+        *(
+            job(body=HIDDEN, Content_Length=length)
+            for length in ("-1", "+4", "4x", "0x4", "", "9" * 30, "18446744073709551620")
+        ),
+        *(
+            job(body=chunk + HIDDEN, Transfer_Encoding="chunked", Content_Length=None)
+            for chunk in (
+                b"-1\r\n",
+                b"+1\r\nx\r\n",
+                b"zz\r\n",
+                b"ffffffffffffffffff\r\n",
+                b"4\r\nlonger than that",
+                b"\n4\r\n",
+            )
+        ),
+        job(body=HIDDEN, Bad_Header="a\x00b"),
+        job(body=HIDDEN, method="PO ST"),
+        job().replace(b"\r\n\r\n", b"\r\nno colon\r\n\r\n", 1),
+    ],
+)
 def test_faulty_framing_is_refused_and_nothing_behind_it_is_passed_on(data: bytes) -> None:
     async def story(scene: Stage) -> None:
         reader, writer = await scene.open()
@@ -134,13 +162,27 @@
     play(story)
 
 
-@pytest.mark.parametrize("body", [
-    b"", b"{", b"[]", b"7", b"null", b"[" * 60000, b'{"id":"r1"}', b'{"id":[],"from":"s-0","state":"done"}',
-    b'{"id":"r1","from":"s-0","state":"done"}', b'{"id":"r1","from":"s-0","state":"done","result":5}',
-    b'{"id":"r1","from":"s-0","state":"done","result":"\\ud800"}', b'{"id":"r1","from":"s-0","state":"odd"}',
-    b'{"id":"r1","from":"s-0","state":"running","share":"much"}', b'{"id":"r1","from":"s-9","state":"lost"}',
-    b'{"id":"r9","from":"s-0","state":"done","result":"no"}', b"\xff\xfe",
-])
+@pytest.mark.parametrize(
+    "body",
+    [
+        b"",
+        b"{",
+        b"[]",
+        b"7",
+        b"null",
+        b"[" * 60000,
+        b'{"id":"r1"}',
+        b'{"id":[],"from":"s-0","state":"done"}',
+        b'{"id":"r1","from":"s-0","state":"done"}',
+        b'{"id":"r1","from":"s-0","state":"done","result":5}',
+        b'{"id":"r1","from":"s-0","state":"done","result":"\\ud800"}',
+        b'{"id":"r1","from":"s-0","state":"odd"}',
+        b'{"id":"r1","from":"s-0","state":"running","share":"much"}',
+        b'{"id":"r1","from":"s-9","state":"lost"}',
+        b'{"id":"r9","from":"s-0","state":"done","result":"no"}',
+        b"\xff\xfe",
+    ],
+)
 def test_a_bad_call_back_is_dropped_with_a_204(body: bytes) -> None:
     async def story(scene: Stage) -> None:
         asked = asyncio.create_task(scene.post())
@@ -263,7 +305,9 @@
             answer = await read_message(reader)
             assert (answer.body, answer.headers.get("connection")) == (name.encode(), None)
         slow_writer.write(job(X_Request_ID="r3"))
-        assert int((await scene.workers[0].seen.get()).headers["x-timeout-ms"]) < 1400  # not the 5000 asked for
+        assert (
+            int((await scene.workers[0].seen.get()).headers["x-timeout-ms"]) < 1400
+        )  # not the 5000 asked for
         scene.other_speaks()
         assert await reader.read() == b""  # parted with: it has somewhere to go
         answer = await read_message(slow_reader)  # before the program may be killed
--- a/tests/test_start_times.py
+++ b/tests/test_start_times.py
@@ -33,4 +33,6 @@
     assert starts.on_own_clock("s-1", 10990.0, 11500.0) == 10990.0
     assert starts.on_own_clock("s-1", 11490.0 - 3600.0, 11500.0) == 11490.0
     starts.keep({"s-2"})
-    assert starts.on_own_clock("s-1", 10990.0, 11500.0) == 11500.0  # one clock gives 510 s, the other less than 0
+    assert (
+        starts.on_own_clock("s-1", 10990.0, 11500.0) == 11500.0
+    )  # one clock gives 510 s, the other less than 0
