--- a/tests/test_verification.py
+++ b/tests/test_verification.py
@@ -24,8 +24,16 @@
 
 
 def entry(name: str, state: str = "Ready") -> dict[str, Any]:
-    return {"id": name, "addr": "127.0.0.1:9", "zone": "a", "kind": "k", "cell": 0, "state": state, "weight": 1.0,
-            "started_ms": 0}
+    return {
+        "id": name,
+        "addr": "127.0.0.1:9",
+        "zone": "a",
+        "kind": "k",
+        "cell": 0,
+        "state": state,
+        "weight": 1.0,
+        "started_ms": 0,
+    }
 
 
 def hosts(version: int, *entries: Any, full: bool = False) -> Hosts:
@@ -88,7 +96,9 @@
         now += 0.02 if call.wait == 0 else call.wait
         if call.index is None:
             reads.append(now)
-        made.answered(hosts(6, bad, full=True) if call.wait == 0 else hosts(6), call.wait, now, 0.5, differs=False)
+        made.answered(
+            hosts(6, bad, full=True) if call.wait == 0 else hosts(6), call.wait, now, 0.5, differs=False
+        )
         now += 0.05
     waits = [later - earlier for earlier, later in zip(reads, reads[1:], strict=False)]
     assert len(reads) < 15 and waits == sorted(waits) and waits[-1] >= RESYNC / 2
@@ -138,7 +148,12 @@
 
 def test_in_a_large_fleet_changes_are_confirmed_by_reading_them_again_within_a_budget() -> None:
     """The whole list of 3,200 workers is half a megabyte; without a bound each change cost one."""
-    verification, now, read, sizes = Verification(False, 18, 0.0, 0.5), 0.0, 0, {Read.WHOLE: 500_000, Read.CHANGES: 400}
+    verification, now, read, sizes = (
+        Verification(False, 18, 0.0, 0.5),
+        0.0,
+        0,
+        {Read.WHOLE: 500_000, Read.CHANGES: 400},
+    )
     verification.confirmed(1, 0.0, 0.5)
     kinds = set[Read]()
     for version in range(2, 120):
@@ -158,8 +173,13 @@
 
 @pytest.mark.parametrize("cut", range(40, 400, 7))
 def test_what_a_broken_answer_told_of_leaving_workers_counts_and_nothing_else(cut: int) -> None:
-    body = json.dumps({"version": 9, "full": False, "servers": [
-        entry("s-1", "Terminating"), entry("s-2"), {"id": "s-3", "state": "Gone"}]}).encode()
+    body = json.dumps(
+        {
+            "version": 9,
+            "full": False,
+            "servers": [entry("s-1", "Terminating"), entry("s-2"), {"id": "s-3", "state": "Gone"}],
+        }
+    ).encode()
     found = Inventory(["a"], ["k"]).salvage(body[:cut])
     expected = {"s-1": api.DRAINING} if cut > body.index(b"}") else {}
     expected |= {"s-3": api.GONE} if cut > body.rindex(b"Gone") + 5 else {}
@@ -167,8 +187,17 @@
     assert found is None or (found.version, found.full, found.hosts) == (9, False, [])
 
 
-@pytest.mark.parametrize("body", [b"", b"{", b"[]", b'{"servers": [{"id": "s-1", "state": "Gone"}], "version": 3}',
-                                  b"\xff" * 50, b'{"version": 1, "servers": [[[[[' * 50])
+@pytest.mark.parametrize(
+    "body",
+    [
+        b"",
+        b"{",
+        b"[]",
+        b'{"servers": [{"id": "s-1", "state": "Gone"}], "version": 3}',
+        b"\xff" * 50,
+        b'{"version": 1, "servers": [[[[[' * 50,
+    ],
+)
 def test_what_is_no_list_yields_nothing(body: bytes) -> None:
     assert Inventory([], []).salvage(body) is None
 
--- a/tests/test_wall_clock.py
+++ b/tests/test_wall_clock.py
@@ -53,7 +53,11 @@
                 await asyncio.Event().wait()
             answered.set()
             started = wall.read() if everywhere else time.time() - wall.step
-            changes = {"version": 1, "full": False, "servers": [scene.host(0, started_ms=round(started * 1000))]}
+            changes = {
+                "version": 1,
+                "full": False,
+                "servers": [scene.host(0, started_ms=round(started * 1000))],
+            }
             return reply(200, json.dumps(changes).encode())
 
         await scene.discovery.seen.get()
