--- a/beaconhinge/__main__.py
+++ b/beaconhinge/__main__.py
@@ -12,30 +12,29 @@
 
 import uvloop
 
-from ospreyroute import api
-from ospreyroute.decide import Dispatcher
-
-from .clock import Clock
 from .config import Config, ConfigError, load
-from .core import Core
+from .dispatch.policy_runner import Core
+from .dispatch.request import Requests
 from .errors import Error
 from .net.discovery import Discovery
-from .net.frontend import Frontend
+from .net.listener import Frontend
 from .net.management import CALLERS, Management
-from .net.operators import Operators
+from .net.operator_calls import Operators
 from .net.peers import Peers
 from .net.sockets import SPARE, Budget
 from .net.upgrade import Upgrade
-from .net.workers import Workers
-from .request import Requests
-from .stats import Stats
-from .wheel import Wheel
+from .net.worker_pool import Workers
+from .policy import interface
+from .policy.dispatcher import Dispatcher
+from .runtime.clock import Clock
+from .runtime.metrics import Stats
+from .runtime.timer_wheel import Wheel
 
 HELD = {signal.SIGHUP}  # kept until its handler stands
 
 if TYPE_CHECKING:
-    from .books.keeper import Keeper
-    from .config.ours import Ours
+    from .config.local import Ours
+    from .quota_snapshots.writer import Keeper
 
 
 async def serve(
@@ -120,7 +119,7 @@
     signal.pthread_sigmask(signal.SIG_UNBLOCK, HELD)  # one that came since `run` began is dealt with now
     inherited = await upgrade.inherit() if upgrade is not None else None
     peers.listen()
-    core.feed(api.Start())
+    core.feed(interface.Start())
     if upgrade is not None and inherited is not None:
         upgrade.restore(inherited)
     keeper = _keeper(ours, core, wheel, stats) if ours and ours.store.folder else None
@@ -201,7 +200,7 @@
     """The books of the last life are there before the module hears of anything. Blocks; the door is shut
     still.
     """
-    from .books.keeper import Keeper
+    from .quota_snapshots.writer import Keeper
     from .store import Store
 
     keeper = Keeper(
@@ -231,7 +230,7 @@
     reread: Callable[[], Ours] | None = None
     try:
         if environment.get("BEACONHINGE_CONFIG"):
-            from .config.ours import read
+            from .config.local import read
 
             path = environment["BEACONHINGE_CONFIG"]
             reread = lambda: read(path)  # noqa: E731
--- a/beaconhinge/cli/config.py
+++ b/beaconhinge/cli/config.py
@@ -25,7 +25,7 @@
         if file.suffix == ".json":
             load({"RELAY_CONFIG": str(file)})
         else:
-            from ..config.ours import read
+            from ..config.local import read
 
             ours = read(file)
             if ours.platform.config:
@@ -51,7 +51,7 @@
     """
     import tomli_w
 
-    from ..config.ours import Ours, read, tables
+    from ..config.local import Ours, read, tables
 
     if (file is None) != defaults:
         raise typer.BadParameter("name a file, or say --defaults")
--- a/beaconhinge/cli/demo.py
+++ b/beaconhinge/cli/demo.py
@@ -10,7 +10,7 @@
 import typer
 
 if TYPE_CHECKING:
-    from ..standin.scene import Figures, Scene
+    from ..standin.harness import Figures, Scene
 
 LOOK = 0.5  # seconds between two pictures
 
@@ -43,7 +43,7 @@
 
 
 async def _play(seconds: float, boxes: int, rate: float, seed: int, live: bool) -> Figures:
-    from ..standin.scene import scene
+    from ..standin.harness import scene
 
     async with scene(boxes, rate, seed) as made:
         asking = asyncio.create_task(made.clients.run(seconds))
--- a/beaconhinge/config/platform.py
+++ b/beaconhinge/config/platform.py
@@ -9,10 +9,9 @@
 from pathlib import Path
 from typing import Any
 
-from ospreyroute.api import DEDUP, Settings
-
 from ..errors import Error
-from ..inventory import Hosts, Inventory, InventoryError
+from ..membership.inventory import Hosts, Inventory, InventoryError
+from ..policy.interface import DEDUP, Settings
 
 Address = tuple[str, int]
 
--- a/beaconhinge/core.py
+++ b/beaconhinge/dispatch/policy_runner.py
@@ -6,13 +6,12 @@
 from collections.abc import Callable
 from typing import Any
 
-from ospreyroute import api
-from ospreyroute.decide import Dispatcher
-
+from ..policy import interface
+from ..policy.dispatcher import Dispatcher
+from ..runtime.metrics import Stats
+from ..runtime.timer_wheel import Wheel
 from .arrivals import Arrivals
 from .invariants import Rule, SendMonitor
-from .stats import Stats
-from .wheel import Wheel
 
 FAILED_TIMER_AGAIN = 1.0  # seconds after which a timer is fed again on which the module failed
 
@@ -26,17 +25,17 @@
         self.stats = stats
         self.requests: dict[int, Owner] = {}  # by number: who takes the instructions for a request
         self.owners: dict[type, Owner] = {
-            api.SetTimer: self._set_timer,
-            api.Log: lambda action: stats.log("module", text=action.text),
+            interface.SetTimer: self._set_timer,
+            interface.Log: lambda action: stats.log("module", text=action.text),
         }
-        for kind in (api.Send, api.Refuse, api.Abort, api.Cancel):
+        for kind in (interface.Send, interface.Refuse, interface.Abort, interface.Cancel):
             self.owners[kind] = self._instruct
         self.monitor = SendMonitor(self._violated)
         self.arrivals = Arrivals(wheel.now())
-        self._events: deque[api.Event] = deque()
+        self._events: deque[interface.Event] = deque()
         self._feeding = False
         # Hears of events that the module failed on, and may not have applied.
-        self.failed: Callable[[api.Event], object] = lambda event: None
+        self.failed: Callable[[interface.Event], object] = lambda event: None
         self.woken: Callable[[], object] = lambda: None  # looks whether the process stood still
 
     def _violated(self, rule: Rule, request: str, worker: str, why: str) -> None:
@@ -47,7 +46,7 @@
         if __debug__:
             raise AssertionError(f"{rule.value}: request {request}, worker {worker}: {why}")
 
-    def feed(self, event: api.Event) -> None:
+    def feed(self, event: interface.Event) -> None:
         """An owner may feed while its action is routed; that event waits its turn in the queue."""
         if self._feeding:
             self._events.append(event)
@@ -62,16 +61,16 @@
         finally:
             self._feeding = False
 
-    def _handle(self, event: api.Event) -> None:
+    def _handle(self, event: interface.Event) -> None:
         try:
             actions = self.dispatcher.handle(self.wheel.now(), event)
         except Exception as error:  # the request of that event still gets its answer
             self.stats.failure(f"module on {type(event).__name__}", error)
             self.failed(event)
-            if isinstance(event, (api.Job, api.Outcome)):
-                self._instruct(api.Abort(event.request))
-            elif isinstance(event, api.Timer):  # the module sets its timers anew when they fire
-                self._set_timer(api.SetTimer(event.token, FAILED_TIMER_AGAIN))
+            if isinstance(event, (interface.Job, interface.Outcome)):
+                self._instruct(interface.Abort(event.request))
+            elif isinstance(event, interface.Timer):  # the module sets its timers anew when they fire
+                self._set_timer(interface.SetTimer(event.token, FAILED_TIMER_AGAIN))
             return
         for action in actions:
             owner = self.owners.get(type(action))
@@ -83,11 +82,13 @@
             except Exception as error:  # one owner's failure must not cost the others their actions
                 self.stats.failure(f"owner of {type(action).__name__}", error)
 
-    def _instruct(self, action: api.Send | api.Refuse | api.Abort | api.Cancel) -> None:
+    def _instruct(
+        self, action: interface.Send | interface.Refuse | interface.Abort | interface.Cancel
+    ) -> None:
         owner = self.requests.get(action.request)
         # A request leaves the table once it is answered and every attempt has ended: nothing is due then.
         if self.stats.holds(owner is not None, "instruction_for_open_request") and owner is not None:
             owner(action)
 
-    def _set_timer(self, action: api.SetTimer) -> None:
-        self.wheel.after(action.after, lambda: self.feed(api.Timer(action.token)))
+    def _set_timer(self, action: interface.SetTimer) -> None:
+        self.wheel.after(action.after, lambda: self.feed(interface.Timer(action.token)))
--- a/beaconhinge/request.py
+++ b/beaconhinge/dispatch/request.py
@@ -7,16 +7,15 @@
 from dataclasses import dataclass
 from typing import Protocol, TypeAlias
 
-from ospreyroute import api
+from ..management import figures
+from ..policy import interface
+from ..runtime.metrics import Stats
+from ..runtime.timer_wheel import Timer, Wheel
+from .policy_runner import Core
 
-from .core import Core
-from .management import figures
-from .stats import Stats
-from .wheel import Timer, Wheel
-
-REFUSED, FAILED, GONE = "refused", "failed", "gone"  # besides api.SERVED: the ends of a request
+REFUSED, FAILED, GONE = "refused", "failed", "gone"  # besides interface.SERVED: the ends of a request
 # One whose client left is in no figure.
-FIGURE = {api.SERVED: figures.SUCCESS, REFUSED: figures.BUSY, FAILED: figures.FAILURE}
+FIGURE = {interface.SERVED: figures.SUCCESS, REFUSED: figures.BUSY, FAILED: figures.FAILURE}
 
 
 @dataclass(slots=True)
@@ -102,7 +101,15 @@
 
 
 Step: TypeAlias = (
-    api.Send | api.Refuse | api.Abort | api.Cancel | Ended | Told | ClientLeft | Overdue | Admitted
+    interface.Send
+    | interface.Refuse
+    | interface.Abort
+    | interface.Cancel
+    | Ended
+    | Told
+    | ClientLeft
+    | Overdue
+    | Admitted
 )
 
 
@@ -192,7 +199,7 @@
         carrier: Carrier,
         wheel: Wheel,
         stats: Stats,
-        settings: api.Settings,
+        settings: interface.Settings,
         class_names: Sequence[str],
     ) -> None:
         self.class_names = class_names
@@ -270,7 +277,7 @@
     async def live(self) -> None:
         core, stats, job = self.all.core, self.all.stats, self.job
         core.requests[self.number] = self._steps.put_nowait
-        unsafe = self.all.settings.classes[job.cls].semantics == api.FRAGILE
+        unsafe = self.all.settings.classes[job.cls].semantics == interface.FRAGILE
         core.monitor.request_taken(job.id, job.deadline, unsafe)
         late = job.remaining + self.all.settings.grace_to_answer / 2
         backstop = self.all.wheel.after(late, lambda: self._steps.put_nowait(Overdue()))
@@ -280,11 +287,11 @@
                 known = await self._known()
                 spent = self.all.wheel.now() - job.taken_at  # that took time
             if known.result is not None:
-                self._finish(Answer(api.SERVED, known.result))
+                self._finish(Answer(interface.SERVED, known.result))
                 return
             left, patience = (max(span - spent, 0.0) for span in (job.remaining, job.patience))
             core.feed(
-                api.Job(
+                interface.Job(
                     self.number,
                     job.cls,
                     job.tenant,
@@ -293,7 +300,7 @@
                     size_hint=job.work,
                     slots=job.slots,
                     memory=job.memory,
-                    flags=api.REPEAT if job.repeat else 0,
+                    flags=interface.REPEAT if job.repeat else 0,
                     doubted=known.doubted,
                     patience=patience,
                 )
@@ -304,13 +311,13 @@
             while not self.answer.done() or not self._steps.empty() or any(a.open for a in self._attempts):
                 step = await self._steps.get()
                 match step:
-                    case api.Send():
+                    case interface.Send():
                         self._send(step)
-                    case api.Cancel():
-                        self._attempts[step.attempt].end(api.CANCELLED)
-                    case api.Refuse():
+                    case interface.Cancel():
+                        self._attempts[step.attempt].end(interface.CANCELLED)
+                    case interface.Refuse():
                         self._finish(Answer(REFUSED, retry_after=step.retry_after))
-                    case api.Abort():
+                    case interface.Abort():
                         self._finish(Answer(FAILED))
                     case Admitted():
                         if self.watcher is not None and not self.answer.done():
@@ -318,7 +325,7 @@
                     case Told():
                         self._show(step)
                         core.feed(
-                            api.Notice(
+                            interface.Notice(
                                 self.number, step.attempt.worker, step.attempt.number, step.what, step.share
                             )
                         )
@@ -326,7 +333,7 @@
                         self._ended(step)
                     case ClientLeft():
                         if self._finish(Answer(GONE)):
-                            core.feed(api.ClientGone(self.number))
+                            core.feed(interface.ClientGone(self.number))
                     case Overdue() if not self._steps.empty():
                         # The loop was late: the module's answer may wait behind the outcome at the deadline.
                         self._steps.put_nowait(step)
@@ -334,14 +341,14 @@
                         # The module answers before this; if it fails to, the client gets an answer still.
                         if not stats.holds(self.answer.done(), "answered_by_deadline"):
                             self._finish(Answer(FAILED))
-                            core.feed(api.ClientGone(self.number))
+                            core.feed(interface.ClientGone(self.number))
         finally:
             backstop.cancel()
             self._finish(Answer(FAILED))  # only if something above has failed: the client gets its answer
             if known.entered and self.all.keys is not None:
                 answer = self.answer.result()
                 may_have_run = self._may_have_run or any(a.open for a in self._attempts)
-                self.all.keys.left(job, may_have_run, answer.body if answer.end == api.SERVED else None)
+                self.all.keys.left(job, may_have_run, answer.body if answer.end == interface.SERVED else None)
             core.requests.pop(self.number, None)
             core.monitor.request_over(job.id)
             del self.all.in_hand[job.id]
@@ -360,7 +367,7 @@
         except TimeoutError:
             return Known(doubted=bool(self.job.dedup_key))
 
-    def _send(self, order: api.Send) -> None:
+    def _send(self, order: interface.Send) -> None:
         now = self.all.wheel.now()
         until = min(self.job.deadline, now + order.timeout if order.timeout > 0 else self.job.deadline)
         attempt = Attempt(
@@ -378,9 +385,9 @@
         self.all.stats.count("attempts")
         one_at_a_time = self.all.stats.holds(not busy, "one_attempt_per_worker")
         if not self.wanted() or until <= now or not one_at_a_time:
-            attempt.end(api.NOT_SENT)
+            attempt.end(interface.NOT_SENT)
             return
-        attempt.timer = self.all.wheel.after(until - now, lambda: attempt.end(api.TIMEOUT))
+        attempt.timer = self.all.wheel.after(until - now, lambda: attempt.end(interface.TIMEOUT))
         self.all.stats.trace(
             "attempts", "attempt", request=self.job.id, worker=order.worker, number=attempt.number
         )
@@ -393,15 +400,15 @@
     def _show(self, step: Told) -> None:
         if self.watcher is None:
             return
-        if step.what == api.STARTED:
+        if step.what == interface.STARTED:
             self.watcher.started(step.attempt.number)
         else:
             self.watcher.progress(step.attempt.number, step.share)
 
     def _ended(self, step: Ended) -> None:
         attempt = step.attempt
-        self._may_have_run = self._may_have_run or step.outcome not in api.PROVEN_UNRUN
-        if self.watcher is not None and step.outcome != api.SERVED:
+        self._may_have_run = self._may_have_run or step.outcome not in interface.PROVEN_UNRUN
+        if self.watcher is not None and step.outcome != interface.SERVED:
             self.watcher.lost(attempt.number)
         self.all.stats.count("outcome_" + step.outcome)
         self.all.stats.trace(
@@ -412,11 +419,11 @@
             number=attempt.number,
             outcome=step.outcome,
         )
-        if step.outcome == api.SERVED:
-            self._finish(Answer(api.SERVED, step.body))
+        if step.outcome == interface.SERVED:
+            self._finish(Answer(interface.SERVED, step.body))
         latency = self.all.own_seconds(attempt.sent_at, self.all.wheel.now())
         self.all.core.feed(
-            api.Outcome(
+            interface.Outcome(
                 self.number,
                 attempt.worker,
                 attempt.number,
@@ -435,7 +442,7 @@
         self.job.body = b""  # attempts under way hold it as long as they need it
         for attempt in self._attempts:
             if not attempt.begun:  # it waits for its connection, and nobody for it
-                attempt.end(api.NOT_SENT)
+                attempt.end(interface.NOT_SENT)
         self.all.stats.count("answer_" + answer.end)
         self.all.stats.trace(
             "attempts", "answered", request=self.job.id, end=answer.end, attempts=len(self._attempts)
--- a/beaconhinge/guard.py
+++ b/beaconhinge/dispatch/send_guard.py
@@ -11,7 +11,7 @@
 import enum
 from dataclasses import dataclass
 
-from ospreyroute.api import UP, Member
+from ..policy.interface import UP, Member
 
 
 class Refusal(enum.Enum):
--- a/ospreyroute/fleet.py
+++ b/beaconhinge/gossip/aggregation.py
@@ -15,7 +15,7 @@
 from collections.abc import Hashable, Iterator
 from dataclasses import dataclass, field
 
-from . import peerwire
+from . import codec
 
 INF = float("inf")
 CIRCLE = 40  # dispatchers that hear each other at least, where there are as many
@@ -77,15 +77,15 @@
 
     def note(self, key: int, what: int) -> None:
         self.changed[key] = None
-        self.sends += what == peerwire.SENT
-        if what == peerwire.FAILED:
+        self.sends += what == codec.SENT
+        if what == codec.FAILED:
             self.failures[key] += 1
-        elif what == peerwire.SERVED:
+        elif what == codec.SERVED:
             self.served.add(key)
 
-    def page(self, incarnation: int, sequence: int) -> peerwire.Board:
+    def page(self, incarnation: int, sequence: int) -> codec.Board:
         """What has changed, as far as it fits, and a few that have not."""
-        keys = list(self.changed)[: peerwire.BOARD_MOST - REFRESHED]
+        keys = list(self.changed)[: codec.BOARD_MOST - REFRESHED]
         for key in keys:
             del self.changed[key]
             self.told.pop(key, None)
@@ -98,7 +98,7 @@
             entries.append((key, self.out[key], self.failures.pop(key, 0), key in self.served))
             self.served.discard(key)
         sends, self.sends = self.sends, 0
-        return peerwire.Board(incarnation, sequence, sends, entries)
+        return codec.Board(incarnation, sequence, sends, entries)
 
 
 @dataclass(slots=True)
@@ -113,7 +113,7 @@
     heard: float = -INF
     out: Counter[int] = field(default_factory=Counter)  # slots by key of a worker
 
-    def hear(self, now: float, number: int, told: peerwire.Board) -> bool:
+    def hear(self, now: float, number: int, told: codec.Board) -> bool:
         """Take in a board of it, unless it is an old one, or of a hub that will give way."""
         if (number, told.incarnation) != (self.hub, self.incarnation):
             if self.hub < number and now - self.heard <= NO_BOARD:
@@ -265,7 +265,7 @@
 
     def note(self, now: float, key: int, what: int, slots: int) -> None:
         """An own send, or its end."""
-        by = slots if what == peerwire.SENT else -slots
+        by = slots if what == codec.SENT else -slots
         self.sends += max(by, 0)
         self.board.add(key, by)
         if self.leads:
@@ -274,17 +274,17 @@
             self._news += [(key, what)] * slots
             self._unseen.append((now, key, by))
             self._lately[key] += by
-        urgent = what in (peerwire.SENT, peerwire.FAILED)
+        urgent = what in (codec.SENT, codec.FAILED)
         self._news_at = min(self._news_at, now + (URGENT if urgent else PATIENT))
 
-    def report(self, report: peerwire.Report, to: int = -1) -> int:
+    def report(self, report: codec.Report, to: int = -1) -> int:
         """Tell all of the circle, or one; the bytes delivered."""
         if to == self.own_number:  # a new hub hears of itself first
             for key, slots in report.slots_out:
                 self.board.add(key, slots)
             return 0
         report.incarnation, report.sequence = self.incarnation, self._next()
-        payload = peerwire.encode(report)
+        payload = codec.encode(report)
         self.outbox += [(n, payload) for n in (self.everyone if to < 0 else [to])]
         return len(payload) * len(self.mates)
 
@@ -306,14 +306,14 @@
 
     def _tell_news(self, now: float) -> None:
         if self.hub is not None or self.direct:
-            news = peerwire.News(self.incarnation, self._next(), self._news)
-            payload = peerwire.encode_news(news)
+            news = codec.News(self.incarnation, self._next(), self._news)
+            payload = codec.encode_news(news)
             self.outbox += [(n, payload) for n in (self.everyone if self.hub is None else [self.hub])]
         self._news, self._news_at, self._told_at = [], INF, now
 
     def _tell_board(self, now: float) -> None:
         if now - self._board_at >= (BOARD_LEAST if self.board.failures else BOARD_AFTER):
-            payload = peerwire.encode_board(self.board.page(self.incarnation, self._next()))
+            payload = codec.encode_board(self.board.page(self.incarnation, self._next()))
             self.outbox += [(n, payload) for n in self.everyone]
             self.outbox += [(circle.contact(now), payload) for circle in self.far.values()]
             self._board_at = now
@@ -341,7 +341,7 @@
             del self._far_told[key]
             self._far_told[key] = self.abroad[key]
         entries = [(key, self.abroad[key], 0, False) for key in order[:FAR_MOST]]
-        payload = peerwire.encode_board(peerwire.Board(self.incarnation, self._next(), 0, entries, far=True))
+        payload = codec.encode_board(codec.Board(self.incarnation, self._next(), 0, entries, far=True))
         self.outbox += [(n, payload) for n in self.everyone]
 
     def _next(self) -> int:
@@ -350,12 +350,12 @@
 
     # ---- hearing -------------------------------------------------------------------------------------------
 
-    def hear(self, now: float, number: int, payload: bytes) -> Iterator[Word | peerwire.Report]:
+    def hear(self, now: float, number: int, payload: bytes) -> Iterator[Word | codec.Report]:
         """Take in what is new and from the circle; each word is counted when it is asked for."""
-        told = peerwire.decode(payload)
+        told = codec.decode(payload)
         if number not in self.mates:
             circle = self.far.get(number * self.circles // self.group_size)
-            if circle is not None and self.leads and isinstance(told, peerwire.Board) and not told.far:
+            if circle is not None and self.leads and isinstance(told, codec.Board) and not told.far:
                 circle.hear(now, number, told)
             return
         if told is None:
@@ -365,28 +365,28 @@
             self._replace_out(peer or Peer(), Counter())
             peer = self.peers[number] = Peer(told.incarnation, told.sequence - 1)
             self.introduce = self.introduce or self.direct or number == self.hub
-        bits = 0xFFFF if isinstance(told, peerwire.Report) else 0xFF
+        bits = 0xFFFF if isinstance(told, codec.Report) else 0xFF
         ahead = (told.sequence - peer.sequence) & bits
         if not 0 < ahead <= bits // 2:
             return  # repeated, or overtaken by a newer one
         peer.sequence, peer.heard = (peer.sequence + ahead) & 0xFFFF, now
-        if isinstance(told, peerwire.Report):
+        if isinstance(told, codec.Report):
             self._take_report(peer, told)
             yield told
-        elif isinstance(told, peerwire.Board):
+        elif isinstance(told, codec.Board):
             yield from self._read_board(now, number, told)
         else:
             for key, what in told.entries:
-                self.sends += what == peerwire.SENT
+                self.sends += what == codec.SENT
                 # Where the send that ended was in news that were lost, there is nothing to take off.
-                by = 1 if what == peerwire.SENT else max(-1, -peer.out[key])
+                by = 1 if what == codec.SENT else max(-1, -peer.out[key])
                 peer.out[key] += by
                 self.board.add(key, by)
                 if self.leads:
                     self.board.note(key, what)
-                yield Word(key, what == peerwire.SERVED, int(what == peerwire.FAILED))
+                yield Word(key, what == codec.SERVED, int(what == codec.FAILED))
 
-    def _read_board(self, now: float, number: int, told: peerwire.Board) -> Iterator[Word]:
+    def _read_board(self, now: float, number: int, told: codec.Board) -> Iterator[Word]:
         if number != self.hub:
             if self.hub is not None and self.hub < number and now - self._hub_heard <= NO_BOARD:
                 return  # it will give way
@@ -404,7 +404,7 @@
             self.seen[key] = slots
             yield Word(key, served, failures)
 
-    def _take_report(self, peer: Peer, told: peerwire.Report) -> None:
+    def _take_report(self, peer: Peer, told: codec.Report) -> None:
         whole = max(peer.known + told.span, 1e-3)
         peer.demand = {key: rate * peer.known / whole for key, rate in peer.demand.items()}
         for tenant, cls, allowed, denied in told.buckets:
--- a/beaconhinge/logs/structured.py
+++ b/beaconhinge/logs/structured.py
@@ -1,4 +1,4 @@
-"""Log lines as JSON or logfmt. Event names, fields and rate limits are those of `beaconhinge.stats`."""
+"""Log lines as JSON or logfmt; event names, fields and rate limits are those of `runtime.metrics`."""
 
 from __future__ import annotations
 
--- a/beaconhinge/management/figures.py
+++ b/beaconhinge/management/figures.py
@@ -5,7 +5,7 @@
 import json
 from collections.abc import Iterable, Mapping
 
-from ospreyroute.decide import Dispatcher
+from ..policy.dispatcher import Dispatcher
 
 SUCCESS, BUSY, FAILURE = "success", "busy", "failure"  # by class
 BACKEND_CALLS = "backend_calls"
--- a/beaconhinge/management/handover.py
+++ b/beaconhinge/management/handover.py
@@ -1,6 +1,6 @@
 """What one process of a dispatcher hands to the one that replaces it: a versioned form with a checksum. Pure.
 
-Beside the books (`beaconhinge.books`), which outlast a restart, it holds what only a process that goes on at
+Beside the quota snapshots (`quota_snapshots`), which outlast a restart, it holds what only a process that goes on at
 once can use: what each worker has out and has taught, what peers were told last, and the list. Nothing
 of a torn, foreign or older form is used.
 """
@@ -14,9 +14,10 @@
 from collections.abc import Iterator
 from typing import Any
 
-from ospreyroute import decide, fleet, peerwire
-from ospreyroute.api import Settings
-from ospreyroute.decide import Dispatcher
+from ..gossip import aggregation, codec
+from ..policy import dispatcher as policy
+from ..policy.dispatcher import Dispatcher
+from ..policy.interface import Settings
 
 VERSION = 1
 AHEAD = 16  # numbers that the old process may have used up after it took the form
@@ -182,11 +183,11 @@
     if len(quota) != len(module.quota) or len(longest) != len(classes):
         raise ValueError("not a figure for each tenant and class")
     buckets = {
-        (int(t), int(c)): decide._Bucket(*(float(v) for v in values)) for t, c, values in content["buckets"]
+        (int(t), int(c)): policy._Bucket(*(float(v) for v in values)) for t, c, values in content["buckets"]
     }
     workers = {}
     for number, fields, sent, barred in content["workers"]:
-        worker = decide._Worker(int(number), peerwire.key(int(number)))
+        worker = policy._Worker(int(number), codec.key(int(number)))
         fields = {"slow_start_from": fields["started_at"], **fields}  # which older forms do not have
         for name in _WORKER:
             setattr(worker, name, type(getattr(worker, name))(fields[name]))
@@ -196,7 +197,7 @@
     told = content["fleet"]
     peers = {}
     for number, fields, demand, out in told["peers"]:
-        peer = fleet.Peer(
+        peer = aggregation.Peer(
             int(fields["incarnation"]),
             int(fields["sequence"]),
             float(fields["heard"]),
--- a/beaconhinge/membership.py
+++ b/beaconhinge/membership/discovery_watch.py
@@ -11,8 +11,7 @@
 
 from dataclasses import dataclass, replace
 
-from ospreyroute.api import CHANGES, SNAPSHOT
-
+from ..policy.interface import CHANGES, SNAPSHOT
 from .inventory import Hosts
 from .verification import SLOW, Read, Verification
 
--- a/beaconhinge/inventory.py
+++ b/beaconhinge/membership/inventory.py
@@ -10,7 +10,7 @@
 from ipaddress import IPv4Address
 from typing import Any
 
-from ospreyroute.api import DRAINING, GONE, UP, Member
+from ..policy.interface import DRAINING, GONE, UP, Member
 
 STATES = {"Ready": UP, "Terminating": DRAINING, "Gone": GONE}
 
--- a/beaconhinge/net/discovery.py
+++ b/beaconhinge/net/discovery.py
@@ -9,20 +9,19 @@
 from collections.abc import Callable
 from dataclasses import replace
 
-from ospreyroute import api
-
 from ..config import Address, Config
-from ..core import Core
-from ..freshness import Freshness, ListState
-from ..inventory import Hosts, Inventory, InventoryError
-from ..membership import STALL, Call, DiscoveryWatch
-from ..start_times import StartTimes
-from ..stats import Stats
-from ..wheel import Wheel
+from ..dispatch.policy_runner import Core
+from ..membership.discovery_watch import STALL, Call, DiscoveryWatch
+from ..membership.freshness import Freshness, ListState
+from ..membership.inventory import Hosts, Inventory, InventoryError
+from ..membership.start_times import StartTimes
+from ..policy import interface
+from ..runtime.metrics import Stats
+from ..runtime.timer_wheel import Wheel
 from . import http1
 from .http1 import BadMessage, Closed, Connection, Message
 from .sockets import connect
-from .workers import Workers
+from .worker_pool import Workers
 
 MAX_LIST = 2 * 1024 * 1024  # bytes: 1,024 workers take some 400 KiB, indented
 TRACED_LISTS = 8  # lists taken last, told with each quiet watch that is traced
@@ -88,8 +87,8 @@
         self._content: dict[str, object] = {}  # of the last answer
         self._usable = asyncio.Event()  # the list may be acted on
         self._taken: deque[str] = deque(maxlen=TRACED_LISTS)
-        core.owners[api.Subscribe] = self._subscribe
-        core.owners[api.Fetch] = lambda action: self._again(whole=True)
+        core.owners[interface.Subscribe] = self._subscribe
+        core.owners[interface.Fetch] = lambda action: self._again(whole=True)
         core.failed = self._not_applied
         workers.list_usable = lambda: self.current
         workers.list_usable_again = self._usable_again
@@ -139,7 +138,7 @@
         Nothing is sent by it before discovery has been asked, which is done here: the module asks later where
         many start.
         """
-        self._tell(api.REMEMBERED, self.known)
+        self._tell(interface.REMEMBERED, self.known)
         spread = min(START_SPREAD * self.config.settings.group_size, START_SPREAD_MOST)
         self._again(pause=0.0 if self.watch.pushed else spread * self._random.random())
 
@@ -163,7 +162,7 @@
         if self._watch is not None:  # soon: the module would ask again only when the old watch had failed
             self._again(pause=pause)
 
-    def _subscribe(self, action: api.Subscribe) -> None:
+    def _subscribe(self, action: interface.Subscribe) -> None:
         if self._watch is not None and not action.on:
             self._watch.cancel()
             self._watch = None
@@ -245,7 +244,7 @@
                 "list_unchanged",
                 version=hosts.version,
                 workers=len(members),
-                ready=sum(member.status == api.UP for member in members),
+                ready=sum(member.status == interface.UP for member in members),
                 taken=" ".join(self._taken),
             )
         return step.pause
@@ -256,8 +255,8 @@
         least.
         """
         for known in self.workers.named(hosts.unread):
-            state = hosts.states.get(known.id, api.UP)
-            if state != api.UP:
+            state = hosts.states.get(known.id, interface.UP)
+            if state != interface.UP:
                 hosts.hosts.append(known.in_state(state))
             elif hosts.full:
                 hosts.hosts.append(known)
@@ -270,7 +269,7 @@
         self._complete(hosts)
         if self.workers.differs(hosts):
             self.stats.complain("list_salvaged", version=hosts.version, entries=len(hosts.hosts))
-            self._tell(api.CHANGES, hosts)
+            self._tell(interface.CHANGES, hosts)
 
     def _failed(self, line: _Line, call: Call, error: Exception, began: float) -> float:
         down = isinstance(error, (ConnectionRefusedError, ConnectionResetError, BrokenPipeError, Closed))
@@ -286,10 +285,10 @@
             self.stats.complain("discovery_failed", why=f"{type(error).__name__}: {error}")
         return self.watch.failed(silent, self.wheel.now(), self._random.random(), begun)
 
-    def _not_applied(self, event: api.Event) -> None:
+    def _not_applied(self, event: interface.Event) -> None:
         """The module failed on an event: if that was a list, it may hold another one than is believed
         here."""
-        if isinstance(event, api.Membership):
+        if isinstance(event, interface.Membership):
             self.watch.failed_to_apply(self.wheel.now())
 
     async def _call(self, line: _Line, call: Call) -> Hosts:
@@ -338,10 +337,10 @@
         if hosts.full:  # who stands there in bytes that cannot be read has not left
             hosts.hosts += self.workers.named(hosts.unread)
         self.workers.update(hosts)
-        self.core.feed(api.Membership(how, hosts.version, self._members(hosts)))
+        self.core.feed(interface.Membership(how, hosts.version, self._members(hosts)))
         self.told(how)
 
-    def _members(self, hosts: Hosts) -> list[api.Member]:
+    def _members(self, hosts: Hosts) -> list[interface.Member]:
         """The list for the module, with each start of a worker on this process's clock."""
         now = self.wheel.now()
         self._start_times.wall_clock_read(now, self._wall_clock())
--- a/beaconhinge/net/keys.py
+++ b/beaconhinge/net/keys.py
@@ -8,6 +8,7 @@
 from collections.abc import Callable
 
 from ..config import Config
+from ..dispatch.request import Job, Known
 from ..recovery import keys
 from ..recovery.keys import (
     HERE,
@@ -22,10 +23,9 @@
     Question,
     Reply,
 )
-from ..request import Job, Known
-from ..stats import Stats
+from ..runtime.metrics import Stats
+from ..runtime.timer_wheel import Wheel
 from ..store import Change, Delete, Put, Store, StoreError
-from ..wheel import Wheel
 from .peers import Peers
 
 ASKED, BETWEEN = 3, 0.04  # times that the silent ones are asked, and seconds from each to the next
--- a/beaconhinge/net/lease_calls.py
+++ b/beaconhinge/net/lease_calls.py
@@ -8,18 +8,18 @@
 from typing import Any
 
 from ..config import Config, ConfigError
-from ..config.ours import LeaseCall
-from ..config.ours import Leases as Settings
+from ..config.local import LeaseCall
+from ..config.local import Leases as Settings
 from ..config.platform import address
 from ..management import calls
 from ..management.calls import Call
-from ..stats import Stats
+from ..runtime.metrics import Stats
+from ..runtime.timer_wheel import Wheel
 from ..store import Store
-from ..wheel import Wheel
 from . import http1
 from .http1 import BadMessage, Closed, Connection
 from .leases import LeaseLost, Leases, Tenure
-from .operators import Operators
+from .operator_calls import Operators
 from .peers import Peers
 from .sockets import connect
 from .upgrade import Upgrade
--- a/beaconhinge/net/leases.py
+++ b/beaconhinge/net/leases.py
@@ -14,17 +14,17 @@
 from typing import Any
 
 from ..config import Config
-from ..config.ours import Leases as Settings
+from ..config.local import Leases as Settings
 from ..errors import Error
 from ..leases import holder, node, terms, wire
 from ..leases.holder import Held, Lost
 from ..leases.node import Action, Node
 from ..leases.terms import Council, Terms
 from ..leases.votes import Say, Write
-from ..recovery import lives
-from ..stats import Stats
+from ..recovery import incarnations
+from ..runtime.metrics import Stats
+from ..runtime.timer_wheel import Timer, Wheel
 from ..store import Put, Store, StoreError
-from ..wheel import Timer, Wheel
 from .peers import Peers
 
 LOCK_AGAIN = 0.1  # seconds between tries for the port
@@ -228,7 +228,7 @@
         name, number = self.config.name, self.config.settings.own_number
         try:
             for place, data in self.store.scan(PREFIX):
-                body = lives.read_signed(data, name, number)
+                body = incarnations.read_signed(data, name, number)
                 if body is not None and len(body) == _NUMBER.size:
                     yield int.from_bytes(place[len(PREFIX) :], "big"), _NUMBER.unpack(body)[0]
         except StoreError as error:  # wall time stands above them
@@ -409,7 +409,9 @@
 
     async def _write(self, write: Write) -> None:
         own, well = self.node, False
-        record = lives.signed(self.config.name, self.config.settings.own_number, _NUMBER.pack(write.number))
+        record = incarnations.signed(
+            self.config.name, self.config.settings.own_number, _NUMBER.pack(write.number)
+        )
         try:
             async with self.wheel.limit(DISK_WITHIN):
                 if self.store is not None:
--- a/beaconhinge/net/frontend.py
+++ b/beaconhinge/net/listener.py
@@ -12,13 +12,12 @@
 from typing import TYPE_CHECKING
 from urllib.parse import unquote
 
-from ospreyroute import api
-
 from ..config import Config
-from ..hints import Hints
-from ..request import FAILED, GONE, REFUSED, Answer, Job, Request, Requests
-from ..stats import Stats
-from ..wheel import Wheel
+from ..dispatch.request import FAILED, GONE, REFUSED, Answer, Job, Request, Requests
+from ..dispatch.work_estimates import Hints
+from ..policy import interface
+from ..runtime.metrics import Stats
+from ..runtime.timer_wheel import Wheel
 from .http1 import BadMessage, Closed, Connection, Message, response
 from .sockets import Budget, close, readable, steer_to_second, tcp_listener
 
@@ -518,7 +517,7 @@
 
 
 def written(answer: Answer, close: bool) -> bytes:
-    if answer.end == api.SERVED:
+    if answer.end == interface.SERVED:
         return response(200, answer.body, close=close)
     if answer.end == REFUSED:
         after = {"Retry-After": f"{answer.retry_after:.3f}"} if answer.retry_after > 0 else {}
--- a/beaconhinge/net/management.py
+++ b/beaconhinge/net/management.py
@@ -10,8 +10,8 @@
 from ..config import Address
 from ..management import calls
 from ..management.calls import BadCall, Call
-from ..stats import Stats
-from ..wheel import Wheel
+from ..runtime.metrics import Stats
+from ..runtime.timer_wheel import Wheel
 from .sockets import tcp_listener
 
 CALLERS = 8  # descriptors set aside; with as many callers the one that has been silent longest goes
--- a/beaconhinge/net/operators.py
+++ b/beaconhinge/net/operator_calls.py
@@ -4,16 +4,15 @@
 
 from collections.abc import Awaitable, Callable
 
-from ospreyroute import api
-
 from ..config import Config
-from ..core import Core
-from ..inventory import worker_number
+from ..dispatch.policy_runner import Core
+from ..dispatch.request import Requests
 from ..management import calls, figures
 from ..management.calls import Call
-from ..request import Requests
-from .frontend import Frontend
-from .workers import Workers
+from ..membership.inventory import worker_number
+from ..policy import interface
+from .listener import Frontend
+from .worker_pool import Workers
 
 
 class Operators:
@@ -84,7 +83,7 @@
             return
         self.out ^= {host_id}
         self.core.stats.log("worker_out" if out else "worker_back", worker=host_id)
-        self.core.feed(api.Maintenance(worker_number(host_id), out))
+        self.core.feed(interface.Maintenance(worker_number(host_id), out))
 
     def _drain_or_resume(self, call: Call) -> bytes:
         if self.frontend.ending:
--- a/beaconhinge/net/peers.py
+++ b/beaconhinge/net/peers.py
@@ -7,12 +7,11 @@
 import socket
 from collections.abc import Callable
 
-from ospreyroute import api
-
 from ..config import Config
-from ..core import Core
-from ..stats import Stats
-from ..wheel import Wheel
+from ..dispatch.policy_runner import Core
+from ..policy import interface
+from ..runtime.metrics import Stats
+from ..runtime.timer_wheel import Wheel
 
 MAX_BYTES = 256
 MOST_WAITING = 4096  # datagrams dropped at once; what a socket holds by default is fewer
@@ -32,7 +31,7 @@
         # Who takes datagrams that begin with that byte, given the sender's number; the rest are the module's.
         self.talk: dict[int, Callable[[int, bytes], None]] = {}
         self.woken: Callable[[], bool] = lambda: False  # whether the process has just gone on after a stall
-        core.owners[api.Tell] = self._tell
+        core.owners[interface.Tell] = self._tell
 
     def move(self, config: Config) -> None:
         """Reach the others at these addresses from now on."""
@@ -90,7 +89,7 @@
             if payload and payload[0] in self.talk:
                 self.talk[payload[0]](number, payload)
                 continue
-            self.core.feed(api.PeerMessage(number, payload))
+            self.core.feed(interface.PeerMessage(number, payload))
 
     def forget_waiting(self) -> int:
         """Drop what waits to be read; how many datagrams that were."""
@@ -103,7 +102,7 @@
                 return dropped
         return MOST_WAITING
 
-    def _tell(self, action: api.Tell) -> None:
+    def _tell(self, action: interface.Tell) -> None:
         self.send(action.peer, action.payload)
 
     def send(self, number: int, payload: bytes) -> None:
--- a/beaconhinge/net/recovery.py
+++ b/beaconhinge/net/recovery.py
@@ -6,24 +6,23 @@
 import random
 from collections.abc import Callable
 
-from ospreyroute import api
-
 from ..config import Config
-from ..config.ours import Recovery as Settings
-from ..core import Core
+from ..config.local import Recovery as Settings
+from ..dispatch.policy_runner import Core
+from ..dispatch.request import Attempt, Requests
+from ..policy import interface
 from ..recovery.stall import Stall, StallWatch
-from ..request import Attempt, Requests
-from ..stats import Stats
+from ..runtime.metrics import Stats
+from ..runtime.timer_wheel import Wheel
 from ..store import Store
-from ..wheel import Wheel
 from .discovery import Discovery
-from .frontend import Frontend
 from .keys import Keys
-from .operators import Operators
+from .listener import Frontend
+from .operator_calls import Operators
 from .peers import Peers
-from .returning import ByHand, Orphans, Returning
+from .restart import ByHand, Orphans, Returning
 from .upgrade import Upgrade
-from .workers import Workers
+from .worker_pool import Workers
 
 SOCKETS_FIRST = 0.1  # seconds that timers wait after a stall, while what came meanwhile is read
 LIST_WITHIN = 0.5  # seconds that new jobs wait at most for a list asked for anew
@@ -115,7 +114,7 @@
         self.stats.count("stalls")
         self.stats.count("datagrams_stale", dropped)
         self.stats.log("stalled", seconds=stall.seconds, datagrams_dropped=dropped)
-        self.core.feed(api.Stalled(stall.seconds))
+        self.core.feed(interface.Stalled(stall.seconds))
         self.woken()
         if STALL not in self._holds:
             self._hold(STALL, True)
--- a/beaconhinge/net/returning.py
+++ b/beaconhinge/net/restart.py
@@ -5,17 +5,16 @@
 import random
 from collections.abc import Callable
 
-from ospreyroute import api
-
 from ..config import Config
-from ..recovery import lives, phases
-from ..recovery.lives import Hello, Lives
-from ..recovery.phases import NAMES, NORMAL, READING, Return
-from ..stats import Stats
+from ..policy import interface
+from ..recovery import incarnations, stages
+from ..recovery.incarnations import Hello, Lives
+from ..recovery.stages import NAMES, NORMAL, READING, Return
+from ..runtime.metrics import Stats
+from ..runtime.timer_wheel import Wheel
 from ..store import Delete, Put, Store, StoreError
-from ..wheel import Wheel
 from .peers import Peers
-from .workers import Workers
+from .worker_pool import Workers
 
 LOOK = 0.05  # seconds between turns of the phases
 ASKED = 8  # others that are asked: a return of many must not drown itself
@@ -47,7 +46,7 @@
         self.life = 0
         self.start = random.getrandbits(32)
         self.machine = Return(wheel.now())
-        peers.talk[lives.HELLO] = self._heard
+        peers.talk[incarnations.HELLO] = self._heard
         self._entered([READING])
 
     @property
@@ -65,20 +64,20 @@
             self.machine.phase = NORMAL
             self._entered([NORMAL])
         else:
-            self._feed(phases.Opened())
+            self._feed(stages.Opened())
             self._look()
         self.stats.spawn(self._begin(), "life")
 
     def woke(self) -> None:
-        self._feed(phases.Woke(self._others()))
+        self._feed(stages.Woke(self._others()))
         if not self.serving:
             self._ask()
 
     def listed(self, how: str) -> None:
-        if how in (api.SNAPSHOT, api.CHANGES):
-            self._feed(phases.Listed())
+        if how in (interface.SNAPSHOT, interface.CHANGES):
+            self._feed(stages.Listed())
 
-    def _feed(self, event: phases.Event) -> None:
+    def _feed(self, event: stages.Event) -> None:
         self._entered(self.machine.feed(self.wheel.now(), event))
 
     def _entered(self, entered: list[int]) -> None:
@@ -98,7 +97,7 @@
         if self.machine.phase == NORMAL:
             return
         self.wheel.after(LOOK, self._look)
-        self._feed(phases.Turn())
+        self._feed(stages.Turn())
         self._ask()
 
     def _ask(self) -> None:
@@ -115,10 +114,12 @@
         return frozenset((own + n) % size for n in range(1, most + 1))
 
     def _tell(self, number: int, asks: bool = False, stale: bool = False) -> None:
-        self.peers.send(number, lives.encode(Hello(self.machine.phase, self.life, self.start, asks, stale)))
+        self.peers.send(
+            number, incarnations.encode(Hello(self.machine.phase, self.life, self.start, asks, stale))
+        )
 
     def _heard(self, number: int, payload: bytes) -> None:
-        hello = lives.decode(payload)
+        hello = incarnations.decode(payload)
         if hello is None:
             self.stats.complain("datagram_malformed", sender=number, bytes=len(payload))
             return
@@ -129,12 +130,12 @@
             self.life = 0  # told once, and it claims no life any more
             self.stats.complain("folder_stale", told_by=number)
             self.stale()
-        self._feed(phases.Heard(number, hello.phase))
+        self._feed(stages.Heard(number, hello.phase))
 
     async def _begin(self) -> None:
         if self.store is not None:
             await self._count_life(self.store)
-        self._feed(phases.Asked(self._others()))
+        self._feed(stages.Asked(self._others()))
         for number in self._others():  # also where the phases have gone on without the disk
             self._tell(number, asks=True)
 
@@ -142,9 +143,11 @@
         """On the disk before it is told, so that the next start never tells it again."""
         name, number = self.config.name, self.config.settings.own_number
         try:
-            life = lives.next_life(lives.read_signed(store.get(LIFE), name, number))
+            life = incarnations.next_life(incarnations.read_signed(store.get(LIFE), name, number))
             async with self.wheel.limit(DISK_WITHIN):
-                await store.commit([Put(LIFE, lives.signed(name, number, lives.life_record(life)))])
+                await store.commit(
+                    [Put(LIFE, incarnations.signed(name, number, incarnations.life_record(life)))]
+                )
             self.life = life
         except (StoreError, TimeoutError) as error:
             self.stats.complain("life_not_counted", why=f"{type(error).__name__}: {error}")
@@ -202,7 +205,7 @@
         self.store = store
         self.wheel = wheel
         self.stats = stats
-        self._sign = lives.signed(config.name, config.settings.own_number, b"")
+        self._sign = incarnations.signed(config.name, config.settings.own_number, b"")
 
     def restore(self, apply: Callable[[str, bool], None]) -> None:
         foreign = 0
--- a/beaconhinge/net/streams.py
+++ b/beaconhinge/net/streams.py
@@ -13,16 +13,15 @@
 from typing import Any
 from urllib.parse import parse_qs
 
-from ospreyroute import api
-
 from ..config import Config
-from ..config.ours import Progress
+from ..config.local import Progress
+from ..dispatch.request import REFUSED, Answer, Job, Request, Requests
+from ..policy import interface
 from ..progress import codec
 from ..progress.feed import ACCEPTED, Feed, Reader
 from ..progress.registry import Entry, Registry
-from ..request import REFUSED, Answer, Job, Request, Requests
-from ..stats import Stats
-from ..wheel import Wheel
+from ..runtime.metrics import Stats
+from ..runtime.timer_wheel import Wheel
 from .http1 import Closed, Connection, Message
 
 KEPT_PART = 0.25  # of the room for bodies: outcomes kept for those who come back
@@ -266,7 +265,7 @@
 
 
 def _content(answer: Answer) -> Mapping[str, Any]:
-    if answer.end == api.SERVED:
+    if answer.end == interface.SERVED:
         return {"status": 200, "result": answer.body.decode("utf-8", "replace")}
     if answer.end == REFUSED:
         return {"status": 503, "retry_after": round(answer.retry_after, 3)}
--- a/beaconhinge/net/upgrade.py
+++ b/beaconhinge/net/upgrade.py
@@ -19,23 +19,22 @@
 from pathlib import Path
 from typing import Any
 
-from ospreyroute import api
-
 from ..config import Address, Config, ConfigError
 from ..config.platform import address
-from ..core import Core
-from ..inventory import InventoryError
+from ..dispatch.policy_runner import Core
 from ..management import calls, handover
 from ..management.calls import Call
 from ..management.handover import Unusable
-from ..stats import Stats
-from ..wheel import Wheel
+from ..membership.inventory import InventoryError
+from ..policy import interface
+from ..runtime.metrics import Stats
+from ..runtime.timer_wheel import Wheel
 from .discovery import Discovery
-from .frontend import Frontend
-from .operators import Operators
+from .listener import Frontend
+from .operator_calls import Operators
 from .peers import Peers
 from .sockets import Budget, connect
-from .workers import Workers
+from .worker_pool import Workers
 
 ANSWER = 1.0  # seconds that the process that serves has for each of its two answers
 READY_BY = 4.5  # seconds after its start, of 6, by which a new process says that it is ready
@@ -219,7 +218,7 @@
         elif kind == handover.SLOTS:
             number, slots = _SLOTS.unpack(payload)
             self._inherited[number] += slots
-            self.core.feed(api.Elsewhere(number, slots))
+            self.core.feed(interface.Elsewhere(number, slots))
         else:
             self._either(kind, payload, self.before)
 
@@ -228,7 +227,7 @@
         self.before = None
         for number, slots in self._inherited.items():
             if slots > 0:
-                self.core.feed(api.Elsewhere(number, -slots))
+                self.core.feed(interface.Elsewhere(number, -slots))
         self._inherited.clear()
         self.budget.limit_to(SHARE if self.after is not None else 1.0)
         self.stats.log("other_process_ended")
@@ -328,7 +327,7 @@
             link.send(handover.CALL_BACK, body)
             self.stats.count("callbacks_passed_on")
             if link is self.before:  # the worker lives, though nothing is told here
-                self.core.feed(api.Elsewhere(worker, 0.0))
+                self.core.feed(interface.Elsewhere(worker, 0.0))
 
     def _tell_operators(self, call: Call) -> None:
         """What an operator asks of one process holds for both; a drain is for the one that takes clients."""
--- a/beaconhinge/net/workers.py
+++ b/beaconhinge/net/worker_pool.py
@@ -7,16 +7,15 @@
 from collections.abc import Awaitable, Callable, Iterable, Mapping
 from typing import Any
 
-from ospreyroute import api
-
 from ..config import Config
-from ..core import Core
-from ..guard import Refusal, SendState, refusal
-from ..inventory import Host, Hosts, worker_number
+from ..dispatch.policy_runner import Core
+from ..dispatch.request import Attempt
+from ..dispatch.send_guard import Refusal, SendState, refusal
 from ..management.figures import BACKEND_CALLS
-from ..request import Attempt
-from ..stats import Stats
-from ..wheel import Wheel
+from ..membership.inventory import Host, Hosts, worker_number
+from ..policy import interface
+from ..runtime.metrics import Stats
+from ..runtime.timer_wheel import Wheel
 from . import http1
 from .http1 import BadMessage, Closed, Connection, Message
 from .sockets import Budget, connect
@@ -67,19 +66,19 @@
         self.list_usable_again: Callable[[], Awaitable[object]] = lambda: asyncio.sleep(0)
         self.out_by_hand: Callable[[str], bool] = lambda host_id: False
         budget.reclaimers.append(self.close_one_idle)
-        core.owners[api.Probe] = lambda action: stats.spawn(self._probe(action.worker), "probe")
-        core.owners[api.Disconnect] = lambda action: self.disconnect(action.worker)
+        core.owners[interface.Probe] = lambda action: stats.spawn(self._probe(action.worker), "probe")
+        core.owners[interface.Disconnect] = lambda action: self.disconnect(action.worker)
         wheel.after(SWEEP, self._sweep)
 
     # ---- the list ------------------------------------------------------------------------------------------
 
     def update(self, hosts: Hosts) -> None:
         """Before the module hears of it, so that it never sends to a worker unknown here."""
-        named = {host.member.worker for host in hosts.hosts if host.member.status != api.GONE}
+        named = {host.member.worker for host in hosts.hosts if host.member.status != interface.GONE}
         for number in [n for n in self.workers if n not in named] if hosts.full else []:
             self._forget(number)
         for host in hosts.hosts:
-            if host.member.status == api.GONE:
+            if host.member.status == interface.GONE:
                 self._forget(host.member.worker)
                 continue
             worker = self.workers.setdefault(host.member.worker, _Worker(host))
@@ -93,7 +92,7 @@
         named = set()
         for host in hosts.hosts:
             number, known = host.member.worker, self.workers.get(host.member.worker)
-            if host.member.status != api.GONE:
+            if host.member.status != interface.GONE:
                 named.add(number)
                 if known is None or not known.host.same(host):
                     return True
@@ -195,7 +194,7 @@
     def start(self, attempt: Attempt) -> None:
         worker = self.workers.get(attempt.worker)
         if worker is None:  # it left the list before the instruction was carried out
-            attempt.end(api.NO_CONNECTION)
+            attempt.end(interface.NO_CONNECTION)
             return
         carried = _Carried(attempt, worker.host)
         self.carried[attempt.job.id, worker.host.id] = carried
@@ -205,10 +204,10 @@
     def _release(self, carried: _Carried, outcome: str) -> None:
         """Given up before the 202, the connection closes, up or not; after it, the job is withdrawn."""
         self.carried.pop((carried.attempt.job.id, carried.host.id), None)
-        unrun = outcome in api.PROVEN_UNRUN
+        unrun = outcome in interface.PROVEN_UNRUN
         self.core.monitor.ended(carried.attempt.job.id, carried.host.id, unrun)
         task = carried.task
-        given_up = outcome in (api.CANCELLED, api.TIMEOUT)
+        given_up = outcome in (interface.CANCELLED, interface.TIMEOUT)
         if task is not None and not carried.taken:
             # A result may come before its 202, for which the connection waits a little.
             if given_up or not carried.attempt.begun:
@@ -254,7 +253,7 @@
             # from here, on a stale connection either: that is the module's choice.
             if isinstance(error, BadMessage):
                 self.stats.complain("worker_answer_malformed", worker=carried.host.id, why=error)
-            attempt.end(api.RESET if written else api.NO_CONNECTION)
+            attempt.end(interface.RESET if written else interface.NO_CONNECTION)
             if connection is not None:
                 connection.close()
             if idle_for:
@@ -298,7 +297,7 @@
                 others_at_worker=others.at_worker,
                 others_out=others.out,
                 may_have_run=others.may_have_run,
-                unsafe=self.config.settings.classes[attempt.job.cls].semantics == api.FRAGILE,
+                unsafe=self.config.settings.classes[attempt.job.cls].semantics == interface.FRAGILE,
             )
         )
 
@@ -307,7 +306,7 @@
         self.stats.trace(
             "attempts", "send_refused", request=carried.attempt.job.id, worker=carried.host.id, why=why.value
         )
-        carried.attempt.end(api.NOT_SENT)
+        carried.attempt.end(interface.NOT_SENT)
 
     def _answered(self, attempt: Attempt, message: Message) -> None:
         status = message.status
@@ -323,7 +322,7 @@
                 target=attempt.job.target,
                 why=message.body,
             )
-        outcome = api.FULL if unrun else api.UNUSABLE if unusable else api.ERROR
+        outcome = interface.FULL if unrun else interface.UNUSABLE if unusable else interface.ERROR
         attempt.end(outcome, load=self._load(message.headers.get("x-server-load")))
 
     async def _withdraw(self, carried: _Carried) -> None:
@@ -337,19 +336,19 @@
 
     async def _aside(self, host: Host, method: str, target: bytes) -> Message | str:
         """A short exchange beside the attempts: the answer, or why there is none."""
-        connection, why = None, api.NO_CONNECTION
+        connection, why = None, interface.NO_CONNECTION
         try:
             async with self.wheel.limit(ASIDE):
                 connection = await self._connection(host)
                 await connection.send(http1.request(method, target, {"Host": SERVICE}))
-                why = api.RESET
+                why = interface.RESET
                 message = await connection.next()
             self._keep(host, connection, message)
             return message
         except (OSError, Closed, BadMessage) as error:
             if connection is not None:
                 connection.close()
-            return api.TIMEOUT if isinstance(error, TimeoutError) and connection is not None else why
+            return interface.TIMEOUT if isinstance(error, TimeoutError) and connection is not None else why
         except asyncio.CancelledError:
             if connection is not None:
                 connection.close()
@@ -379,18 +378,18 @@
     def _told(self, attempt: Attempt, state: str, content: Mapping[str, Any]) -> None:
         load = self._load(content.get("load"))
         if state == "started":
-            attempt.told(api.STARTED)
+            attempt.told(interface.STARTED)
         elif state == "running":
-            attempt.told(api.PROGRESS, float(content["share"]))
+            attempt.told(interface.PROGRESS, float(content["share"]))
         elif state == "done":
             # The client gets what the worker made and nothing else: a result that is no text is not served.
-            attempt.end(api.SERVED, content["result"].encode(), load)
+            attempt.end(interface.SERVED, content["result"].encode(), load)
         elif state == "failed":
-            attempt.end(api.ERROR, load=load)
+            attempt.end(interface.ERROR, load=load)
         elif state == "returned":
-            attempt.end(api.FULL, load=load)
+            attempt.end(interface.FULL, load=load)
         elif state == "lost":
-            attempt.end(api.RESET, load=load)
+            attempt.end(interface.RESET, load=load)
         else:
             raise ValueError(f"state {state!r} is not known")
 
@@ -413,14 +412,14 @@
 
     async def _probe(self, number: int) -> None:
         worker, sent_at = self.workers.get(number), self.wheel.now()
-        outcome, load = api.NO_CONNECTION, None
+        outcome, load = interface.NO_CONNECTION, None
         if worker is not None:
             target = b"/metrics/load" if self.config.report_names else b"/alive"
             answer = await self._aside(worker.host, "GET", target)
             if isinstance(answer, str):
                 outcome = answer
             else:
-                outcome = api.SERVED if answer.status == 200 else api.ERROR
+                outcome = interface.SERVED if answer.status == 200 else interface.ERROR
                 load = self._load(answer.body.decode("latin-1") or None)
         self.stats.count("probes")
-        self.core.feed(api.ProbeResult(number, outcome, self.wheel.now() - sent_at, load))
+        self.core.feed(interface.ProbeResult(number, outcome, self.wheel.now() - sent_at, load))
--- a/ospreyroute/decide.py
+++ b/beaconhinge/policy/dispatcher.py
@@ -1,4 +1,4 @@
-"""The decisions of one dispatcher. Its settings, events and actions stand in `ospreyroute/api.py`.
+"""The decisions of one dispatcher. Its settings, events and actions stand in `interface.py`.
 
 `Dispatcher(settings, seed).handle(now, event)` answers with a list of actions, without clock, I/O or state
 outside. A job's life: its tenant's bucket admits or refuses it on arrival; it goes to a random ready worker,
@@ -13,8 +13,9 @@
 from statistics import median
 from typing import ClassVar
 
-from . import api, peerwire
-from .fleet import MEMORY, Fleet, Reported, Spent, max_min, smooth
+from ..gossip import codec
+from ..gossip.aggregation import MEMORY, Fleet, Reported, Spent, max_min, smooth
+from . import interface
 
 INF = float("inf")
 TICK, REPORT = 1, 2  # timers: housekeeping and peer report
@@ -78,7 +79,7 @@
     bench_over: float = 0.0  # from then on anyone may try it; benched_until is the own turn
     trial: bool = False  # it may have one job at a time until trusted again
     # Classes whose jobs it turns away with slots free: until when, and for how long that was.
-    barred: dict[api.RequestClass, tuple[float, float]] = field(default_factory=dict)
+    barred: dict[interface.RequestClass, tuple[float, float]] = field(default_factory=dict)
     last_sign: float = 0.0
     broke_at: float = -INF  # when a connection to it last broke under a job
     speed: float = 1.0  # of its jobs against their own best, and the time of the last notice of it
@@ -104,7 +105,7 @@
 @dataclass(slots=True, eq=False)
 class _Request:
     id: int
-    cls: api.RequestClass
+    cls: interface.RequestClass
     slots: float
     work: float  # hinted work, 1 without a hint
     asked: float  # when its client first did, as far as can be told
@@ -134,12 +135,12 @@
 
 
 class Dispatcher:
-    def __init__(self, settings: api.Settings, seed: int) -> None:
+    def __init__(self, settings: interface.Settings, seed: int) -> None:
         self.settings = settings
         self.random = random.Random(seed)
         self.now = 0.0
         self.tick = min([TICK_AFTER] + [c.deadline / 10 for c in settings.classes if c.deadline > 0])
-        self.actions: list[api.Action] = []
+        self.actions: list[interface.Action] = []
         self.workers: dict[int, _Worker] = {}
         self.pool: dict[int, list[_Worker]] = {-1: []}  # listed workers by kind; -1: all of them
         self.recent: deque[_Worker] = deque(maxlen=SAMPLE // 2)  # those that answered last: open connections
@@ -173,7 +174,7 @@
         self.started = self.smoothed_from = self.controlled = self.reported = self.refilled = 0.0
         self.ask_at, self.ask_within = INF, ASK_SPREAD * settings.group_size
 
-    def handle(self, now: float, event: api.Event) -> list[api.Action]:
+    def handle(self, now: float, event: interface.Event) -> list[interface.Action]:
         self.now = now
         self.actions = []
         if type(event) in self.HANDLERS:
@@ -187,16 +188,16 @@
         if self.fleet.introduce:
             self.fleet.introduce = False
             self.fleet.report(self.own_report(0.0, []), -1 if self.fleet.hub is None else self.fleet.hub)
-        self.actions += [api.Tell(payload, number) for number, payload in self.fleet.outbox]
+        self.actions += [interface.Tell(payload, number) for number, payload in self.fleet.outbox]
         self.fleet.outbox.clear()
 
     # ---- membership ---------------------------------------------------------------------------------------
 
-    def on_start(self, _event: api.Start) -> None:
+    def on_start(self, _event: interface.Start) -> None:
         self.started = self.smoothed_from = self.controlled = self.reported = self.refilled = self.now
         self.fleet.start(self.now)
-        self.actions.append(api.SetTimer(TICK, self.tick))
-        self.actions.append(api.SetTimer(REPORT, REPORT_AFTER * self.random.random()))
+        self.actions.append(interface.SetTimer(TICK, self.tick))
+        self.actions.append(interface.SetTimer(REPORT, REPORT_AFTER * self.random.random()))
         if self.many:  # a release restarts many at once, and discovery answers in turn, or not at all
             longest = min(self.ask_within, self.settings.must_ask_in) / 2
             self.ask_at = self.now + longest * self.random.random()
@@ -206,38 +207,43 @@
     def ask(self) -> None:
         """Not asking counts as knowing after `must_ask_in`, and after four times that when it was refused."""
         if self.settings.subscribe:
-            self.actions.append(api.Subscribe())
+            self.actions.append(interface.Subscribe())
         self.ask_at = self.now + self.settings.must_ask_in / 2
 
-    def on_membership(self, event: api.Membership) -> None:
-        if event.how == api.REFUSED:
+    def on_membership(self, event: interface.Membership) -> None:
+        if event.how == interface.REFUSED:
             # Asked again by all within a short time it answered none of them: each waits in a wide window.
             self.ask_at = self.now + self.ask_within * self.random.random()
             self.ask_within = min(2 * self.ask_within, 2 * self.settings.must_ask_in)
             return
-        if event.how != api.CHANGES:
+        if event.how != interface.CHANGES:
             named = {m.worker for m in event.members}
             for worker in self.workers.values():
                 if worker.up and worker.id not in named:
                     worker.up = worker.listed = False
                     self.let_go(worker)
         for m in event.members:
-            worker = self.workers.setdefault(m.worker, _Worker(m.worker, peerwire.key(m.worker)))
+            worker = self.workers.setdefault(m.worker, _Worker(m.worker, codec.key(m.worker)))
             if m.started_at not in (0, worker.started_at):  # another start, even by a clock that was set back
                 started = m.slow_start_from or m.started_at
                 worker.started_at, worker.slow_start_from = m.started_at, max(started, worker.slow_start_from)
                 worker.fail, worker.trial, worker.benched_until, worker.bench_over = 0.0, False, 0.0, 0.0
-            worker.kind, worker.cell, worker.zone, worker.up = m.kind, m.cell, m.zone, m.status == api.UP
+            worker.kind, worker.cell, worker.zone, worker.up = (
+                m.kind,
+                m.cell,
+                m.zone,
+                m.status == interface.UP,
+            )
             worker.listed = worker.up and worker.id not in self.by_hand
             self.let_go(worker)
-        if event.how != api.REMEMBERED and self.settings.subscribe:
+        if event.how != interface.REMEMBERED and self.settings.subscribe:
             self.ask_at, self.ask_within = INF, ASK_SPREAD * self.settings.group_size
         self.relist()
 
-    def on_maintenance(self, event: api.Maintenance) -> None:
+    def on_maintenance(self, event: interface.Maintenance) -> None:
         """Out by hand, a worker is as one that drains. Back, its past is void and it counts as cold: the list
         may not have told yet of a restart meanwhile."""
-        worker = self.workers.setdefault(event.worker, _Worker(event.worker, peerwire.key(event.worker)))
+        worker = self.workers.setdefault(event.worker, _Worker(event.worker, codec.key(event.worker)))
         if event.out:
             self.by_hand.setdefault(worker.id, worker.started_at)
         elif worker.id in self.by_hand:
@@ -249,12 +255,12 @@
         self.let_go(worker)
         self.relist()
 
-    def on_elsewhere(self, event: api.Elsewhere) -> None:
+    def on_elsewhere(self, event: interface.Elsewhere) -> None:
         worker = self.workers.get(event.worker)
         if worker is not None:
             worker.out, worker.last_sign = max(0.0, worker.out + event.slots), self.now
             if event.slots:
-                what = peerwire.SENT if event.slots > 0 else peerwire.ENDED
+                what = codec.SENT if event.slots > 0 else codec.ENDED
                 self.fleet.note(self.now, worker.key, what, abs(round(event.slots)))
             self.serve_held()
 
@@ -267,18 +273,18 @@
     def let_go(self, worker: _Worker) -> None:
         """Where the rule stands, idle connections to a leaving worker are closed, after each outcome too."""
         if not worker.listed and self.settings.drain_release > 0:
-            self.actions.append(api.Disconnect(worker.id))
+            self.actions.append(interface.Disconnect(worker.id))
 
     # ---- buckets and fleet rate ---------------------------------------------------------------------------
 
-    def on_job(self, job: api.Job) -> None:
+    def on_job(self, job: interface.Job) -> None:
         cls, work = self.settings.classes[job.cls], job.size_hint or 1.0
         run = job.size_hint or SHORT * self.pace
         expected = job.size_hint * self.pace or run
         # The aim counts from the client's first try. A later one is marked or, where clients do not mark
         # theirs, shows by the less time it came with; marked ones guard against clients that just wait less.
         longest = self.longest[job.cls] = max(self.longest[job.cls], given := job.patience or job.remaining)
-        repeat = bool(job.flags & api.REPEAT) or not self.settings.marks_retry
+        repeat = bool(job.flags & interface.REPEAT) or not self.settings.marks_retry
         first_try = self.now - (longest - given if repeat else 0.0)
         due = first_try + cls.aim + cls.stretch * run
         request = self.requests[job.request] = _Request(
@@ -342,7 +348,7 @@
         if self.fulls >= 3 and self.fulls > FULL_SHARE * self.sends:
             self.rate = CUT * min(self.rate, max(admitted, 1e-3))
             self.actions.append(
-                api.Log(f"fleet rate cut to {self.rate:.2f} after {self.fulls} full of {self.sends}")
+                interface.Log(f"fleet rate cut to {self.rate:.2f} after {self.fulls} full of {self.sends}")
             )
         elif self.rate < INF and self.fulls <= 0:
             self.rate += STEP * max(admitted, self.rate)
@@ -385,9 +391,9 @@
             self.report_after = min(max(REPORT_AFTER, (self.report_after + after) / 2), REPORT_MOST)
         self.fold(span)
 
-    def own_report(self, span: float, entries: list[tuple[int, int, float, float]]) -> peerwire.Report:
+    def own_report(self, span: float, entries: list[tuple[int, int, float, float]]) -> codec.Report:
         out = [(w.key, round(w.out)) for w in self.workers.values() if w.out >= 0.5]
-        return peerwire.Report(0, 0, span, entries, list(self.limits.items()), out)
+        return codec.Report(0, 0, span, entries, list(self.limits.items()), out)
 
     def fold(self, span: float) -> None:
         self.reported = self.now
@@ -397,14 +403,14 @@
             bucket.admitted = smooth(bucket.admitted, bucket.allowed, span, memory)
             bucket.allowed = bucket.denied = 0.0
 
-    def on_stalled(self, event: api.Stalled) -> None:
+    def on_stalled(self, event: interface.Stalled) -> None:
         self.fleet.woke(self.now)
         for worker in self.workers.values():
             worker.last_sign += event.seconds  # their silence in that time was its own
 
-    def on_peer(self, event: api.PeerMessage) -> None:
+    def on_peer(self, event: interface.PeerMessage) -> None:
         for word in self.fleet.hear(self.now, event.peer, event.payload):
-            if isinstance(word, peerwire.Report):
+            if isinstance(word, codec.Report):
                 self.limits = {**dict(word.limits), **self.limits}
                 continue
             if (worker := self.by_key.get(word.key)) is None:
@@ -423,7 +429,7 @@
         pool = self.pool.get(job.cls.kind, []) if self.seen and self.settings.probes else []
         some = self.random.sample(pool, min(3 * ASKED, len(pool)))
         asked = sorted((w for w in some if self.able(w, job)), key=lambda w: -self.suits(w, job))[:ASKED]
-        self.actions += [api.Probe(w.id) for w in asked]
+        self.actions += [interface.Probe(w.id) for w in asked]
         self.asking += len(asked)
         if asked:
             self.hold(job)
@@ -431,7 +437,7 @@
 
     def suits(self, worker: _Worker, request: _Request) -> float:
         """Long jobs leave some workers to the class with the shortest aim: behind them it is late first."""
-        own = peerwire.mix(worker.id + 1) % 1000 < 2000 * self.spent.part(self.hasty) * self.many
+        own = codec.mix(worker.id + 1) % 1000 < 2000 * self.spent.part(self.hasty) * self.many
         return (SUITS if own else 1.0) ** (1 if request.cls is self.hasty else -1)
 
     def place(self, request: _Request) -> None:
@@ -452,7 +458,9 @@
         if len(pool) > 2 * SAMPLE:  # as good as all of them, at a cost that does not grow
             own = (w for w in self.recent if w.listed and request.cls.kind in (-1, w.kind))
             pool = list(dict.fromkeys([*own, *self.random.choices(pool, k=SAMPLE)]))
-        unsafe = request.cls.semantics == api.FRAGILE  # a late word on the first try there would end a second
+        unsafe = (
+            request.cls.semantics == interface.FRAGILE
+        )  # a late word on the first try there would end a second
         tried = [a.worker for a in request.attempts if unsafe or a.open or a is request.attempts[-1]]
         shy = self.chance < 1 and self.random.random() >= self.chance
         ready, rest = list[_Worker](), list[_Worker]()
@@ -578,7 +586,7 @@
         # Where an Nth is less than a job few own it, by a rank; in powers of two most see as many.
         size, parts = told.group_size, max(1, int(budget / (2 * self.mean_work * (self.pace or 1.0))))
         owners = min(size, 1 << parts.bit_length() - 1)
-        rank = (told.own_number - peerwire.mix(worker.id ^ int(worker.started_at))) % size
+        rank = (told.own_number - codec.mix(worker.id ^ int(worker.started_at))) % size
         cost = self.slot_seconds(request, worker)
         if rank >= owners or sum(load for _, load in worker.sent) + cost > budget / owners:
             return 0.0
@@ -591,17 +599,17 @@
     def may_repeat(self, request: _Request, worker: _Worker) -> bool:
         """Rule 2: a job that may have run goes on only where its effect is known to be dropped."""
         cls, first = request.cls, request.ran
-        if first is None or cls.semantics == api.RETRYABLE:
+        if first is None or cls.semantics == interface.RETRYABLE:
             return True
         written = self.now + self.settings.connect_timeout  # at the latest; another may have sent before us
-        if cls.semantics == api.FRAGILE or written >= request.asked + cls.dedup_window:
+        if cls.semantics == interface.FRAGILE or written >= request.asked + cls.dedup_window:
             return False
         cell, zone = worker.cell == first.worker.cell, worker.zone == first.worker.zone
         return {"cell": cell, "all": True}.get(cls.dedup_group, zone)
 
     def send(self, request: _Request, worker: _Worker) -> None:
         self.sends += 1
-        self.fleet.note(self.now, worker.key, peerwire.SENT, round(request.slots))
+        self.fleet.note(self.now, worker.key, codec.SENT, round(request.slots))
         if worker.out == 0:
             worker.last_sign = self.now
         worker.out += request.slots
@@ -611,7 +619,7 @@
             worker.sent.append((self.now, self.slot_seconds(request, worker)))
         request.attempts.append(_Attempt(worker, self.now, position=self.out(worker)))
         request.pending += 1
-        self.actions.append(api.Send(request.id, worker.id))
+        self.actions.append(interface.Send(request.id, worker.id))
 
     def hold(self, request: _Request) -> None:
         late, until = self.now >= request.start_by, self.give_up_at(request)
@@ -656,14 +664,14 @@
 
     # ---- worker health ------------------------------------------------------------------------------------
 
-    def learn(self, attempt: _Attempt, request: _Request, event: api.Outcome) -> None:
+    def learn(self, attempt: _Attempt, request: _Request, event: interface.Outcome) -> None:
         worker, outcome = attempt.worker, event.outcome
         unheard, age = worker.last_sign <= attempt.sent_at, self.now - attempt.sent_at  # clients leave early
-        if outcome in (api.SERVED, api.ERROR):
+        if outcome in (interface.SERVED, interface.ERROR):
             worker.last_sign = self.now  # a time-out or a word from its door does not show that it works
         out = self.out(worker)
         worker.low = min(worker.low, out)
-        if outcome in (api.SERVED, api.ERROR, api.FULL):
+        if outcome in (interface.SERVED, interface.ERROR, interface.FULL):
             self.recent.append(worker)
             worker.idle.append(self.now)
             worker.connect_after = 0.0
@@ -675,7 +683,7 @@
             seen = round(free) + min(worker.low, worker.low_before)  # an old report: this fits for certain
             self.learn_limit(worker, max(seen, worker.limit))
         self.hear_load(worker, event.load)
-        if outcome == api.SERVED:
+        if outcome == interface.SERVED:
             pace = max(event.latency - attempt.waited, event.latency / 10, 1e-4) / request.work
             weight = min(request.work / self.mean_work, 3.0)  # waits make short jobs seem slow
             self.job_time += 0.05 * (event.latency - self.job_time) if self.job_time else event.latency
@@ -688,7 +696,7 @@
             if free is None and out + request.slots >= self.limit(worker):
                 weight = LEARN if worker.limit else 1.0
                 self.learn_limit(worker, worker.limit + weight * (out + request.slots + 1 - worker.limit))
-        elif outcome == api.FULL:
+        elif outcome == interface.FULL:
             # With slots free it drains unseen or fails fast, and its word says nothing of the fleet.
             unfilled = out + request.slots <= UNFILLED * self.limit(worker)
             if free is not None and round(free) >= request.slots:
@@ -696,7 +704,9 @@
                 length = min(BENCH_MOST, 2 * worker.barred.get(request.cls, (0.0, BENCH_FIRST / 2))[1])
                 worker.barred[request.cls] = self.now + length, length
                 number = self.settings.classes.index(request.cls)
-                self.actions.append(api.Log(f"worker {worker.id} turned away class {number} with slots free"))
+                self.actions.append(
+                    interface.Log(f"worker {worker.id} turned away class {number} with slots free")
+                )
                 return
             if worker.trial or unfilled or event.latency > HANDED_BACK:
                 self.blame(worker, BLAME)
@@ -705,15 +715,17 @@
                 worker.benched_until = max(worker.benched_until, self.now + self.tick)
             worker.limit = max(1.0, min(self.limit(worker), out))
         doubted = self.now - worker.last_sign > UNNOTICED or worker.fail > PEER_BLAME / 2
-        if outcome == api.NO_CONNECTION:  # open ones may be used: it may be full of them, or slow to open
+        if (
+            outcome == interface.NO_CONNECTION
+        ):  # open ones may be used: it may be full of them, or slow to open
             worker.connect_after = self.now + BENCH_FIRST * (0.75 + 0.5 * self.random.random())
-        failed = outcome == api.ERROR or outcome == api.NO_CONNECTION and doubted
-        if outcome == api.RESET:
+        failed = outcome == interface.ERROR or outcome == interface.NO_CONNECTION and doubted
+        if outcome == interface.RESET:
             # One may break while the worker serves the others: two without a sign between them are its fault.
             failed, worker.broke_at = worker.last_sign <= worker.broke_at, self.now
-        if failed or outcome in (api.TIMEOUT, api.CANCELLED) and unheard and age > self.job_time:
+        if failed or outcome in (interface.TIMEOUT, interface.CANCELLED) and unheard and age > self.job_time:
             self.blame(worker, BLAME)
-        worker.idle = [] if outcome == api.RESET else worker.idle
+        worker.idle = [] if outcome == interface.RESET else worker.idle
 
     def hear_load(self, worker: _Worker, load: Mapping[str, float] | None) -> None:
         free = load.get(self.settings.free_slots_field) if load else None
@@ -721,9 +733,9 @@
             taken = self.limit(worker) - free + load.get(self.settings.queue_field, 0.0)
             self.seen.note(self.now, worker.key, max(0.0, taken - worker.out))
 
-    def on_probed(self, event: api.ProbeResult) -> None:
+    def on_probed(self, event: interface.ProbeResult) -> None:
         worker, self.asking = self.workers.get(event.worker), self.asking - 1
-        if worker is not None and event.outcome == api.SERVED:
+        if worker is not None and event.outcome == interface.SERVED:
             worker.idle.append(self.now)
             self.hear_load(worker, event.load)
         if self.asking <= 0:  # with the first word alone the job went to who was full, or to anybody
@@ -743,12 +755,12 @@
         if self.now >= worker.bench_over:  # failures at the same time, told by several, are one
             worker.bench_for = min(BENCH_MOST, worker.bench_for * 2) if worker.trial else BENCH_FIRST
             worker.trial = True
-            self.actions.append(api.Log(f"worker {worker.id} benched, failure share {worker.fail:.2f}"))
+            self.actions.append(interface.Log(f"worker {worker.id} benched, failure share {worker.fail:.2f}"))
         worker.bench_over = self.now + worker.bench_for
         turn = self.random.random() * max(BENCH_FIRST, TRIAL_TURN * (len(self.fleet.mates) - FEW))
         worker.benched_until = worker.bench_over + turn  # lest all try it at once
 
-    def on_notice(self, event: api.Notice) -> None:
+    def on_notice(self, event: interface.Notice) -> None:
         worker = self.workers.get(event.worker)
         if worker is not None:
             worker.last_sign = self.now
@@ -756,7 +768,7 @@
         if request is None or not 0 <= event.attempt < len(request.attempts):
             return
         attempt = request.attempts[event.attempt]
-        if event.what == api.STARTED:
+        if event.what == interface.STARTED:
             attempt.waited = self.now - attempt.sent_at
             if not attempt.noticed:
                 self.wait += LEARN * (attempt.waited - self.wait)
@@ -788,7 +800,7 @@
         """Attempts that nobody needs give their places back, where a worker heeds that."""
         for number, attempt in enumerate(request.attempts):
             if self.settings.cancel and attempt.open and attempt is not but:
-                self.actions.append(api.Cancel(request.id, number))
+                self.actions.append(interface.Cancel(request.id, number))
 
     def copy_stranded(self) -> None:
         """Jobs on a worker that fell silent may never end, on one that has slowed down they will be late, and
@@ -815,12 +827,14 @@
         return self.now + whole / self.fleet_speed < due < self.now + left
 
     def copy(self, request: _Request) -> None:
-        allowed = request.cls.semantics != api.FRAGILE and self.settings.may_duplicate and not request.over
+        allowed = (
+            request.cls.semantics != interface.FRAGILE and self.settings.may_duplicate and not request.over
+        )
         left = allowed and len(request.attempts) < self.settings.max_attempts
         if (worker := self.choose(request) if left else None) is not None:
             self.send(request, worker)
 
-    def on_outcome(self, event: api.Outcome) -> None:
+    def on_outcome(self, event: interface.Outcome) -> None:
         request = self.requests.get(event.request)
         if request is None or not 0 <= event.attempt < len(request.attempts):
             return
@@ -832,19 +846,19 @@
         worker.out = max(0.0, worker.out - request.slots)
         before = worker.fail
         self.learn(attempt, request, event)
-        failed = worker.fail > before or event.outcome == api.RESET
-        served = event.outcome == api.SERVED
-        ended = peerwire.SERVED if served else peerwire.FAILED if failed else peerwire.ENDED
+        failed = worker.fail > before or event.outcome == interface.RESET
+        served = event.outcome == interface.SERVED
+        ended = codec.SERVED if served else codec.FAILED if failed else codec.ENDED
         self.fleet.note(self.now, worker.key, ended, round(request.slots))
         self.let_go(worker)
-        attempt.unrun = event.outcome in api.PROVEN_UNRUN
+        attempt.unrun = event.outcome in interface.PROVEN_UNRUN
         if event.settled:
             request.done = True
             self.call_off(request)
         if request.done:
             self.end(request)
-        elif request.pending == 0 and not request.held and event.outcome == api.UNUSABLE:
-            self.actions.append(api.Abort(request.id))  # no other worker would take it, nor later
+        elif request.pending == 0 and not request.held and event.outcome == interface.UNUSABLE:
+            self.actions.append(interface.Abort(request.id))  # no other worker would take it, nor later
             self.end(request)
         elif request.pending == 0 and not request.held:
             self.again(request)
@@ -863,16 +877,20 @@
     def finish(self, request: _Request) -> None:
         """Final answer without a result; a refusal says that nothing ran or that a repeat is harmless."""
         cls = request.cls
-        harmless = cls.semantics == api.RETRYABLE or cls.semantics == api.DEDUP and cls.dedup_group == "all"
+        harmless = (
+            cls.semantics == interface.RETRYABLE
+            or cls.semantics == interface.DEDUP
+            and cls.dedup_group == "all"
+        )
         if request.ran is None or harmless:
             self.refuse(request)
         else:
-            self.actions.append(api.Abort(request.id))
+            self.actions.append(interface.Abort(request.id))
             self.end(request)
 
     def refuse(self, request: _Request) -> None:
         after = self.settings.max_retry_after * (0.5 + 0.5 * self.random.random())  # lest all come at once
-        self.actions.append(api.Refuse(request.id, after if self.settings.retry_after else 0.0))
+        self.actions.append(interface.Refuse(request.id, after if self.settings.retry_after else 0.0))
         self.end(request)
 
     def end(self, request: _Request) -> None:
@@ -880,16 +898,20 @@
         if request.pending == 0:
             self.requests.pop(request.id, None)
 
-    def on_gone(self, event: api.ClientGone | api.StreamStarted) -> None:  # what is out still has its outcome
+    def on_gone(
+        self, event: interface.ClientGone | interface.StreamStarted
+    ) -> None:  # what is out still has its outcome
         if event.request in self.requests:
             self.end(self.requests[event.request])
 
-    def on_timer(self, event: api.Timer) -> None:
+    def on_timer(self, event: interface.Timer) -> None:
         if event.token == REPORT:
             self.report()
-            self.actions.append(api.SetTimer(REPORT, self.report_after * (0.75 + 0.5 * self.random.random())))
+            self.actions.append(
+                interface.SetTimer(REPORT, self.report_after * (0.75 + 0.5 * self.random.random()))
+            )
         elif event.token == TICK:
-            self.actions.append(api.SetTimer(TICK, self.tick))
+            self.actions.append(interface.SetTimer(TICK, self.tick))
             self.refill()
             if self.now >= self.ask_at:
                 self.ask()
@@ -902,17 +924,17 @@
             self.copy_stranded()
 
     HANDLERS: ClassVar[dict[type, Callable[..., None]]] = {
-        api.Start: on_start,
-        api.Membership: on_membership,
-        api.Maintenance: on_maintenance,
-        api.Elsewhere: on_elsewhere,
-        api.Job: on_job,
-        api.Outcome: on_outcome,
-        api.Notice: on_notice,
-        api.StreamStarted: on_gone,
-        api.ClientGone: on_gone,
-        api.PeerMessage: on_peer,
-        api.Timer: on_timer,
-        api.Stalled: on_stalled,
-        api.ProbeResult: on_probed,
+        interface.Start: on_start,
+        interface.Membership: on_membership,
+        interface.Maintenance: on_maintenance,
+        interface.Elsewhere: on_elsewhere,
+        interface.Job: on_job,
+        interface.Outcome: on_outcome,
+        interface.Notice: on_notice,
+        interface.StreamStarted: on_gone,
+        interface.ClientGone: on_gone,
+        interface.PeerMessage: on_peer,
+        interface.Timer: on_timer,
+        interface.Stalled: on_stalled,
+        interface.ProbeResult: on_probed,
     }
--- a/beaconhinge/books/record.py
+++ b/beaconhinge/quota_snapshots/record.py
@@ -10,11 +10,11 @@
 
 import msgspec
 
-from ospreyroute import decide, fleet
-from ospreyroute.api import Settings
-from ospreyroute.decide import Dispatcher
-
+from ..gossip import aggregation
 from ..management.handover import fingerprint
+from ..policy import dispatcher as policy
+from ..policy.dispatcher import Dispatcher
+from ..policy.interface import Settings
 
 VERSION = 1
 FUTURE = 1.0  # seconds by which a record may lie ahead of the clock: clocks are set now and then
@@ -123,23 +123,25 @@
     dispatcher.mean_work, dispatcher.pace = record.mean_work, record.pace
     dispatcher.job_time = record.job_time
     # Its reports carry on the smoothed figures instead of starting them anew.
-    dispatcher.smoothed_from = now - fleet.MEMORY * dispatcher.report_after
-    dispatcher.rate = record.rate * (1 + decide.STEP) ** (age / decide.CONTROL_AFTER)
+    dispatcher.smoothed_from = now - aggregation.MEMORY * dispatcher.report_after
+    dispatcher.rate = record.rate * (1 + policy.STEP) ** (age / policy.CONTROL_AFTER)
     for peer in record.peers:
-        kept = fleet.Peer(peer.incarnation, peer.sequence, now - peer.silent - age, peer.known, peer.span)
-        if peer.silent + age <= fleet.SILENT_REPORTS * peer.span:
+        kept = aggregation.Peer(
+            peer.incarnation, peer.sequence, now - peer.silent - age, peer.known, peer.span
+        )
+        if peer.silent + age <= aggregation.SILENT_REPORTS * peer.span:
             kept.demand = {(tenant, cls): rate for tenant, cls, rate in peer.demand}
             kept.admitted = peer.admitted
         if peer.number in dispatcher.fleet.mates:
             dispatcher.fleet.peers[peer.number] = kept
     for bucket in record.buckets:
-        most = max(decide.BURST * bucket.rate, decide.BURST_JOBS * record.mean_work)
-        tokens = 0.0 if bucket.rate == decide.INF else min(bucket.tokens + age * bucket.rate, most)
-        dispatcher.buckets[bucket.tenant, bucket.cls] = decide._Bucket(
+        most = max(policy.BURST * bucket.rate, policy.BURST_JOBS * record.mean_work)
+        tokens = 0.0 if bucket.rate == policy.INF else min(bucket.tokens + age * bucket.rate, most)
+        dispatcher.buckets[bucket.tenant, bucket.cls] = policy._Bucket(
             0.0, 0.0, bucket.demand, bucket.admitted, tokens, bucket.rate
         )
     dispatcher.part = dispatcher.own_part(dispatcher.total_demand()) if not dispatcher.many else record.part
     for tenant, level in enumerate(record.quota):
         rate = told.tenants[tenant].quota_rps * dispatcher.part
-        most = max(decide.BURST_JOBS, decide.BURST * rate)
+        most = max(policy.BURST_JOBS, policy.BURST * rate)
         dispatcher.quota[tenant] = min(level + age * rate, most)
--- a/beaconhinge/books/keeper.py
+++ b/beaconhinge/quota_snapshots/writer.py
@@ -2,11 +2,10 @@
 
 from __future__ import annotations
 
-from ospreyroute.decide import Dispatcher
-
-from ..stats import Stats
+from ..policy.dispatcher import Dispatcher
+from ..runtime.metrics import Stats
+from ..runtime.timer_wheel import Wheel
 from ..store import Put, Store, StoreError
-from ..wheel import Wheel
 from . import record
 
 KEY = b"books"
--- a/beaconhinge/recovery/stall.py
+++ b/beaconhinge/recovery/stall.py
@@ -8,12 +8,16 @@
 from collections import deque
 from dataclasses import dataclass
 
-from ospreyroute import api
+from ..policy import interface
 
 KEPT = 8  # stalls remembered; an attempt that outlasts more of them is judged by the last ones
 
 # What an attempt that a stall may have ended is told as: ended by us, and whether it can have run.
-EXCUSED = {api.TIMEOUT: api.CANCELLED, api.RESET: api.CANCELLED, api.NO_CONNECTION: api.NOT_SENT}
+EXCUSED = {
+    interface.TIMEOUT: interface.CANCELLED,
+    interface.RESET: interface.CANCELLED,
+    interface.NO_CONNECTION: interface.NOT_SENT,
+}
 
 
 @dataclass(frozen=True, slots=True)
--- a/ospreyroute/benchlink.py
+++ b/beaconhinge/simulator.py
@@ -7,8 +7,8 @@
 from collections.abc import Callable
 from typing import Any, TextIO
 
-from . import api
-from .decide import Dispatcher
+from .policy import interface
+from .policy.dispatcher import Dispatcher
 
 
 class WireError(Exception):
@@ -71,13 +71,13 @@
 
     def outcome(self, at: int, name: str) -> str:
         value = self.text(at, name)
-        if value not in api.OUTCOMES:
+        if value not in interface.OUTCOMES:
             raise self.fail(name, f"{value!r} is no outcome")
         return value
 
 
-def _job(line: _Line) -> api.Job:
-    return api.Job(
+def _job(line: _Line) -> interface.Job:
+    return interface.Job(
         line.whole(2, "call"),
         line.whole(3, "cls"),
         line.whole(4, "clientGroup", 0),
@@ -90,8 +90,8 @@
     )
 
 
-def _resolved(line: _Line) -> api.Outcome:
-    return api.Outcome(
+def _resolved(line: _Line) -> interface.Outcome:
+    return interface.Outcome(
         line.whole(2, "call"),
         line.whole(3, "worker"),
         line.whole(7, "seqNo"),
@@ -103,8 +103,8 @@
     )
 
 
-def _notice(line: _Line) -> api.Notice:
-    return api.Notice(
+def _notice(line: _Line) -> interface.Notice:
+    return interface.Notice(
         line.whole(2, "call"),
         line.whole(3, "worker"),
         line.whole(4, "seqNo"),
@@ -113,18 +113,18 @@
     )
 
 
-def _head(line: _Line) -> api.StreamStarted:
-    return api.StreamStarted(
+def _head(line: _Line) -> interface.StreamStarted:
+    return interface.StreamStarted(
         line.whole(2, "call"), line.whole(3, "worker"), line.whole(5, "seqNo"), line.number(4, "latency", 0.0)
     )
 
 
-def _peer(line: _Line) -> api.PeerMessage:
-    return api.PeerMessage(line.whole(2, "originPeer"), line.raw(3, "contents"))
+def _peer(line: _Line) -> interface.PeerMessage:
+    return interface.PeerMessage(line.whole(2, "originPeer"), line.raw(3, "contents"))
 
 
-def _probe(line: _Line) -> api.ProbeResult:
-    return api.ProbeResult(
+def _probe(line: _Line) -> interface.ProbeResult:
+    return interface.ProbeResult(
         line.whole(2, "worker"),
         line.outcome(3, "outcome"),
         line.number(4, "latency", 0.0),
@@ -132,15 +132,15 @@
     )
 
 
-PARSERS: dict[str, Callable[[_Line], api.Event]] = {
+PARSERS: dict[str, Callable[[_Line], interface.Event]] = {
     "WORK_ITEM": _job,
     "RESOLVED": _resolved,
     "NOTICE": _notice,
     "HEAD_RECEIVED": _head,
     "NEIGHBOUR_SAYS": _peer,
     "CHECK_RESULT": _probe,
-    "REMINDER": lambda line: api.Timer(line.whole(2, "tag")),
-    "VANISHED": lambda line: api.ClientGone(line.whole(2, "call")),
+    "REMINDER": lambda line: interface.Timer(line.whole(2, "tag")),
+    "VANISHED": lambda line: interface.ClientGone(line.whole(2, "call")),
 }
 
 
@@ -149,17 +149,17 @@
 
 
 FORMATS: dict[type, Callable[[int, Any], str]] = {
-    api.Send: lambda i, a: f"TRANSMIT\t{i}\t{a.request}\t{_decimal(a.timeout)}\t{a.worker}\n",
-    api.Refuse: lambda i, a: f"DECLINE\t{i}\t{a.request}\t{_decimal(a.retry_after)}\n",
-    api.Abort: lambda i, a: f"ABORT\t{i}\t{a.request}\n",
-    api.Cancel: lambda i, a: f"DROP_ATTEMPT\t{i}\t{a.request}\t{a.attempt}\n",
-    api.SetTimer: lambda i, a: f"NOTIFY_ME\t{i}\t{a.token}\t{_decimal(a.after)}\n",
-    api.Subscribe: lambda i, a: f"STREAM_CHANGES\t{i}\t{int(a.on)}\n",
-    api.Fetch: lambda i, a: f"LOOKUP\t{i}\n",
-    api.Probe: lambda i, a: f"INSPECT\t{i}\t{a.worker}\n",
-    api.Disconnect: lambda i, a: f"LET_GO\t{i}\t{a.worker}\n",
-    api.Tell: lambda i, a: f"BROADCAST_TO\t{i}\t{a.peer}\t{a.payload.hex() or '-'}\n",
-    api.Log: lambda i, a: f"RECORD\t{i}\t{' '.join(a.text.split())}\n",
+    interface.Send: lambda i, a: f"TRANSMIT\t{i}\t{a.request}\t{_decimal(a.timeout)}\t{a.worker}\n",
+    interface.Refuse: lambda i, a: f"DECLINE\t{i}\t{a.request}\t{_decimal(a.retry_after)}\n",
+    interface.Abort: lambda i, a: f"ABORT\t{i}\t{a.request}\n",
+    interface.Cancel: lambda i, a: f"DROP_ATTEMPT\t{i}\t{a.request}\t{a.attempt}\n",
+    interface.SetTimer: lambda i, a: f"NOTIFY_ME\t{i}\t{a.token}\t{_decimal(a.after)}\n",
+    interface.Subscribe: lambda i, a: f"STREAM_CHANGES\t{i}\t{int(a.on)}\n",
+    interface.Fetch: lambda i, a: f"LOOKUP\t{i}\n",
+    interface.Probe: lambda i, a: f"INSPECT\t{i}\t{a.worker}\n",
+    interface.Disconnect: lambda i, a: f"LET_GO\t{i}\t{a.worker}\n",
+    interface.Tell: lambda i, a: f"BROADCAST_TO\t{i}\t{a.peer}\t{a.payload.hex() or '-'}\n",
+    interface.Log: lambda i, a: f"RECORD\t{i}\t{' '.join(a.text.split())}\n",
 }
 
 
@@ -222,7 +222,7 @@
         self.sink.flush()
         return number
 
-    def handle(self, now: float, instance: int, event: api.Event, reply: list[str]) -> None:
+    def handle(self, now: float, instance: int, event: interface.Event, reply: list[str]) -> None:
         dispatcher = self.instances.get(instance)
         if dispatcher is None:
             return
@@ -247,15 +247,15 @@
                 raise line.fail("profileData", f"{part!r} is not a path=value pair")
             pairs[key] = value
         try:
-            self.instances[instance] = Dispatcher(api.Settings.from_pairs(pairs), seed)
+            self.instances[instance] = Dispatcher(interface.Settings.from_pairs(pairs), seed)
         except ValueError as error:
             self.crash(instance, error, reply)
             return
-        self.handle(now, instance, api.Start(), reply)
+        self.handle(now, instance, interface.Start(), reply)
 
     def membership(self, now: float, line: _Line, index: str, number: int, reply: list[str]) -> int:
         how = line.text(2, "how")
-        if how not in (api.CHANGES, api.SNAPSHOT, api.REMEMBERED, api.REFUSED):
+        if how not in (interface.CHANGES, interface.SNAPSHOT, interface.REMEMBERED, interface.REFUSED):
             raise line.fail("how", f"{how!r} is not known")
         members = []
         for _ in range(line.whole(4, "rows", 0)):
@@ -266,10 +266,10 @@
             if parts[0] != "ITEM":
                 raise item.fail("rows", "the count of entries is wrong")
             status = item.text(3, "health")
-            if status not in (api.UP, api.DRAINING, api.GONE):
+            if status not in (interface.UP, interface.DRAINING, interface.GONE):
                 raise item.fail("health", f"{status!r} is not known")
             members.append(
-                api.Member(
+                interface.Member(
                     item.whole(4, "worker"),
                     status,
                     item.whole(1, "classOfHost", 0),
@@ -279,7 +279,7 @@
                     item.number(6, "onlineSince", 0.0),
                 )
             )
-        event = api.Membership(how, line.whole(3, "version", 0), members)
+        event = interface.Membership(how, line.whole(3, "version", 0), members)
         self.handle(now, line.whole(1, "dispatcher"), event, reply)
         return number
 
--- a/beaconhinge/standin/committer.py
+++ b/beaconhinge/standin/committer.py
@@ -11,7 +11,7 @@
 import os
 import sys
 
-from beaconhinge.store import Delete, Options, Put, Store
+from ..store import Delete, Options, Put, Store
 
 WRITERS = 8
 OPTIONS = Options(segment_bytes=16 * 1024, compact_bytes_per_s=64 * 1024 * 1024, compact_dead_share=0.3)
--- a/beaconhinge/standin/fleet/boxes.py
+++ b/beaconhinge/standin/fleet/workers.py
@@ -8,8 +8,7 @@
 from dataclasses import dataclass, field
 from functools import partial
 
-from ospreyroute import api
-
+from ...policy import interface
 from .clock import Clock
 from .plan import Kind
 
@@ -56,7 +55,7 @@
     zone: int
     cell: int
     speed: float
-    state: str = api.UP
+    state: str = interface.UP
     reachable: bool = True
     started_at: float = 0.0  # 0: long ago
     cold_for: float = 0.0
@@ -83,7 +82,7 @@
     def _report(self, period: float) -> None:
         free, depth = float(self.of.slots - self._taken), float(len(self.queue))
         self.clock.after(self.random.uniform(0.05, 0.44), partial(self._show, free, depth))
-        if self.state != api.GONE:
+        if self.state != interface.GONE:
             self.clock.after(period, partial(self._report, period))
 
     def _show(self, free: float, depth: float) -> None:
@@ -131,7 +130,7 @@
         self._carry_on()
         for attempt in [a for a in self.running if a.left <= 1e-5]:
             self.running.remove(attempt)
-            self.tell.ended(attempt, api.SERVED, self.load)
+            self.tell.ended(attempt, interface.SERVED, self.load)
         self._fill()
         self._plan()
 
@@ -155,10 +154,10 @@
     def arrive(self, attempt: Attempt) -> None:
         if not attempt.open or not self.reachable or self.hung:
             return  # given up, lost on the way, or taken for ever: its sender finds out by time
-        if self.state != api.UP or len(self.queue) >= QUEUE_PER_CORE * self.of.cores:
-            self.tell.ended(attempt, api.FULL, self.load)
+        if self.state != interface.UP or len(self.queue) >= QUEUE_PER_CORE * self.of.cores:
+            self.tell.ended(attempt, interface.FULL, self.load)
         elif self.fails_fast:
-            self.clock.after(FAIL_FAST, partial(self.tell.ended, attempt, api.ERROR, self.load))
+            self.clock.after(FAIL_FAST, partial(self.tell.ended, attempt, interface.ERROR, self.load))
         else:
             if self.warmth(self.clock.now) < 1.0:
                 self._weigh(attempt)
@@ -193,22 +192,22 @@
 
     def drain(self) -> None:
         """Complete what runs, hand back what waits, take nothing new."""
-        self.state = api.DRAINING
+        self.state = interface.DRAINING
         waiting, self.queue = self.queue, deque()
         for attempt in waiting:
-            self.tell.ended(attempt, api.FULL, {"x0": 0.0})
+            self.tell.ended(attempt, interface.FULL, {"x0": 0.0})
 
     def lose(self) -> None:
         """The machine is cut off: what it held breaks, and nobody hears from it any more."""
         self._carry_on()
-        self.reachable, self.state = False, api.GONE
+        self.reachable, self.state = False, interface.GONE
         held, self.running, self.queue = [*self.running, *self.queue], [], deque()
         self._plan()
         for attempt in held:
-            self.tell.ended(attempt, api.RESET, None)
+            self.tell.ended(attempt, interface.RESET, None)
 
     def start(self, cold_for: float) -> None:
         """Up again, or for the first time, and cold."""
-        self.reachable, self.state = True, api.UP
+        self.reachable, self.state = True, interface.UP
         self.started_at, self.cold_for = self.clock.now, cold_for
         self._sent.clear()
--- a/beaconhinge/standin/fleet/world.py
+++ b/beaconhinge/standin/fleet/world.py
@@ -9,13 +9,12 @@
 from dataclasses import dataclass, field
 from functools import partial
 
-from ospreyroute import api
-from ospreyroute.decide import Dispatcher
-
-from .boxes import Attempt, Box, Reports
+from ...policy import interface
+from ...policy.dispatcher import Dispatcher
 from .clock import Clock
 from .discovery import Discovery
 from .plan import Plan, Sort, settings
+from .workers import Attempt, Box, Reports
 
 EPOCH = 1e6  # the modules' clock does not begin at nought
 LEAST_DATAGRAM = 16  # bytes that a datagram is charged with at least, as the operators' price shows
@@ -30,8 +29,12 @@
 BURST, SLOWED, CAUSE = 1.5, 0.6, 5.0  # times the traffic, times the pace of each box, for so many seconds
 GRACE = 0.05  # seconds, as the rules have them on sockets
 WARM_FROM = 0.1  # seconds before the told end of warming up from which on a box is not counted as cold
-OWN_WORD = (api.NO_CONNECTION, api.TIMEOUT, api.CANCELLED)  # outcomes that a dispatcher finds by itself
-Modules = Callable[[api.Settings, int], Dispatcher]
+OWN_WORD = (
+    interface.NO_CONNECTION,
+    interface.TIMEOUT,
+    interface.CANCELLED,
+)  # outcomes that a dispatcher finds by itself
+Modules = Callable[[interface.Settings, int], Dispatcher]
 
 
 @dataclass(eq=False)
@@ -53,7 +56,9 @@
     def harmless(self) -> bool:
         """To run it twice, wherever that is."""
         sort = self.sort
-        return sort.semantics == api.RETRYABLE or sort.semantics == api.DEDUP and sort.group == "all"
+        return (
+            sort.semantics == interface.RETRYABLE or sort.semantics == interface.DEDUP and sort.group == "all"
+        )
 
 
 @dataclass(eq=False)
@@ -156,9 +161,9 @@
         box.stall(self.random.uniform(0.0, self.plan.pause))
         self.clock.after(self.random.uniform(4, 11), partial(self._stall, box))
 
-    def _member(self, box: Box, state: str | None = None) -> api.Member:
+    def _member(self, box: Box, state: str | None = None) -> interface.Member:
         started = EPOCH + box.started_at if box.started_at else 0.0
-        return api.Member(box.id, state or box.state, box.kind, box.cell, box.zone, 1.0, started)
+        return interface.Member(box.id, state or box.state, box.kind, box.cell, box.zone, 1.0, started)
 
     def _publish(self, boxes: list[Box], state: str) -> None:
         self.discovery.publish([self._member(box, state) for box in boxes])
@@ -166,7 +171,7 @@
     # ---- dispatchers ---------------------------------------------------------------------------------------
 
     def _module(self, number: int) -> Dispatcher:
-        told = api.Settings.from_pairs(
+        told = interface.Settings.from_pairs(
             {
                 **self.told,
                 "groupSize": str(self.plan.dispatchers),
@@ -182,8 +187,8 @@
         node.version = 0
         if node.life > 1:
             node.module = self._module(node.number)
-        self.feed(node, api.Start())
-        self.feed(node, api.Membership(api.REMEMBERED, 0, list(self.remembered)))
+        self.feed(node, interface.Start())
+        self.feed(node, interface.Membership(interface.REMEMBERED, 0, list(self.remembered)))
 
     def _kill(self, node: Node) -> None:
         node.up = False
@@ -197,45 +202,45 @@
                 request.answered = True
                 self._answer(request.wish, "failed", 0.0)
 
-    def feed(self, node: Node, event: api.Event) -> None:
+    def feed(self, node: Node, event: interface.Event) -> None:
         if not node.up:
             return
-        if isinstance(event, api.Membership) and event.how != api.REFUSED:
+        if isinstance(event, interface.Membership) and event.how != interface.REFUSED:
             node.version = event.version
             for member in event.members:
-                if member.status == api.UP:
+                if member.status == interface.UP:
                     node.drained.pop(member.worker, None)
                 else:
                     node.drained.setdefault(member.worker, self.clock.now)
         for action in node.module.handle(EPOCH + self.clock.now, event):
             self._carry_out(node, action)
 
-    def _listed(self, number: int, event: api.Membership) -> None:
+    def _listed(self, number: int, event: interface.Membership) -> None:
         self.feed(self.nodes[number], event)
 
     def _timer(self, node: Node, life: int, token: int) -> None:
         if node.life == life:
-            self.feed(node, api.Timer(token))
+            self.feed(node, interface.Timer(token))
 
-    def _carry_out(self, node: Node, action: api.Action) -> None:
+    def _carry_out(self, node: Node, action: interface.Action) -> None:
         match action:
-            case api.SetTimer():
+            case interface.SetTimer():
                 self.clock.after(action.after, partial(self._timer, node, node.life, action.token))
-            case api.Send():
+            case interface.Send():
                 self._send(node.requests[action.request], self.boxes[action.worker])
-            case api.Refuse() | api.Abort():
+            case interface.Refuse() | interface.Abort():
                 self._final(node.requests[action.request], action)
-            case api.Cancel():
-                self._ended(node.requests[action.request].attempts[action.attempt], api.CANCELLED, None)
-            case api.Tell():
+            case interface.Cancel():
+                self._ended(node.requests[action.request].attempts[action.attempt], interface.CANCELLED, None)
+            case interface.Tell():
                 self._tell(node, action)
-            case api.Probe():
+            case interface.Probe():
                 self.count["probes"] += 1
                 self._probe(node, self.boxes[action.worker])
-            case api.Subscribe():
+            case interface.Subscribe():
                 self.discovery.call(node.number, node.version)
 
-    def _tell(self, node: Node, action: api.Tell) -> None:
+    def _tell(self, node: Node, action: interface.Tell) -> None:
         for other in self.nodes if action.peer < 0 else [self.nodes[action.peer]]:
             if other is not node:
                 self.count["datagrams"] += 1
@@ -243,12 +248,12 @@
                     self.count["charged"] += max(LEAST_DATAGRAM, len(action.payload))
                 cut = self.clock.now < self.cut_until and node.zone != other.zone
                 if not cut and self.random.random() >= self.plan.loss:
-                    message = api.PeerMessage(node.number, action.payload)
+                    message = interface.PeerMessage(node.number, action.payload)
                     self.clock.after(self.random.uniform(*PEER_HOP), partial(self.feed, other, message))
 
     def _probe(self, node: Node, box: Box) -> None:
         if box.reachable and not box.hung and not self._apart(node, box):
-            told = api.ProbeResult(box.id, api.SERVED, 0.001, box.load)
+            told = interface.ProbeResult(box.id, interface.SERVED, 0.001, box.load)
             self.clock.after(2 * self._hop(), partial(self.feed, node, told))
 
     def _apart(self, node: Node, box: Box) -> bool:
@@ -270,23 +275,23 @@
         self.count["attempts"] += 1
         self.count["cross_zone"] += box.zone != node.zone
         if not box.reachable or self._apart(node, box):
-            self.clock.after(CONNECT, partial(self._ended, attempt, api.NO_CONNECTION, None))
-        elif box.state == api.GONE:
-            self.clock.after(self._hop(), partial(self._ended, attempt, api.NO_CONNECTION, None))
+            self.clock.after(CONNECT, partial(self._ended, attempt, interface.NO_CONNECTION, None))
+        elif box.state == interface.GONE:
+            self.clock.after(self._hop(), partial(self._ended, attempt, interface.NO_CONNECTION, None))
         else:
             self.clock.after(self._hop(), partial(box.arrive, attempt))
-        self.clock.after(request.deadline - now, partial(self._ended, attempt, api.TIMEOUT, None))
+        self.clock.after(request.deadline - now, partial(self._ended, attempt, interface.TIMEOUT, None))
 
     def _check_send(self, request: Request, box: Box) -> None:
         gone = request.node.drained.get(box.id)
         if gone is not None and self.clock.now > gone + 0.4 + GRACE:
             self.broken.append(f"a send to a box known to drain for {self.clock.now - gone:.2f} s")
         sort, ran = request.wish.sort, [a for a in request.attempts if a.started or a.open]
-        if sort.semantics == api.DEDUP and ran:
+        if sort.semantics == interface.DEDUP and ran:
             apart = {"cell": ran[0].box.cell != box.cell, "zone": ran[0].box.zone != box.zone}
             if apart.get(sort.group) or self.clock.now > ran[0].sent_at + sort.window + GRACE:
                 self.broken.append("a keyed job that may have run was sent out of its group, or too late")
-        if sort.semantics == api.FRAGILE and ran:
+        if sort.semantics == interface.FRAGILE and ran:
             self.broken.append("a fragile job that may have run was sent again")
         if not self.plan.site.may_duplicate and any(a.open for a in request.attempts):
             self.broken.append("two attempts out of one request")
@@ -318,16 +323,18 @@
     def _started(self, attempt: Attempt) -> None:
         if attempt.open:
             self.waits.append(self.clock.now - attempt.sent_at)
-            self.clock.after(self._hop(), partial(self._notice, attempt, api.STARTED, 0.0))
+            self.clock.after(self._hop(), partial(self._notice, attempt, interface.STARTED, 0.0))
 
     def _progress(self, attempt: Attempt, share: float) -> None:
-        self._notice(attempt, api.PROGRESS, share)
+        self._notice(attempt, interface.PROGRESS, share)
 
     def _notice(self, attempt: Attempt, what: int, share: float) -> None:
         request = attempt.owner
         assert isinstance(request, Request)
         if attempt.open and request.live and not self._apart(request.node, attempt.box):
-            self.feed(request.node, api.Notice(request.number, attempt.box.id, attempt.number, what, share))
+            self.feed(
+                request.node, interface.Notice(request.number, attempt.box.id, attempt.number, what, share)
+            )
 
     def _ended(self, attempt: Attempt, outcome: str, load: dict[str, float] | None) -> None:
         request = attempt.owner
@@ -337,9 +344,9 @@
         if outcome not in OWN_WORD and self._apart(request.node, attempt.box):
             return  # lost on the way: its sender finds out by time
         attempt.open = False
-        attempt.started = attempt.started or outcome not in api.PROVEN_UNRUN
+        attempt.started = attempt.started or outcome not in interface.PROVEN_UNRUN
         self.count["outcome_" + outcome] += 1
-        if outcome == api.SERVED and not request.answered:
+        if outcome == interface.SERVED and not request.answered:
             request.answered = True
             self._answer(request.wish, "served", 0.0)
         # The module hears of it when its present event is dealt with.
@@ -352,7 +359,7 @@
             latency = self.clock.now - attempt.sent_at
             self.feed(
                 request.node,
-                api.Outcome(
+                interface.Outcome(
                     request.number, attempt.box.id, attempt.number, outcome, request.answered, latency, load
                 ),
             )
@@ -360,14 +367,14 @@
 
     # ---- clients -------------------------------------------------------------------------------------------
 
-    def _final(self, request: Request, action: api.Refuse | api.Abort) -> None:
-        refused = isinstance(action, api.Refuse)
+    def _final(self, request: Request, action: interface.Refuse | interface.Abort) -> None:
+        refused = isinstance(action, interface.Refuse)
         if request.answered:
             self.broken.append("a second final answer")
         elif refused and not request.wish.harmless and any(a.started or a.open for a in request.attempts):
             self.broken.append("a job was refused that may have run")
         request.answered = True
-        after = action.retry_after if isinstance(action, api.Refuse) else 0.0
+        after = action.retry_after if isinstance(action, interface.Refuse) else 0.0
         self._answer(request.wish, "refused" if refused else "failed", after)
         self._forget(request)
 
@@ -397,8 +404,8 @@
         request = Request(wish, node, node.life, node.last_number, self.clock.now + left)
         node.requests[request.number] = request
         self.clock.after(left + GRACE, partial(self._overdue, request))
-        flags = api.REPEAT if repeat else 0
-        job = api.Job(request.number, wish.cls, wish.tenant, left, slots=float(wish.slots), flags=flags)
+        flags = interface.REPEAT if repeat else 0
+        job = interface.Job(request.number, wish.cls, wish.tenant, left, slots=float(wish.slots), flags=flags)
         self.feed(node, job)
 
     def _overdue(self, request: Request) -> None:
@@ -481,43 +488,43 @@
             box.lose()
         for wave in range(3):
             part = lost[wave::3]
-            self.clock.after(3.0 + 0.4 * wave, partial(self._publish, part, api.GONE))
+            self.clock.after(3.0 + 0.4 * wave, partial(self._publish, part, interface.GONE))
             self.clock.after(self.plan.lost_for + 0.35 * wave, partial(self._come_back, part))
 
     def _come_back(self, boxes: list[Box]) -> None:
         for box in boxes:
             box.start(self.random.uniform(*COLD))
-        self.clock.after(self.random.uniform(0.2, 0.5), partial(self._publish, boxes, api.UP))
+        self.clock.after(self.random.uniform(0.2, 0.5), partial(self._publish, boxes, interface.UP))
 
     def _swap(self, old: list[Box]) -> None:
         """Drain some boxes, and start as many new ones."""
         for box in old:
             box.drain()
             self.clock.after(self.random.uniform(2.0, 4.0), partial(self._end_box, box))
-        self.clock.after(0.45, partial(self._publish, old, api.DRAINING))
+        self.clock.after(0.45, partial(self._publish, old, interface.DRAINING))
         fresh = [self._new_box(box.kind, box.zone) for box in old]
         for box in fresh:
-            box.state = api.GONE
+            box.state = interface.GONE
         self.clock.after(1.5, partial(self._come_up, fresh))
 
     def _come_up(self, boxes: list[Box]) -> None:
         for box in boxes:
             box.start(self.random.uniform(*COLD))
-        self.clock.after(0.7, partial(self._publish, boxes, api.UP))
+        self.clock.after(0.7, partial(self._publish, boxes, interface.UP))
 
     def _drain_some(self) -> None:
         """Some begin to drain and stay so, and nobody takes their place."""
         leaving = self.random.sample(list(self.boxes.values()), max(1, round(DRAINED * len(self.boxes))))
         for box in leaving:
             box.drain()
-        self.clock.after(0.45, partial(self._publish, leaving, api.DRAINING))
+        self.clock.after(0.45, partial(self._publish, leaving, interface.DRAINING))
 
     def _end_box(self, box: Box) -> None:
         if box.running:
             self.clock.after(0.5, partial(self._end_box, box))
         else:
-            box.state = api.GONE
-            self.clock.after(2.0, partial(self._publish, [box], api.GONE))
+            box.state = interface.GONE
+            self.clock.after(2.0, partial(self._publish, [box], interface.GONE))
 
     def _replace(self) -> None:
         """Six in ten boxes are replaced within 7 s."""
--- a/beaconhinge/standin/scene.py
+++ b/beaconhinge/standin/harness.py
@@ -18,11 +18,11 @@
 from ..errors import Error
 from ..net import http1
 from ..net.http1 import BadMessage, Closed
-from .boxes import Box
 from .clients import Clients, Kind
 from .discovery import Discovery
 from .http import Caller
 from .ports import free_port
+from .workers import Box
 
 KINDS = (Kind("render", 0.9, 7500), Kind("publish", 0.1, 25000, keyed=True))
 MEANS = {"render": 0.15, "publish": 1.5}
--- a/beaconhinge/standin/rig/judge.py
+++ b/beaconhinge/standin/rig/judge.py
@@ -8,7 +8,7 @@
 from itertools import islice
 from typing import TYPE_CHECKING
 
-from ...inventory import worker_number
+from ...membership.inventory import worker_number
 from . import shim
 from .clients import GRACE
 from .verdict import (
--- a/beaconhinge/standin/rig/process.py
+++ b/beaconhinge/standin/rig/process.py
@@ -12,7 +12,7 @@
 from signal import SIGCONT, SIGSTOP, Signals
 from typing import Any
 
-from ..scene import SceneError, end, log_lines, start, until_up
+from ..harness import SceneError, end, log_lines, start, until_up
 
 
 class Process:
--- a/beaconhinge/standin/rig/runner.py
+++ b/beaconhinge/standin/rig/runner.py
@@ -19,11 +19,11 @@
 from ...net.keys import OWNER
 from ...recovery import keys
 from ...store import Put, Store
-from ..boxes import Box, Rack
 from ..discovery import Discovery
+from ..harness import SETTINGS
 from ..http import Server
 from ..ports import free_ports
-from ..scene import SETTINGS
+from ..workers import Box, Rack
 from . import shim
 from .clients import Clients
 from .judge import judged
--- a/beaconhinge/standin/rig/scenario.py
+++ b/beaconhinge/standin/rig/scenario.py
@@ -11,8 +11,8 @@
 import msgspec
 
 from ...errors import Error
-from ..boxes import Trouble
 from ..discovery import Spoil
+from ..workers import Trouble
 
 Drawn = Literal["stop", "kill", "term", "cut", "lossy"]
 FAULTS: tuple[Drawn, ...] = ("stop", "stop", "kill", "term", "cut", "lossy")
--- a/beaconhinge/standin/rig/soak.py
+++ b/beaconhinge/standin/rig/soak.py
@@ -9,8 +9,8 @@
 
 import msgspec
 
-from ..boxes import Trouble
 from ..discovery import Spoil
+from ..workers import Trouble
 from .scenario import Fault, Scenario
 
 SECONDS = 17.0
--- a/beaconhinge/standin/rig/verdict.py
+++ b/beaconhinge/standin/rig/verdict.py
@@ -8,7 +8,7 @@
 
 import msgspec
 
-from ..boxes import Deadline
+from ..workers import Deadline
 
 Span = tuple[float, float]
 
--- a/benchmarks/lean.py
+++ b/benchmarks/lean.py
@@ -17,7 +17,7 @@
 from pathlib import Path
 from statistics import median
 
-from beaconhinge.standin.scene import Scene
+from beaconhinge.standin.harness import Scene
 
 HERE = Path(__file__).resolve().parents[1]
 RATE, SECONDS = 60.0, 6.0
--- a/benchmarks/leases.py
+++ b/benchmarks/leases.py
@@ -24,16 +24,16 @@
 
 import uvloop
 
-from beaconhinge.clock import Clock
-from beaconhinge.config.ours import Leases as Settings
+from beaconhinge.config.local import Leases as Settings
 from beaconhinge.net.leases import Leases
 from beaconhinge.net.peers import Peers
+from beaconhinge.runtime.clock import Clock
+from beaconhinge.runtime.metrics import Stats
+from beaconhinge.runtime.timer_wheel import Wheel
 from beaconhinge.standin.ports import free_port
 from beaconhinge.standin.rig import Scenario
 from beaconhinge.standin.rig.runner import ScenarioRun
-from beaconhinge.stats import Stats
 from beaconhinge.store import Store
-from beaconhinge.wheel import Wheel
 
 SPAN = 2.0
 
--- a/benchmarks/loglines.py
+++ b/benchmarks/loglines.py
@@ -13,7 +13,7 @@
 from typing import Literal, TextIO
 
 from beaconhinge.logs import writer
-from beaconhinge.stats import Stats
+from beaconhinge.runtime.metrics import Stats
 
 LINES, ROUNDS = 20_000, 5
 IMPORT = """
--- a/benchmarks/module.py
+++ b/benchmarks/module.py
@@ -13,21 +13,24 @@
 from collections import deque
 from pathlib import Path
 
+from beaconhinge.gossip import codec
+from beaconhinge.policy import interface
+from beaconhinge.policy.dispatcher import TICK, Dispatcher
 from beaconhinge.standin.fleet.plan import settings
-from ospreyroute import api, peerwire
-from ospreyroute.decide import TICK, Dispatcher
 
 GROUPS, FLEETS, EVENTS = (2, 10, 40, 200), (10, 60, 200, 600), 1500
 
 
 def module(group: int, workers: int) -> Dispatcher:
     told = {**settings(5.0 * workers, True), "groupSize": str(group), "myNumber": "0"}
-    made = Dispatcher(api.Settings.from_pairs(told), 1)
-    made.handle(1000.0, api.Start())
+    made = Dispatcher(interface.Settings.from_pairs(told), 1)
+    made.handle(1000.0, interface.Start())
     made.handle(
         1000.0,
-        api.Membership(
-            api.REMEMBERED, 1, [api.Member(n * 7919 + 1, cell=n % 6, zone=n % 2) for n in range(workers)]
+        interface.Membership(
+            interface.REMEMBERED,
+            1,
+            [interface.Member(n * 7919 + 1, cell=n % 6, zone=n % 2) for n in range(workers)],
         ),
     )
     return made
@@ -37,31 +40,34 @@
     """Seconds of CPU, in microseconds for each event of a kind."""
     made, draw, now, spent = module(group, workers), random.Random(1), 1000.0, dict.fromkeys(KINDS, 0.0)
     counted = dict.fromkeys(KINDS, 0)
-    out: deque[api.Send] = deque()
+    out: deque[interface.Send] = deque()
     depth = max(2, 3 * workers // group)
 
-    def feed(kind: str, event: api.Event) -> None:
+    def feed(kind: str, event: interface.Event) -> None:
         begun = time.process_time()
         actions = made.handle(now, event)
         spent[kind] += time.process_time() - begun
         counted[kind] += 1
         for sent in actions:
-            if isinstance(sent, api.Send):
+            if isinstance(sent, interface.Send):
                 out.append(sent)
-                feed("notice", api.Notice(sent.request, sent.worker, 0, api.STARTED))
+                feed("notice", interface.Notice(sent.request, sent.worker, 0, interface.STARTED))
 
     for number in range(EVENTS):
         now += 0.01
-        feed("job", api.Job(number, number % 2, number % 3, 20.0))
+        feed("job", interface.Job(number, number % 2, number % 3, 20.0))
         while len(out) > depth:
             done = out.popleft()
-            feed("outcome", api.Outcome(done.request, done.worker, 0, api.SERVED, True, 0.4, {"x0": 2.0}))
-        news = [(draw.getrandbits(14), peerwire.SENT) for _ in range(3)]
+            feed(
+                "outcome",
+                interface.Outcome(done.request, done.worker, 0, interface.SERVED, True, 0.4, {"x0": 2.0}),
+            )
+        news = [(draw.getrandbits(14), codec.SENT) for _ in range(3)]
         peer = 1 + number % min(group - 1, 39)
-        payload = peerwire.encode_news(peerwire.News(peer & 255, number & 255, news))
-        feed("datagram", api.PeerMessage(peer, payload))
+        payload = codec.encode_news(codec.News(peer & 255, number & 255, news))
+        feed("datagram", interface.PeerMessage(peer, payload))
         if number % 10 == 0:
-            feed("timer", api.Timer(TICK))
+            feed("timer", interface.Timer(TICK))
     return {kind: 1e6 * spent[kind] / max(1, counted[kind]) for kind in KINDS}
 
 
--- a/benchmarks/operations.py
+++ b/benchmarks/operations.py
@@ -16,8 +16,8 @@
 from pathlib import Path
 from statistics import median
 
+from beaconhinge.standin.harness import Scene
 from beaconhinge.standin.ports import free_port
-from beaconhinge.standin.scene import Scene
 
 RATE, CROWD, CALLS, UPGRADES = 60.0, 250, 200, 5
 
--- a/tests/books/test_books.py
+++ b/tests/books/test_books.py
@@ -13,14 +13,16 @@
 from hypothesis import strategies as st
 from world import GROUP, PAIRS, World
 
-from beaconhinge.books import record
-from beaconhinge.books.keeper import KEY, Keeper
+from beaconhinge.gossip import aggregation
+from beaconhinge.policy import dispatcher as policy
+from beaconhinge.policy import interface
+from beaconhinge.policy.dispatcher import Dispatcher
+from beaconhinge.quota_snapshots import record
+from beaconhinge.quota_snapshots.writer import KEY, Keeper
+from beaconhinge.runtime.metrics import Stats
+from beaconhinge.runtime.timer_wheel import Wheel
 from beaconhinge.standin.disk import SimDisk, failing
-from beaconhinge.stats import Stats
 from beaconhinge.store import Put, Store
-from beaconhinge.wheel import Wheel
-from ospreyroute import api, decide, fleet
-from ospreyroute.decide import Dispatcher
 
 SEEDS = range(1, 7)
 KILLED, BACK = 20.0, 21.0
@@ -61,18 +63,18 @@
     assert world.dropped == ["taken under other settings or in another group"]
 
 
-def settings(**changes: str) -> api.Settings:
-    return api.Settings.from_pairs({**PAIRS, "orgs.0.quotaRps": "6", **changes})
+def settings(**changes: str) -> interface.Settings:
+    return interface.Settings.from_pairs({**PAIRS, "orgs.0.quotaRps": "6", **changes})
 
 
 def busy(now: float = 1000.0) -> Dispatcher:
     dispatcher = Dispatcher(settings(), 1)
-    dispatcher.handle(now, api.Start())
+    dispatcher.handle(now, interface.Start())
     dispatcher.rate = 50.0
-    dispatcher.buckets[0, 0] = decide._Bucket(0.0, 0.0, 12.0, 9.0, 0.5, 4.0)
-    dispatcher.buckets[2, 0] = decide._Bucket(0.0, 0.0, 3.0, 3.0, 0.0, decide.INF)
+    dispatcher.buckets[0, 0] = policy._Bucket(0.0, 0.0, 12.0, 9.0, 0.5, 4.0)
+    dispatcher.buckets[2, 0] = policy._Bucket(0.0, 0.0, 3.0, 3.0, 0.0, policy.INF)
     for number, heard in ((1, now - 0.2), (2, now - 2.0)):
-        dispatcher.fleet.peers[number] = fleet.Peer(7, 5, heard, 2.0, 0.5, {(0, 0): 6.0}, 4.0)
+        dispatcher.fleet.peers[number] = aggregation.Peer(7, 5, heard, 2.0, 0.5, {(0, 0): 6.0}, 4.0)
     dispatcher.quota = [0.5, 1.0, 1.0]
     return dispatcher
 
@@ -80,7 +82,7 @@
 def restored(age: float) -> Dispatcher:
     taken = record.decode(record.encode(record.take(busy(), 1000.0)))
     dispatcher = Dispatcher(settings(), 2)
-    dispatcher.handle(1000.0 + age, api.Start())
+    dispatcher.handle(1000.0 + age, interface.Start())
     record.restore(dispatcher, taken, 1000.0 + age, record.check(taken, settings(), 1000.0 + age, 30.0))
     return dispatcher
 
@@ -143,7 +145,7 @@
         await Keeper(store, busy(), wheel, stats, 0.5, 30.0).write()
         now[0] += 1.0
         fresh = Dispatcher(settings(), 2)
-        fresh.handle(now[0], api.Start())
+        fresh.handle(now[0], interface.Start())
         assert Keeper(store, fresh, wheel, stats, 0.5, 30.0).restore()
         assert fresh.rate == pytest.approx(55.0) and "books_restored age=1.000" in log.getvalue()
         await store.commit([Put(KEY, b"rubbish")])
--- a/tests/books/world.py
+++ b/tests/books/world.py
@@ -12,9 +12,9 @@
 from dataclasses import dataclass
 from typing import Any
 
-from beaconhinge.books import record
-from ospreyroute import api
-from ospreyroute.decide import Dispatcher
+from beaconhinge.policy import interface
+from beaconhinge.policy.dispatcher import Dispatcher
+from beaconhinge.quota_snapshots import record
 
 SHARES = (0.54, 0.29, 0.17)
 GROUP, WORKERS, SLOTS, TIME = 3, 6, 4, 0.25  # 96 jobs a second fit
@@ -86,9 +86,9 @@
     def start(self, node: Node) -> None:
         node.life += 1
         node.attempts = Counter()
-        settings = api.Settings.from_pairs({**PAIRS, "myNumber": str(node.number)})
+        settings = interface.Settings.from_pairs({**PAIRS, "myNumber": str(node.number)})
         node.dispatcher = Dispatcher(settings, seed=node.number + 10 * node.life)
-        self.feed(node, api.Start())
+        self.feed(node, interface.Start())
         if self.keep_books and node.written:
             try:
                 found = record.decode(self.edit(node.written))
@@ -98,7 +98,10 @@
             except record.Stale as why:
                 self.dropped.append(str(why))
         self.feed(
-            node, api.Membership(api.REMEMBERED, 1, [api.Member(worker=100 + i) for i in range(WORKERS)])
+            node,
+            interface.Membership(
+                interface.REMEMBERED, 1, [interface.Member(worker=100 + i) for i in range(WORKERS)]
+            ),
         )
         self.write(node, node.life)
 
@@ -116,31 +119,33 @@
         node = self.random.choice(alive)
         self.requests += 1
         self.tenant[node.number, node.life, self.requests] = tenant
-        self.feed(node, api.Job(self.requests, 0, tenant, 2.0))
+        self.feed(node, interface.Job(self.requests, 0, tenant, 2.0))
 
-    def feed(self, node: Node, event: api.Event) -> None:
+    def feed(self, node: Node, event: interface.Event) -> None:
         if node.dispatcher is None:
             return
         life = node.life
         for action in node.dispatcher.handle(self.now, event):
-            if isinstance(action, api.SetTimer):
-                self.later(node, life, action.after, api.Timer(action.token))
-            elif isinstance(action, api.Send):
+            if isinstance(action, interface.SetTimer):
+                self.later(node, life, action.after, interface.Timer(action.token))
+            elif isinstance(action, interface.Send):
                 self.send(node, life, action)
-            elif isinstance(action, api.Tell):
+            elif isinstance(action, interface.Tell):
                 for other in self.nodes:
                     if other is not node:
-                        self.later(other, other.life, 0.001, api.PeerMessage(node.number, action.payload))
+                        self.later(
+                            other, other.life, 0.001, interface.PeerMessage(node.number, action.payload)
+                        )
 
-    def later(self, node: Node, life: int, after: float, event: api.Event) -> None:
+    def later(self, node: Node, life: int, after: float, event: interface.Event) -> None:
         self.at(after, lambda: self.feed(node, event) if node.life == life else None)
 
-    def send(self, node: Node, life: int, action: api.Send) -> None:
+    def send(self, node: Node, life: int, action: interface.Send) -> None:
         attempt = node.attempts[action.request]
         node.attempts[action.request] += 1
         worker, request = action.worker, action.request
         if self.busy[worker] >= SLOTS:
-            self.later(node, life, 0.002, api.Outcome(request, worker, attempt, api.FULL))
+            self.later(node, life, 0.002, interface.Outcome(request, worker, attempt, interface.FULL))
             return
         self.busy[worker] += 1
 
@@ -148,7 +153,7 @@
             self.busy[worker] -= 1
             self.served.append((self.now, node.number, self.tenant[node.number, life, request]))
             if node.life == life:
-                self.feed(node, api.Outcome(request, worker, attempt, api.SERVED, True, TIME))
+                self.feed(node, interface.Outcome(request, worker, attempt, interface.SERVED, True, TIME))
 
         self.at(TIME, done)
 
--- a/tests/cli/test_cli.py
+++ b/tests/cli/test_cli.py
@@ -13,7 +13,7 @@
 
 from beaconhinge.cli import main
 from beaconhinge.config import ConfigError
-from beaconhinge.config.ours import convert, read
+from beaconhinge.config.local import convert, read
 from beaconhinge.store import Delete, Options, Put, Store, codec
 
 ROOT = Path(__file__).resolve().parents[2]
@@ -187,7 +187,7 @@
     code = (
         "import sys, beaconhinge.__main__; "
         "print(sorted({'typer', 'rich', 'structlog', 'msgspec', 'sortedcontainers', 'google_crc32c', "
-        "'beaconhinge.store', 'beaconhinge.cli', 'beaconhinge.books'} & set(sys.modules)))"
+        "'beaconhinge.store', 'beaconhinge.cli', 'beaconhinge.quota_snapshots'} & set(sys.modules)))"
     )
     done = subprocess.run([sys.executable, "-c", code], capture_output=True, text=True, check=True, cwd=ROOT)
     assert done.stdout.strip() == "[]"
--- a/tests/cli/test_demo.py
+++ b/tests/cli/test_demo.py
@@ -9,7 +9,7 @@
 import pytest
 
 from beaconhinge.cli import main
-from beaconhinge.standin.scene import Figures, Scene, scene
+from beaconhinge.standin.harness import Figures, Scene, scene
 
 
 def test_the_demo_ends_well_and_says_so_in_json(capsys: pytest.CaptureFixture[str]) -> None:
--- a/tests/cli/test_logs_sum.py
+++ b/tests/cli/test_logs_sum.py
@@ -10,7 +10,7 @@
 
 from beaconhinge.cli import main
 from beaconhinge.logs import summary, writer
-from beaconhinge.stats import Stats
+from beaconhinge.runtime.metrics import Stats
 
 
 def written(form: str, start: float) -> str:
--- a/tests/cli/test_soak.py
+++ b/tests/cli/test_soak.py
@@ -11,10 +11,10 @@
 import pytest
 
 from beaconhinge.cli import main
-from beaconhinge.standin.boxes import Trouble
 from beaconhinge.standin.discovery import Spoil
 from beaconhinge.standin.rig import shim
 from beaconhinge.standin.rig.soak import LAST, SECONDS, draw_soak, shrink
+from beaconhinge.standin.workers import Trouble
 
 KINDS = {"drain", "stop", "kill", "term", "reload", "cut", "lossy", "discovery", "mute", "spoil", "workers"}
 
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -15,7 +15,13 @@
 
 
 def _starts_processes(module: ModuleType) -> bool:
-    ways = ("stage", "subprocess", "beaconhinge.standin.rig", "beaconhinge.standin.scene", "beaconhinge.cli")
+    ways = (
+        "stage",
+        "subprocess",
+        "beaconhinge.standin.rig",
+        "beaconhinge.standin.harness",
+        "beaconhinge.cli",
+    )
     names = (
         getattr(value, "__module__", None) or getattr(value, "__name__", "")
         for value in vars(module).values()
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -5,8 +5,8 @@
 from collections.abc import Callable, Iterable
 from dataclasses import dataclass, field
 
-from ospreyroute import api
-from ospreyroute.decide import Dispatcher
+from beaconhinge.policy import interface
+from beaconhinge.policy.dispatcher import Dispatcher
 
 PAIRS = {
     "groupSize": "1",
@@ -36,40 +36,42 @@
 }
 
 
-def settings(**changes: str) -> api.Settings:
+def settings(**changes: str) -> interface.Settings:
     pairs = dict(PAIRS)
     pairs.update({key.replace("__", "."): value for key, value in changes.items()})
-    return api.Settings.from_pairs(pairs)
+    return interface.Settings.from_pairs(pairs)
 
 
-def members(count: int, **common: object) -> list[api.Member]:
-    return [api.Member(worker=100 + i, cell=i % 2, **common) for i in range(count)]  # type: ignore[arg-type]
+def members(count: int, **common: object) -> list[interface.Member]:
+    return [interface.Member(worker=100 + i, cell=i % 2, **common) for i in range(count)]  # type: ignore[arg-type]
 
 
 def started(count: int = 4, seed: int = 1, now: float = 100.0, **changes: str) -> Dispatcher:
     dispatcher = Dispatcher(settings(**changes), seed)
-    dispatcher.handle(now, api.Start())
-    dispatcher.handle(now, api.Membership(api.REMEMBERED, 1, members(count)))
+    dispatcher.handle(now, interface.Start())
+    dispatcher.handle(now, interface.Membership(interface.REMEMBERED, 1, members(count)))
     return dispatcher
 
 
-def sends(actions: Iterable[api.Action]) -> list[api.Send]:
-    return [a for a in actions if isinstance(a, api.Send)]
+def sends(actions: Iterable[interface.Action]) -> list[interface.Send]:
+    return [a for a in actions if isinstance(a, interface.Send)]
 
 
-def job(request: int, cls: int = 0, **more: object) -> api.Job:
+def job(request: int, cls: int = 0, **more: object) -> interface.Job:
     values: dict[str, object] = {"remaining": 4.0, "size_hint": 0.5}
     values.update(more)
-    return api.Job(request, cls, values.pop("tenant", 0), **values)  # type: ignore[arg-type]
+    return interface.Job(request, cls, values.pop("tenant", 0), **values)  # type: ignore[arg-type]
 
 
-def outcome(request: int, worker: int, what: str, attempt: int = 0, latency: float = 0.5) -> api.Outcome:
-    return api.Outcome(request, worker, attempt, what, what == api.SERVED, latency)
+def outcome(
+    request: int, worker: int, what: str, attempt: int = 0, latency: float = 0.5
+) -> interface.Outcome:
+    return interface.Outcome(request, worker, attempt, what, what == interface.SERVED, latency)
 
 
 @dataclass
 class _Call:
-    cls: api.RequestClass
+    cls: interface.RequestClass
     deadline: float
     attempts: list[tuple[int, float]] = field(default_factory=list)  # worker, time
     outcomes: dict[int, str] = field(default_factory=dict)
@@ -80,7 +82,7 @@
 class RuleChecker:
     """Watches a history and lists what breaks the rules, from the words of the interface alone."""
 
-    def __init__(self, given: api.Settings) -> None:
+    def __init__(self, given: interface.Settings) -> None:
         self.given = given
         self.calls: dict[int, _Call] = {}
         self.cells: dict[int, tuple[int, int]] = {}
@@ -92,45 +94,45 @@
         ] = {}  # worker: last send, outcome or notice since which nothing was given back
         self.broken: list[str] = []
 
-    def event(self, now: float, event: api.Event) -> None:
-        if isinstance(event, api.Membership) and event.how != api.REFUSED:
+    def event(self, now: float, event: interface.Event) -> None:
+        if isinstance(event, interface.Membership) and event.how != interface.REFUSED:
             named = {m.worker for m in event.members}
-            if event.how != api.CHANGES:
+            if event.how != interface.CHANGES:
                 for worker in self.cells:
                     if worker not in named:
                         self.left.setdefault(worker, now)
             for m in event.members:
                 self.cells[m.worker] = (m.cell, m.zone)
-                if m.status == api.UP:
+                if m.status == interface.UP:
                     self.left.pop(m.worker, None)
                     self.started_at[m.worker] = m.started_at
                 else:
                     if m.worker not in self.left:
                         self.used[m.worker] = now
                     self.left.setdefault(m.worker, now)
-        elif isinstance(event, api.Job):
+        elif isinstance(event, interface.Job):
             self.calls[event.request] = _Call(self.given.classes[event.cls], now + event.remaining)
-        elif isinstance(event, api.Outcome) and event.request in self.calls:
+        elif isinstance(event, interface.Outcome) and event.request in self.calls:
             call = self.calls[event.request]
             call.outcomes[event.attempt] = event.outcome
             self.used[event.worker] = now
             call.settled = call.settled or event.settled
-        elif isinstance(event, api.ClientGone) and event.request in self.calls:
+        elif isinstance(event, interface.ClientGone) and event.request in self.calls:
             self.calls[event.request].gone = True
 
-    def actions(self, now: float, actions: Iterable[api.Action]) -> None:
+    def actions(self, now: float, actions: Iterable[interface.Action]) -> None:
         for action in actions:
-            if isinstance(action, api.Send):
+            if isinstance(action, interface.Send):
                 self._send(now, action)
-            elif isinstance(action, api.Disconnect):
+            elif isinstance(action, interface.Disconnect):
                 self.used.pop(action.worker, None)
-            elif isinstance(action, (api.Refuse, api.Abort)):
+            elif isinstance(action, (interface.Refuse, interface.Abort)):
                 call = self.calls[action.request]
                 if call.settled:
                     self.broken.append(f"1: second final answer for {action.request}")
                 if now > call.deadline + self.given.grace_to_answer:
                     self.broken.append(f"1: late answer for {action.request}")
-                if isinstance(action, api.Refuse) and not self._refusable(call):
+                if isinstance(action, interface.Refuse) and not self._refusable(call):
                     self.broken.append(f"2: refusal of {action.request}, which may have run")
                 call.settled = True
 
@@ -144,22 +146,22 @@
                     self.broken.append(f"3: connections to {worker}, which has left, were kept")
 
     def _may_have_run(self, call: _Call) -> list[int]:
-        return [i for i in range(len(call.attempts)) if call.outcomes.get(i) not in api.PROVEN_UNRUN]
+        return [i for i in range(len(call.attempts)) if call.outcomes.get(i) not in interface.PROVEN_UNRUN]
 
     def _refusable(self, call: _Call) -> bool:
-        free = call.cls.semantics == api.RETRYABLE or (
-            call.cls.semantics == api.DEDUP and call.cls.dedup_group == "all"
+        free = call.cls.semantics == interface.RETRYABLE or (
+            call.cls.semantics == interface.DEDUP and call.cls.dedup_group == "all"
         )
         return free or not self._may_have_run(call)
 
-    def _send(self, now: float, send: api.Send) -> None:
+    def _send(self, now: float, send: interface.Send) -> None:
         call = self.calls[send.request]
         if call.settled:
             self.broken.append(f"1: send after the end of {send.request}")
         ran = self._may_have_run(call)
-        if ran and call.cls.semantics == api.FRAGILE:
+        if ran and call.cls.semantics == interface.FRAGILE:
             self.broken.append(f"2: repeat of {send.request}")
-        if ran and call.cls.semantics == api.DEDUP:
+        if ran and call.cls.semantics == interface.DEDUP:
             worker, sent_at = call.attempts[ran[0]]
             at = {"cell": 0, "zone": 1}.get(call.cls.dedup_group)
             if at is not None and self.cells[worker][at] != self.cells[send.worker][at]:
@@ -182,13 +184,13 @@
 
 COLD_JOBS = 4  # jobs of 0.5 s of work in one second: above the budget of any cold worker in these settings
 
-Policy = Callable[[float, api.Event], list[api.Action]]
+Policy = Callable[[float, interface.Event], list[interface.Action]]
 
 
 class Driver:
     """Feeds events to a policy, keeps its timers and the checker; outcomes are chosen by the test."""
 
-    def __init__(self, given: api.Settings, policy: Policy, now: float = 100.0) -> None:
+    def __init__(self, given: interface.Settings, policy: Policy, now: float = 100.0) -> None:
         self.now = now
         self.policy = policy
         self.checker = RuleChecker(given)
@@ -197,15 +199,15 @@
         self.count: dict[int, int] = {}
         self.log: list[tuple[float, str]] = []
 
-    def feed(self, event: api.Event) -> list[api.Action]:
+    def feed(self, event: interface.Event) -> list[interface.Action]:
         self.checker.event(self.now, event)
         actions = self.policy(self.now, event)
         self.checker.actions(self.now, actions)
         for action in actions:
             self.log.append((self.now, repr(action)))
-            if isinstance(action, api.SetTimer):
+            if isinstance(action, interface.SetTimer):
                 self.timers.append((self.now + action.after, action.token))
-            elif isinstance(action, api.Send):
+            elif isinstance(action, interface.Send):
                 attempt = self.count.get(action.request, 0)
                 self.count[action.request] = attempt + 1
                 self.open.append((action.request, action.worker, attempt))
@@ -222,14 +224,14 @@
             self.now = max(self.now, at)
             if kind == 1:
                 self.timers.remove((at, first))
-                self.feed(api.Timer(first))
+                self.feed(interface.Timer(first))
             else:
-                self.resolve(self.open.index((first, worker, attempt)), api.TIMEOUT)
+                self.resolve(self.open.index((first, worker, attempt)), interface.TIMEOUT)
         self.now = max(self.now, until)
 
     def resolve(self, index: int, outcome: str) -> None:
         request, worker, attempt = self.open.pop(index)
         call = self.checker.calls[request]
-        settled = call.settled or outcome == api.SERVED
+        settled = call.settled or outcome == interface.SERVED
         sent_at = call.attempts[attempt][1]
-        self.feed(api.Outcome(request, worker, attempt, outcome, settled, self.now - sent_at))
+        self.feed(interface.Outcome(request, worker, attempt, outcome, settled, self.now - sent_at))
--- a/tests/leases/test_hold.py
+++ b/tests/leases/test_hold.py
@@ -9,11 +9,11 @@
 
 import pytest
 
-from beaconhinge.config.ours import Leases as Settings
+from beaconhinge.config.local import Leases as Settings
 from beaconhinge.leases import terms
 from beaconhinge.net.leases import LeaseLost, Leases
-from beaconhinge.stats import Stats
-from beaconhinge.wheel import Wheel
+from beaconhinge.runtime.metrics import Stats
+from beaconhinge.runtime.timer_wheel import Wheel
 
 
 class Alone:
--- a/tests/leases/test_process.py
+++ b/tests/leases/test_process.py
@@ -15,10 +15,10 @@
 
 from beaconhinge.cli import main
 from beaconhinge.config import ConfigError
-from beaconhinge.config.ours import convert
+from beaconhinge.config.local import convert
+from beaconhinge.standin.harness import Scene, end, log_lines, start, until_up
 from beaconhinge.standin.ports import free_port
 from beaconhinge.standin.rig.verdict import Act, collisions
-from beaconhinge.standin.scene import Scene, end, log_lines, start, until_up
 
 SPAN = 0.6
 
--- a/tests/management/test_management.py
+++ b/tests/management/test_management.py
@@ -13,10 +13,10 @@
 from stage import Scripted, Seen, Stage, free_port, job, play, read_message, reply
 
 from beaconhinge.__main__ import run
-from beaconhinge.inventory import worker_number
+from beaconhinge.membership.inventory import worker_number
 from beaconhinge.net import management
 from beaconhinge.net.sockets import Unavailable, tcp_listener
-from ospreyroute import api
+from beaconhinge.policy import interface
 
 FIRST = worker_number("s-0")
 Story = Callable[[Stage, "Operator"], Awaitable[None]]
@@ -191,25 +191,25 @@
     from helpers import members, sends, started
 
     dispatcher = started(2)
-    out = dispatcher.handle(101.0, api.Maintenance(100, True))
+    out = dispatcher.handle(101.0, interface.Maintenance(100, True))
     assert not sends(out)
-    dispatcher.handle(101.0, api.Maintenance(100, True))
+    dispatcher.handle(101.0, interface.Maintenance(100, True))
     for how, changed in (
-        (api.SNAPSHOT, members(2)),
-        (api.CHANGES, [api.Member(100, api.GONE)]),
-        (api.CHANGES, [api.Member(100, started_at=102.0)]),
-        (api.REMEMBERED, members(2)),
+        (interface.SNAPSHOT, members(2)),
+        (interface.CHANGES, [interface.Member(100, interface.GONE)]),
+        (interface.CHANGES, [interface.Member(100, started_at=102.0)]),
+        (interface.REMEMBERED, members(2)),
     ):
-        dispatcher.handle(103.0, api.Membership(how, 2, changed))
+        dispatcher.handle(103.0, interface.Membership(how, 2, changed))
         assert {s.worker for n in range(20) for s in sends(dispatcher.handle(103.0, work(n)))} <= {101}
         for n in range(20):
-            dispatcher.handle(103.0, api.ClientGone(n))
-            dispatcher.handle(103.0, api.Outcome(n, 101, 0, api.CANCELLED, True))
-    dispatcher.handle(104.0, api.Maintenance(100, False))
+            dispatcher.handle(103.0, interface.ClientGone(n))
+            dispatcher.handle(103.0, interface.Outcome(n, 101, 0, interface.CANCELLED, True))
+    dispatcher.handle(104.0, interface.Maintenance(100, False))
     back = dispatcher.workers[100]
     assert back.listed and back.started_at == 102.0 and dispatcher.cold(back)
-    dispatcher.handle(105.0, api.Maintenance(101, True))
-    dispatcher.handle(106.0, api.Maintenance(101, False))
+    dispatcher.handle(105.0, interface.Maintenance(101, True))
+    dispatcher.handle(106.0, interface.Maintenance(101, False))
     assert dispatcher.workers[101].slow_start_from == 106.0  # no list has told of a restart
     assert dispatcher.cold(dispatcher.workers[101])
 
@@ -218,12 +218,12 @@
     from helpers import started
 
     dispatcher = started(2, rules__drainRelease="1")
-    assert api.Disconnect(100) in dispatcher.handle(101.0, api.Maintenance(100, True))
+    assert interface.Disconnect(100) in dispatcher.handle(101.0, interface.Maintenance(100, True))
 
 
 def test_drain_sends_clients_away_and_resume_takes_them_back(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr("beaconhinge.net.frontend.PART_AFTER", 0.05)
-    module = Scripted([api.Send(1, FIRST)])
+    monkeypatch.setattr("beaconhinge.net.listener.PART_AFTER", 0.05)
+    module = Scripted([interface.Send(1, FIRST)])
     monkeypatch.setattr("beaconhinge.__main__.Dispatcher", lambda settings, seed: module)
 
     async def story(scene: Stage, operator: Operator) -> None:
@@ -255,8 +255,8 @@
 
 
 def test_a_drained_dispatcher_holds_no_client_with_a_new_job(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr("beaconhinge.net.frontend.PART_AFTER", 0.02)
-    monkeypatch.setattr("beaconhinge.net.frontend.REFUSE_DRAINED", 0.0)
+    monkeypatch.setattr("beaconhinge.net.listener.PART_AFTER", 0.02)
+    monkeypatch.setattr("beaconhinge.net.listener.REFUSE_DRAINED", 0.0)
 
     async def story(scene: Stage, operator: Operator) -> None:
         scene.other_speaks()
@@ -274,7 +274,7 @@
 
 
 def test_sigterm_ends_a_drained_dispatcher(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr("beaconhinge.net.frontend.PART_AFTER", 0.02)
+    monkeypatch.setattr("beaconhinge.net.listener.PART_AFTER", 0.02)
 
     async def story(scene: Stage, operator: Operator) -> None:
         scene.other_speaks()
--- a/tests/management/test_upgrade.py
+++ b/tests/management/test_upgrade.py
@@ -20,8 +20,8 @@
 from beaconhinge.management import handover
 from beaconhinge.management.handover import Frames
 from beaconhinge.net.sockets import tcp_listener
-from beaconhinge.standin.scene import Scene
-from ospreyroute import api
+from beaconhinge.policy import interface
+from beaconhinge.standin.harness import Scene
 
 UP = b"GET /up HTTP/1.1\r\n\r\n"
 LIST = {"version": 3, "full": True, "servers": [{"id": "s-0", "addr": "127.0.0.1:9", "state": "Ready"}]}
@@ -107,7 +107,7 @@
 def test_jobs_of_the_old_process_end_there_and_call_backs_find_their_way(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    module = Scripted([api.Send(1, FIRST)])
+    module = Scripted([interface.Send(1, FIRST)])
     module.take = lambda: {}  # type: ignore[attr-defined]
     monkeypatch.setattr("beaconhinge.__main__.Dispatcher", lambda settings, seed: module)
     monkeypatch.setattr("beaconhinge.management.handover.take", lambda module: {})
--- a/tests/progress/test_streams.py
+++ b/tests/progress/test_streams.py
@@ -15,13 +15,13 @@
 
 from beaconhinge import __main__ as program
 from beaconhinge.config import Limits
-from beaconhinge.config.ours import Ours, Progress
+from beaconhinge.config.local import Ours, Progress
+from beaconhinge.dispatch.request import Answer, Job
 from beaconhinge.net.http1 import Closed, Connection
 from beaconhinge.net.streams import Streams
-from beaconhinge.request import Answer, Job
-from beaconhinge.stats import Stats
-from beaconhinge.wheel import Wheel
-from ospreyroute import api
+from beaconhinge.policy import interface
+from beaconhinge.runtime.metrics import Stats
+from beaconhinge.runtime.timer_wheel import Wheel
 
 ON = Ours(progress=Progress(enabled=True, events_per_s=1000.0))
 Event = tuple[str, dict[str, Any], int]
@@ -137,7 +137,7 @@
 
 
 def test_a_refusal_before_the_job_is_admitted_is_the_plain_one(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(program, "Dispatcher", lambda *args: Scripted([api.Refuse(1, 1.5)]))
+    monkeypatch.setattr(program, "Dispatcher", lambda *args: Scripted([interface.Refuse(1, 1.5)]))
 
     async def story(scene: Stage) -> None:
         seen = await scene.ask(job(Accept="text/event-stream"))
@@ -148,7 +148,7 @@
 
 
 def test_a_refusal_after_the_stream_began_is_its_outcome(monkeypatch: pytest.MonkeyPatch) -> None:
-    module = Scripted([api.Send(1, 0)], {api.Outcome: [api.Refuse(1, 0.75)]})
+    module = Scripted([interface.Send(1, 0)], {interface.Outcome: [interface.Refuse(1, 0.75)]})
     monkeypatch.setattr(program, "Dispatcher", lambda *args: module)
 
     async def story(scene: Stage) -> None:
--- a/tests/recovery/test_clients_that_leave.py
+++ b/tests/recovery/test_clients_that_leave.py
@@ -4,9 +4,9 @@
 
 import asyncio
 
-from beaconhinge.standin.boxes import Deadline, Trouble
 from beaconhinge.standin.rig import Fault, Scenario, run_scenario
 from beaconhinge.standin.rig.verdict import Asked, begun_for_nobody
+from beaconhinge.standin.workers import Deadline, Trouble
 
 SMALL = {
     "processes": 4,
--- a/tests/recovery/test_deadlines.py
+++ b/tests/recovery/test_deadlines.py
@@ -6,9 +6,9 @@
 
 import pytest
 
-from beaconhinge.standin.boxes import Deadline
 from beaconhinge.standin.rig import Fault, Scenario, run_scenario
 from beaconhinge.standin.rig.verdict import Asked, overstated
+from beaconhinge.standin.workers import Deadline
 
 SMALL = {
     "processes": 4,
--- a/tests/recovery/test_keys.py
+++ b/tests/recovery/test_keys.py
@@ -10,7 +10,9 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
+from beaconhinge.dispatch.request import Job
 from beaconhinge.net.keys import Keys
+from beaconhinge.policy import Settings
 from beaconhinge.recovery import keys
 from beaconhinge.recovery.keys import (
     HERE,
@@ -26,11 +28,9 @@
     Question,
     Reply,
 )
-from beaconhinge.request import Job
-from beaconhinge.stats import Stats
+from beaconhinge.runtime.metrics import Stats
+from beaconhinge.runtime.timer_wheel import Wheel
 from beaconhinge.store import Put
-from beaconhinge.wheel import Wheel
-from ospreyroute import Settings
 
 WINDOW = 60.0
 
--- a/tests/recovery/test_phases.py
+++ b/tests/recovery/test_phases.py
@@ -13,30 +13,30 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from beaconhinge.clock import Clock
-from beaconhinge.net.returning import ORPHANS, Orphans
-from beaconhinge.recovery import lives, phases
-from beaconhinge.recovery.lives import Hello, Lives
-from beaconhinge.recovery.phases import ASKING, LISTENING, MOST, NORMAL, READING, Return
+from beaconhinge.net.restart import ORPHANS, Orphans
+from beaconhinge.recovery import incarnations, stages
+from beaconhinge.recovery.incarnations import Hello, Lives
+from beaconhinge.recovery.stages import ASKING, LISTENING, MOST, NORMAL, READING, Return
+from beaconhinge.runtime.clock import Clock
+from beaconhinge.runtime.metrics import Stats
+from beaconhinge.runtime.timer_wheel import Wheel
+from beaconhinge.standin.harness import Scene
 from beaconhinge.standin.ports import free_port
-from beaconhinge.standin.scene import Scene
-from beaconhinge.stats import Stats
-from beaconhinge.wheel import Wheel
 
 OTHERS = frozenset(range(1, 4))
 EVENTS = st.one_of(
-    st.just(phases.Opened()),
-    st.builds(phases.Asked, st.frozensets(st.integers(1, 3))),
-    st.just(phases.Listed()),
-    st.builds(phases.Heard, st.integers(1, 3), st.integers(READING, NORMAL)),
-    st.builds(phases.Woke, st.just(OTHERS)),
-    st.just(phases.Turn()),
+    st.just(stages.Opened()),
+    st.builds(stages.Asked, st.frozensets(st.integers(1, 3))),
+    st.just(stages.Listed()),
+    st.builds(stages.Heard, st.integers(1, 3), st.integers(READING, NORMAL)),
+    st.builds(stages.Woke, st.just(OTHERS)),
+    st.just(stages.Turn()),
 )
 
 
 @given(st.lists(st.tuples(st.floats(0.0, 1.0), EVENTS), max_size=40))
 def test_phases_come_as_drawn_within_their_bounds_whatever_is_heard(
-    events: list[tuple[float, phases.Event]],
+    events: list[tuple[float, stages.Event]],
 ) -> None:
     machine, now, entered = Return(100.0), 100.0, [READING]
     for passed, event in events:
@@ -44,7 +44,7 @@
         before, ends_at = machine.phase, machine.ends_at
         entered += machine.feed(now, event)
         assert machine.phase == entered[-1] >= before
-        if before in MOST and now >= ends_at and not isinstance(event, phases.Woke):
+        if before in MOST and now >= ends_at and not isinstance(event, stages.Woke):
             assert machine.phase > before  # a phase that is over ends with the next turn
         if before == ASKING and machine.phase == NORMAL and now < ends_at:
             assert machine.listed and not machine.silent
@@ -53,21 +53,21 @@
 
 def test_nobody_waits_for_others_or_discovery_beyond_the_bound_and_who_woke_asks_anew() -> None:
     machine = Return(100.0)
-    assert machine.feed(100.0, phases.Opened()) == [LISTENING]
-    assert machine.feed(100.0, phases.Asked(OTHERS)) == [ASKING]
-    assert machine.feed(100.1, phases.Listed()) == [] and machine.feed(100.1, phases.Heard(1, NORMAL)) == []
-    assert machine.feed(110.2, phases.Woke(OTHERS)) == []  # not over by the time in which it stood still
+    assert machine.feed(100.0, stages.Opened()) == [LISTENING]
+    assert machine.feed(100.0, stages.Asked(OTHERS)) == [ASKING]
+    assert machine.feed(100.1, stages.Listed()) == [] and machine.feed(100.1, stages.Heard(1, NORMAL)) == []
+    assert machine.feed(110.2, stages.Woke(OTHERS)) == []  # not over by the time in which it stood still
     assert (machine.listed, machine.silent, machine.serving) == (False, set(OTHERS), set())
-    assert machine.feed(110.6, phases.Turn()) == [] and machine.feed(110.8, phases.Turn()) == [NORMAL]
+    assert machine.feed(110.6, stages.Turn()) == [] and machine.feed(110.8, stages.Turn()) == [NORMAL]
     alone = Return(0.0)
-    alone.feed(0.0, phases.Opened())
-    assert alone.feed(0.0, phases.Asked(frozenset())) == [ASKING] and alone.feed(0.01, phases.Listed()) == [
+    alone.feed(0.0, stages.Opened())
+    assert alone.feed(0.0, stages.Asked(frozenset())) == [ASKING] and alone.feed(0.01, stages.Listed()) == [
         NORMAL
     ]
     slow_disk = Return(0.0)
-    slow_disk.feed(0.0, phases.Opened())
-    assert slow_disk.feed(1.0, phases.Turn()) == [ASKING] and slow_disk.feed(1.1, phases.Asked(OTHERS)) == []
-    assert slow_disk.silent == OTHERS and slow_disk.feed(1.5, phases.Turn()) == [NORMAL]
+    slow_disk.feed(0.0, stages.Opened())
+    assert slow_disk.feed(1.0, stages.Turn()) == [ASKING] and slow_disk.feed(1.1, stages.Asked(OTHERS)) == []
+    assert slow_disk.silent == OTHERS and slow_disk.feed(1.5, stages.Turn()) == [NORMAL]
 
 
 def test_a_life_told_by_two_starts_is_stale_and_the_same_word_twice_is_not() -> None:
@@ -80,8 +80,8 @@
 
 
 def test_records_count_for_their_own_dispatcher_and_words_survive_the_wire() -> None:
-    record = lives.signed("n1", 1, lives.life_record(7))
-    assert lives.next_life(lives.read_signed(record, "n1", 1)) == 8
+    record = incarnations.signed("n1", 1, incarnations.life_record(7))
+    assert incarnations.next_life(incarnations.read_signed(record, "n1", 1)) == 8
     for name, number, data in (
         ("n1", 2, record),
         ("n", 1, record),
@@ -89,15 +89,15 @@
         ("n1", 1, record[:-1]),
         ("n1", 1, b""),
     ):
-        assert lives.next_life(lives.read_signed(data, name, number)) == 1
+        assert incarnations.next_life(incarnations.read_signed(data, name, number)) == 1
     for hello in (Hello(NORMAL, 2**32 - 1, 2**32 - 1, True, True), Hello(0, 0, 0)):
-        wire = lives.encode(hello)
-        assert lives.decode(wire) == hello and len(wire) == 11
+        wire = incarnations.encode(hello)
+        assert incarnations.decode(wire) == hello and len(wire) == 11
         assert (
-            all(lives.decode(wire[:cut]) is None for cut in range(len(wire)))
-            and lives.decode(wire + b"x") is None
+            all(incarnations.decode(wire[:cut]) is None for cut in range(len(wire)))
+            and incarnations.decode(wire + b"x") is None
         )
-    assert lives.decode(b"\x7c\xff" + bytes(9)) is None and lives.decode(bytes(11)) is None
+    assert incarnations.decode(b"\x7c\xff" + bytes(9)) is None and incarnations.decode(bytes(11)) is None
 
 
 def test_orphans_are_withdrawn_once_each_a_few_at_a_time_and_only_while_there_can_be_any() -> None:
@@ -157,7 +157,7 @@
     async def down(self) -> int:
         answer = await self.call("show-stat")
         figures = json.loads(answer.splitlines()[0])
-        assert figures["phase"] in phases.NAMES
+        assert figures["phase"] in stages.NAMES
         return int(figures["hosts_down"])
 
     async def again(self) -> None:
@@ -193,8 +193,8 @@
 
 
 def test_a_word_of_the_operators_is_not_confirmed_before_it_is_on_the_disk() -> None:
-    from beaconhinge.net.operators import Operators
-    from beaconhinge.net.returning import ByHand
+    from beaconhinge.net.operator_calls import Operators
+    from beaconhinge.net.restart import ByHand
     from beaconhinge.store import Put, StoreError
 
     class Disk:
@@ -207,7 +207,10 @@
             self.changes += changes
 
         def scan(self, prefix: bytes) -> list[tuple[bytes, bytes]]:
-            return [(b"hand/s-1", lives.signed("n0", 0, b"")), (b"hand/s-2", lives.signed("n1", 1, b""))]
+            return [
+                (b"hand/s-1", incarnations.signed("n0", 0, b"")),
+                (b"hand/s-2", incarnations.signed("n1", 1, b"")),
+            ]
 
     async def story() -> None:
         clock, logged = Clock(), []
@@ -223,7 +226,7 @@
         operators.keep = hands.keep
         call: Any = SimpleNamespace(name="disable-server", word="s-3")
         assert await operators.acts["disable-server"](call) == b"SUCCESS s-3 is out\n"  # type: ignore[misc]
-        assert disk.changes == [Put(b"hand/s-3", lives.signed("n0", 0, b""))]
+        assert disk.changes == [Put(b"hand/s-3", incarnations.signed("n0", 0, b""))]
         disk.full, call.word = True, "s-4"
         answer = await operators.acts["disable-server"](call)  # type: ignore[misc]
         assert (
--- a/tests/recovery/test_requests.py
+++ b/tests/recovery/test_requests.py
@@ -7,11 +7,11 @@
 
 import pytest
 
-from beaconhinge.core import Core
-from beaconhinge.request import Job, Known, Requests
-from beaconhinge.stats import Stats
-from beaconhinge.wheel import Wheel
-from ospreyroute import Settings, api
+from beaconhinge.dispatch.policy_runner import Core
+from beaconhinge.dispatch.request import Job, Known, Requests
+from beaconhinge.policy import Settings, interface
+from beaconhinge.runtime.metrics import Stats
+from beaconhinge.runtime.timer_wheel import Wheel
 
 
 class Refusing:
@@ -20,9 +20,9 @@
     def __init__(self) -> None:
         self.heard: list[Any] = []
 
-    def handle(self, now: float, event: api.Event) -> list[api.Action]:
+    def handle(self, now: float, event: interface.Event) -> list[interface.Action]:
         self.heard.append(event)
-        return [api.Refuse(event.request, 0.0)] if isinstance(event, api.Job) else []
+        return [interface.Refuse(event.request, 0.0)] if isinstance(event, interface.Job) else []
 
 
 class Slow:
@@ -40,8 +40,8 @@
         self.ended.append(may_have_run)
 
 
-def taken(wait: Any, clock: list[float], remaining: float) -> tuple[list[api.Job], list[bool], str]:
-    async def story() -> tuple[list[api.Job], list[bool], str]:
+def taken(wait: Any, clock: list[float], remaining: float) -> tuple[list[interface.Job], list[bool], str]:
+    async def story() -> tuple[list[interface.Job], list[bool], str]:
         module, told = Refusing(), []
         stats = Stats(lambda: clock[0], writer=lambda event, fields: told.append(event))
         wheel = Wheel(lambda: clock[0], stats.failure)
@@ -63,7 +63,7 @@
         job = Job("a", 0, 0, remaining, clock[0], b"/publish", b"", dedup_key="k")
         answer = await asyncio.wait_for(requests.take(job).answer, 5)
         await asyncio.sleep(0)
-        return [e for e in module.heard if isinstance(e, api.Job)], book.ended, answer.end
+        return [e for e in module.heard if isinstance(e, interface.Job)], book.ended, answer.end
 
     return asyncio.run(story())
 
--- a/tests/recovery/test_stall.py
+++ b/tests/recovery/test_stall.py
@@ -8,10 +8,11 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
+from beaconhinge.gossip import codec
+from beaconhinge.gossip.aggregation import Fleet
+from beaconhinge.policy import Dispatcher, Settings, interface
 from beaconhinge.recovery.stall import EXCUSED, StallWatch
-from beaconhinge.wheel import Wheel
-from ospreyroute import Dispatcher, Settings, api, peerwire
-from ospreyroute.fleet import Fleet
+from beaconhinge.runtime.timer_wheel import Wheel
 
 SPANS = st.lists(st.floats(0.0, 30.0, allow_nan=False), min_size=1, max_size=8)
 
@@ -35,7 +36,7 @@
     SPANS,
     st.floats(0.3, 5.0),
     st.integers(0, 8),
-    st.sampled_from(sorted({*EXCUSED, api.SERVED, api.ERROR, api.FULL})),
+    st.sampled_from(sorted({*EXCUSED, interface.SERVED, interface.ERROR, interface.FULL})),
 )
 def test_own_time_and_blame_leave_out_what_the_process_slept_through(
     spans: list[float], after: float, since: int, outcome: str
@@ -87,19 +88,21 @@
         ),
         seed=1,
     )
-    made.handle(100.0, api.Start())
-    made.handle(100.0, api.Membership(api.REMEMBERED, 1, [api.Member(worker=n) for n in range(4)]))
+    made.handle(100.0, interface.Start())
+    made.handle(
+        100.0, interface.Membership(interface.REMEMBERED, 1, [interface.Member(worker=n) for n in range(4)])
+    )
     return made
 
 
 def test_boxes_are_not_silent_for_the_time_in_which_nobody_listened() -> None:
     slept, awake = dispatcher(1), dispatcher(1)
     for module in (slept, awake):
-        module.handle(100.1, api.Job(request=1, cls=0, tenant=0, remaining=7.5))
+        module.handle(100.1, interface.Job(request=1, cls=0, tenant=0, remaining=7.5))
         sent = next(iter(module.requests.values())).attempts[0].worker
         module.job_time = 0.2
         if module is slept:
-            module.handle(106.0, api.Stalled(5.8))
+            module.handle(106.0, interface.Stalled(5.8))
         module.now = 106.0
         assert module.silent(sent) == (module is awake)
 
@@ -112,11 +115,11 @@
     fleet.woke(110.0)
     fleet.turn(110.0)
     assert not fleet.leads and not fleet.outbox[1:]
-    board = peerwire.encode_board(peerwire.Board(2, 1, 0, [(9, 3, 0, False)]))
+    board = codec.encode_board(codec.Board(2, 1, 0, [(9, 3, 0, False)]))
     assert len(list(fleet.hear(110.1, 7, board))) == 1
     assert fleet.hub == 7 and fleet.others(9, 0.0) == 3
 
 
 def test_an_upgrade_of_nothing_else_follows_from_a_stall() -> None:
     """It decides nothing by itself: no send, no refusal, no call."""
-    assert dispatcher(5).handle(104.0, api.Stalled(3.0)) == []
+    assert dispatcher(5).handle(104.0, interface.Stalled(3.0)) == []
--- a/tests/stage.py
+++ b/tests/stage.py
@@ -18,9 +18,9 @@
 
 from beaconhinge.__main__ import serve
 from beaconhinge.config import Config, parse
-from beaconhinge.config.ours import Ours
+from beaconhinge.config.local import Ours
+from beaconhinge.policy import interface
 from beaconhinge.standin.ports import free_port as free_port
-from ospreyroute import api
 
 SETTINGS: dict[str, Any] = {
     "groupSize": 2,
@@ -284,18 +284,22 @@
 class Scripted:
     """Stands in for the module: answers a job with the given actions, and keeps the events that it is fed."""
 
-    def __init__(self, on_job: list[api.Action], then: dict[type, list[api.Action]] | None = None) -> None:
-        self.on = {api.Job: on_job, **(then or {})}
+    def __init__(
+        self, on_job: list[interface.Action], then: dict[type, list[interface.Action]] | None = None
+    ) -> None:
+        self.on = {interface.Job: on_job, **(then or {})}
         self.events: asyncio.Queue[Any] = asyncio.Queue()
 
-    def handle(self, _now: float, event: api.Event) -> list[api.Action]:
-        if not isinstance(event, (api.Start, api.Membership)):
+    def handle(self, _now: float, event: interface.Event) -> list[interface.Action]:
+        if not isinstance(event, (interface.Start, interface.Membership)):
             self.events.put_nowait(event)
-        return self.on.pop(type(event), [api.Subscribe()] if isinstance(event, api.Start) else [])
+        return self.on.pop(type(event), [interface.Subscribe()] if isinstance(event, interface.Start) else [])
 
 
-def scripted(monkeypatch: pytest.MonkeyPatch, *on_job: api.Action, **then: list[api.Action]) -> Scripted:
-    module = Scripted(list(on_job), {getattr(api, name): actions for name, actions in then.items()})
+def scripted(
+    monkeypatch: pytest.MonkeyPatch, *on_job: interface.Action, **then: list[interface.Action]
+) -> Scripted:
+    module = Scripted(list(on_job), {getattr(interface, name): actions for name, actions in then.items()})
     monkeypatch.setattr("beaconhinge.__main__.Dispatcher", lambda settings, seed: module)
     return module
 
--- a/tests/test_arrivals.py
+++ b/tests/test_arrivals.py
@@ -4,7 +4,13 @@
 
 import pytest
 
-from beaconhinge.arrivals import LATE_AFTER, READ_WITHIN, READ_WITHIN_MOST, READ_WITHIN_PART, Arrivals
+from beaconhinge.dispatch.arrivals import (
+    LATE_AFTER,
+    READ_WITHIN,
+    READ_WITHIN_MOST,
+    READ_WITHIN_PART,
+    Arrivals,
+)
 
 
 def running(until: float) -> Arrivals:
--- a/tests/test_benchlink.py
+++ b/tests/test_benchlink.py
@@ -11,7 +11,7 @@
 import pytest
 from helpers import PAIRS
 
-from ospreyroute.benchlink import Link
+from beaconhinge.simulator import Link
 
 ROOT = Path(__file__).resolve().parent.parent
 SETTINGS = "\t".join(f"{k}={v}" for k, v in PAIRS.items())
@@ -149,7 +149,7 @@
     replies = set()
     for seed in ("0", "1", "77"):
         done = subprocess.run(
-            [sys.executable, "-m", "ospreyroute.benchlink"],
+            [sys.executable, "-m", "beaconhinge.simulator"],
             input=transcript([0, 1]),
             capture_output=True,
             text=True,
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -19,11 +19,11 @@
 import pytest
 from stage import SETTINGS, Seen, Stage, event, free_port, job, play, read_message, reply, scripted
 
-from beaconhinge.inventory import worker_number
-from beaconhinge.net.frontend import Frontend
+from beaconhinge.membership.inventory import worker_number
 from beaconhinge.net.http1 import Connection
+from beaconhinge.net.listener import Frontend
 from beaconhinge.net.sockets import connect
-from ospreyroute import api
+from beaconhinge.policy import interface
 
 ROOT = Path(__file__).resolve().parent.parent
 FIRST, SECOND = worker_number("s-0"), worker_number("s-1")
@@ -75,7 +75,11 @@
     monkeypatch: pytest.MonkeyPatch, how: str
 ) -> None:
     """Its dial came up after the client had gone, and brought the whole job."""
-    module, dialled, dropped = scripted(monkeypatch, api.Send(1, FIRST)), asyncio.Event(), asyncio.Event()
+    module, dialled, dropped = (
+        scripted(monkeypatch, interface.Send(1, FIRST)),
+        asyncio.Event(),
+        asyncio.Event(),
+    )
 
     async def never(address: tuple[str, int]) -> socket.socket:
         dialled.set()
@@ -85,7 +89,7 @@
             dropped.set()
         raise AssertionError
 
-    monkeypatch.setattr("beaconhinge.net.workers.connect", never)
+    monkeypatch.setattr("beaconhinge.net.worker_pool.connect", never)
 
     async def story(scene: Stage) -> None:
         sock = client(scene)
@@ -97,9 +101,9 @@
             sock.sendall(b"POST /render HT")
         sock.close()
         async with asyncio.timeout(0.1):
-            ended = await event(module, api.Outcome)
+            ended = await event(module, interface.Outcome)
             await dropped.wait()
-        assert (ended.outcome, ended.settled) == (api.NOT_SENT, True)
+        assert (ended.outcome, ended.settled) == (interface.NOT_SENT, True)
         assert scene.workers[0].connections == 0
 
     limits = {"connectTimeout": 5.0, "cancel": True, "idleClose": 5.0, "peers": True}
@@ -111,7 +115,7 @@
     monkeypatch: pytest.MonkeyPatch, gone: bool
 ) -> None:
     """The client's end lies unread: the first byte would be written before the task that reads it has run."""
-    module, clients = scripted(monkeypatch, api.Send(1, FIRST)), list[socket.socket]()
+    module, clients = scripted(monkeypatch, interface.Send(1, FIRST)), list[socket.socket]()
 
     async def up(address: tuple[str, int]) -> socket.socket:
         sock = await connect(address)
@@ -119,24 +123,24 @@
             clients[0].close()
         return sock
 
-    monkeypatch.setattr("beaconhinge.net.workers.connect", up)
+    monkeypatch.setattr("beaconhinge.net.worker_pool.connect", up)
 
     async def story(scene: Stage) -> None:
         clients.append(client(scene))
         clients[0].sendall(job())
         if gone:
-            assert (await event(module, api.Outcome)).outcome == api.NOT_SENT
+            assert (await event(module, interface.Outcome)).outcome == interface.NOT_SENT
             assert scene.workers[0].seen.empty()
-            module.on[api.Job] = [api.Send(2, FIRST)]
+            module.on[interface.Job] = [interface.Send(2, FIRST)]
             asked = asyncio.create_task(scene.post(X_Request_ID="r2"))
             assert (await scene.workers[0].seen.get()).headers["x-request-id"] == "r2"
             asked.cancel()
         else:
             await scene.workers[0].seen.get()
             clients[0].close()  # after its first byte: the attempt keeps its outcome
-            await event(module, api.ClientGone)
+            await event(module, interface.ClientGone)
             await scene.news(state="done", result="unread")
-            assert (await event(module, api.Outcome)).outcome == api.SERVED
+            assert (await event(module, interface.Outcome)).outcome == interface.SERVED
         assert scene.workers[0].connections == 1
 
     play(story)
@@ -145,7 +149,10 @@
 def test_an_answer_ends_the_attempts_that_still_wait_for_their_connections(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    module, dialled = scripted(monkeypatch, api.Send(1, FIRST), api.Send(1, SECOND)), asyncio.Event()
+    module, dialled = (
+        scripted(monkeypatch, interface.Send(1, FIRST), interface.Send(1, SECOND)),
+        asyncio.Event(),
+    )
 
     async def story(scene: Stage) -> None:
         async def one_only(address: tuple[str, int]) -> socket.socket:
@@ -154,14 +161,14 @@
                 await asyncio.Event().wait()
             return await connect(address)
 
-        monkeypatch.setattr("beaconhinge.net.workers.connect", one_only)
+        monkeypatch.setattr("beaconhinge.net.worker_pool.connect", one_only)
         asked = asyncio.create_task(scene.post())
         await scene.workers[0].seen.get()
         await dialled.wait()
         await scene.news(state="done", result="first")
         assert (await asked).body == b"first"
-        ended = {(found := await event(module, api.Outcome)).worker: found.outcome for _ in range(2)}
-        assert ended == {FIRST: api.SERVED, SECOND: api.NOT_SENT}
+        ended = {(found := await event(module, interface.Outcome)).worker: found.outcome for _ in range(2)}
+        assert ended == {FIRST: interface.SERVED, SECOND: interface.NOT_SENT}
         assert scene.workers[1].connections == 0
 
     play(story, workers=2)
@@ -276,7 +283,7 @@
 def test_the_end_waits_for_clients_that_never_close_no_longer_than_its_bound(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr("beaconhinge.net.frontend.LINGER", 0.2)
+    monkeypatch.setattr("beaconhinge.net.listener.LINGER", 0.2)
 
     async def story(scene: Stage) -> None:
         sock = client(scene)
@@ -314,7 +321,7 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """The timer for it was due first, and the connection was closed over the unread request."""
-    monkeypatch.setattr("beaconhinge.net.frontend.FIRST_MESSAGE", 0.1)
+    monkeypatch.setattr("beaconhinge.net.listener.FIRST_MESSAGE", 0.1)
 
     async def story(scene: Stage) -> None:
         sock = client(scene)
@@ -385,7 +392,7 @@
             return reply(404)
         return reply(202)
 
-    module = scripted(monkeypatch, api.Send(1, FIRST), ClientGone=[api.Cancel(1, 0)])
+    module = scripted(monkeypatch, interface.Send(1, FIRST), ClientGone=[interface.Cancel(1, 0)])
 
     async def story(scene: Stage) -> None:
         sock = client(scene)
@@ -393,7 +400,7 @@
         seen = scene.workers[0].seen
         assert (await seen.get()).start.startswith("POST")
         await scene.news(state="started")
-        await event(module, api.Notice)
+        await event(module, interface.Notice)
         if first == "the result":
             assert (await scene.news(**told)).status == 204
             sock.close()
@@ -402,16 +409,18 @@
             assert (await seen.get()).start == "DELETE /jobs/r1 HTTP/1.1"
             assert (await scene.news(**told)).status == 204
             gate.set()
-        outcome = await event(module, api.Outcome)
-        given = {"done": api.SERVED, "returned": api.FULL, "lost": api.RESET}[told["state"]]
-        assert outcome.outcome == (given if first == "the result" else api.CANCELLED)
-        module.on[api.Job] = [api.Send(2, FIRST)]  # the next job of that name has nothing of the first
+        outcome = await event(module, interface.Outcome)
+        given = {"done": interface.SERVED, "returned": interface.FULL, "lost": interface.RESET}[told["state"]]
+        assert outcome.outcome == (given if first == "the result" else interface.CANCELLED)
+        module.on[interface.Job] = [
+            interface.Send(2, FIRST)
+        ]  # the next job of that name has nothing of the first
         again = asyncio.create_task(scene.post())
         assert (await seen.get()).start.startswith("POST")
         await scene.news(state="done", result="new")
         assert (await again).body == b"new"
         left = [module.events.get_nowait() for _ in range(module.events.qsize())]
-        assert [e.request for e in left if isinstance(e, api.Outcome)] == [2]
+        assert [e.request for e in left if isinstance(e, interface.Outcome)] == [2]
 
     play(story, worker)
 
@@ -518,7 +527,7 @@
         listeners.append(listener)
         return listener
 
-    monkeypatch.setattr("beaconhinge.net.frontend.tcp_listener", listening)
+    monkeypatch.setattr("beaconhinge.net.listener.tcp_listener", listening)
     after(monkeypatch, Frontend, "listen", frontends.append)
 
     async def story(scene: Stage) -> None:
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -12,11 +12,11 @@
 import uvloop
 from stage import SETTINGS, Seen, Stage, accept, event, play, reply, scripted, stage
 
-from beaconhinge.freshness import Freshness
-from beaconhinge.inventory import Inventory, InventoryError, worker_number
+from beaconhinge.membership.freshness import Freshness
+from beaconhinge.membership.inventory import Inventory, InventoryError, worker_number
 from beaconhinge.net.discovery import Discovery
 from beaconhinge.net.sockets import connect
-from ospreyroute import api
+from beaconhinge.policy import interface
 
 
 def test_a_list_of_version_0_is_watched_and_not_asked_for_again_and_again() -> None:
@@ -91,7 +91,7 @@
 def test_an_entry_turns_into_a_member_with_a_number_of_32_bits() -> None:
     [host] = Inventory(["a", "b"], ["k"]).read({"version": 4, "full": True, "servers": [HOST]}).hosts
     assert host.address == ("127.0.0.1", 9)
-    assert host.member == api.Member(worker_number("s-1"), api.UP, 0, 3, 1, 1.0, 1.5)
+    assert host.member == interface.Member(worker_number("s-1"), interface.UP, 0, 3, 1, 1.0, 1.5)
     assert 0 <= host.member.worker < 2**32
 
 
@@ -158,7 +158,7 @@
 def test_a_discovery_that_says_nothing_holds_up_no_job_and_is_not_hammered(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr("beaconhinge.membership.ANSWER", 0.1)
+    monkeypatch.setattr("beaconhinge.membership.discovery_watch.ANSWER", 0.1)
     calls = 0
 
     async def script(_message: Seen) -> bytes | None:
@@ -208,7 +208,9 @@
     pushed: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """It was given up just as that counted as told, 2 s after its wait, and asked for anew at random after."""
-    monkeypatch.setattr("beaconhinge.membership.WAIT", 0.5)  # the part beyond it stays as it is
+    monkeypatch.setattr(
+        "beaconhinge.membership.discovery_watch.WAIT", 0.5
+    )  # the part beyond it stays as it is
 
     async def story(scene: Stage) -> None:
         loop = asyncio.get_running_loop()
@@ -296,7 +298,7 @@
     news: dict[str, object], monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """A connection was made to where the configured list had the worker; where it failed the worker was blamed."""
-    told, module = asyncio.Event(), scripted(monkeypatch, api.Send(1, worker_number("s-0")))
+    told, module = asyncio.Event(), scripted(monkeypatch, interface.Send(1, worker_number("s-0")))
 
     async def script(scene: Stage, message: Seen) -> bytes | None:
         await told.wait()
@@ -306,10 +308,10 @@
 
     async def story(scene: Stage) -> None:
         asked = asyncio.create_task(scene.post())
-        await event(module, api.Job)
+        await event(module, interface.Job)
         told.set()
-        outcome = await event(module, api.Outcome)
-        assert outcome.outcome == api.NOT_SENT
+        outcome = await event(module, interface.Outcome)
+        assert outcome.outcome == interface.NOT_SENT
         assert scene.workers[0].connections == 0
         asked.cancel()
 
@@ -430,7 +432,7 @@
         await serve_all(scene, 0)
 
     monkeypatch.setattr(Stage, "list", script)
-    monkeypatch.setattr("beaconhinge.freshness.UNKNOWN_MOST", 0.3)
+    monkeypatch.setattr("beaconhinge.membership.freshness.UNKNOWN_MOST", 0.3)
     play(story, settings={**SETTINGS, "membershipMode": "pushed"})
 
 
@@ -447,13 +449,13 @@
         return await connect(address)
 
     async def story(scene: Stage) -> None:
-        monkeypatch.setattr("beaconhinge.net.workers.connect", late)
+        monkeypatch.setattr("beaconhinge.net.worker_pool.connect", late)
         asked = asyncio.create_task(scene.post())
         leaving = [worker.port for worker in scene.workers].index(await begun.get())
         scene.lists = [changes(3, scene.host(leaving, state="Terminating"))]
         scene.discovery.cut()
         await next_call(scene, "index=3")
-        monkeypatch.setattr("beaconhinge.net.workers.connect", connect)
+        monkeypatch.setattr("beaconhinge.net.worker_pool.connect", connect)
         up.set()
         await scene.workers[1 - leaving].seen.get()  # proven never to have run, so it goes on
         await scene.news(1 - leaving, state="done", result="x")
@@ -531,8 +533,8 @@
     from helpers import members, started
 
     one, other = started(0), started(0)
-    one.handle(101.0, api.Membership(api.SNAPSHOT, 7, members(9)))
-    other.handle(101.0, api.Membership(api.SNAPSHOT, 7, members(9)[::-1]))
+    one.handle(101.0, interface.Membership(interface.SNAPSHOT, 7, members(9)))
+    other.handle(101.0, interface.Membership(interface.SNAPSHOT, 7, members(9)[::-1]))
     assert {w.id for w in one.pool[-1]} == {w.id for w in other.pool[-1]} == {m.worker for m in members(9)}
-    one.handle(102.0, api.Membership(api.SNAPSHOT, 3, members(2)))
+    one.handle(102.0, interface.Membership(interface.SNAPSHOT, 3, members(2)))
     assert {w.id for w in one.pool[-1]} == {m.worker for m in members(2)}
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -8,8 +8,8 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from ospreyroute import peerwire
-from ospreyroute.fleet import ALIVE, NO_BOARD, STAGGER, Fleet, Word
+from beaconhinge.gossip import codec
+from beaconhinge.gossip.aggregation import ALIVE, NO_BOARD, STAGGER, Fleet, Word
 
 TICK = 0.05
 
@@ -37,9 +37,9 @@
         self.out[number] = {}
         self.fleets[number] = self.fresh(number, len(self.fleets))
 
-    def send(self, number: int, key: int, what: int = peerwire.SENT) -> None:
+    def send(self, number: int, key: int, what: int = codec.SENT) -> None:
         own = self.out[number]
-        own[key] = own.get(key, 0) + (1 if what == peerwire.SENT else -1)
+        own[key] = own.get(key, 0) + (1 if what == codec.SENT else -1)
         self.fleets[number].note(self.now, key, what, 1)
 
     def run(self, seconds: float) -> None:
@@ -50,7 +50,7 @@
                     fleet.turn(self.now)
                     if fleet.introduce:
                         fleet.introduce = False
-                        report = peerwire.Report(0, 0, 0.0, slots_out=list(self.out[number].items()))
+                        report = codec.Report(0, 0, 0.0, slots_out=list(self.out[number].items()))
                         fleet.report(report, -1 if fleet.hub is None else fleet.hub)
                     fleet.forget_silent(self.now)
                     self.deliver(number, fleet)
@@ -58,7 +58,7 @@
     def deliver(self, number: int, fleet: Fleet) -> None:
         outbox, fleet.outbox = fleet.outbox, []
         for to, payload in outbox:
-            assert len(payload) <= peerwire.MAX_BYTES
+            assert len(payload) <= codec.MAX_BYTES
             for other in range(len(self.fleets)) if to < 0 else [to]:
                 if other not in (number, *self.dead) and self.random.random() >= self.loss:
                     self.delivered += 1
@@ -86,9 +86,9 @@
         circle.send(number, number % 7)
     circle.run(0.3)
     assert all(circle.seen(n, key) == circle.true(key) for n in range(20) for key in range(7))
-    circle.send(5, 5, peerwire.SERVED)
-    circle.send(6, 6, peerwire.FAILED)
-    circle.send(13, 6, peerwire.FAILED)
+    circle.send(5, 5, codec.SERVED)
+    circle.send(6, 6, codec.FAILED)
+    circle.send(13, 6, codec.FAILED)
     circle.run(0.4)
     assert [circle.seen(n, 5) for n in range(20)] == [2] * 20
     assert any(word.served for word in circle.words[9] if word.key == 5)
@@ -130,7 +130,7 @@
         circle.run(0.1)
     circle.loss = 0.0
     for number, fleet in enumerate(circle.fleets):  # the reports that go to all now and then
-        fleet.report(peerwire.Report(0, 0, 1.0, slots_out=list(circle.out[number].items())))
+        fleet.report(codec.Report(0, 0, 1.0, slots_out=list(circle.out[number].items())))
     circle.run(1.5)
     assert all(circle.seen(n, key) == circle.true(key) for n in range(20) for key in range(10))
 
@@ -162,7 +162,7 @@
         for _ in range(40):
             for number in range(size):
                 circle.send(number, number)
-                circle.send(number, number, peerwire.SERVED)
+                circle.send(number, number, codec.SERVED)
             circle.run(0.25)
         return (circle.delivered - before) / 40
 
@@ -183,7 +183,7 @@
 
 @given(
     st.binary(max_size=300),
-    st.sampled_from([peerwire.NEWS, peerwire.BOARD, peerwire.REPORT]),
+    st.sampled_from([codec.NEWS, codec.BOARD, codec.REPORT]),
     st.integers(-1, 30),
 )
 def test_no_bytes_raise_and_strangers_are_not_heard(data: bytes, kind: int, number: int) -> None:
@@ -195,7 +195,7 @@
 
 
 def test_a_board_survives_its_bytes() -> None:
-    board = peerwire.Board(9, 200, 300, [(16383, 40, 5, True), (0, 0, 0, False)])
-    data = peerwire.encode_board(board)
-    assert peerwire.decode(data) == peerwire.Board(9, 200, 255, [(16383, 31, 3, True), (0, 0, 0, False)])
-    assert peerwire.decode(data[:-1]) is None
+    board = codec.Board(9, 200, 300, [(16383, 40, 5, True), (0, 0, 0, False)])
+    data = codec.encode_board(board)
+    assert codec.decode(data) == codec.Board(9, 200, 255, [(16383, 31, 3, True), (0, 0, 0, False)])
+    assert codec.decode(data[:-1]) is None
--- a/tests/test_freshness.py
+++ b/tests/test_freshness.py
@@ -4,7 +4,13 @@
 
 import pytest
 
-from beaconhinge.freshness import CURRENT_FOR, STOOD_STILL_AGENT, UNKNOWN_MOST, Freshness, ListState
+from beaconhinge.membership.freshness import (
+    CURRENT_FOR,
+    STOOD_STILL_AGENT,
+    UNKNOWN_MOST,
+    Freshness,
+    ListState,
+)
 
 NOTIFIED_AFTER, DRAIN_GRACE = 6.0, 0.4  # seconds, as the operators have them
 
--- a/tests/test_guard.py
+++ b/tests/test_guard.py
@@ -7,8 +7,8 @@
 
 import pytest
 
-from beaconhinge.guard import Refusal, SendState, refusal
-from ospreyroute.api import DRAINING, GONE, UP, Member
+from beaconhinge.dispatch.send_guard import Refusal, SendState, refusal
+from beaconhinge.policy.interface import DRAINING, GONE, UP, Member
 
 WORKER = Member(7, UP, started_at=50.0)
 ALLOWED = SendState(
--- a/tests/test_hints.py
+++ b/tests/test_hints.py
@@ -9,9 +9,9 @@
 import pytest
 from stage import Stage, event, job, play, scripted
 
-from beaconhinge.hints import FEW, SPREAD, Hints
-from beaconhinge.stats import Stats
-from ospreyroute import api
+from beaconhinge.dispatch.work_estimates import FEW, SPREAD, Hints
+from beaconhinge.policy import interface
+from beaconhinge.runtime.metrics import Stats
 
 
 def test_a_deployment_without_hints_and_an_odd_client_in_one_get_none() -> None:
@@ -78,7 +78,7 @@
         for number, cost in enumerate(("250000", "500000.5", None, "a lot", "-1", "nan", "9" * 32)):
             _, client = await scene.open()
             client.write(job(X_Request_ID=f"r{number}", X_Cost=cost))
-            seen.append((await event(module, api.Job)).size_hint)
+            seen.append((await event(module, interface.Job)).size_hint)
         assert seen[:2] == [0.25, 0.5000005]
         assert all(0.25 <= work <= 0.51 for work in seen[2:6])  # the mean in place of what cannot be read
         assert seen[6] <= 5.0  # seconds that the client waits
--- a/tests/test_invariants.py
+++ b/tests/test_invariants.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from beaconhinge.invariants import LEFT_KEPT, Rule, SendMonitor
+from beaconhinge.dispatch.invariants import LEFT_KEPT, Rule, SendMonitor
 
 
 class History:
--- a/tests/test_large_fleet.py
+++ b/tests/test_large_fleet.py
@@ -4,11 +4,12 @@
 
 import pytest
 
+from beaconhinge.gossip import codec
+from beaconhinge.gossip.aggregation import Fleet
+from beaconhinge.policy import interface
 from beaconhinge.standin.fleet.plan import LONG_JOBS, SCRIPTS, Plan, Site
 from beaconhinge.standin.fleet.result import result
 from beaconhinge.standin.fleet.world import World
-from ospreyroute import api, peerwire
-from ospreyroute.fleet import Fleet
 
 SIZE = {"dispatchers": 200, "boxes": 200, "seconds": 2.5, "at": 1.0, "load": 0.6}
 UNTIL = 5.5  # seconds: hubs have been followed, restarted dispatchers are back
@@ -117,13 +118,11 @@
         made.start(100.0)
         return made
 
-    news = peerwire.encode_news(peerwire.News(3, 5, [(9, peerwire.SENT)]))
+    news = codec.encode_news(codec.News(3, 5, [(9, codec.SENT)]))
     other = fleet()
     assert len(list(other.hear(100.0, 8, news))) == 1
     assert list(other.hear(100.1, 8, news)) == []  # repeated
-    assert (
-        list(other.hear(100.1, 8, peerwire.encode_news(peerwire.News(3, 4, [(9, peerwire.SENT)])))) == []
-    )  # old
+    assert list(other.hear(100.1, 8, codec.encode_news(codec.News(3, 4, [(9, codec.SENT)])))) == []  # old
     assert other.board.out[9] == 1
     for number in (-1, 7, 199, 200, 2**31):  # nobody, itself, another circle, out of range
         assert list(fleet().hear(100.0, number, news)) == []
@@ -136,8 +135,8 @@
     from helpers import job, sends, started
 
     dispatcher = started(0)
-    many = [api.Member(n, cell=n % 6, zone=n % 2) for n in range(3000)]
-    dispatcher.handle(101.0, api.Membership(api.SNAPSHOT, 2, many))
+    many = [interface.Member(n, cell=n % 6, zone=n % 2) for n in range(3000)]
+    dispatcher.handle(101.0, interface.Membership(interface.SNAPSHOT, 2, many))
     assert len({s.worker for n in range(200) for s in sends(dispatcher.handle(101.0, job(n)))}) > 150
 
 
@@ -164,7 +163,7 @@
     mate.start(100.0)
     known = {0: near, 40: far, 41: mate}
     for _ in range(4):
-        near.note(101.0, 7, peerwire.SENT, 1)
+        near.note(101.0, 7, codec.SENT, 1)
     now = 101.0
     while now < 103.0:
         now = round(now + 0.05, 3)
@@ -180,7 +179,7 @@
 
 def test_a_hub_that_is_no_more_is_looked_for_from_the_first_member_on_and_the_lower_one_counts() -> None:
     fleet = led(0)
-    board = {n: peerwire.encode_board(peerwire.Board(n, 1, 0, [(7, n - 40, 0, False)])) for n in (41, 42, 43)}
+    board = {n: codec.encode_board(codec.Board(n, 1, 0, [(7, n - 40, 0, False)])) for n in (41, 42, 43)}
     circle = fleet.far[1]
     assert list(circle.members) == list(range(40, 80))
     assert [circle.contact(101.0) for _ in range(3)] == [40, 41, 42]
@@ -201,7 +200,7 @@
     near, far, mate = led(0), led(40), Fleet(200, 41, 9, 0.5)
     mate.start(100.0)
     for key in range(40):  # more than one board names
-        near.note(101.0, key, peerwire.SENT, 1)
+        near.note(101.0, key, codec.SENT, 1)
     now = 101.0
     while now < 106.0:
         now = round(now + 0.05, 3)
@@ -214,11 +213,11 @@
 
 
 def test_boards_of_other_circles_are_for_hubs_and_far_boards_for_the_own_circle() -> None:
-    plain = peerwire.encode_board(peerwire.Board(1, 1, 0, [(7, 3, 0, False)]))
-    whole = peerwire.encode_board(peerwire.Board(1, 1, 0, [(7, 3, 0, False)], far=True))
-    assert (peerwire.decode(plain), peerwire.decode(whole)) == (
-        peerwire.Board(1, 1, 0, [(7, 3, 0, False)]),
-        peerwire.Board(1, 1, 0, [(7, 3, 0, False)], far=True),
+    plain = codec.encode_board(codec.Board(1, 1, 0, [(7, 3, 0, False)]))
+    whole = codec.encode_board(codec.Board(1, 1, 0, [(7, 3, 0, False)], far=True))
+    assert (codec.decode(plain), codec.decode(whole)) == (
+        codec.Board(1, 1, 0, [(7, 3, 0, False)]),
+        codec.Board(1, 1, 0, [(7, 3, 0, False)], far=True),
     )
     member = Fleet(200, 5, 1, 0.5)
     member.start(100.0)
