--- a/tests/test_large_groups.py
+++ b/tests/test_large_groups.py
@@ -8,8 +8,10 @@
 import pytest
 from helpers import job, members, outcome, sends, started
 
-from ospreyroute import api, decide, peerwire
-from ospreyroute.decide import Dispatcher
+from beaconhinge.gossip import codec
+from beaconhinge.policy import dispatcher as policy
+from beaconhinge.policy import interface
+from beaconhinge.policy.dispatcher import Dispatcher
 
 
 def member(size: int, number: int = 0, workers: int = 4, **changes: str) -> Dispatcher:
@@ -26,7 +28,7 @@
         self.loss = loss
         self.report_at = [100.0 + self.random.random() * 0.5 for _ in self.members]
         self.bytes = self.jobs = 0
-        self.delayed: list[tuple[int, api.PeerMessage]] = []
+        self.delayed: list[tuple[int, interface.PeerMessage]] = []
         self.silent: set[int] = set()
         self.now = 100.0
 
@@ -37,32 +39,34 @@
             for number, dispatcher in enumerate(self.members):
                 if number in self.silent:
                     continue
-                dispatcher.handle(self.now, api.Timer(decide.TICK))
+                dispatcher.handle(self.now, interface.Timer(policy.TICK))
                 if self.random.random() < rate * 0.1:
                     self.jobs += 1
                     for send in self.carry(number, dispatcher.handle(self.now, job(self.jobs))):
                         self.carry(
                             number,
-                            dispatcher.handle(self.now, outcome(send.request, send.worker, api.SERVED)),
+                            dispatcher.handle(self.now, outcome(send.request, send.worker, interface.SERVED)),
                         )
                 if self.now >= self.report_at[number]:
-                    actions = dispatcher.handle(self.now, api.Timer(decide.REPORT))
+                    actions = dispatcher.handle(self.now, interface.Timer(policy.REPORT))
                     timers = [
-                        a.after for a in actions if isinstance(a, api.SetTimer) and a.token == decide.REPORT
+                        a.after
+                        for a in actions
+                        if isinstance(a, interface.SetTimer) and a.token == policy.REPORT
                     ]
                     self.report_at[number] = self.now + timers[0]
                     self.carry(number, actions)
 
-    def carry(self, sender: int, actions: list[api.Action]) -> list[api.Send]:
+    def carry(self, sender: int, actions: list[interface.Action]) -> list[interface.Send]:
         for action in actions:
-            if isinstance(action, api.Tell):
+            if isinstance(action, interface.Tell):
                 to = range(len(self.members)) if action.peer < 0 else [action.peer]
                 for peer in to:
                     if peer == sender or peer in self.silent:
                         continue
                     self.bytes += len(action.payload)
                     if self.random.random() >= self.loss:
-                        self.delayed.append((peer, api.PeerMessage(sender, action.payload)))
+                        self.delayed.append((peer, interface.PeerMessage(sender, action.payload)))
         if len(self.delayed) > 20 or not self.loss:
             if self.loss:  # out of order, and some of them twice
                 self.random.shuffle(self.delayed)
@@ -79,7 +83,7 @@
     group.run(12.0, rate=2.0)
     group.bytes = group.jobs = 0
     group.run(15.0, rate=2.0)
-    assert 0 < group.bytes / group.jobs < 1.3 * decide.REPORT_BYTES
+    assert 0 < group.bytes / group.jobs < 1.3 * policy.REPORT_BYTES
 
 
 @pytest.mark.parametrize("size, loss", [(20, 0.0), (150, 0.0), (150, 0.3)])
@@ -117,10 +121,10 @@
 def test_foreign_bytes_and_numbers_change_nothing() -> None:
     dispatcher = member(150)
     outside = 149  # in another circle than number 0
-    good = peerwire.encode(peerwire.Report(5, 1, 0.5, [(0, 0, 9.0, 0.0)]))
+    good = codec.encode(codec.Report(5, 1, 0.5, [(0, 0, 9.0, 0.0)]))
     former = struct.pack(">HBBIHHBB", 0x6F73, 2, 1, 5, 1, 500, 0, 0)
     for peer, payload in ((outside, good), (1, former), (0, good), (900, b""), (1, good + good)):
-        dispatcher.handle(100.1, api.PeerMessage(peer, payload))
+        dispatcher.handle(100.1, interface.PeerMessage(peer, payload))
     assert dispatcher.fleet.peers == {} and dispatcher.total_demand() == {}
 
 
@@ -131,7 +135,7 @@
     group = [member(size, number, workers=0) for number in range(size)]
     sent: list[tuple[float, float]] = []
     for dispatcher in group:
-        dispatcher.handle(now, api.Membership(api.SNAPSHOT, 2, members(1, started_at=now - age)))
+        dispatcher.handle(now, interface.Membership(interface.SNAPSHOT, 2, members(1, started_at=now - age)))
         dispatcher.workers[100].limit = slots
         dispatcher.pace = 1.0
         dispatcher.mean_work = hint
@@ -140,9 +144,9 @@
             number = 1000 * step + 1
             for send in sends(dispatcher.handle(now, job(number, size_hint=hint))):
                 sent.append((now, hint))
-                dispatcher.handle(now, outcome(send.request, send.worker, api.SERVED))
+                dispatcher.handle(now, outcome(send.request, send.worker, interface.SERVED))
             if number in dispatcher.requests:
-                dispatcher.handle(now, api.ClientGone(number))
+                dispatcher.handle(now, interface.ClientGone(number))
         now += 0.1
     given = group[0].settings
     for start, _ in sent:
@@ -158,15 +162,15 @@
 def test_slow_handshakes_leave_open_connections_in_use() -> None:
     dispatcher = member(150, workers=2)
     first = sends(dispatcher.handle(100.0, job(1)))[0].worker
-    dispatcher.handle(100.1, outcome(1, first, api.SERVED))
+    dispatcher.handle(100.1, outcome(1, first, interface.SERVED))
     for n, worker in enumerate(dispatcher.workers.values(), 2):  # a further, new connection to each fails
         request = n
         dispatcher.workers[200 - worker.id + 1].benched_until = 200.0
         worker.benched_until, open_ones, worker.idle = 0.0, worker.idle, []
         assert sends(dispatcher.handle(100.2, job(request)))[0].worker == worker.id
         worker.idle = open_ones
-        dispatcher.handle(100.2, api.ClientGone(request))
-        dispatcher.handle(100.26, outcome(request, worker.id, api.NO_CONNECTION))
+        dispatcher.handle(100.2, interface.ClientGone(request))
+        dispatcher.handle(100.26, outcome(request, worker.id, interface.NO_CONNECTION))
     for worker in dispatcher.workers.values():
         worker.benched_until = 0.0
     assert sends(dispatcher.handle(100.3, job(9)))[0].worker == first
@@ -177,16 +181,16 @@
     dispatcher = member(150)
     dispatcher.job_time = 1.0
     worker = sends(dispatcher.handle(100.0, job(1, 2, remaining=0.4)))[0].worker
-    dispatcher.handle(100.4, outcome(1, worker, api.TIMEOUT))
+    dispatcher.handle(100.4, outcome(1, worker, interface.TIMEOUT))
     assert dispatcher.workers[worker].fail == 0.0
 
 
-@pytest.mark.parametrize("flags, refused", [(0, False), (api.REPEAT, True)])
+@pytest.mark.parametrize("flags, refused", [(0, False), (interface.REPEAT, True)])
 def test_less_time_left_is_a_repeat_only_by_its_mark_where_clients_mark(flags: int, refused: bool) -> None:
     dispatcher = member(2, clients__marksRetry="true")
     dispatcher.handle(100.0, job(1, 2))
     actions = dispatcher.handle(100.1, job(2, 2, remaining=0.8, flags=flags))
-    assert any(isinstance(a, api.Refuse) for a in actions) == refused
+    assert any(isinstance(a, interface.Refuse) for a in actions) == refused
 
 
 TELLS = {"familyInfo__tellsStart": "true", "policyLimits__mayDuplicate": "true"}
@@ -195,16 +199,21 @@
 def test_jobs_that_wait_for_their_start_are_not_sent_twice() -> None:
     """A copy of each waiting job gave a busy fleet twice its work, since a cancel does not drop what waits."""
     dispatcher = member(40, **TELLS)
-    dispatcher.handle(100.0, api.PeerMessage(1, peerwire.encode(peerwire.Report(5, 1, 0.5))))
+    dispatcher.handle(100.0, interface.PeerMessage(1, codec.encode(codec.Report(5, 1, 0.5))))
     for number in (1, 2):
         dispatcher.handle(100.0, job(number, remaining=9.0))
-    signs = [(worker.key, peerwire.SERVED) for worker in dispatcher.workers.values()]  # of jobs of others
+    signs = [(worker.key, codec.SERVED) for worker in dispatcher.workers.values()]  # of jobs of others
     for step in range(1, 30):
-        news = peerwire.encode_news(peerwire.News(5, 1 + step, signs))
-        for event in (api.PeerMessage(1, news), api.Timer(decide.TICK), api.Timer(17), api.Timer(18)):
+        news = codec.encode_news(codec.News(5, 1 + step, signs))
+        for event in (
+            interface.PeerMessage(1, news),
+            interface.Timer(policy.TICK),
+            interface.Timer(17),
+            interface.Timer(18),
+        ):
             assert not sends(dispatcher.handle(100.0 + step / 10, event))
     assert [len(r.attempts) for r in dispatcher.requests.values()] == [1, 1]
-    later = [dispatcher.handle(103.0 + step / 10, api.Timer(decide.TICK)) for step in range(20)]
+    later = [dispatcher.handle(103.0 + step / 10, interface.Timer(policy.TICK)) for step in range(20)]
     assert any(sends(actions) for actions in later)  # from a worker that has fallen silent they are fetched
 
 
@@ -214,13 +223,13 @@
     monkeypatch.setattr(Dispatcher, "able", lambda self, w, r: looked.append(w) or able(self, w, r))
     dispatcher = member(150, workers=400)
     dispatcher.handle(100.0, job(1))
-    assert 0 < len(looked) <= 2 * decide.SAMPLE
+    assert 0 < len(looked) <= 2 * policy.SAMPLE
 
 
 def test_a_small_clump_of_a_tenant_within_its_quota_is_not_over_it() -> None:
     dispatcher = member(150, orgs__count="1", orgs__0__quotaRps="30", orgs__0__share="1")
     for step in range(200):  # twenty seconds without a job fill the quota's bucket
-        dispatcher.handle(100.0 + step * 0.1, api.Timer(decide.TICK))
+        dispatcher.handle(100.0 + step * 0.1, interface.Timer(policy.TICK))
     for n in range(1, 5):
         dispatcher.handle(120.0, job(n))
     assert [dispatcher.requests[n].over for n in range(1, 5)] == [False] * 4
@@ -231,12 +240,15 @@
     times = []
     for dispatcher in group:
         if refused:
-            dispatcher.handle(100.0, api.Membership(api.REFUSED))
+            dispatcher.handle(100.0, interface.Membership(interface.REFUSED))
         for step in range(int(seconds * 10)):
             now = 100.0 + step / 10
-            if any(isinstance(a, api.Subscribe) for a in dispatcher.handle(now, api.Timer(decide.TICK))):
+            if any(
+                isinstance(a, interface.Subscribe)
+                for a in dispatcher.handle(now, interface.Timer(policy.TICK))
+            ):
                 times.append(now)
-                dispatcher.handle(now, api.Membership(api.CHANGES, 1))
+                dispatcher.handle(now, interface.Membership(interface.CHANGES, 1))
     return sorted(times)
 
 
@@ -253,11 +265,13 @@
 def test_a_refused_call_is_repeated_ever_later_but_in_time_for_the_rule() -> None:
     dispatcher, now, waits = member(40, membershipMode="on_request"), 100.0, []
     for _ in range(60):
-        dispatcher.handle(now, api.Membership(api.REFUSED))
+        dispatcher.handle(now, interface.Membership(interface.REFUSED))
         waits.append(dispatcher.ask_at - now)
         now = dispatcher.ask_at
-        assert any(isinstance(a, api.Subscribe) for a in dispatcher.handle(now, api.Timer(decide.TICK)))
+        assert any(
+            isinstance(a, interface.Subscribe) for a in dispatcher.handle(now, interface.Timer(policy.TICK))
+        )
     assert max(waits) <= 2 * dispatcher.settings.must_ask_in and sum(waits[20:]) / 40 > 0.8 * sum(waits[:1])
-    dispatcher.handle(now, api.Membership(api.CHANGES, 2))
-    dispatcher.handle(now, api.Membership(api.REFUSED))
-    assert dispatcher.ask_at <= now + decide.ASK_SPREAD * 40
+    dispatcher.handle(now, interface.Membership(interface.CHANGES, 2))
+    dispatcher.handle(now, interface.Membership(interface.REFUSED))
+    assert dispatcher.ask_at <= now + policy.ASK_SPREAD * 40
--- a/tests/test_logs.py
+++ b/tests/test_logs.py
@@ -10,7 +10,7 @@
 import pytest
 
 from beaconhinge.logs import writer
-from beaconhinge.stats import Stats
+from beaconhinge.runtime.metrics import Stats
 
 
 def lines(form: Literal["logfmt", "json"], act: Callable[[Stats], Any]) -> list[str]:
--- a/tests/test_other_deployments.py
+++ b/tests/test_other_deployments.py
@@ -9,15 +9,15 @@
 import pytest
 from helpers import job, members, settings
 
-from ospreyroute import api
-from ospreyroute.decide import BENCH_MOST, Dispatcher
+from beaconhinge.policy import interface
+from beaconhinge.policy.dispatcher import BENCH_MOST, Dispatcher
 
 HANGING, WORKERS = 100, 9
 UNSAFE, WAITS = 2, 25.0  # the class, and the seconds that its clients wait
 SLOTS = 4  # of a worker
 
 
-def weighed(weights: list[float]) -> list[api.Member]:
+def weighed(weights: list[float]) -> list[interface.Member]:
     listed = members(WORKERS)
     for member, weight in zip(listed, weights, strict=True):
         member.weight = weight
@@ -49,9 +49,9 @@
         self.tries: dict[int, int] = {}  # of the job: which try of its client
         self._numbers = count(1_000_000)
         self._order = count()
-        self._due: list[tuple[float, int, api.Event]] = []
-        self._feed(100.0, api.Start())
-        self._feed(100.0, api.Membership(api.REMEMBERED, 1, weighed(weights)))
+        self._due: list[tuple[float, int, interface.Event]] = []
+        self._feed(100.0, interface.Start())
+        self._feed(100.0, interface.Membership(interface.REMEMBERED, 1, weighed(weights)))
 
     def jobs(self, rate: float, seconds: float) -> None:
         for number in range(int(rate * seconds)):
@@ -61,44 +61,48 @@
             self._feed(now, event)
 
     def list_again(self, at: float, weights: list[float]) -> None:
-        self._later(at, api.Membership(api.CHANGES, int(at), weighed(weights)))
+        self._later(at, interface.Membership(interface.CHANGES, int(at), weighed(weights)))
 
-    def _later(self, at: float, event: api.Event) -> None:
+    def _later(self, at: float, event: interface.Event) -> None:
         heapq.heappush(self._due, (at, next(self._order), event))
 
     def _running(self, worker: int, at: float) -> int:
         return sum(begun <= at < ended for who, begun, ended in self.spans if who == worker)
 
-    def _feed(self, now: float, event: api.Event) -> None:
+    def _feed(self, now: float, event: interface.Event) -> None:
         for action in self.dispatcher.handle(now, event):
-            if isinstance(action, api.Send):
+            if isinstance(action, interface.Send):
                 self._run(now, action)
-            elif isinstance(action, api.SetTimer):
-                self._later(now + action.after, api.Timer(action.token))
-            elif isinstance(action, (api.Refuse, api.Abort)):
+            elif isinstance(action, interface.SetTimer):
+                self._later(now + action.after, interface.Timer(action.token))
+            elif isinstance(action, (interface.Refuse, interface.Abort)):
                 self.ended[type(action).__name__] += 1
                 turn = self.tries.get(action.request, 0)
-                if isinstance(action, api.Refuse) and turn < self.retries:
+                if isinstance(action, interface.Refuse) and turn < self.retries:
                     again = next(self._numbers)
                     self.tries[again] = turn + 1
-                    self._later(now, job(again, UNSAFE, remaining=WAITS, size_hint=1.0, flags=api.REPEAT))
+                    self._later(
+                        now, job(again, UNSAFE, remaining=WAITS, size_hint=1.0, flags=interface.REPEAT)
+                    )
 
-    def _run(self, now: float, send: api.Send) -> None:
+    def _run(self, now: float, send: interface.Send) -> None:
         number = sum(request == send.request for _, _, request in self.sent)
         self.sent.append((now, send.worker, send.request))
-        what, after = api.SERVED, 1.0
+        what, after = interface.SERVED, 1.0
         if send.worker == HANGING and now < 100.0 + self.hangs_for:
-            what, after = api.TIMEOUT, WAITS
+            what, after = interface.TIMEOUT, WAITS
         elif self._running(send.worker, now) >= SLOTS:
-            what, after = api.FULL, 0.002
+            what, after = interface.FULL, 0.002
         else:
             self.spans.append((send.worker, now, now + after))
         self.ended[what] += 1
         load = None
-        if self.late and what != api.TIMEOUT:
+        if self.late and what != interface.TIMEOUT:
             free = SLOTS - self._running(send.worker, now + after - self.late)
             load = {"x0": float(free), "depth": 0.0}
-        self._later(now + after, api.Outcome(send.request, send.worker, number, what, True, after, load))
+        self._later(
+            now + after, interface.Outcome(send.request, send.worker, number, what, True, after, load)
+        )
 
 
 @pytest.mark.parametrize("late", [0.0, 5.0])
--- a/tests/test_own_sites.py
+++ b/tests/test_own_sites.py
@@ -9,10 +9,10 @@
 import pytest
 
 from beaconhinge.config import Config, ConfigError, parse
-from ospreyroute import api
+from beaconhinge.policy import interface
 
 SITES = Path(__file__).parent.parent / "deploy" / "sites"
-EFFECTS = {"safe": api.RETRYABLE, "keyed": api.DEDUP, "unsafe": api.FRAGILE}
+EFFECTS = {"safe": interface.RETRYABLE, "keyed": interface.DEDUP, "unsafe": interface.FRAGILE}
 FIELDS = {"queue": "depth", "x0": "x0"}  # as they are named on sockets
 
 
@@ -90,10 +90,10 @@
     assert told.subscribe is not pushed and told.peers is pushed
     assert (len(found.zones), len(found.class_names), len(found.tenant_names)) == (zones, classes, tenants)
     semantics = [cls.semantics for cls in told.classes]
-    assert semantics.count(api.FRAGILE) == semantics.count(api.DEDUP) == 1
+    assert semantics.count(interface.FRAGILE) == semantics.count(interface.DEDUP) == 1
     assert told.free_slots_field == "x0" and told.queue_field == "depth"
     assert [cls.dedup_window > 0 for cls in told.classes] == [
-        cls.semantics == api.DEDUP for cls in told.classes
+        cls.semantics == interface.DEDUP for cls in told.classes
     ]
 
 
--- a/tests/test_parts.py
+++ b/tests/test_parts.py
@@ -18,11 +18,11 @@
 import pytest
 from stage import SETTINGS, free_port
 
-from beaconhinge.clock import Clock
 from beaconhinge.config import ConfigError, flatten, load, parse
 from beaconhinge.net.sockets import SPARE, Budget
-from beaconhinge.stats import Stats
-from beaconhinge.wheel import SLOTS, TICK, Wheel
+from beaconhinge.runtime.clock import Clock
+from beaconhinge.runtime.metrics import Stats
+from beaconhinge.runtime.timer_wheel import SLOTS, TICK, Wheel
 
 ROOT = Path(__file__).resolve().parent.parent
 GIVEN: dict[str, Any] = {
@@ -227,7 +227,7 @@
     with pytest.raises(AssertionError, match="name"):
         Stats(lambda: 1.0).holds(False, "name")
     code = (
-        "from beaconhinge.stats import Stats; s = Stats(lambda: 1.0)\n"
+        "from beaconhinge.runtime.metrics import Stats; s = Stats(lambda: 1.0)\n"
         "print(s.holds(False, 'name'), s.holds(True, 'name'), s.counters['broken_name'])"
     )
     done = subprocess.run(
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -10,14 +10,14 @@
 import pytest
 from stage import Scripted, Stage, play
 
-from ospreyroute import api
+from beaconhinge.policy import interface
 
 
 @pytest.mark.parametrize(("target", "arrives"), [(-1, True), (1, True), (7, False)])
 def test_datagrams_go_to_all_or_one_and_come_from_known_peers(
     monkeypatch: pytest.MonkeyPatch, target: int, arrives: bool
 ) -> None:
-    module = Scripted([api.Tell(b"hello", target), api.Refuse(1)])
+    module = Scripted([interface.Tell(b"hello", target), interface.Refuse(1)])
     monkeypatch.setattr("beaconhinge.__main__.Dispatcher", lambda settings, seed: module)
 
     async def story(scene: Stage) -> None:
@@ -41,15 +41,17 @@
             ):
                 sender.sendto(payload, ("127.0.0.1", scene.peer_port))
             told = [
-                e for e in [await module.events.get() for _ in range(3)] if isinstance(e, api.PeerMessage)
+                e
+                for e in [await module.events.get() for _ in range(3)]
+                if isinstance(e, interface.PeerMessage)
             ]
-            assert told == [api.PeerMessage(1, b""), api.PeerMessage(1, b"known")]
+            assert told == [interface.PeerMessage(1, b""), interface.PeerMessage(1, b"known")]
 
     play(story)
 
 
 def test_a_dispatcher_that_stops_tells_nothing_more(monkeypatch: pytest.MonkeyPatch) -> None:
-    module = Scripted([api.Tell(b"before", 1), api.Refuse(1)])
+    module = Scripted([interface.Tell(b"before", 1), interface.Refuse(1)])
     monkeypatch.setattr("beaconhinge.__main__.Dispatcher", lambda settings, seed: module)
 
     async def story(scene: Stage) -> None:
@@ -60,7 +62,7 @@
             assert peer.recv(300) == b"before"
             os.kill(os.getpid(), signal.SIGTERM)
             await asyncio.sleep(0.05)
-            module.on[api.Job] = [api.Tell(b"after", 1), api.Refuse(1)]
+            module.on[interface.Job] = [interface.Tell(b"after", 1), interface.Refuse(1)]
             await scene.post(X_Request_ID="r2")
             with pytest.raises(TimeoutError):
                 peer.recv(300)
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -8,10 +8,10 @@
 from hypothesis import settings as hypothesis_settings
 from hypothesis import strategies as st
 
-from ospreyroute import api
-from ospreyroute.decide import Dispatcher
+from beaconhinge.policy import interface
+from beaconhinge.policy.dispatcher import Dispatcher
 
-OUTCOMES = st.sampled_from(sorted(api.OUTCOMES - {api.NOT_SENT}))
+OUTCOMES = st.sampled_from(sorted(interface.OUTCOMES - {interface.NOT_SENT}))
 STEP = st.one_of(
     st.tuples(st.just("job"), st.integers(0, 2), st.floats(0.05, 4.0), st.sampled_from([0.0, 0.2, 3.0])),
     st.tuples(st.just("outcome"), st.integers(0, 50), OUTCOMES),
@@ -25,8 +25,8 @@
 
 
 def play(driver: Driver, steps: list[tuple]) -> None:
-    driver.feed(api.Start())
-    driver.feed(api.Membership(api.REMEMBERED, 1, members(4)))
+    driver.feed(interface.Start())
+    driver.feed(interface.Membership(interface.REMEMBERED, 1, members(4)))
     number = 0
     for step in steps:
         match step:
@@ -38,20 +38,20 @@
             case ("wait", seconds):
                 driver.advance(driver.now + seconds)
             case ("member", index, status, restarted):
-                member = api.Member(
+                member = interface.Member(
                     100 + index, status, cell=index % 2, started_at=driver.now if restarted else 0.0
                 )
-                driver.feed(api.Membership(api.CHANGES, 2, [member]))
+                driver.feed(interface.Membership(interface.CHANGES, 2, [member]))
             case ("gone", index) if number:
                 request = 1 + index % number
                 if not driver.checker.calls[request].settled:
-                    driver.feed(api.ClientGone(request))
+                    driver.feed(interface.ClientGone(request))
             case ("list", count):
-                driver.feed(api.Membership(api.SNAPSHOT, 3, members(count)))
+                driver.feed(interface.Membership(interface.SNAPSHOT, 3, members(count)))
             case ("refused",):
-                driver.feed(api.Membership(api.REFUSED))
+                driver.feed(interface.Membership(interface.REFUSED))
             case ("peer", payload):
-                driver.feed(api.PeerMessage(1, payload))
+                driver.feed(interface.PeerMessage(1, payload))
     driver.advance(driver.now + 10.0)
     driver.checker.end(driver.now)
 
@@ -92,17 +92,17 @@
     assert logs[0] == logs[1]
 
 
-def offender(answer: list[api.Action], when: type) -> Driver:
-    def policy(now: float, event: api.Event) -> list[api.Action]:
+def offender(answer: list[interface.Action], when: type) -> Driver:
+    def policy(now: float, event: interface.Event) -> list[interface.Action]:
         return list(answer) if isinstance(event, when) else []
 
     driver = Driver(settings(), policy)
-    driver.feed(api.Membership(api.SNAPSHOT, 1, members(2)))
+    driver.feed(interface.Membership(interface.SNAPSHOT, 1, members(2)))
     return driver
 
 
 def test_checker_sees_a_lost_request() -> None:
-    driver = offender([], api.Job)
+    driver = offender([], interface.Job)
     driver.feed(job(1))
     driver.advance(driver.now + 5)
     driver.checker.end(driver.now)
@@ -110,23 +110,25 @@
 
 
 def test_checker_sees_a_send_after_the_end() -> None:
-    driver = offender([api.Refuse(1), api.Send(1, 100)], api.Job)
+    driver = offender([interface.Refuse(1), interface.Send(1, 100)], interface.Job)
     driver.feed(job(1))
     assert driver.checker.broken == ["1: send after the end of 1"]
 
 
-@pytest.mark.parametrize("answer, cls", [(api.Send(1, 100), 2), (api.Refuse(1), 2), (api.Send(1, 101), 1)])
-def test_checker_sees_a_second_effect(answer: api.Action, cls: int) -> None:
-    driver = offender([answer], api.Outcome)
+@pytest.mark.parametrize(
+    "answer, cls", [(interface.Send(1, 100), 2), (interface.Refuse(1), 2), (interface.Send(1, 101), 1)]
+)
+def test_checker_sees_a_second_effect(answer: interface.Action, cls: int) -> None:
+    driver = offender([answer], interface.Outcome)
     driver.feed(job(1, cls))
-    driver.checker.actions(driver.now, [api.Send(1, 100)])
-    driver.feed(api.Outcome(1, 100, 0, api.RESET))
+    driver.checker.actions(driver.now, [interface.Send(1, 100)])
+    driver.feed(interface.Outcome(1, 100, 0, interface.RESET))
     assert driver.checker.broken and driver.checker.broken[0].startswith("2:")
 
 
 def test_checker_sees_a_send_to_a_drained_worker() -> None:
-    driver = offender([api.Send(1, 100)], api.Job)
-    driver.feed(api.Membership(api.CHANGES, 2, [api.Member(100, api.DRAINING)]))
+    driver = offender([interface.Send(1, 100)], interface.Job)
+    driver.feed(interface.Membership(interface.CHANGES, 2, [interface.Member(100, interface.DRAINING)]))
     driver.advance(driver.now + 0.6)
     driver.feed(job(1))
     assert driver.checker.broken == ["3: send to 100, which has left"]
@@ -135,17 +137,19 @@
 def test_checker_sees_connections_kept_to_a_leaving_worker() -> None:
     chosen = settings(rules__drainRelease="0.8")
     for given_back in (False, True):
-        driver = Driver(chosen, lambda now, event, back=given_back: [api.Disconnect(100)] if back else [])
-        driver.feed(api.Membership(api.SNAPSHOT, 1, members(2)))
-        driver.feed(api.Membership(api.CHANGES, 2, [api.Member(100, api.DRAINING)]))
+        driver = Driver(
+            chosen, lambda now, event, back=given_back: [interface.Disconnect(100)] if back else []
+        )
+        driver.feed(interface.Membership(interface.SNAPSHOT, 1, members(2)))
+        driver.feed(interface.Membership(interface.CHANGES, 2, [interface.Member(100, interface.DRAINING)]))
         driver.checker.end(driver.now + 1.0)
         assert bool(driver.checker.broken) != given_back
 
 
 def test_checker_sees_a_cold_worker_pushed_over() -> None:
-    driver = offender([], api.Job)
-    driver.feed(api.Membership(api.CHANGES, 2, [api.Member(100, started_at=driver.now)]))
+    driver = offender([], interface.Job)
+    driver.feed(interface.Membership(interface.CHANGES, 2, [interface.Member(100, started_at=driver.now)]))
     for number in range(1, 7):
         driver.feed(job(number))
-        driver.checker.actions(driver.now, [api.Send(number, 100)])
+        driver.checker.actions(driver.now, [interface.Send(number, 100)])
     assert any(text.startswith("4:") for text in driver.checker.broken)
--- a/tests/test_start_times.py
+++ b/tests/test_start_times.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from beaconhinge.start_times import StartTimes
+from beaconhinge.membership.start_times import StartTimes
 
 
 def test_while_the_wall_clock_keeps_its_step_a_start_is_what_it_is_told_to_be() -> None:
--- a/tests/test_wall_clock.py
+++ b/tests/test_wall_clock.py
@@ -10,8 +10,8 @@
 import pytest
 from stage import SETTINGS, Seen, Stage, play, reply
 
-from beaconhinge.inventory import worker_number
-from ospreyroute.decide import Dispatcher
+from beaconhinge.membership.inventory import worker_number
+from beaconhinge.policy.dispatcher import Dispatcher
 
 WARM_WITHIN = 20.0
 SLOW_START = {"coldShare": 0.2, "warmWithin": WARM_WITHIN, "fallMultiple": 2.0, "tipAfter": 3.0}
@@ -23,7 +23,7 @@
     def __init__(self, monkeypatch: pytest.MonkeyPatch) -> None:
         self.step = 0.0
         self._real = time.time
-        monkeypatch.setattr("beaconhinge.clock.time.time", self.read)
+        monkeypatch.setattr("beaconhinge.runtime.clock.time.time", self.read)
 
     def read(self) -> float:
         return self._real() + self.step
