--- a/beaconhinge/__main__.py
+++ b/beaconhinge/__main__.py
@@ -13,35 +13,35 @@
 import uvloop
 
 from .config import Config, ConfigError, load
-from .dispatch.policy_runner import Core
-from .dispatch.request import Requests
+from .dispatch.policy_runner import PolicyRunner
+from .dispatch.request import RequestTable
 from .errors import Error
 from .net.discovery import Discovery
-from .net.listener import Frontend
+from .net.listener import Listener
 from .net.management import CALLERS, Management
-from .net.operator_calls import Operators
-from .net.peers import Peers
-from .net.sockets import SPARE, Budget
+from .net.operator_calls import OperatorCalls
+from .net.peers import PeerSocket
+from .net.sockets import RESERVED_DESCRIPTORS, DescriptorBudget
 from .net.upgrade import Upgrade
-from .net.worker_pool import Workers
+from .net.worker_pool import WorkerPool
 from .policy import interface
 from .policy.dispatcher import Dispatcher
 from .runtime.clock import Clock
-from .runtime.metrics import Stats
-from .runtime.timer_wheel import Wheel
+from .runtime.metrics import Metrics
+from .runtime.timer_wheel import TimerWheel
 
 HELD = {signal.SIGHUP}  # kept until its handler stands
 
 if TYPE_CHECKING:
-    from .config.local import Ours
-    from .quota_snapshots.writer import Keeper
+    from .config.local import LocalConfig
+    from .quota_snapshots.writer import SnapshotWriter
 
 
 async def serve(
     reader: Callable[[], Config],
-    ours: Ours | None = None,
+    ours: LocalConfig | None = None,
     shared: Path | None = None,
-    reread: Callable[[], Ours] | None = None,
+    reread: Callable[[], LocalConfig] | None = None,
 ) -> None:
     """`shared`: the folder in which a process leaves word for the one that will replace it. `reread` gives
     our own configuration as it is now.
@@ -50,17 +50,17 @@
     loop = asyncio.get_running_loop()
     clock = Clock()
     traced = frozenset(os.environ.get("BEACONHINGE_TRACE", "").split(","))
-    stats = Stats(clock.now, writer=_log_writer(ours, clock) if ours else None, traced=traced)
-    wheel = Wheel(clock.now, stats.failure)
-    core = Core(Dispatcher(config.settings, config.seed), wheel, stats)
+    stats = Metrics(clock.now, writer=_log_writer(ours, clock) if ours else None, traced=traced)
+    wheel = TimerWheel(clock.now, stats.log_exception)
+    core = PolicyRunner(Dispatcher(config.settings, config.seed), wheel, stats)
     # Beside the callers' descriptors a second process needs its own to start with.
-    aside = 2 * (CALLERS + 1) + SPARE if config.mgmt else 0
-    budget = Budget(config.limits.sockets, config.limits.body_bytes, aside)
-    workers = Workers(config, core, wheel, budget, stats)
-    discovery = Discovery(config, core, workers, wheel, stats, clock.wall)
-    peers = Peers(config, core, wheel, stats)
-    requests = Requests(core, workers, wheel, stats, config.settings, config.class_names)
-    frontend = Frontend(
+    aside = 2 * (CALLERS + 1) + RESERVED_DESCRIPTORS if config.mgmt else 0
+    budget = DescriptorBudget(config.limits.sockets, config.limits.body_bytes, aside)
+    workers = WorkerPool(config, core, wheel, budget, stats)
+    discovery = Discovery(config, core, workers, wheel, stats, clock.wall_time)
+    peers = PeerSocket(config, core, wheel, stats)
+    requests = RequestTable(core, workers, wheel, stats, config.settings, config.class_names)
+    frontend = Listener(
         config,
         requests,
         workers.news,
@@ -70,7 +70,7 @@
         budget,
         stats,
     )
-    operators = Operators(config, core, workers, requests, frontend)
+    operators = OperatorCalls(config, core, workers, requests, frontend)
     upgrade = None
     if config.mgmt is not None and shared is not None:
         upgrade = Upgrade(
@@ -99,7 +99,7 @@
             if leases is not None and reread is not None and (why := leases.reload(reread().leases)):
                 raise ConfigError(why)
         except ConfigError as error:
-            stats.complain("reload_refused", why=error)
+            stats.count_and_log("reload_refused", why=error)
             return
         discovery.move(new.discovery)
         peers.move(new)
@@ -114,7 +114,7 @@
     stopping = asyncio.Event()
     for number in (signal.SIGTERM, signal.SIGINT):
         loop.add_signal_handler(number, stopping.set)
-    loop.add_signal_handler(signal.SIGUSR1, stats.report)
+    loop.add_signal_handler(signal.SIGUSR1, stats.log_counters)
     loop.add_signal_handler(signal.SIGHUP, reload)
     signal.pthread_sigmask(signal.SIG_UNBLOCK, HELD)  # one that came since `run` began is dealt with now
     inherited = await upgrade.inherit() if upgrade is not None else None
@@ -184,11 +184,11 @@
         await keeper.write()
         await keeper.store.close()
         stats.counters.update(keeper.store.engine.counters)
-    stats.report()
+    stats.log_counters()
     stats.log("stopped")
 
 
-def _log_writer(ours: Ours, clock: Clock) -> Callable[[str, dict[str, object]], None] | None:
+def _log_writer(ours: LocalConfig, clock: Clock) -> Callable[[str, dict[str, object]], None] | None:
     if ours.log.format == "plain":
         return None
     from .logs import writer
@@ -196,14 +196,14 @@
     return writer(ours.log.format, sys.stderr, clock.now)
 
 
-def _keeper(ours: Ours, core: Core, wheel: Wheel, stats: Stats) -> Keeper:
+def _keeper(ours: LocalConfig, core: PolicyRunner, wheel: TimerWheel, stats: Metrics) -> SnapshotWriter:
     """The books of the last life are there before the module hears of anything. Blocks; the door is shut
     still.
     """
-    from .quota_snapshots.writer import Keeper
+    from .quota_snapshots.writer import SnapshotWriter
     from .store import Store
 
-    keeper = Keeper(
+    keeper = SnapshotWriter(
         Store.open(ours.store.folder, ours.store, log=stats.log),
         core.dispatcher,
         wheel,
@@ -226,8 +226,8 @@
     os.environ["UV_USE_IO_URING"] = "0"
     # A new configuration may come while this starts: SIGHUP would end a process that has no handler yet.
     signal.pthread_sigmask(signal.SIG_BLOCK, HELD)
-    ours: Ours | None = None
-    reread: Callable[[], Ours] | None = None
+    ours: LocalConfig | None = None
+    reread: Callable[[], LocalConfig] | None = None
     try:
         if environment.get("BEACONHINGE_CONFIG"):
             from .config.local import read
--- a/beaconhinge/cli/config.py
+++ b/beaconhinge/cli/config.py
@@ -51,10 +51,10 @@
     """
     import tomli_w
 
-    from ..config.local import Ours, read, tables
+    from ..config.local import LocalConfig, read, tables
 
     if (file is None) != defaults:
         raise typer.BadParameter("name a file, or say --defaults")
-    shown = tables(Ours() if file is None else read(file))
+    shown = tables(LocalConfig() if file is None else read(file))
     sys.stdout.write(json.dumps(shown, indent=1) + "\n" if as_json else tomli_w.dumps(shown))
     return 0
--- a/beaconhinge/config/local.py
+++ b/beaconhinge/config/local.py
@@ -142,7 +142,7 @@
         return None
 
 
-class Ours(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
+class LocalConfig(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
     platform: Platform = Platform()
     log: Log = Log()
     store: StoreTable = StoreTable()
@@ -152,7 +152,7 @@
     leases: Leases = Leases()
 
 
-def read(path: str | os.PathLike[str]) -> Ours:
+def read(path: str | os.PathLike[str]) -> LocalConfig:
     """Raises ConfigError. Paths in the file are taken from the folder that the file is in."""
     file = Path(path)
     try:
@@ -168,11 +168,11 @@
     return msgspec.structs.replace(ours, platform=platform, store=store)
 
 
-def convert(content: Mapping[str, Any], name: str) -> Ours:
+def convert(content: Mapping[str, Any], name: str) -> LocalConfig:
     """Raises ConfigError, with `name` for the file."""
-    _known(content, Ours, name, "")
+    _known(content, LocalConfig, name, "")
     try:
-        ours = msgspec.convert(content, Ours)
+        ours = msgspec.convert(content, LocalConfig)
     except msgspec.ValidationError as error:
         reason, _, place = str(error).partition(" - at `$.")
         raise ConfigError(f"{name}: {place.rstrip('`')}: {reason}") from None
@@ -195,7 +195,7 @@
             _known(value, inner, name, f"{path}{key}.")
 
 
-def tables(ours: Ours) -> dict[str, dict[str, Any]]:
+def tables(ours: LocalConfig) -> dict[str, dict[str, Any]]:
     """Every key with its value, for printing."""
     told: dict[str, dict[str, Any]] = msgspec.to_builtins(ours)
     return told
--- a/beaconhinge/config/platform.py
+++ b/beaconhinge/config/platform.py
@@ -11,7 +11,7 @@
 
 from ..errors import Error
 from ..membership.inventory import Hosts, Inventory, InventoryError
-from ..policy.interface import DEDUP, Settings
+from ..policy.interface import Semantics, Settings
 
 Address = tuple[str, int]
 
@@ -61,7 +61,7 @@
     mgmt: Address | None = None  # where operators call
 
     def keyed(self, cls: int) -> bool:
-        return self.settings.classes[cls].semantics == DEDUP
+        return self.settings.classes[cls].semantics == Semantics.DEDUPLICATED
 
     def kept_until_restart(self, new: Config) -> list[str]:
         """Keys that differ in a configuration read again and count at the next start only."""
--- a/beaconhinge/dispatch/policy_runner.py
+++ b/beaconhinge/dispatch/policy_runner.py
@@ -8,41 +8,45 @@
 
 from ..policy import interface
 from ..policy.dispatcher import Dispatcher
-from ..runtime.metrics import Stats
-from ..runtime.timer_wheel import Wheel
+from ..runtime.metrics import Metrics
+from ..runtime.timer_wheel import TimerWheel
 from .arrivals import Arrivals
 from .invariants import Rule, SendMonitor
 
-FAILED_TIMER_AGAIN = 1.0  # seconds after which a timer is fed again on which the module failed
+FAILED_TIMER_RETRY_S = 1.0  # seconds after which a timer is fed again on which the module failed
 
-Owner = Callable[[Any], object]
+ActionHandler = Callable[[Any], object]
 
 
-class Core:
-    def __init__(self, dispatcher: Dispatcher, wheel: Wheel, stats: Stats) -> None:
+class PolicyRunner:
+    def __init__(self, dispatcher: Dispatcher, wheel: TimerWheel, stats: Metrics) -> None:
         self.dispatcher = dispatcher
         self.wheel = wheel
         self.stats = stats
-        self.requests: dict[int, Owner] = {}  # by number: who takes the instructions for a request
-        self.owners: dict[type, Owner] = {
+        self.request_handlers: dict[
+            int, ActionHandler
+        ] = {}  # by number: who takes the instructions for a request
+        self.action_handlers: dict[type, ActionHandler] = {
             interface.SetTimer: self._set_timer,
-            interface.Log: lambda action: stats.log("module", text=action.text),
+            interface.LogMessage: lambda action: stats.log("module", text=action.text),
         }
-        for kind in (interface.Send, interface.Refuse, interface.Abort, interface.Cancel):
-            self.owners[kind] = self._instruct
-        self.monitor = SendMonitor(self._violated)
+        for kind in (interface.SendAttempt, interface.Reject, interface.Fail, interface.CancelAttempt):
+            self.action_handlers[kind] = self._route_to_request
+        self.monitor = SendMonitor(self._report_violation)
         self.arrivals = Arrivals(wheel.now())
         self._events: deque[interface.Event] = deque()
         self._feeding = False
         # Hears of events that the module failed on, and may not have applied.
-        self.failed: Callable[[interface.Event], object] = lambda event: None
-        self.woken: Callable[[], object] = lambda: None  # looks whether the process stood still
+        self.on_event_failed: Callable[[interface.Event], object] = lambda event: None
+        self.check_for_stall: Callable[[], object] = lambda: None  # looks whether the process stood still
 
-    def _violated(self, rule: Rule, request: str, worker: str, why: str) -> None:
+    def _report_violation(self, rule: Rule, request: str, worker: str, why: str) -> None:
         """A rule was broken by what was written: fatal in debug, counted under `python -O`, which `run`
         uses."""
         self.stats.count(f"invariant_violations_{rule.value}")
-        self.stats.complain("invariant_violations", rule=rule.value, request=request, worker=worker, why=why)
+        self.stats.count_and_log(
+            "invariant_violations", rule=rule.value, request=request, worker=worker, why=why
+        )
         if __debug__:
             raise AssertionError(f"{rule.value}: request {request}, worker {worker}: {why}")
 
@@ -52,7 +56,7 @@
             self._events.append(event)
             return
         self.arrivals.ran(self.wheel.now())
-        self.woken()  # which may feed first
+        self.check_for_stall()  # which may feed first
         self._events.append(event)
         self._feeding = True
         try:
@@ -65,30 +69,30 @@
         try:
             actions = self.dispatcher.handle(self.wheel.now(), event)
         except Exception as error:  # the request of that event still gets its answer
-            self.stats.failure(f"module on {type(event).__name__}", error)
-            self.failed(event)
-            if isinstance(event, (interface.Job, interface.Outcome)):
-                self._instruct(interface.Abort(event.request))
-            elif isinstance(event, interface.Timer):  # the module sets its timers anew when they fire
-                self._set_timer(interface.SetTimer(event.token, FAILED_TIMER_AGAIN))
+            self.stats.log_exception(f"module on {type(event).__name__}", error)
+            self.on_event_failed(event)
+            if isinstance(event, (interface.JobArrived, interface.AttemptEnded)):
+                self._route_to_request(interface.Fail(event.request))
+            elif isinstance(event, interface.TimerFired):  # the module sets its timers anew when they fire
+                self._set_timer(interface.SetTimer(event.token, FAILED_TIMER_RETRY_S))
             return
         for action in actions:
-            owner = self.owners.get(type(action))
+            owner = self.action_handlers.get(type(action))
             try:
                 if owner is not None:
                     owner(action)
                 else:
-                    self.stats.complain("action_without_owner", action=type(action).__name__)
+                    self.stats.count_and_log("action_without_owner", action=type(action).__name__)
             except Exception as error:  # one owner's failure must not cost the others their actions
-                self.stats.failure(f"owner of {type(action).__name__}", error)
+                self.stats.log_exception(f"owner of {type(action).__name__}", error)
 
-    def _instruct(
-        self, action: interface.Send | interface.Refuse | interface.Abort | interface.Cancel
+    def _route_to_request(
+        self, action: interface.SendAttempt | interface.Reject | interface.Fail | interface.CancelAttempt
     ) -> None:
-        owner = self.requests.get(action.request)
+        owner = self.request_handlers.get(action.request)
         # A request leaves the table once it is answered and every attempt has ended: nothing is due then.
-        if self.stats.holds(owner is not None, "instruction_for_open_request") and owner is not None:
+        if self.stats.check(owner is not None, "instruction_for_open_request") and owner is not None:
             owner(action)
 
     def _set_timer(self, action: interface.SetTimer) -> None:
-        self.wheel.after(action.after, lambda: self.feed(interface.Timer(action.token)))
+        self.wheel.after(action.after, lambda: self.feed(interface.TimerFired(action.token)))
--- a/beaconhinge/dispatch/request.py
+++ b/beaconhinge/dispatch/request.py
@@ -9,13 +9,18 @@
 
 from ..management import figures
 from ..policy import interface
-from ..runtime.metrics import Stats
-from ..runtime.timer_wheel import Timer, Wheel
-from .policy_runner import Core
-
-REFUSED, FAILED, GONE = "refused", "failed", "gone"  # besides interface.SERVED: the ends of a request
+from ..policy.interface import PROVEN_UNRUN, RETRY_FLAG, AttemptOutcome, NoticeKind, Semantics
+from ..runtime.metrics import Metrics
+from ..runtime.timer_wheel import Timer, TimerWheel
+from .policy_runner import PolicyRunner
+
+REFUSED, FAILED, GONE = (
+    "refused",
+    "failed",
+    "gone",
+)  # besides AttemptOutcome.SERVED: the ends of a request
 # One whose client left is in no figure.
-FIGURE = {interface.SERVED: figures.SUCCESS, REFUSED: figures.BUSY, FAILED: figures.FAILURE}
+FIGURE = {AttemptOutcome.SERVED: figures.SUCCESS, REFUSED: figures.BUSY, FAILED: figures.FAILURE}
 
 
 @dataclass(slots=True)
@@ -71,7 +76,7 @@
     """An attempt has its outcome."""
 
     attempt: Attempt
-    outcome: str
+    outcome: AttemptOutcome
     body: bytes = b""
     load: Mapping[str, float] | None = None
 
@@ -101,10 +106,10 @@
 
 
 Step: TypeAlias = (
-    interface.Send
-    | interface.Refuse
-    | interface.Abort
-    | interface.Cancel
+    interface.SendAttempt
+    | interface.Reject
+    | interface.Fail
+    | interface.CancelAttempt
     | Ended
     | Told
     | ClientLeft
@@ -156,7 +161,7 @@
         self.until = until  # when it ends without an answer
         self.open = True
         self.begun = False  # its first byte may have been written
-        self.released: Callable[[str], None] = lambda outcome: None  # set by who carries it
+        self.released: Callable[[AttemptOutcome], None] = lambda outcome: None  # set by who carries it
         self.timer: Timer | None = None
         self._tell = tell
         self._wanted = wanted
@@ -171,7 +176,9 @@
     def others(self) -> Others:
         return self._others(self)
 
-    def end(self, outcome: str, body: bytes = b"", load: Mapping[str, float] | None = None) -> None:
+    def end(
+        self, outcome: AttemptOutcome, body: bytes = b"", load: Mapping[str, float] | None = None
+    ) -> None:
         if self.open:
             self.open = False
             if self.timer is not None:
@@ -190,15 +197,15 @@
     def start(self, attempt: Attempt) -> None: ...
 
 
-class Requests:
+class RequestTable:
     """All requests in hand."""
 
     def __init__(
         self,
-        core: Core,
+        core: PolicyRunner,
         carrier: Carrier,
-        wheel: Wheel,
-        stats: Stats,
+        wheel: TimerWheel,
+        stats: Metrics,
         settings: interface.Settings,
         class_names: Sequence[str],
     ) -> None:
@@ -211,14 +218,14 @@
         self.in_hand: dict[str, Request] = {}
         self._last = 0
         # What an attempt's end is told to the module as, and the time of it in which this process ran.
-        self.excuse: Callable[[Attempt, str], str] = lambda attempt, outcome: outcome
+        self.excuse: Callable[[Attempt, AttemptOutcome], AttemptOutcome] = lambda attempt, outcome: outcome
         self.own_seconds: Callable[[float, float], float] = lambda since, now: max(now - since, 0.0)
         self.before: Callable[[], Awaitable[None]] | None = None  # a new job waits for it, if bounded
         self.keys: KeyBook | None = None
 
     @property
     def full(self) -> bool:
-        return len(self.in_hand) >= self.settings.max_held
+        return len(self.in_hand) >= self.settings.max_queued
 
     @property
     def owed(self) -> int:
@@ -228,7 +235,7 @@
     def turn_away(self, job: Job) -> Answer:
         """Refuse a job without the module's word: there is no room for it, or no time."""
         self.stats.count(figures.counter(figures.BUSY, self.class_names[job.cls]))
-        return Answer(REFUSED, retry_after=self.settings.max_retry_after)
+        return Answer(REFUSED, retry_after=self.settings.max_retry_after_s)
 
     def take(
         self, job: Job, watcher: Watcher | None = None, has_left: Callable[[], bool] = lambda: False
@@ -245,7 +252,7 @@
 class Request:
     def __init__(
         self,
-        all_of_them: Requests,
+        all_of_them: RequestTable,
         number: int,
         job: Job,
         watcher: Watcher | None,
@@ -276,10 +283,10 @@
 
     async def live(self) -> None:
         core, stats, job = self.all.core, self.all.stats, self.job
-        core.requests[self.number] = self._steps.put_nowait
-        unsafe = self.all.settings.classes[job.cls].semantics == interface.FRAGILE
+        core.request_handlers[self.number] = self._steps.put_nowait
+        unsafe = self.all.settings.classes[job.cls].semantics == Semantics.UNSAFE
         core.monitor.request_taken(job.id, job.deadline, unsafe)
-        late = job.remaining + self.all.settings.grace_to_answer / 2
+        late = job.remaining + self.all.settings.answer_grace_s / 2
         backstop = self.all.wheel.after(late, lambda: self._steps.put_nowait(Overdue()))
         known, spent = Known(), 0.0
         try:
@@ -287,11 +294,11 @@
                 known = await self._known()
                 spent = self.all.wheel.now() - job.taken_at  # that took time
             if known.result is not None:
-                self._finish(Answer(interface.SERVED, known.result))
+                self._finish(Answer(AttemptOutcome.SERVED, known.result))
                 return
             left, patience = (max(span - spent, 0.0) for span in (job.remaining, job.patience))
             core.feed(
-                interface.Job(
+                interface.JobArrived(
                     self.number,
                     job.cls,
                     job.tenant,
@@ -300,9 +307,9 @@
                     size_hint=job.work,
                     slots=job.slots,
                     memory=job.memory,
-                    flags=interface.REPEAT if job.repeat else 0,
-                    doubted=known.doubted,
-                    patience=patience,
+                    flags=RETRY_FLAG if job.repeat else 0,
+                    may_run_elsewhere=known.doubted,
+                    client_timeout=patience,
                 )
             )
             if self.watcher is not None:
@@ -311,13 +318,13 @@
             while not self.answer.done() or not self._steps.empty() or any(a.open for a in self._attempts):
                 step = await self._steps.get()
                 match step:
-                    case interface.Send():
+                    case interface.SendAttempt():
                         self._send(step)
-                    case interface.Cancel():
-                        self._attempts[step.attempt].end(interface.CANCELLED)
-                    case interface.Refuse():
+                    case interface.CancelAttempt():
+                        self._attempts[step.attempt].end(AttemptOutcome.CANCELLED)
+                    case interface.Reject():
                         self._finish(Answer(REFUSED, retry_after=step.retry_after))
-                    case interface.Abort():
+                    case interface.Fail():
                         self._finish(Answer(FAILED))
                     case Admitted():
                         if self.watcher is not None and not self.answer.done():
@@ -325,7 +332,7 @@
                     case Told():
                         self._show(step)
                         core.feed(
-                            interface.Notice(
+                            interface.ProgressNotice(
                                 self.number, step.attempt.worker, step.attempt.number, step.what, step.share
                             )
                         )
@@ -333,23 +340,25 @@
                         self._ended(step)
                     case ClientLeft():
                         if self._finish(Answer(GONE)):
-                            core.feed(interface.ClientGone(self.number))
+                            core.feed(interface.ClientDisconnected(self.number))
                     case Overdue() if not self._steps.empty():
                         # The loop was late: the module's answer may wait behind the outcome at the deadline.
                         self._steps.put_nowait(step)
                     case Overdue():
                         # The module answers before this; if it fails to, the client gets an answer still.
-                        if not stats.holds(self.answer.done(), "answered_by_deadline"):
+                        if not stats.check(self.answer.done(), "answered_by_deadline"):
                             self._finish(Answer(FAILED))
-                            core.feed(interface.ClientGone(self.number))
+                            core.feed(interface.ClientDisconnected(self.number))
         finally:
             backstop.cancel()
             self._finish(Answer(FAILED))  # only if something above has failed: the client gets its answer
             if known.entered and self.all.keys is not None:
                 answer = self.answer.result()
                 may_have_run = self._may_have_run or any(a.open for a in self._attempts)
-                self.all.keys.left(job, may_have_run, answer.body if answer.end == interface.SERVED else None)
-            core.requests.pop(self.number, None)
+                self.all.keys.left(
+                    job, may_have_run, answer.body if answer.end == AttemptOutcome.SERVED else None
+                )
+            core.request_handlers.pop(self.number, None)
             core.monitor.request_over(job.id)
             del self.all.in_hand[job.id]
 
@@ -358,7 +367,7 @@
         dispatchers that do not answer, must not cost it its answer.
         """
         try:
-            async with self.all.wheel.limit(self.job.remaining / 2):
+            async with self.all.wheel.timeout(self.job.remaining / 2):
                 if self.all.before is not None:
                     await self.all.before()
                 if self.all.keys is not None and self.job.dedup_key:
@@ -367,7 +376,7 @@
         except TimeoutError:
             return Known(doubted=bool(self.job.dedup_key))
 
-    def _send(self, order: interface.Send) -> None:
+    def _send(self, order: interface.SendAttempt) -> None:
         now = self.all.wheel.now()
         until = min(self.job.deadline, now + order.timeout if order.timeout > 0 else self.job.deadline)
         attempt = Attempt(
@@ -383,11 +392,11 @@
         busy = any(a.open and a.worker == order.worker for a in self._attempts)
         self._attempts.append(attempt)
         self.all.stats.count("attempts")
-        one_at_a_time = self.all.stats.holds(not busy, "one_attempt_per_worker")
+        one_at_a_time = self.all.stats.check(not busy, "one_attempt_per_worker")
         if not self.wanted() or until <= now or not one_at_a_time:
-            attempt.end(interface.NOT_SENT)
+            attempt.end(AttemptOutcome.NOT_SENT)
             return
-        attempt.timer = self.all.wheel.after(until - now, lambda: attempt.end(interface.TIMEOUT))
+        attempt.timer = self.all.wheel.after(until - now, lambda: attempt.end(AttemptOutcome.TIMEOUT))
         self.all.stats.trace(
             "attempts", "attempt", request=self.job.id, worker=order.worker, number=attempt.number
         )
@@ -400,15 +409,15 @@
     def _show(self, step: Told) -> None:
         if self.watcher is None:
             return
-        if step.what == interface.STARTED:
+        if step.what == NoticeKind.STARTED:
             self.watcher.started(step.attempt.number)
         else:
             self.watcher.progress(step.attempt.number, step.share)
 
     def _ended(self, step: Ended) -> None:
         attempt = step.attempt
-        self._may_have_run = self._may_have_run or step.outcome not in interface.PROVEN_UNRUN
-        if self.watcher is not None and step.outcome != interface.SERVED:
+        self._may_have_run = self._may_have_run or step.outcome not in PROVEN_UNRUN
+        if self.watcher is not None and step.outcome != AttemptOutcome.SERVED:
             self.watcher.lost(attempt.number)
         self.all.stats.count("outcome_" + step.outcome)
         self.all.stats.trace(
@@ -419,11 +428,11 @@
             number=attempt.number,
             outcome=step.outcome,
         )
-        if step.outcome == interface.SERVED:
-            self._finish(Answer(interface.SERVED, step.body))
+        if step.outcome == AttemptOutcome.SERVED:
+            self._finish(Answer(AttemptOutcome.SERVED, step.body))
         latency = self.all.own_seconds(attempt.sent_at, self.all.wheel.now())
         self.all.core.feed(
-            interface.Outcome(
+            interface.AttemptEnded(
                 self.number,
                 attempt.worker,
                 attempt.number,
@@ -442,7 +451,7 @@
         self.job.body = b""  # attempts under way hold it as long as they need it
         for attempt in self._attempts:
             if not attempt.begun:  # it waits for its connection, and nobody for it
-                attempt.end(interface.NOT_SENT)
+                attempt.end(AttemptOutcome.NOT_SENT)
         self.all.stats.count("answer_" + answer.end)
         self.all.stats.trace(
             "attempts", "answered", request=self.job.id, end=answer.end, attempts=len(self._attempts)
--- a/beaconhinge/dispatch/send_guard.py
+++ b/beaconhinge/dispatch/send_guard.py
@@ -11,7 +11,7 @@
 import enum
 from dataclasses import dataclass
 
-from ..policy.interface import UP, Member
+from ..policy.interface import MemberEntry, WorkerState
 
 
 class Refusal(enum.Enum):
@@ -34,8 +34,8 @@
     """All that decides whether an attempt may begin. Seconds."""
 
     list_usable: bool
-    chosen: Member  # the worker as it was listed when it was chosen
-    listed: Member | None  # as it is listed now
+    chosen: MemberEntry  # the worker as it was listed when it was chosen
+    listed: MemberEntry | None  # as it is listed now
     same_address: bool
     out_by_hand: bool
     open: bool  # the attempt has not ended
@@ -59,7 +59,7 @@
         return Refusal.LIST_UNKNOWN
     if state.listed is None:
         return Refusal.WORKER_REMOVED
-    if state.listed.status != UP:
+    if state.listed.state != WorkerState.READY:
         return Refusal.WORKER_DRAINING
     if not state.same_address or state.listed.started_at != state.chosen.started_at:
         return Refusal.WORKER_REPLACED
--- a/beaconhinge/management/handover.py
+++ b/beaconhinge/management/handover.py
@@ -1,6 +1,6 @@
 """What one process of a dispatcher hands to the one that replaces it: a versioned form with a checksum. Pure.
 
-Beside the quota snapshots (`quota_snapshots`), which outlast a restart, it holds what only a process that goes on at
+Beside the quota snapshots, which outlast a restart, it holds what only a process that goes on at
 once can use: what each worker has out and has taught, what peers were told last, and the list. Nothing
 of a torn, foreign or older form is used.
 """
@@ -17,7 +17,7 @@
 from ..gossip import aggregation, codec
 from ..policy import dispatcher as policy
 from ..policy.dispatcher import Dispatcher
-from ..policy.interface import Settings
+from ..policy.interface import Semantics, Settings
 
 VERSION = 1
 AHEAD = 16  # numbers that the old process may have used up after it took the form
@@ -117,9 +117,43 @@
             yield kind, payload
 
 
+# Stored folders and processes of earlier versions name the settings by the text that these classes once had.
+_CLASS_FIELDS = {
+    "aim": "latency_objective_s",
+    "deadline": "deadline_s",
+    "semantics": "semantics",
+    "dedup_group": "dedup_group",
+    "dedup_window": "dedup_window_s",
+    "late_worth": "late_value",
+    "importance": "importance",
+    "stretch": "objective_stretch",
+    "kind": "worker_kind",
+    "stream": "stream",
+    "priority": "priority",
+}
+_TENANT_FIELDS = {"share": "share", "quota_rps": "quota_rps"}
+
+
+def _plain(value: object) -> object:
+    return value.value if isinstance(value, Semantics) else value
+
+
+def _stored_text(name: str, fields: dict[str, str], value: object) -> str:
+    shown = ((stored, getattr(value, attribute)) for stored, attribute in fields.items())
+    pairs = (f"{stored}={_plain(field)!r}" for stored, field in shown)
+    return f"{name}({', '.join(pairs)})"
+
+
+def _stored_tuple(items: list[str]) -> str:
+    return f"({items[0]},)" if len(items) == 1 else f"({', '.join(items)})"
+
+
 def fingerprint(settings: Settings) -> str:
-    """Of the settings without which the figures mean something else."""
-    named = repr((settings.classes, settings.tenants, settings.group_size, settings.own_number))
+    """A digest of the settings without which the figures mean something else."""
+    classes = [_stored_text("RequestClass", _CLASS_FIELDS, cls) for cls in settings.classes]
+    tenants = [_stored_text("Tenant", _TENANT_FIELDS, tenant) for tenant in settings.tenants]
+    group = f"{settings.group_size!r}, {settings.own_number!r}"
+    named = f"({_stored_tuple(classes)}, {_stored_tuple(tenants)}, {group})"
     return hashlib.blake2s(named.encode(), digest_size=8).hexdigest()
 
 
--- a/beaconhinge/membership/discovery_watch.py
+++ b/beaconhinge/membership/discovery_watch.py
@@ -11,7 +11,7 @@
 
 from dataclasses import dataclass, replace
 
-from ..policy.interface import CHANGES, SNAPSHOT
+from ..policy.interface import UpdateKind
 from .inventory import Hosts
 from .verification import SLOW, Read, Verification
 
@@ -52,11 +52,11 @@
 
 @dataclass(frozen=True, slots=True)
 class Step:
-    """What follows from an answer: as which kind of list the module hears of it (not at all if empty),
+    """What follows from an answer: as which kind of list the module hears of it (not at all if None),
     whether the connection may be used again, and the seconds until the next call.
     """
 
-    kind: str
+    kind: UpdateKind | None
     keep: bool
     pause: float = PAUSE
     contradicts: bool = False  # the same version, read a second time, holds something else
@@ -64,7 +64,7 @@
 
 
 # Not the answer to the call that is out: the connection is not used again.
-OUT_OF_TURN = Step("", keep=False, current=False)
+OUT_OF_TURN = Step(None, keep=False, current=False)
 
 
 class DiscoveryWatch:
@@ -168,9 +168,9 @@
         early = hosts.version == known and call.wait > 0 and after < EARLY * call.wait
         if early:
             return OUT_OF_TURN  # said before: the own answer is still to come there
-        kind = SNAPSHOT if hosts.full else CHANGES
+        kind: UpdateKind | None = UpdateKind.SNAPSHOT if hosts.full else UpdateKind.CHANGES
         if hosts.version == known and call.wait > 0:  # an empty answer is news only to one who asked
-            kind = ""
+            kind = None
         requested, self._whole, self._doubted, self._wrong_pause = self._whole, False, False, 0.0
         if not hosts.full and (hosts.unread or hosts.version != call.index and not hosts.hosts):
             # The content of the version is missing, or not all there: what can be read of it counts, the
--- a/beaconhinge/membership/inventory.py
+++ b/beaconhinge/membership/inventory.py
@@ -10,9 +10,9 @@
 from ipaddress import IPv4Address
 from typing import Any
 
-from ..policy.interface import DRAINING, GONE, UP, Member
+from ..policy.interface import MemberEntry, WorkerState
 
-STATES = {"Ready": UP, "Terminating": DRAINING, "Gone": GONE}
+STATES = {"Ready": WorkerState.READY, "Terminating": WorkerState.DRAINING, "Gone": WorkerState.GONE}
 
 
 VERSION = re.compile(r'"version"\s*:\s*(\d{1,18})\b')
@@ -20,7 +20,7 @@
 BETWEEN = re.compile(r"[\s,]*")
 
 
-def _id_and_state(entry: Any) -> tuple[str, str | None]:
+def _id_and_state(entry: Any) -> tuple[str, WorkerState | None]:
     """An entry's id, empty if it can't be read, and its state."""
     if not isinstance(entry, Mapping):
         return "", None
@@ -49,15 +49,15 @@
 class Host:
     id: str
     address: tuple[str, int]
-    member: Member
+    member: MemberEntry
 
     def same(self, other: Host) -> bool:
         """Whether both name the same worker in the same state; weights move all the time."""
         member = replace(self.member, weight=other.member.weight)
         return self.address == other.address and member == other.member
 
-    def in_state(self, status: str) -> Host:
-        return replace(self, member=replace(self.member, status=status))
+    def in_state(self, state: WorkerState) -> Host:
+        return replace(self, member=replace(self.member, state=state))
 
 
 @dataclass(slots=True)
@@ -66,7 +66,7 @@
     full: bool = True
     hosts: list[Host] = field(default_factory=list)
     unread: list[str] = field(default_factory=list)  # ids of entries that cannot be read; "" for one without
-    states: dict[str, str] = field(default_factory=dict)  # of those of them whose state can be read
+    states: dict[str, WorkerState] = field(default_factory=dict)  # of those of them whose state can be read
     size: int = 0  # bytes that it came in
 
 
@@ -122,7 +122,7 @@
         hosts = Hosts(int(version[1]), full=False)
         for entry in _entries(text, start.end()):
             name, state = _id_and_state(entry)
-            if name and state in (DRAINING, GONE):
+            if name and state in (WorkerState.DRAINING, WorkerState.GONE):
                 hosts.unread.append(name)
                 hosts.states[name] = state
         return hosts if hosts.states else None
@@ -139,7 +139,7 @@
                 {
                     "id": host.id,
                     "addr": f"{host.address[0]}:{host.address[1]}",
-                    "state": states[host.member.status],
+                    "state": states[host.member.state],
                     "zone": zones.get(host.member.zone),
                     "kind": kinds.get(host.member.kind),
                     "cell": host.member.cell,
@@ -167,7 +167,7 @@
         return Host(
             name,
             (ip, int(port)),
-            Member(
+            MemberEntry(
                 number,
                 STATES[entry["state"]],
                 self.kinds.get(entry.get("kind"), -1),
--- a/beaconhinge/net/discovery.py
+++ b/beaconhinge/net/discovery.py
@@ -10,18 +10,19 @@
 from dataclasses import replace
 
 from ..config import Address, Config
-from ..dispatch.policy_runner import Core
+from ..dispatch.policy_runner import PolicyRunner
 from ..membership.discovery_watch import STALL, Call, DiscoveryWatch
 from ..membership.freshness import Freshness, ListState
 from ..membership.inventory import Hosts, Inventory, InventoryError
 from ..membership.start_times import StartTimes
 from ..policy import interface
-from ..runtime.metrics import Stats
-from ..runtime.timer_wheel import Wheel
+from ..policy.interface import UpdateKind, WorkerState
+from ..runtime.metrics import Metrics
+from ..runtime.timer_wheel import TimerWheel
 from . import http1
 from .http1 import BadMessage, Closed, Connection, Message
 from .sockets import connect
-from .worker_pool import Workers
+from .worker_pool import WorkerPool
 
 MAX_LIST = 2 * 1024 * 1024  # bytes: 1,024 workers take some 400 KiB, indented
 TRACED_LISTS = 8  # lists taken last, told with each quiet watch that is traced
@@ -51,10 +52,10 @@
     def __init__(
         self,
         config: Config,
-        core: Core,
-        workers: Workers,
-        wheel: Wheel,
-        stats: Stats,
+        core: PolicyRunner,
+        workers: WorkerPool,
+        wheel: TimerWheel,
+        stats: Metrics,
         wall_clock: Callable[[], float],
     ) -> None:
         self.config = config
@@ -67,15 +68,15 @@
         settings = config.settings
         self._random = random.Random(config.seed)  # of its own: the module's draws stay as they are
         self.watch = DiscoveryWatch(
-            not settings.subscribe,
+            not settings.membership_on_request,
             settings.group_size,
-            settings.must_ask_in,
+            settings.membership_max_age_s,
             _whole_version(config.known),
             wheel.now(),
             self._random.random(),
         )
         self.inventory = Inventory(
-            config.zones, config.kinds, lambda why: stats.complain("list_entry_malformed", why=why)
+            config.zones, config.kinds, lambda why: stats.count_and_log("list_entry_malformed", why=why)
         )
         self.address = config.discovery
         self.known = config.known or Hosts()
@@ -83,13 +84,13 @@
         self._watch: asyncio.Task[None] | None = None
         self._heard = asyncio.Event()  # a call has been answered, or has failed
         self._listed_at = wheel.now()
-        self.freshness = Freshness(not settings.subscribe, wheel.now())
+        self.freshness = Freshness(not settings.membership_on_request, wheel.now())
         self._content: dict[str, object] = {}  # of the last answer
         self._usable = asyncio.Event()  # the list may be acted on
         self._taken: deque[str] = deque(maxlen=TRACED_LISTS)
-        core.owners[interface.Subscribe] = self._subscribe
-        core.owners[interface.Fetch] = lambda action: self._again(whole=True)
-        core.failed = self._not_applied
+        core.action_handlers[interface.SubscribeMembership] = self._subscribe
+        core.action_handlers[interface.FetchMembership] = lambda action: self._again(whole=True)
+        core.on_event_failed = self._not_applied
         workers.list_usable = lambda: self.current
         workers.list_usable_again = self._usable_again
         wheel.after(RUN_CHECK, self._check)
@@ -117,7 +118,7 @@
             self._usable.set()
         elif self._usable.is_set():
             self._usable.clear()
-            self.stats.complain("list_unknown", list_age=self.wheel.now() - self._listed_at)
+            self.stats.count_and_log("list_unknown", list_age=self.wheel.now() - self._listed_at)
 
     async def _usable_again(self) -> None:
         """Wait until the list may be acted on. It may have turned unknown since the last look: the event is
@@ -138,7 +139,7 @@
         Nothing is sent by it before discovery has been asked, which is done here: the module asks later where
         many start.
         """
-        self._tell(interface.REMEMBERED, self.known)
+        self._tell(UpdateKind.BOOTSTRAP, self.known)
         spread = min(START_SPREAD * self.config.settings.group_size, START_SPREAD_MOST)
         self._again(pause=0.0 if self.watch.pushed else spread * self._random.random())
 
@@ -162,11 +163,11 @@
         if self._watch is not None:  # soon: the module would ask again only when the old watch had failed
             self._again(pause=pause)
 
-    def _subscribe(self, action: interface.Subscribe) -> None:
-        if self._watch is not None and not action.on:
+    def _subscribe(self, action: interface.SubscribeMembership) -> None:
+        if self._watch is not None and not action.enabled:
             self._watch.cancel()
             self._watch = None
-        elif action.on and (self._watch is None or self._watch.done()):
+        elif action.enabled and (self._watch is None or self._watch.done()):
             self._again()
 
     def _again(self, whole: bool = False, pause: float = 0.0) -> None:
@@ -216,11 +217,11 @@
             self.freshness.failed(now - after, now, down=False, watched=False)
         if not step.keep:
             line.drop()
-            self.stats.complain("list_out_of_turn", version=hosts.version, known=self.version)
+            self.stats.count_and_log("list_out_of_turn", version=hosts.version, known=self.version)
         if call.wait == 0 and step.kind and hosts.version == known:
             self.stats.count("lists_verified")
         if step.contradicts:
-            self.stats.complain("list_contradicted", version=hosts.version, entries=len(hosts.hosts))
+            self.stats.count_and_log("list_contradicted", version=hosts.version, entries=len(hosts.hosts))
         if step.kind:
             self._taken.append(f"{step.kind}:{known}-{hosts.version}:{len(hosts.hosts)}:{len(hosts.unread)}")
             if differs or hosts.version != known:
@@ -244,7 +245,7 @@
                 "list_unchanged",
                 version=hosts.version,
                 workers=len(members),
-                ready=sum(member.status == interface.UP for member in members),
+                ready=sum(member.state == WorkerState.READY for member in members),
                 taken=" ".join(self._taken),
             )
         return step.pause
@@ -255,8 +256,8 @@
         least.
         """
         for known in self.workers.named(hosts.unread):
-            state = hosts.states.get(known.id, interface.UP)
-            if state != interface.UP:
+            state = hosts.states.get(known.id, WorkerState.READY)
+            if state != WorkerState.READY:
                 hosts.hosts.append(known.in_state(state))
             elif hosts.full:
                 hosts.hosts.append(known)
@@ -268,8 +269,8 @@
             return
         self._complete(hosts)
         if self.workers.differs(hosts):
-            self.stats.complain("list_salvaged", version=hosts.version, entries=len(hosts.hosts))
-            self._tell(interface.CHANGES, hosts)
+            self.stats.count_and_log("list_salvaged", version=hosts.version, entries=len(hosts.hosts))
+            self._tell(UpdateKind.CHANGES, hosts)
 
     def _failed(self, line: _Line, call: Call, error: Exception, began: float) -> float:
         down = isinstance(error, (ConnectionRefusedError, ConnectionResetError, BrokenPipeError, Closed))
@@ -280,15 +281,15 @@
         line.drop()
         silent = isinstance(error, TimeoutError) and not begun
         if silent and call.wait:
-            self.stats.complain("watch_silent", list_age=self.wheel.now() - self._listed_at)
+            self.stats.count_and_log("watch_silent", list_age=self.wheel.now() - self._listed_at)
         else:
-            self.stats.complain("discovery_failed", why=f"{type(error).__name__}: {error}")
+            self.stats.count_and_log("discovery_failed", why=f"{type(error).__name__}: {error}")
         return self.watch.failed(silent, self.wheel.now(), self._random.random(), begun)
 
     def _not_applied(self, event: interface.Event) -> None:
         """The module failed on an event: if that was a list, it may hold another one than is believed
         here."""
-        if isinstance(event, interface.Membership):
+        if isinstance(event, interface.MembershipUpdate):
             self.watch.failed_to_apply(self.wheel.now())
 
     async def _call(self, line: _Line, call: Call) -> Hosts:
@@ -298,7 +299,7 @@
             # A second answer to the call before: every later one would be taken for that of another call.
             line.drop()
             self.stats.count("discovery_spoke_unasked")
-        async with self.wheel.limit(call.patience):
+        async with self.wheel.timeout(call.patience):
             if line.connection is None:
                 sock = await connect(self.address)
                 line.connection = Connection(sock, False, lambda: None, MAX_LIST)
@@ -326,21 +327,21 @@
         while True:
             received, left = connection.received, until - self.wheel.now()
             try:
-                async with self.wheel.limit(min(STALL, left)):
+                async with self.wheel.timeout(min(STALL, left)):
                     return await connection.next()
             except TimeoutError:
                 if connection.received == received or self.wheel.now() >= until:
                     raise
 
-    def _tell(self, how: str, hosts: Hosts) -> None:
+    def _tell(self, how: UpdateKind, hosts: Hosts) -> None:
         self.stats.count("lists_" + how)
         if hosts.full:  # who stands there in bytes that cannot be read has not left
             hosts.hosts += self.workers.named(hosts.unread)
         self.workers.update(hosts)
-        self.core.feed(interface.Membership(how, hosts.version, self._members(hosts)))
+        self.core.feed(interface.MembershipUpdate(how, hosts.version, self._members(hosts)))
         self.told(how)
 
-    def _members(self, hosts: Hosts) -> list[interface.Member]:
+    def _members(self, hosts: Hosts) -> list[interface.MemberEntry]:
         """The list for the module, with each start of a worker on this process's clock."""
         now = self.wheel.now()
         self._start_times.wall_clock_read(now, self._wall_clock())
--- a/beaconhinge/net/keys.py
+++ b/beaconhinge/net/keys.py
@@ -23,10 +23,10 @@
     Question,
     Reply,
 )
-from ..runtime.metrics import Stats
-from ..runtime.timer_wheel import Wheel
+from ..runtime.metrics import Metrics
+from ..runtime.timer_wheel import TimerWheel
 from ..store import Change, Delete, Put, Store, StoreError
-from .peers import Peers
+from .peers import PeerSocket
 
 ASKED, BETWEEN = 3, 0.04  # times that the silent ones are asked, and seconds from each to the next
 FETCHED = 6  # times that the missing parts of a result are asked for
@@ -44,9 +44,9 @@
         store: Store | None,
         max_keys: int,
         max_bytes: int,
-        peers: Peers,
-        wheel: Wheel,
-        stats: Stats,
+        peers: PeerSocket,
+        wheel: TimerWheel,
+        stats: Metrics,
     ) -> None:
         self.config = config
         self.store = store
@@ -54,7 +54,7 @@
         self.wheel = wheel
         self.stats = stats
         classes = [cls for number, cls in enumerate(config.settings.classes) if config.keyed(number)]
-        window = max((cls.dedup_window + cls.deadline for cls in classes), default=0.0)
+        window = max((cls.dedup_window_s + cls.deadline_s for cls in classes), default=0.0)
         self.book = KeyBook(window, self._unsure_until(window), max_keys, max_bytes)
         self._inquiries: dict[int, tuple[Inquiry, asyncio.Event]] = {}
         self._fetches: dict[int, tuple[int, Assembly, asyncio.Event]] = {}
@@ -120,12 +120,12 @@
 
     async def _commit(self, changes: list[Change]) -> bool:
         try:
-            async with self.wheel.limit(DISK_WITHIN):
+            async with self.wheel.timeout(DISK_WITHIN):
                 if self.store is not None:
                     await self.store.commit(changes)
             return True
         except (StoreError, TimeoutError) as error:
-            self.stats.complain("keys_not_written", why=f"{type(error).__name__}: {error}")
+            self.stats.count_and_log("keys_not_written", why=f"{type(error).__name__}: {error}")
             return False
 
     def _sweep(self) -> None:
@@ -149,7 +149,7 @@
         if self.book.word(now, name) == HERE:
             self.stats.count("keys_here")
             return Known(doubted=True)
-        ask = job.repeat or not self.config.settings.marks_retry or self.book.claimed(now, name)
+        ask = job.repeat or not self.config.settings.clients_mark_retries or self.book.claimed(now, name)
         self.book.take(now, name, job.id)
         entered = False
         try:
@@ -203,7 +203,7 @@
                 for other in inquiry.silent:
                     self.peers.send(other, keys.encode(Question(number, name)))
                 with contextlib.suppress(TimeoutError):
-                    async with self.wheel.limit(BETWEEN):
+                    async with self.wheel.timeout(BETWEEN):
                         await settled.wait()
         finally:
             del self._inquiries[number]
@@ -219,7 +219,7 @@
                 for part in assembly.missing:
                     self.peers.send(keeper, keys.encode(Fetch(number, name, part)))
                 with contextlib.suppress(TimeoutError):
-                    async with self.wheel.limit(BETWEEN):
+                    async with self.wheel.timeout(BETWEEN):
                         await news.wait()
                 if not assembly.missing:
                     break
@@ -254,4 +254,4 @@
                 if few or not assembly.missing:
                     news.set()
         else:
-            self.stats.complain("datagram_malformed", sender=number, bytes=len(payload))
+            self.stats.count_and_log("datagram_malformed", sender=number, bytes=len(payload))
--- a/beaconhinge/net/lease_calls.py
+++ b/beaconhinge/net/lease_calls.py
@@ -13,14 +13,14 @@
 from ..config.platform import address
 from ..management import calls
 from ..management.calls import Call
-from ..runtime.metrics import Stats
-from ..runtime.timer_wheel import Wheel
+from ..runtime.metrics import Metrics
+from ..runtime.timer_wheel import TimerWheel
 from ..store import Store
 from . import http1
 from .http1 import BadMessage, Closed, Connection
 from .leases import LeaseLost, Leases, Tenure
-from .operator_calls import Operators
-from .peers import Peers
+from .operator_calls import OperatorCalls
+from .peers import PeerSocket
 from .sockets import connect
 from .upgrade import Upgrade
 
@@ -34,11 +34,11 @@
     ours: Settings,
     config: Config,
     store: Store | None,
-    operators: Operators,
+    operators: OperatorCalls,
     upgrade: Upgrade | None,
-    peers: Peers,
-    wheel: Wheel,
-    stats: Stats,
+    peers: PeerSocket,
+    wheel: TimerWheel,
+    stats: Metrics,
     inherited: dict[str, Any] | None,
 ) -> Leases:
     """Raises ConfigError where the others cannot be heard."""
@@ -56,7 +56,7 @@
 class Calls:
     """POST to an address at each whole multiple of `every_s` in Unix time, by whoever has the lease then."""
 
-    def __init__(self, leases: Leases, wheel: Wheel, stats: Stats) -> None:
+    def __init__(self, leases: Leases, wheel: TimerWheel, stats: Metrics) -> None:
         self.leases = leases
         self.wheel = wheel
         self.stats = stats
@@ -82,7 +82,7 @@
         await asyncio.sleep(due - now)
         connection = None
         try:
-            async with self.wheel.limit(CONNECT):
+            async with self.wheel.timeout(CONNECT):
                 connection = Connection(await connect(address(call.to, call.name)), False, lambda: None)
             head = {
                 "Host": call.to,
@@ -95,19 +95,21 @@
             if not tenure.guard(call.longest_s):
                 self.stats.count("lease_acts_put_off")
                 return tenure.left > 0
-            async with self.wheel.limit(call.longest_s):
+            async with self.wheel.timeout(call.longest_s):
                 await connection.send(data)
                 answer = await connection.next()
             tenure.done()
         except (OSError, Closed, BadMessage) as error:  # a time-out is an OSError too
-            self.stats.complain("lease_act_failed", lease=call.name, why=f"{type(error).__name__}: {error}")
+            self.stats.count_and_log(
+                "lease_act_failed", lease=call.name, why=f"{type(error).__name__}: {error}"
+            )
             return True
         finally:
             if connection is not None:
                 connection.close()
         self.stats.count("lease_acts")
         if answer.status in REFUSED:
-            self.stats.complain("lease_number_refused", lease=call.name, number=tenure.number)
+            self.stats.count_and_log("lease_number_refused", lease=call.name, number=tenure.number)
             return False
         return True
 
@@ -115,7 +117,7 @@
 class Taken:
     """Leases that operators take by calls, for commands of theirs."""
 
-    def __init__(self, leases: Leases, wheel: Wheel, stats: Stats) -> None:
+    def __init__(self, leases: Leases, wheel: TimerWheel, stats: Metrics) -> None:
         self.leases = leases
         self.wheel = wheel
         self.stats = stats
--- a/beaconhinge/net/leases.py
+++ b/beaconhinge/net/leases.py
@@ -22,10 +22,10 @@
 from ..leases.terms import Council, Terms
 from ..leases.votes import Say, Write
 from ..recovery import incarnations
-from ..runtime.metrics import Stats
-from ..runtime.timer_wheel import Timer, Wheel
+from ..runtime.metrics import Metrics
+from ..runtime.timer_wheel import Timer, TimerWheel
 from ..store import Put, Store, StoreError
-from .peers import Peers
+from .peers import PeerSocket
 
 LOCK_AGAIN = 0.1  # seconds between tries for the port
 DISK_WITHIN = 1.0  # seconds after which a number that is not on the disk counts as not written
@@ -143,9 +143,9 @@
         ours: Settings,
         config: Config,
         store: Store | None,
-        peers: Peers,
-        wheel: Wheel,
-        stats: Stats,
+        peers: PeerSocket,
+        wheel: TimerWheel,
+        stats: Metrics,
         rng: Callable[[], float] = random.random,
     ) -> None:
         self.config = config
@@ -176,7 +176,7 @@
 
     async def _begin(self, inherited: dict[str, Any] | None) -> None:
         while not self._alone():
-            self.stats.complain("leases_twice", port=self.peers.config.peer_listen)
+            self.stats.count_and_log("leases_twice", port=self.peers.config.peer_listen)
             await asyncio.sleep(LOCK_AGAIN)
         now = self.wheel.now()
         floor = round(now * 1000)  # wall time, above every number of an earlier life that a folder has lost
@@ -195,7 +195,7 @@
             try:
                 made.take_over(now, max(0.0, time.monotonic() - float(inherited["at"])), inherited["node"])
             except (KeyError, TypeError, ValueError) as error:
-                self.stats.complain("leases_not_inherited", why=f"{type(error).__name__}: {error}")
+                self.stats.count_and_log("leases_not_inherited", why=f"{type(error).__name__}: {error}")
         self.node = made
         self.stats.log(
             "leases_open",
@@ -232,7 +232,7 @@
                 if body is not None and len(body) == _NUMBER.size:
                     yield int.from_bytes(place[len(PREFIX) :], "big"), _NUMBER.unpack(body)[0]
         except StoreError as error:  # wall time stands above them
-            self.stats.complain("leases_not_read", why=f"{type(error).__name__}: {error}")
+            self.stats.count_and_log("leases_not_read", why=f"{type(error).__name__}: {error}")
 
     # ---- what the parts here ask for -----------------------------------------------------------------------
 
@@ -368,7 +368,7 @@
     def _heard(self, number: int, payload: bytes) -> None:
         message = wire.decode(payload)
         if message is None:
-            self.stats.complain("datagram_malformed", sender=number, bytes=len(payload))
+            self.stats.count_and_log("datagram_malformed", sender=number, bytes=len(payload))
         elif self.node is not None:
             self._perform(self.node.hear(self.wheel.now(), number, message))
 
@@ -413,11 +413,11 @@
             self.config.name, self.config.settings.own_number, _NUMBER.pack(write.number)
         )
         try:
-            async with self.wheel.limit(DISK_WITHIN):
+            async with self.wheel.timeout(DISK_WITHIN):
                 if self.store is not None:
                     await self.store.commit([Put(PREFIX + write.lease.to_bytes(8, "big"), record)])
             well = True
         except (StoreError, TimeoutError) as error:
-            self.stats.complain("lease_not_written", why=f"{type(error).__name__}: {error}")
+            self.stats.count_and_log("lease_not_written", why=f"{type(error).__name__}: {error}")
         if own is not None and own is self.node:
             self._perform(own.written(self.wheel.now(), write, well))
--- a/beaconhinge/net/listener.py
+++ b/beaconhinge/net/listener.py
@@ -13,13 +13,13 @@
 from urllib.parse import unquote
 
 from ..config import Config
-from ..dispatch.request import FAILED, GONE, REFUSED, Answer, Job, Request, Requests
+from ..dispatch.request import FAILED, GONE, REFUSED, Answer, Job, Request, RequestTable
 from ..dispatch.work_estimates import Hints
-from ..policy import interface
-from ..runtime.metrics import Stats
-from ..runtime.timer_wheel import Wheel
+from ..policy.interface import AttemptOutcome
+from ..runtime.metrics import Metrics
+from ..runtime.timer_wheel import TimerWheel
 from .http1 import BadMessage, Closed, Connection, Message, response
-from .sockets import Budget, close, readable, steer_to_second, tcp_listener
+from .sockets import DescriptorBudget, close, readable, steer_to_second, tcp_listener
 
 if TYPE_CHECKING:
     from .streams import Streams
@@ -60,17 +60,17 @@
         return not self.owed and not self.connection.partial and self.connection.silent()
 
 
-class Frontend:
+class Listener:
     def __init__(
         self,
         config: Config,
-        requests: Requests,
+        requests: RequestTable,
         news: Callable[[bytes], None],
         ready: Callable[[], bool],
         others: Callable[[], bool],
-        wheel: Wheel,
-        budget: Budget,
-        stats: Stats,
+        wheel: TimerWheel,
+        budget: DescriptorBudget,
+        stats: Metrics,
     ) -> None:
         self.config = config
         self.requests = requests
@@ -114,18 +114,18 @@
     async def _accept_one(self, listener: socket.socket) -> bool:
         """Whether somebody may be there still."""
         while not self._room():
-            self.stats.complain("clients_wait_for_sockets", used=self.budget.used)
+            self.stats.count_and_log("clients_wait_for_sockets", used=self.budget.used)
             with contextlib.suppress(TimeoutError):
-                async with self.wheel.limit(FRESH / 2):  # others may have been still for long enough then
-                    await self.budget.freed()
+                async with self.wheel.timeout(FRESH / 2):  # others may have been still for long enough then
+                    await self.budget.wait_for_release()
         try:
             sock, _ = listener.accept()
         except BlockingIOError:
-            self.budget.give_back()
+            self.budget.release()
             return False
         except OSError as error:  # that connection has failed, or descriptors are short after all
-            self.budget.give_back()
-            self.stats.complain("accept_failed", why=error)
+            self.budget.release()
+            self.stats.count_and_log("accept_failed", why=error)
             await asyncio.sleep(ACCEPT_AGAIN)
             return True
         self._welcome(sock)
@@ -135,18 +135,20 @@
     def most(self) -> int:
         """Connections that clients may have."""
         limits = self.config.limits
-        return min(int((1 - FOR_WORKERS) * self.budget.total), int(limits.connections * self.budget.part))
+        return min(int((1 - FOR_WORKERS) * self.budget.total), int(limits.connections * self.budget.share))
 
     def _room(self) -> bool:
         """Take a socket for one more connection. Clients and workers' news come in by the same door: when
         the house is full, somebody who only stands there goes, or those would wait behind a crowd.
         """
-        return (len(self.peers) < self.most or self._close_one()) and self.budget.take()
+        return (len(self.peers) < self.most or self._close_one()) and self.budget.acquire()
 
     def _welcome(self, sock: socket.socket) -> None:
         sock.setblocking(False)
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-        peer = _Peer(Connection(sock, requests=True, closed=self.budget.give_back, hold=self.budget.hold))
+        peer = _Peer(
+            Connection(sock, requests=True, closed=self.budget.release, hold=self.budget.reserve_body_bytes)
+        )
         peer.connection.used_at = self.wheel.now()
         self.peers[peer] = self.unheard[peer] = None
         self.stats.count("connections_accepted")
@@ -182,19 +184,19 @@
                 if close:
                     await self._part(peer, data)
                     return
-                async with self.wheel.limit(SLOW_WRITE):
+                async with self.wheel.timeout(SLOW_WRITE):
                     await connection.send(data)
                 peer.owed, connection.used_at = False, self.wheel.now()
                 connection.release()
                 if self.peers.pop(peer, peer) is None:
                     self.peers[peer] = None  # now the last one used
         except BadMessage as error:
-            self.stats.complain("client_message_malformed", why=error)
+            self.stats.count_and_log("client_message_malformed", why=error)
             await self._part(peer, _problem(error.status, str(error), close=True))
         except (Closed, OSError):  # a time-out is an OSError too
             pass
         except Exception as error:  # a defect here: whoever asked still gets an answer
-            self.stats.failure("connection", error)
+            self.stats.log_exception("connection", error)
             await self._part(peer, _problem(500, "internal error", close=True))
         finally:
             peer.owed = False
@@ -211,7 +213,7 @@
             await connection.begun()
         for wait in (limit, FRESH):
             with contextlib.suppress(TimeoutError):
-                async with self.wheel.limit(wait):
+                async with self.wheel.timeout(wait):
                     return await connection.next()
             if connection.silent():  # or this process was late itself, and has not read what had come
                 break
@@ -223,7 +225,7 @@
         self.unheard.pop(peer, None)
         peer.owed = True
         try:
-            async with self.wheel.limit(LINGER):
+            async with self.wheel.timeout(LINGER):
                 await peer.connection.send(data)
                 await peer.connection.linger()
         except OSError:
@@ -260,12 +262,12 @@
         try:
             job = self._job(path, message)
         except BadMessage as error:
-            self.stats.complain("client_request_refused", status=error.status, why=error)
+            self.stats.count_and_log("client_request_refused", status=error.status, why=error)
             return _problem(error.status, str(error), close), close
         if self.refusing or job.remaining <= 0:
             return written(self.requests.turn_away(job), True), True
         if self.requests.full:
-            self.stats.complain("requests_over_limit", held=len(self.requests.in_hand))
+            self.stats.count_and_log("requests_over_limit", held=len(self.requests.in_hand))
             return written(self.requests.turn_away(job), close), close
         if self.streams is not None and self.streams.asked_for(message):
             close = close or peer.connection.version != "1.1"  # which knows no chunks
@@ -345,7 +347,7 @@
         if cost.isascii() and len(cost) <= 32 and cost.replace(".", "", 1).isdigit():
             told = float(cost) / 1e6
         elif cost:
-            self.stats.complain("hint_unread", cost=cost)
+            self.stats.count_and_log("hint_unread", cost=cost)
         bounded = self.hints.bounded
         work = self.hints.fit(cls, told, waits)
         if self.hints.bounded > bounded:
@@ -380,7 +382,7 @@
         self.handed = self.parting = True
         self.draining = self.refusing = False
         if self._listener is not None and not steer_to_second(self._listener):
-            self.stats.complain("steering_refused")
+            self.stats.count_and_log("steering_refused")
         await asyncio.sleep(LOOK)
         if self.handed:  # the other process may have died meanwhile
             self._stop_listening()
@@ -420,7 +422,7 @@
 
     async def finish(self) -> None:
         """Serve what still comes, part with clients, and return once all is answered."""
-        longest = max(cls.deadline for cls in self.config.settings.classes)
+        longest = max(cls.deadline_s for cls in self.config.settings.classes)
         end = self.wheel.now() + min(longest or LONGEST, LONGEST) + KILL_AFTER
         self.ending = True
         self._end_drain()  # one that has not parted yet starts again: there is time for it
@@ -477,15 +479,15 @@
         rest still wait.
         """
         failures = 0
-        while failures < ACCEPT_FAILURES_MOST and self.budget.take():
+        while failures < ACCEPT_FAILURES_MOST and self.budget.acquire():
             try:
                 sock, _ = listener.accept()
             except BlockingIOError:  # nobody is left
-                self.budget.give_back()
+                self.budget.release()
                 return
             except OSError as error:
-                self.budget.give_back()
-                self.stats.complain("accept_failed", why=error)
+                self.budget.release()
+                self.stats.count_and_log("accept_failed", why=error)
                 failures += 1
                 if error.errno in (errno.EMFILE, errno.ENFILE):
                     self._close_one()
@@ -517,7 +519,7 @@
 
 
 def written(answer: Answer, close: bool) -> bytes:
-    if answer.end == interface.SERVED:
+    if answer.end == AttemptOutcome.SERVED:
         return response(200, answer.body, close=close)
     if answer.end == REFUSED:
         after = {"Retry-After": f"{answer.retry_after:.3f}"} if answer.retry_after > 0 else {}
--- a/beaconhinge/net/management.py
+++ b/beaconhinge/net/management.py
@@ -10,8 +10,8 @@
 from ..config import Address
 from ..management import calls
 from ..management.calls import BadCall, Call
-from ..runtime.metrics import Stats
-from ..runtime.timer_wheel import Wheel
+from ..runtime.metrics import Metrics
+from ..runtime.timer_wheel import TimerWheel
 from .sockets import tcp_listener
 
 CALLERS = 8  # descriptors set aside; with as many callers the one that has been silent longest goes
@@ -26,8 +26,8 @@
         self,
         address: Address,
         acts: dict[str, Callable[[Call], bytes | Awaitable[bytes]]],
-        wheel: Wheel,
-        stats: Stats,
+        wheel: TimerWheel,
+        stats: Metrics,
     ) -> None:
         self.address = address
         self.acts = acts
@@ -45,7 +45,7 @@
             try:
                 sock, _ = await asyncio.get_running_loop().sock_accept(listener)
             except OSError as error:  # the caller has left again, or descriptors are short after all
-                self.stats.complain("management_accept_failed", why=error)
+                self.stats.count_and_log("management_accept_failed", why=error)
                 await asyncio.sleep(0.01)
                 continue
             if len(self._callers) >= CALLERS:  # a whole call is answered at once: the first has not made one
@@ -65,14 +65,14 @@
     async def _serve(self, sock: socket.socket) -> None:
         loop = asyncio.get_running_loop()
         try:
-            async with self.wheel.limit(WHOLE):
+            async with self.wheel.timeout(WHOLE):
                 line = await self._line(sock)
             answer = self._answer(line, sock) if line else b""
             if not isinstance(answer, bytes):
                 answer = await answer
             if not answer:
                 return
-            async with self.wheel.limit(ANSWER):
+            async with self.wheel.timeout(ANSWER):
                 await loop.sock_sendall(sock, answer)
                 sock.shutdown(socket.SHUT_WR)
                 while await loop.sock_recv(sock, 1024):  # closing on unread bytes would reset the answer away
@@ -110,8 +110,8 @@
                 self._adopted.add(sock)
             return calls.failure(f"{call.name}: {why}") if why else b""
         except BadCall as why:
-            self.stats.complain("management_call_refused", why=why)
+            self.stats.count_and_log("management_call_refused", why=why)
             return calls.failure(str(why))
         except Exception as error:  # a defect here: the operator hears of it too
-            self.stats.failure("management call", error)
+            self.stats.log_exception("management call", error)
             return calls.failure("internal error")
--- a/beaconhinge/net/operator_calls.py
+++ b/beaconhinge/net/operator_calls.py
@@ -5,19 +5,24 @@
 from collections.abc import Awaitable, Callable
 
 from ..config import Config
-from ..dispatch.policy_runner import Core
-from ..dispatch.request import Requests
+from ..dispatch.policy_runner import PolicyRunner
+from ..dispatch.request import RequestTable
 from ..management import calls, figures
 from ..management.calls import Call
 from ..membership.inventory import worker_number
 from ..policy import interface
-from .listener import Frontend
-from .worker_pool import Workers
+from .listener import Listener
+from .worker_pool import WorkerPool
 
 
-class Operators:
+class OperatorCalls:
     def __init__(
-        self, config: Config, core: Core, workers: Workers, requests: Requests, frontend: Frontend
+        self,
+        config: Config,
+        core: PolicyRunner,
+        workers: WorkerPool,
+        requests: RequestTable,
+        frontend: Listener,
     ) -> None:
         self.config = config
         self.core = core
@@ -83,7 +88,7 @@
             return
         self.out ^= {host_id}
         self.core.stats.log("worker_out" if out else "worker_back", worker=host_id)
-        self.core.feed(interface.Maintenance(worker_number(host_id), out))
+        self.core.feed(interface.MaintenanceMode(worker_number(host_id), out))
 
     def _drain_or_resume(self, call: Call) -> bytes:
         if self.frontend.ending:
--- a/beaconhinge/net/peers.py
+++ b/beaconhinge/net/peers.py
@@ -8,18 +8,18 @@
 from collections.abc import Callable
 
 from ..config import Config
-from ..dispatch.policy_runner import Core
+from ..dispatch.policy_runner import PolicyRunner
 from ..policy import interface
-from ..runtime.metrics import Stats
-from ..runtime.timer_wheel import Wheel
+from ..runtime.metrics import Metrics
+from ..runtime.timer_wheel import TimerWheel
 
 MAX_BYTES = 256
 MOST_WAITING = 4096  # datagrams dropped at once; what a socket holds by default is fewer
 HEARD_WITHIN = 1.5  # seconds without a datagram after which no other dispatcher counts as there
 
 
-class Peers:
-    def __init__(self, config: Config, core: Core, wheel: Wheel, stats: Stats) -> None:
+class PeerSocket:
+    def __init__(self, config: Config, core: PolicyRunner, wheel: TimerWheel, stats: Metrics) -> None:
         self.config = config
         self.wheel = wheel
         self.core = core
@@ -31,7 +31,7 @@
         # Who takes datagrams that begin with that byte, given the sender's number; the rest are the module's.
         self.talk: dict[int, Callable[[int, bytes], None]] = {}
         self.woken: Callable[[], bool] = lambda: False  # whether the process has just gone on after a stall
-        core.owners[interface.Tell] = self._tell
+        core.action_handlers[interface.SendToPeer] = self._tell
 
     def move(self, config: Config) -> None:
         """Reach the others at these addresses from now on."""
@@ -77,11 +77,11 @@
             except BlockingIOError:
                 return
             except OSError as error:  # an earlier datagram found nobody: no fault of the socket
-                self.stats.complain("datagram_failed", why=error)
+                self.stats.count_and_log("datagram_failed", why=error)
                 return
             number = self.numbers.get(sender)
             if number is None or len(payload) > MAX_BYTES:
-                self.stats.complain("datagram_malformed", sender=sender[0], bytes=len(payload))
+                self.stats.count_and_log("datagram_malformed", sender=sender[0], bytes=len(payload))
                 continue
             self.stats.count("datagrams_received")
             if number != self.config.settings.own_number:
@@ -102,7 +102,7 @@
                 return dropped
         return MOST_WAITING
 
-    def _tell(self, action: interface.Tell) -> None:
+    def _tell(self, action: interface.SendToPeer) -> None:
         self.send(action.peer, action.payload)
 
     def send(self, number: int, payload: bytes) -> None:
@@ -116,7 +116,7 @@
         if (
             self._sock is None
             or target is None
-            or not self.stats.holds(len(payload) <= MAX_BYTES, "datagram_within_bound")
+            or not self.stats.check(len(payload) <= MAX_BYTES, "datagram_within_bound")
         ):
             self.stats.count("datagrams_without_way")
             return
@@ -124,4 +124,4 @@
             self._sock.sendto(payload, target)
             self.stats.count("datagrams_sent")
         except OSError as error:  # it may be lost on the way as well
-            self.stats.complain("datagram_failed", why=error)
+            self.stats.count_and_log("datagram_failed", why=error)
--- a/beaconhinge/net/recovery.py
+++ b/beaconhinge/net/recovery.py
@@ -8,21 +8,22 @@
 
 from ..config import Config
 from ..config.local import Recovery as Settings
-from ..dispatch.policy_runner import Core
-from ..dispatch.request import Attempt, Requests
+from ..dispatch.policy_runner import PolicyRunner
+from ..dispatch.request import Attempt, RequestTable
 from ..policy import interface
+from ..policy.interface import AttemptOutcome
 from ..recovery.stall import Stall, StallWatch
-from ..runtime.metrics import Stats
-from ..runtime.timer_wheel import Wheel
+from ..runtime.metrics import Metrics
+from ..runtime.timer_wheel import TimerWheel
 from ..store import Store
 from .discovery import Discovery
 from .keys import Keys
-from .listener import Frontend
-from .operator_calls import Operators
-from .peers import Peers
+from .listener import Listener
+from .operator_calls import OperatorCalls
+from .peers import PeerSocket
 from .restart import ByHand, Orphans, Returning
 from .upgrade import Upgrade
-from .worker_pool import Workers
+from .worker_pool import WorkerPool
 
 SOCKETS_FIRST = 0.1  # seconds that timers wait after a stall, while what came meanwhile is read
 LIST_WITHIN = 0.5  # seconds that new jobs wait at most for a list asked for anew
@@ -34,16 +35,16 @@
     ours: Settings,
     config: Config,
     store: Store | None,
-    core: Core,
-    wheel: Wheel,
-    requests: Requests,
-    workers: Workers,
+    core: PolicyRunner,
+    wheel: TimerWheel,
+    requests: RequestTable,
+    workers: WorkerPool,
     discovery: Discovery,
-    peers: Peers,
-    frontend: Frontend,
-    operators: Operators,
+    peers: PeerSocket,
+    frontend: Listener,
+    operators: OperatorCalls,
     upgrade: Upgrade | None,
-    stats: Stats,
+    stats: Metrics,
 ) -> Returning:
     """Before the door opens: from then on jobs and datagrams come."""
     recovery = Recovery(ours.stall_s, core, wheel, requests, discovery, peers, stats)
@@ -57,7 +58,7 @@
     operators.phase = lambda: returning.phase
     listed = frontend.ready
     frontend.ready = lambda: listed() and returning.serving
-    until = wheel.now() + max(cls.deadline for cls in config.settings.classes)
+    until = wheel.now() + max(cls.deadline_s for cls in config.settings.classes)
 
     def stays(request: str) -> bool:
         """Somebody may come for its result, or another process of this dispatcher has it."""
@@ -75,12 +76,12 @@
     def __init__(
         self,
         after: float,
-        core: Core,
-        wheel: Wheel,
-        requests: Requests,
+        core: PolicyRunner,
+        wheel: TimerWheel,
+        requests: RequestTable,
         discovery: Discovery,
-        peers: Peers,
-        stats: Stats,
+        peers: PeerSocket,
+        stats: Metrics,
         rng: Callable[[], float] = random.random,
     ) -> None:
         self.watch = StallWatch(after)
@@ -96,8 +97,8 @@
         self._settled = asyncio.Event()
         self._settled.set()
         self._held_until = 0.0  # for timers
-        wheel.held_for = self._held_for
-        core.woken = peers.woken = self.look
+        wheel.postponed_for = self._held_for
+        core.check_for_stall = peers.woken = self.look
         requests.excuse = self._excuse
         requests.own_seconds = self.watch.own_seconds
 
@@ -114,7 +115,7 @@
         self.stats.count("stalls")
         self.stats.count("datagrams_stale", dropped)
         self.stats.log("stalled", seconds=stall.seconds, datagrams_dropped=dropped)
-        self.core.feed(interface.Stalled(stall.seconds))
+        self.core.feed(interface.ProcessStalled(stall.seconds))
         self.woken()
         if STALL not in self._holds:
             self._hold(STALL, True)
@@ -145,7 +146,7 @@
 
     async def _list_first(self) -> None:
         try:
-            async with self.wheel.limit(LIST_WITHIN):
+            async with self.wheel.timeout(LIST_WITHIN):
                 await self._settled.wait()
         except TimeoutError:
             self.stats.count("stall_list_late")
@@ -154,7 +155,7 @@
         self.look()
         return self._held_until - self.wheel.now()
 
-    def _excuse(self, attempt: Attempt, outcome: str) -> str:
+    def _excuse(self, attempt: Attempt, outcome: AttemptOutcome) -> AttemptOutcome:
         told = self.watch.outcome(attempt.sent_at, outcome)
         if told != outcome:
             self.stats.count("outcomes_excused")
--- a/beaconhinge/net/restart.py
+++ b/beaconhinge/net/restart.py
@@ -6,15 +6,15 @@
 from collections.abc import Callable
 
 from ..config import Config
-from ..policy import interface
+from ..policy.interface import UpdateKind
 from ..recovery import incarnations, stages
 from ..recovery.incarnations import Hello, Lives
 from ..recovery.stages import NAMES, NORMAL, READING, Return
-from ..runtime.metrics import Stats
-from ..runtime.timer_wheel import Wheel
+from ..runtime.metrics import Metrics
+from ..runtime.timer_wheel import TimerWheel
 from ..store import Delete, Put, Store, StoreError
-from .peers import Peers
-from .worker_pool import Workers
+from .peers import PeerSocket
+from .worker_pool import WorkerPool
 
 LOOK = 0.05  # seconds between turns of the phases
 ASKED = 8  # others that are asked: a return of many must not drown itself
@@ -29,9 +29,9 @@
         self,
         config: Config,
         store: Store | None,
-        wheel: Wheel,
-        peers: Peers,
-        stats: Stats,
+        wheel: TimerWheel,
+        peers: PeerSocket,
+        stats: Metrics,
         hold: Callable[[bool], None],
     ) -> None:
         self.config = config
@@ -74,7 +74,7 @@
             self._ask()
 
     def listed(self, how: str) -> None:
-        if how in (interface.SNAPSHOT, interface.CHANGES):
+        if how in (UpdateKind.SNAPSHOT, UpdateKind.CHANGES):
             self._feed(stages.Listed())
 
     def _feed(self, event: stages.Event) -> None:
@@ -110,7 +110,7 @@
         """The same at each start: they are the ones that have heard of the lives before."""
         settings = self.config.settings
         size, own = settings.group_size, settings.own_number
-        most = min(ASKED, size - 1) if settings.peers else 0
+        most = min(ASKED, size - 1) if settings.peer_messages else 0
         return frozenset((own + n) % size for n in range(1, most + 1))
 
     def _tell(self, number: int, asks: bool = False, stale: bool = False) -> None:
@@ -121,14 +121,14 @@
     def _heard(self, number: int, payload: bytes) -> None:
         hello = incarnations.decode(payload)
         if hello is None:
-            self.stats.complain("datagram_malformed", sender=number, bytes=len(payload))
+            self.stats.count_and_log("datagram_malformed", sender=number, bytes=len(payload))
             return
         stale = self.lives.hear(number, hello)
         if hello.asks:
             self._tell(number, stale=stale)
         if hello.stale and self.life:
             self.life = 0  # told once, and it claims no life any more
-            self.stats.complain("folder_stale", told_by=number)
+            self.stats.count_and_log("folder_stale", told_by=number)
             self.stale()
         self._feed(stages.Heard(number, hello.phase))
 
@@ -144,13 +144,13 @@
         name, number = self.config.name, self.config.settings.own_number
         try:
             life = incarnations.next_life(incarnations.read_signed(store.get(LIFE), name, number))
-            async with self.wheel.limit(DISK_WITHIN):
+            async with self.wheel.timeout(DISK_WITHIN):
                 await store.commit(
                     [Put(LIFE, incarnations.signed(name, number, incarnations.life_record(life)))]
                 )
             self.life = life
         except (StoreError, TimeoutError) as error:
-            self.stats.complain("life_not_counted", why=f"{type(error).__name__}: {error}")
+            self.stats.count_and_log("life_not_counted", why=f"{type(error).__name__}: {error}")
 
 
 class Orphans:
@@ -160,9 +160,9 @@
 
     def __init__(
         self,
-        workers: Workers,
-        wheel: Wheel,
-        stats: Stats,
+        workers: WorkerPool,
+        wheel: TimerWheel,
+        stats: Metrics,
         until: float,
         left_to_finish: Callable[[str], bool],
     ) -> None:
@@ -201,7 +201,7 @@
 class ByHand:
     """Workers that operators have taken out, on the disk under this dispatcher's name."""
 
-    def __init__(self, config: Config, store: Store, wheel: Wheel, stats: Stats) -> None:
+    def __init__(self, config: Config, store: Store, wheel: TimerWheel, stats: Metrics) -> None:
         self.store = store
         self.wheel = wheel
         self.stats = stats
@@ -216,17 +216,17 @@
                 else:
                     foreign += 1
         except (StoreError, ValueError) as error:
-            self.stats.complain("hands_not_read", why=f"{type(error).__name__}: {error}")
+            self.stats.count_and_log("hands_not_read", why=f"{type(error).__name__}: {error}")
         if foreign:
-            self.stats.complain("hands_foreign", records=foreign)
+            self.stats.count_and_log("hands_foreign", records=foreign)
 
     async def keep(self, worker: str, out: bool) -> str:
         """Why it is not on the disk, if so."""
         place = HAND + worker.encode()
         try:
-            async with self.wheel.limit(DISK_WITHIN):
+            async with self.wheel.timeout(DISK_WITHIN):
                 await self.store.commit([Put(place, self._sign) if out else Delete(place)])
             return ""
         except (StoreError, TimeoutError) as error:
-            self.stats.complain("hand_not_written", why=f"{type(error).__name__}: {error}")
+            self.stats.count_and_log("hand_not_written", why=f"{type(error).__name__}: {error}")
             return f"{type(error).__name__}: {error}"
--- a/beaconhinge/net/sockets.py
+++ b/beaconhinge/net/sockets.py
@@ -11,51 +11,51 @@
 from ..errors import Error
 
 SO_ATTACH_REUSEPORT_CBPF, BPF_RETURN = 51, 0x06  # Linux, asm-generic/socket.h and bpf_common.h
-SPARE = 24  # descriptors for standard streams, event loop, listener, datagrams and discovery
+RESERVED_DESCRIPTORS = 24  # descriptors for standard streams, event loop, listener, datagrams and discovery
 
 
-class Unavailable(Error):
+class AddressUnavailable(Error):
     """An address that cannot be listened on; the text names its key."""
 
 
-class Budget:
+class DescriptorBudget:
     """Counts sockets in use, and bytes of bodies. When sockets are short, idle connections are closed first,
     by whoever holds them.
     """
 
     def __init__(self, sockets: int, body_bytes: int, aside: int = 0) -> None:
-        self._sockets = self.total = sockets - SPARE - aside
+        self._sockets = self.total = sockets - RESERVED_DESCRIPTORS - aside
         self._bodies = body_bytes
-        self.part = 1.0
+        self.share = 1.0
         self.used = 0
         self.body_bytes = body_bytes  # room left for bodies
         self.reclaimers: list[Callable[[], bool]] = []  # each closes one idle connection, if it has one
         self._freed = asyncio.Event()
 
-    def hold(self, count: int) -> bool:
+    def reserve_body_bytes(self, count: int) -> bool:
         """Take room for so many bytes of bodies, or give it back."""
         if count > self.body_bytes:
             return False
         self.body_bytes -= count
         return True
 
-    def limit_to(self, part: float) -> None:
+    def set_share(self, part: float) -> None:
         """The other process of this dispatcher has the rest, or has ended. What is held beyond is kept."""
-        self.body_bytes += int(part * self._bodies) - int(self.part * self._bodies)
-        self.part, self.total = part, int(part * self._sockets)
+        self.body_bytes += int(part * self._bodies) - int(self.share * self._bodies)
+        self.share, self.total = part, int(part * self._sockets)
 
-    def take(self) -> bool:
+    def acquire(self) -> bool:
         while self.used >= self.total:
             if not any(reclaim() for reclaim in self.reclaimers):
                 return False
         self.used += 1
         return True
 
-    def give_back(self) -> None:
+    def release(self) -> None:
         self.used -= 1
         self._freed.set()
 
-    async def freed(self) -> None:
+    async def wait_for_release(self) -> None:
         self._freed.clear()
         await self._freed.wait()
 
@@ -72,7 +72,7 @@
         sock.listen(1024)
     except OSError as error:
         sock.close()
-        raise Unavailable(f"{key}: {address[0]}:{address[1]}: {error.strerror}") from None
+        raise AddressUnavailable(f"{key}: {address[0]}:{address[1]}: {error.strerror}") from None
     return sock
 
 
--- a/beaconhinge/net/streams.py
+++ b/beaconhinge/net/streams.py
@@ -15,13 +15,13 @@
 
 from ..config import Config
 from ..config.local import Progress
-from ..dispatch.request import REFUSED, Answer, Job, Request, Requests
-from ..policy import interface
+from ..dispatch.request import REFUSED, Answer, Job, Request, RequestTable
+from ..policy.interface import AttemptOutcome
 from ..progress import codec
 from ..progress.feed import ACCEPTED, Feed, Reader
 from ..progress.registry import Entry, Registry
-from ..runtime.metrics import Stats
-from ..runtime.timer_wheel import Wheel
+from ..runtime.metrics import Metrics
+from ..runtime.timer_wheel import TimerWheel
 from .http1 import Closed, Connection, Message
 
 KEPT_PART = 0.25  # of the room for bodies: outcomes kept for those who come back
@@ -73,7 +73,7 @@
 
 class Streams:
     def __init__(
-        self, told: Progress, config: Config, requests: Requests, wheel: Wheel, stats: Stats
+        self, told: Progress, config: Config, requests: RequestTable, wheel: TimerWheel, stats: Metrics
     ) -> None:
         self.told = told
         self.config = config
@@ -98,7 +98,7 @@
         refusal. Raises Closed when the client has gone, or takes nothing.
         """
         if self._full(job.tenant):
-            return Answer(REFUSED, retry_after=self.config.settings.max_retry_after)
+            return Answer(REFUSED, retry_after=self.config.settings.max_retry_after_s)
         self.open[job.tenant] += 1
         try:
             watch = _Watch(job, self.config.class_names[job.cls])
@@ -160,10 +160,10 @@
 
     def _full(self, tenant: int) -> bool:
         if self.open.total() >= self.told.max_streams:
-            self.stats.complain("streams_over_limit", limit="max_streams")
+            self.stats.count_and_log("streams_over_limit", limit="max_streams")
             return True
         if self.open[tenant] >= self.told.max_streams_tenant:
-            self.stats.complain("streams_over_limit", limit="max_streams_tenant", tenant=tenant)
+            self.stats.count_and_log("streams_over_limit", limit="max_streams_tenant", tenant=tenant)
             return True
         return False
 
@@ -224,10 +224,10 @@
 
     async def _send(self, connection: Connection, data: bytes, job: str) -> None:
         try:
-            async with self.wheel.limit(self.told.stalled_s):
+            async with self.wheel.timeout(self.told.stalled_s):
                 await connection.send(data)
         except TimeoutError:
-            self.stats.complain("stream_stalled", request=job)
+            self.stats.count_and_log("stream_stalled", request=job)
             raise
 
     async def _wait(self, connection: Connection, watch: _Watch, most: float | None) -> asyncio.Task[bool]:
@@ -265,7 +265,7 @@
 
 
 def _content(answer: Answer) -> Mapping[str, Any]:
-    if answer.end == interface.SERVED:
+    if answer.end == AttemptOutcome.SERVED:
         return {"status": 200, "result": answer.body.decode("utf-8", "replace")}
     if answer.end == REFUSED:
         return {"status": 503, "retry_after": round(answer.retry_after, 3)}
--- a/beaconhinge/net/upgrade.py
+++ b/beaconhinge/net/upgrade.py
@@ -21,20 +21,20 @@
 
 from ..config import Address, Config, ConfigError
 from ..config.platform import address
-from ..dispatch.policy_runner import Core
+from ..dispatch.policy_runner import PolicyRunner
 from ..management import calls, handover
 from ..management.calls import Call
 from ..management.handover import Unusable
 from ..membership.inventory import InventoryError
 from ..policy import interface
-from ..runtime.metrics import Stats
-from ..runtime.timer_wheel import Wheel
+from ..runtime.metrics import Metrics
+from ..runtime.timer_wheel import TimerWheel
 from .discovery import Discovery
-from .listener import Frontend
-from .operator_calls import Operators
-from .peers import Peers
-from .sockets import Budget, connect
-from .worker_pool import Workers
+from .listener import Listener
+from .operator_calls import OperatorCalls
+from .peers import PeerSocket
+from .sockets import DescriptorBudget, connect
+from .worker_pool import WorkerPool
 
 ANSWER = 1.0  # seconds that the process that serves has for each of its two answers
 READY_BY = 4.5  # seconds after its start, of 6, by which a new process says that it is ready
@@ -47,7 +47,7 @@
 class Link:
     """The connection between the two processes. `took` gets each frame, `lost` is called once at its end."""
 
-    def __init__(self, sock: socket.socket, stats: Stats) -> None:
+    def __init__(self, sock: socket.socket, stats: Metrics) -> None:
         self.sock = sock
         self.stats = stats
         self.frames = handover.Frames()
@@ -78,9 +78,9 @@
         except OSError:
             pass
         except Unusable as why:
-            self.stats.complain("handover_unusable", why=why)
+            self.stats.count_and_log("handover_unusable", why=why)
         except Exception as error:  # a defect here: the other process goes on by itself
-            self.stats.failure("link", error)
+            self.stats.log_exception("link", error)
         self._end()
 
     async def _write(self) -> None:
@@ -100,15 +100,15 @@
         config: Config,
         mgmt: Address,
         shared: Path,
-        core: Core,
-        workers: Workers,
+        core: PolicyRunner,
+        workers: WorkerPool,
         discovery: Discovery,
-        peers: Peers,
-        frontend: Frontend,
-        operators: Operators,
-        budget: Budget,
-        wheel: Wheel,
-        stats: Stats,
+        peers: PeerSocket,
+        frontend: Listener,
+        operators: OperatorCalls,
+        budget: DescriptorBudget,
+        wheel: TimerWheel,
+        stats: Metrics,
     ) -> None:
         self.mgmt = mgmt
         self.core = core
@@ -157,11 +157,13 @@
         except FileNotFoundError:
             return None
         except (OSError, ValueError, TypeError, KeyError, ConfigError) as error:
-            self.stats.complain("handover_unusable", why=f"{self.word.name}: {type(error).__name__}: {error}")
+            self.stats.count_and_log(
+                "handover_unusable", why=f"{self.word.name}: {type(error).__name__}: {error}"
+            )
             return None
         sock = None
         try:
-            async with self.wheel.limit(ANSWER):
+            async with self.wheel.timeout(ANSWER):
                 sock = await connect(where)
                 link = Link(sock, self.stats)
                 await asyncio.get_running_loop().sock_sendall(sock, f"{calls.TAKE_OVER} {token}\n".encode())
@@ -173,28 +175,28 @@
             if sock is not None:
                 sock.close()
             # Left over by a process that was killed: nobody is there to be called.
-            self.stats.complain("handover_unusable", why=f"{type(error).__name__}: {error}")
+            self.stats.count_and_log("handover_unusable", why=f"{type(error).__name__}: {error}")
             return None
         self.before = link
         return content
 
     def restore(self, content: dict[str, Any]) -> None:
         """After the module's start and before its first list."""
-        self.budget.limit_to(SHARE)
+        self.budget.set_share(SHARE)
         try:
             hosts = self.discovery.inventory.read(content["list"])
             out = [str(host_id) for host_id in content["out"]]
             here = tuple(content["discovery"]) == self.discovery.address
             module = content["module"]
         except (InventoryError, KeyError, TypeError) as error:
-            self.stats.complain("handover_unusable", why=f"{type(error).__name__}: {error}")
+            self.stats.count_and_log("handover_unusable", why=f"{type(error).__name__}: {error}")
             return
         try:
             handover.restore(self.core.dispatcher, module)
             for worker in self.core.dispatcher.workers.values():
                 self._inherited[worker.id] = round(worker.out)
         except Unusable as why:  # as with other settings: the list and the operators' word still hold
-            self.stats.complain("handover_unusable", why=why)
+            self.stats.count_and_log("handover_unusable", why=why)
         self.discovery.inherit(hosts, here)
         for host_id in out:
             self.operators.apply(host_id, True)
@@ -206,7 +208,7 @@
             self.before.start(self._from_before, self._before_ended)
             self.before.send(handover.SERVING)
             with contextlib.suppress(TimeoutError):
-                async with self.wheel.limit(ANSWER):
+                async with self.wheel.timeout(ANSWER):
                     await self._parted.wait()
         self._leave_word()
 
@@ -218,7 +220,7 @@
         elif kind == handover.SLOTS:
             number, slots = _SLOTS.unpack(payload)
             self._inherited[number] += slots
-            self.core.feed(interface.Elsewhere(number, slots))
+            self.core.feed(interface.SiblingLoad(number, slots))
         else:
             self._either(kind, payload, self.before)
 
@@ -227,9 +229,9 @@
         self.before = None
         for number, slots in self._inherited.items():
             if slots > 0:
-                self.core.feed(interface.Elsewhere(number, -slots))
+                self.core.feed(interface.SiblingLoad(number, -slots))
         self._inherited.clear()
-        self.budget.limit_to(SHARE if self.after is not None else 1.0)
+        self.budget.set_share(SHARE if self.after is not None else 1.0)
         self.stats.log("other_process_ended")
 
     # ---- the old process -----------------------------------------------------------------------------------
@@ -269,7 +271,7 @@
         if self.after is not link:
             return
         self.peers.let_go()
-        self.budget.limit_to(SHARE)
+        self.budget.set_share(SHARE)
         await self.frontend.let_go()
         if self.after is link:
             self.stats.log("handed_over", owed=self.frontend.owing)
@@ -282,11 +284,11 @@
     def _after_ended(self) -> None:
         self.after = None
         if self.frontend.handed and not self.frontend.ending:
-            self.stats.complain("taken_back")  # the new process died: this one goes on
+            self.stats.count_and_log("taken_back")  # the new process died: this one goes on
             self.core.dispatcher.fleet.incarnation = (self.core.dispatcher.fleet.incarnation + 1) & 0xFF
             self.peers.listen()
             self.frontend.take_back()
-            self.budget.limit_to(SHARE if self.before is not None else 1.0)
+            self.budget.set_share(SHARE if self.before is not None else 1.0)
             self._leave_word()
         for _, take_back in self.parts.values():
             take_back()
@@ -316,7 +318,7 @@
                 json.dump({"mgmt": f"{self.mgmt[0]}:{self.mgmt[1]}", "token": self.token}, file)
             new.replace(self.word)
         except OSError as error:  # the next process starts from nothing
-            self.stats.complain("handover_word_not_left", why=error)
+            self.stats.count_and_log("handover_word_not_left", why=error)
 
     def _links(self, but: Link | None) -> list[Link]:
         return [link for link in (self.before, self.after) if link is not None and link is not but]
@@ -327,7 +329,7 @@
             link.send(handover.CALL_BACK, body)
             self.stats.count("callbacks_passed_on")
             if link is self.before:  # the worker lives, though nothing is told here
-                self.core.feed(interface.Elsewhere(worker, 0.0))
+                self.core.feed(interface.SiblingLoad(worker, 0.0))
 
     def _tell_operators(self, call: Call) -> None:
         """What an operator asks of one process holds for both; a drain is for the one that takes clients."""
--- a/beaconhinge/net/worker_pool.py
+++ b/beaconhinge/net/worker_pool.py
@@ -8,17 +8,18 @@
 from typing import Any
 
 from ..config import Config
-from ..dispatch.policy_runner import Core
+from ..dispatch.policy_runner import PolicyRunner
 from ..dispatch.request import Attempt
 from ..dispatch.send_guard import Refusal, SendState, refusal
 from ..management.figures import BACKEND_CALLS
 from ..membership.inventory import Host, Hosts, worker_number
 from ..policy import interface
-from ..runtime.metrics import Stats
-from ..runtime.timer_wheel import Wheel
+from ..policy.interface import PROVEN_UNRUN, AttemptOutcome, NoticeKind, Semantics, WorkerState
+from ..runtime.metrics import Metrics
+from ..runtime.timer_wheel import TimerWheel
 from . import http1
 from .http1 import BadMessage, Closed, Connection, Message
-from .sockets import Budget, connect
+from .sockets import DescriptorBudget, connect
 
 SWEEP = 0.25  # seconds between looks for connections idle for too long
 NEAR_CLOSE = 0.8  # part of the told idle time after which a connection is not used again
@@ -45,14 +46,16 @@
         self.task: asyncio.Task[None] | None = None
 
 
-class Workers:
-    def __init__(self, config: Config, core: Core, wheel: Wheel, budget: Budget, stats: Stats) -> None:
+class WorkerPool:
+    def __init__(
+        self, config: Config, core: PolicyRunner, wheel: TimerWheel, budget: DescriptorBudget, stats: Metrics
+    ) -> None:
         self.config = config
         self.core = core
         self.wheel = wheel
         self.budget = budget
         self.stats = stats
-        self.reuse_told = self.reuse_within = NEAR_CLOSE * config.settings.idle_close
+        self.reuse_told = self.reuse_within = NEAR_CLOSE * config.settings.idle_timeout_s
         self.workers: dict[int, _Worker] = {}
         self.carried: dict[tuple[str, str], _Carried] = {}  # open attempts by request id and worker id
         # Who else may have the attempt that a call-back is for, given the worker's number.
@@ -66,19 +69,21 @@
         self.list_usable_again: Callable[[], Awaitable[object]] = lambda: asyncio.sleep(0)
         self.out_by_hand: Callable[[str], bool] = lambda host_id: False
         budget.reclaimers.append(self.close_one_idle)
-        core.owners[interface.Probe] = lambda action: stats.spawn(self._probe(action.worker), "probe")
-        core.owners[interface.Disconnect] = lambda action: self.disconnect(action.worker)
+        core.action_handlers[interface.ProbeWorker] = lambda action: stats.spawn(
+            self._probe(action.worker), "probe"
+        )
+        core.action_handlers[interface.CloseIdleConnections] = lambda action: self.disconnect(action.worker)
         wheel.after(SWEEP, self._sweep)
 
     # ---- the list ------------------------------------------------------------------------------------------
 
     def update(self, hosts: Hosts) -> None:
         """Before the module hears of it, so that it never sends to a worker unknown here."""
-        named = {host.member.worker for host in hosts.hosts if host.member.status != interface.GONE}
+        named = {host.member.worker for host in hosts.hosts if host.member.state != WorkerState.GONE}
         for number in [n for n in self.workers if n not in named] if hosts.full else []:
             self._forget(number)
         for host in hosts.hosts:
-            if host.member.status == interface.GONE:
+            if host.member.state == WorkerState.GONE:
                 self._forget(host.member.worker)
                 continue
             worker = self.workers.setdefault(host.member.worker, _Worker(host))
@@ -92,7 +97,7 @@
         named = set()
         for host in hosts.hosts:
             number, known = host.member.worker, self.workers.get(host.member.worker)
-            if host.member.status != interface.GONE:
+            if host.member.state != WorkerState.GONE:
                 named.add(number)
                 if known is None or not known.host.same(host):
                     return True
@@ -153,17 +158,17 @@
         connection = self._idle(host)
         if connection is not None:
             return connection
-        if not self.budget.take():
-            self.stats.complain("sockets_short", worker=host.id)
+        if not self.budget.acquire():
+            self.stats.count_and_log("sockets_short", worker=host.id)
             raise OSError("no socket is left")
         try:
-            async with self.wheel.limit(self.config.settings.connect_timeout):
+            async with self.wheel.timeout(self.config.settings.connect_timeout_s):
                 sock = await connect(host.address)
         except BaseException:
-            self.budget.give_back()
+            self.budget.release()
             raise
         self.stats.count("worker_connections")
-        return Connection(sock, requests=False, closed=self.budget.give_back)
+        return Connection(sock, requests=False, closed=self.budget.release)
 
     def _kept_well(self, idle_for: float, well: bool) -> None:
         """Guards against workers, or what stands before them, that drop idle connections long before the told
@@ -173,7 +178,7 @@
             self.reuse_within = min(self.reuse_within * TRUST, self.reuse_told)
         else:
             self.reuse_within = DISTRUST * min(self.reuse_within, idle_for)
-            self.stats.complain("kept_connection_stale", idle=idle_for, reuse_within=self.reuse_within)
+            self.stats.count_and_log("kept_connection_stale", idle=idle_for, reuse_within=self.reuse_within)
 
     def _keep(self, host: Host, connection: Connection, message: Message) -> None:
         if message.keep_alive:
@@ -194,20 +199,20 @@
     def start(self, attempt: Attempt) -> None:
         worker = self.workers.get(attempt.worker)
         if worker is None:  # it left the list before the instruction was carried out
-            attempt.end(interface.NO_CONNECTION)
+            attempt.end(AttemptOutcome.NO_CONNECTION)
             return
         carried = _Carried(attempt, worker.host)
         self.carried[attempt.job.id, worker.host.id] = carried
         attempt.released = lambda outcome: self._release(carried, outcome)
         carried.task = self.stats.spawn(self._carry(carried), "attempt")
 
-    def _release(self, carried: _Carried, outcome: str) -> None:
+    def _release(self, carried: _Carried, outcome: AttemptOutcome) -> None:
         """Given up before the 202, the connection closes, up or not; after it, the job is withdrawn."""
         self.carried.pop((carried.attempt.job.id, carried.host.id), None)
-        unrun = outcome in interface.PROVEN_UNRUN
+        unrun = outcome in PROVEN_UNRUN
         self.core.monitor.ended(carried.attempt.job.id, carried.host.id, unrun)
         task = carried.task
-        given_up = outcome in (interface.CANCELLED, interface.TIMEOUT)
+        given_up = outcome in (AttemptOutcome.CANCELLED, AttemptOutcome.TIMEOUT)
         if task is not None and not carried.taken:
             # A result may come before its 202, for which the connection waits a little.
             if given_up or not carried.attempt.begun:
@@ -252,8 +257,8 @@
             # Whether the last byte was written decides whether the job may have run. It is not sent again
             # from here, on a stale connection either: that is the module's choice.
             if isinstance(error, BadMessage):
-                self.stats.complain("worker_answer_malformed", worker=carried.host.id, why=error)
-            attempt.end(interface.RESET if written else interface.NO_CONNECTION)
+                self.stats.count_and_log("worker_answer_malformed", worker=carried.host.id, why=error)
+            attempt.end(AttemptOutcome.CONNECTION_LOST if written else AttemptOutcome.NO_CONNECTION)
             if connection is not None:
                 connection.close()
             if idle_for:
@@ -297,7 +302,7 @@
                 others_at_worker=others.at_worker,
                 others_out=others.out,
                 may_have_run=others.may_have_run,
-                unsafe=self.config.settings.classes[attempt.job.cls].semantics == interface.FRAGILE,
+                unsafe=self.config.settings.classes[attempt.job.cls].semantics == Semantics.UNSAFE,
             )
         )
 
@@ -306,7 +311,7 @@
         self.stats.trace(
             "attempts", "send_refused", request=carried.attempt.job.id, worker=carried.host.id, why=why.value
         )
-        carried.attempt.end(interface.NOT_SENT)
+        carried.attempt.end(AttemptOutcome.NOT_SENT)
 
     def _answered(self, attempt: Attempt, message: Message) -> None:
         status = message.status
@@ -314,7 +319,7 @@
         # Blamed on the worker, a faulty request went to three of them and had each of these left out.
         unusable = 400 <= status < 500 and status not in (408, 429)  # those two speak of the moment
         if not unrun and status != 500:
-            self.stats.complain(
+            self.stats.count_and_log(
                 "worker_answer_unexpected",
                 worker=attempt.worker,
                 status=status,
@@ -322,7 +327,13 @@
                 target=attempt.job.target,
                 why=message.body,
             )
-        outcome = interface.FULL if unrun else interface.UNUSABLE if unusable else interface.ERROR
+        outcome = (
+            AttemptOutcome.REJECTED
+            if unrun
+            else AttemptOutcome.INVALID_REQUEST
+            if unusable
+            else AttemptOutcome.SERVER_ERROR
+        )
         attempt.end(outcome, load=self._load(message.headers.get("x-server-load")))
 
     async def _withdraw(self, carried: _Carried) -> None:
@@ -334,21 +345,23 @@
         if worker is not None and request.isascii() and request.isprintable() and " " not in request:
             await self._aside(worker.host, "DELETE", f"/jobs/{request}".encode())
 
-    async def _aside(self, host: Host, method: str, target: bytes) -> Message | str:
+    async def _aside(self, host: Host, method: str, target: bytes) -> Message | AttemptOutcome:
         """A short exchange beside the attempts: the answer, or why there is none."""
-        connection, why = None, interface.NO_CONNECTION
+        connection, why = None, AttemptOutcome.NO_CONNECTION
         try:
-            async with self.wheel.limit(ASIDE):
+            async with self.wheel.timeout(ASIDE):
                 connection = await self._connection(host)
                 await connection.send(http1.request(method, target, {"Host": SERVICE}))
-                why = interface.RESET
+                why = AttemptOutcome.CONNECTION_LOST
                 message = await connection.next()
             self._keep(host, connection, message)
             return message
         except (OSError, Closed, BadMessage) as error:
             if connection is not None:
                 connection.close()
-            return interface.TIMEOUT if isinstance(error, TimeoutError) and connection is not None else why
+            return (
+                AttemptOutcome.TIMEOUT if isinstance(error, TimeoutError) and connection is not None else why
+            )
         except asyncio.CancelledError:
             if connection is not None:
                 connection.close()
@@ -373,23 +386,23 @@
                 return
             self._told(carried.attempt, state, content)
         except (ValueError, TypeError, KeyError, AttributeError, RecursionError) as error:
-            self.stats.complain("callback_malformed", why=f"{type(error).__name__}: {error}")
+            self.stats.count_and_log("callback_malformed", why=f"{type(error).__name__}: {error}")
 
     def _told(self, attempt: Attempt, state: str, content: Mapping[str, Any]) -> None:
         load = self._load(content.get("load"))
         if state == "started":
-            attempt.told(interface.STARTED)
+            attempt.told(NoticeKind.STARTED)
         elif state == "running":
-            attempt.told(interface.PROGRESS, float(content["share"]))
+            attempt.told(NoticeKind.PROGRESS, float(content["share"]))
         elif state == "done":
             # The client gets what the worker made and nothing else: a result that is no text is not served.
-            attempt.end(interface.SERVED, content["result"].encode(), load)
+            attempt.end(AttemptOutcome.SERVED, content["result"].encode(), load)
         elif state == "failed":
-            attempt.end(interface.ERROR, load=load)
+            attempt.end(AttemptOutcome.SERVER_ERROR, load=load)
         elif state == "returned":
-            attempt.end(interface.FULL, load=load)
+            attempt.end(AttemptOutcome.REJECTED, load=load)
         elif state == "lost":
-            attempt.end(interface.RESET, load=load)
+            attempt.end(AttemptOutcome.CONNECTION_LOST, load=load)
         else:
             raise ValueError(f"state {state!r} is not known")
 
@@ -405,21 +418,21 @@
             self.stats.count("load_reports")
             return load
         except (ValueError, TypeError, AttributeError, OverflowError) as error:
-            self.stats.complain("load_malformed", why=error)
+            self.stats.count_and_log("load_malformed", why=error)
             return None
 
     # ---- probes --------------------------------------------------------------------------------------------
 
     async def _probe(self, number: int) -> None:
         worker, sent_at = self.workers.get(number), self.wheel.now()
-        outcome, load = interface.NO_CONNECTION, None
+        outcome, load = AttemptOutcome.NO_CONNECTION, None
         if worker is not None:
             target = b"/metrics/load" if self.config.report_names else b"/alive"
             answer = await self._aside(worker.host, "GET", target)
             if isinstance(answer, str):
                 outcome = answer
             else:
-                outcome = interface.SERVED if answer.status == 200 else interface.ERROR
+                outcome = AttemptOutcome.SERVED if answer.status == 200 else AttemptOutcome.SERVER_ERROR
                 load = self._load(answer.body.decode("latin-1") or None)
         self.stats.count("probes")
         self.core.feed(interface.ProbeResult(number, outcome, self.wheel.now() - sent_at, load))
--- a/beaconhinge/policy/dispatcher.py
+++ b/beaconhinge/policy/dispatcher.py
@@ -16,6 +16,15 @@
 from ..gossip import codec
 from ..gossip.aggregation import MEMORY, Fleet, Reported, Spent, max_min, smooth
 from . import interface
+from .interface import (
+    PROVEN_UNRUN,
+    RETRY_FLAG,
+    AttemptOutcome,
+    NoticeKind,
+    Semantics,
+    UpdateKind,
+    WorkerState,
+)
 
 INF = float("inf")
 TICK, REPORT = 1, 2  # timers: housekeeping and peer report
@@ -139,7 +148,7 @@
         self.settings = settings
         self.random = random.Random(seed)
         self.now = 0.0
-        self.tick = min([TICK_AFTER] + [c.deadline / 10 for c in settings.classes if c.deadline > 0])
+        self.tick = min([TICK_AFTER] + [c.deadline_s / 10 for c in settings.classes if c.deadline_s > 0])
         self.actions: list[interface.Action] = []
         self.workers: dict[int, _Worker] = {}
         self.pool: dict[int, list[_Worker]] = {-1: []}  # listed workers by kind; -1: all of them
@@ -151,7 +160,7 @@
         self.pace = 0.0  # of the mean worker
         self.mean_work = 1.0  # of a job, as hinted
         self.job_time = 0.0  # mean latency of what was served
-        self.spent, self.hasty = Spent(), min(settings.classes, key=lambda c: c.aim)
+        self.spent, self.hasty = Spent(), min(settings.classes, key=lambda c: c.latency_objective_s)
         self.wait = 0.0  # from sends to starts, lately
         self.fleet_speed = 1.0  # of the middle worker
         self.requests: dict[int, _Request] = {}
@@ -163,7 +172,7 @@
         incarnation = self.random.getrandbits(8)
         self.fleet = Fleet(settings.group_size, settings.own_number, incarnation, REPORT_AFTER)
         self.many = settings.group_size > FEW
-        self.seen = Reported() if settings.group_size > 1 and not settings.peers else None
+        self.seen = Reported() if settings.group_size > 1 and not settings.peer_messages else None
         self.by_key: dict[int, _Worker] = {}
         self.by_hand: dict[int, float] = {}  # workers taken out by hand, and their start as known then
         self.report_after = REPORT_AFTER
@@ -179,7 +188,7 @@
         self.actions = []
         if type(event) in self.HANDLERS:
             self.HANDLERS[type(event)](self, event)
-        if self.settings.peers and self.fleet.mates:
+        if self.settings.peer_messages and self.fleet.mates:
             self.tell()
         return self.actions
 
@@ -188,7 +197,7 @@
         if self.fleet.introduce:
             self.fleet.introduce = False
             self.fleet.report(self.own_report(0.0, []), -1 if self.fleet.hub is None else self.fleet.hub)
-        self.actions += [interface.Tell(payload, number) for number, payload in self.fleet.outbox]
+        self.actions += [interface.SendToPeer(payload, number) for number, payload in self.fleet.outbox]
         self.fleet.outbox.clear()
 
     # ---- membership ---------------------------------------------------------------------------------------
@@ -199,24 +208,24 @@
         self.actions.append(interface.SetTimer(TICK, self.tick))
         self.actions.append(interface.SetTimer(REPORT, REPORT_AFTER * self.random.random()))
         if self.many:  # a release restarts many at once, and discovery answers in turn, or not at all
-            longest = min(self.ask_within, self.settings.must_ask_in) / 2
+            longest = min(self.ask_within, self.settings.membership_max_age_s) / 2
             self.ask_at = self.now + longest * self.random.random()
         else:
             self.ask()
 
     def ask(self) -> None:
         """Not asking counts as knowing after `must_ask_in`, and after four times that when it was refused."""
-        if self.settings.subscribe:
-            self.actions.append(interface.Subscribe())
-        self.ask_at = self.now + self.settings.must_ask_in / 2
+        if self.settings.membership_on_request:
+            self.actions.append(interface.SubscribeMembership())
+        self.ask_at = self.now + self.settings.membership_max_age_s / 2
 
-    def on_membership(self, event: interface.Membership) -> None:
-        if event.how == interface.REFUSED:
+    def on_membership(self, event: interface.MembershipUpdate) -> None:
+        if event.kind == UpdateKind.REFUSED:
             # Asked again by all within a short time it answered none of them: each waits in a wide window.
             self.ask_at = self.now + self.ask_within * self.random.random()
-            self.ask_within = min(2 * self.ask_within, 2 * self.settings.must_ask_in)
+            self.ask_within = min(2 * self.ask_within, 2 * self.settings.membership_max_age_s)
             return
-        if event.how != interface.CHANGES:
+        if event.kind != UpdateKind.CHANGES:
             named = {m.worker for m in event.members}
             for worker in self.workers.values():
                 if worker.up and worker.id not in named:
@@ -232,19 +241,19 @@
                 m.kind,
                 m.cell,
                 m.zone,
-                m.status == interface.UP,
+                m.state == WorkerState.READY,
             )
             worker.listed = worker.up and worker.id not in self.by_hand
             self.let_go(worker)
-        if event.how != interface.REMEMBERED and self.settings.subscribe:
+        if event.kind != UpdateKind.BOOTSTRAP and self.settings.membership_on_request:
             self.ask_at, self.ask_within = INF, ASK_SPREAD * self.settings.group_size
         self.relist()
 
-    def on_maintenance(self, event: interface.Maintenance) -> None:
+    def on_maintenance(self, event: interface.MaintenanceMode) -> None:
         """Out by hand, a worker is as one that drains. Back, its past is void and it counts as cold: the list
         may not have told yet of a restart meanwhile."""
         worker = self.workers.setdefault(event.worker, _Worker(event.worker, codec.key(event.worker)))
-        if event.out:
+        if event.enabled:
             self.by_hand.setdefault(worker.id, worker.started_at)
         elif worker.id in self.by_hand:
             known = self.by_hand.pop(worker.id)
@@ -255,7 +264,7 @@
         self.let_go(worker)
         self.relist()
 
-    def on_elsewhere(self, event: interface.Elsewhere) -> None:
+    def on_elsewhere(self, event: interface.SiblingLoad) -> None:
         worker = self.workers.get(event.worker)
         if worker is not None:
             worker.out, worker.last_sign = max(0.0, worker.out + event.slots), self.now
@@ -272,21 +281,23 @@
 
     def let_go(self, worker: _Worker) -> None:
         """Where the rule stands, idle connections to a leaving worker are closed, after each outcome too."""
-        if not worker.listed and self.settings.drain_release > 0:
-            self.actions.append(interface.Disconnect(worker.id))
+        if not worker.listed and self.settings.drain_close_within_s > 0:
+            self.actions.append(interface.CloseIdleConnections(worker.id))
 
     # ---- buckets and fleet rate ---------------------------------------------------------------------------
 
-    def on_job(self, job: interface.Job) -> None:
-        cls, work = self.settings.classes[job.cls], job.size_hint or 1.0
+    def on_job(self, job: interface.JobArrived) -> None:
+        cls, work = self.settings.classes[job.class_index], job.size_hint or 1.0
         run = job.size_hint or SHORT * self.pace
         expected = job.size_hint * self.pace or run
         # The aim counts from the client's first try. A later one is marked or, where clients do not mark
         # theirs, shows by the less time it came with; marked ones guard against clients that just wait less.
-        longest = self.longest[job.cls] = max(self.longest[job.cls], given := job.patience or job.remaining)
-        repeat = bool(job.flags & interface.REPEAT) or not self.settings.marks_retry
+        longest = self.longest[job.class_index] = max(
+            self.longest[job.class_index], given := job.client_timeout or job.remaining
+        )
+        repeat = bool(job.flags & RETRY_FLAG) or not self.settings.clients_mark_retries
         first_try = self.now - (longest - given if repeat else 0.0)
-        due = first_try + cls.aim + cls.stretch * run
+        due = first_try + cls.latency_objective_s + cls.objective_stretch * run
         request = self.requests[job.request] = _Request(
             job.request,
             cls,
@@ -296,19 +307,21 @@
             self.now + job.remaining,
             due,
             expected,
-            start_by=max(first_try + cls.aim / 2, due - expected),
+            start_by=max(first_try + cls.latency_objective_s / 2, due - expected),
         )
-        hopeless = self.now > (request.start_by if cls.late_worth == 0 else self.give_up_at(request))
-        if job.doubted or hopeless or job.remaining < min(given, expected):
+        hopeless = self.now > (request.start_by if cls.late_value == 0 else self.give_up_at(request))
+        if job.may_run_elsewhere or hopeless or job.remaining < min(given, expected):
             self.refuse(request)  # a client's repeat: a second run, or worthless by now; or we end before it
             return
         tenant = job.tenant if 0 <= job.tenant < len(self.quota) else 0
         if self.settings.tenants[tenant].quota_rps > 0:
             request.over = self.quota[tenant] < 1.0
             self.quota[tenant] -= not request.over
-        if (bucket := self.buckets.get(key := (tenant, job.cls))) is None:
+        if (bucket := self.buckets.get(key := (tenant, job.class_index))) is None:
             bucket = self.buckets[key] = _Bucket()
-            if self.settings.peers and (not self.many or self.now - self.reported >= self.report_after):
+            if self.settings.peer_messages and (
+                not self.many or self.now - self.reported >= self.report_after
+            ):
                 self.report()
         cost = work * request.slots
         self.mean_work += 0.05 * (work - self.mean_work)
@@ -348,7 +361,9 @@
         if self.fulls >= 3 and self.fulls > FULL_SHARE * self.sends:
             self.rate = CUT * min(self.rate, max(admitted, 1e-3))
             self.actions.append(
-                interface.Log(f"fleet rate cut to {self.rate:.2f} after {self.fulls} full of {self.sends}")
+                interface.LogMessage(
+                    f"fleet rate cut to {self.rate:.2f} after {self.fulls} full of {self.sends}"
+                )
             )
         elif self.rate < INF and self.fulls <= 0:
             self.rate += STEP * max(admitted, self.rate)
@@ -403,7 +418,7 @@
             bucket.admitted = smooth(bucket.admitted, bucket.allowed, span, memory)
             bucket.allowed = bucket.denied = 0.0
 
-    def on_stalled(self, event: interface.Stalled) -> None:
+    def on_stalled(self, event: interface.ProcessStalled) -> None:
         self.fleet.woke(self.now)
         for worker in self.workers.values():
             worker.last_sign += event.seconds  # their silence in that time was its own
@@ -426,10 +441,10 @@
 
     def ask_round(self, job: _Request) -> bool:
         """Where nobody tells of others' jobs some workers are asked how full they are; the job waits."""
-        pool = self.pool.get(job.cls.kind, []) if self.seen and self.settings.probes else []
+        pool = self.pool.get(job.cls.worker_kind, []) if self.seen and self.settings.probes_allowed else []
         some = self.random.sample(pool, min(3 * ASKED, len(pool)))
         asked = sorted((w for w in some if self.able(w, job)), key=lambda w: -self.suits(w, job))[:ASKED]
-        self.actions += [interface.Probe(w.id) for w in asked]
+        self.actions += [interface.ProbeWorker(w.id) for w in asked]
         self.asking += len(asked)
         if asked:
             self.hold(job)
@@ -454,12 +469,12 @@
 
         With no room anywhere each dispatcher has its part of a full worker by demand, lest who holds its
         slots keep refilling them; where that part is less than a job, the job waits for a slot."""
-        pool = self.pool.get(request.cls.kind, [])
+        pool = self.pool.get(request.cls.worker_kind, [])
         if len(pool) > 2 * SAMPLE:  # as good as all of them, at a cost that does not grow
-            own = (w for w in self.recent if w.listed and request.cls.kind in (-1, w.kind))
+            own = (w for w in self.recent if w.listed and request.cls.worker_kind in (-1, w.kind))
             pool = list(dict.fromkeys([*own, *self.random.choices(pool, k=SAMPLE)]))
         unsafe = (
-            request.cls.semantics == interface.FRAGILE
+            request.cls.semantics == Semantics.UNSAFE
         )  # a late word on the first try there would end a second
         tried = [a.worker for a in request.attempts if unsafe or a.open or a is request.attempts[-1]]
         shy = self.chance < 1 and self.random.random() >= self.chance
@@ -545,7 +560,7 @@
     def silent(self, worker: _Worker) -> bool:
         """Guards against a worker with jobs that stands still with its process up, or is cut off. With more
         jobs out one of them should end sooner; a run of long jobs may cost it new ones until one ends."""
-        patience = SILENT_NOTICES * self.settings.progress
+        patience = SILENT_NOTICES * self.settings.progress_interval_s
         patience = patience or self.job_time * (1 + SILENT_JOBS / max(worker.out, 1.0))
         return worker.out > 0 and self.now - worker.last_sign > patience > 0
 
@@ -555,34 +570,34 @@
             return 1.0
         out = self.out(worker)
         room = self.limit(worker) - out + 0.5
-        room -= RESERVE * (1 - self.settings.over_share_worth) if request.over else 0.0
+        room -= RESERVE * (1 - self.settings.over_quota_value) if request.over else 0.0
         waited = self.now - request.asked > 0.3 * (request.start_by - request.asked)
         if room >= request.slots or out < 1 and room > 0 or request.slots > 1 and waited and room >= 1:
             return room
         return 0.0
 
     def has_idle(self, worker: _Worker) -> bool:
-        while worker.idle and worker.idle[0] < self.now - self.settings.idle_close:
+        while worker.idle and worker.idle[0] < self.now - self.settings.idle_timeout_s:
             worker.idle.pop(0)
         return bool(worker.idle)
 
     def cold(self, worker: _Worker) -> bool:
         started = worker.slow_start_from
-        return started > 0 and self.now - started < self.settings.warm_within
+        return started > 0 and self.now - started < self.settings.slow_start_s
 
     def cold_share(self, worker: _Worker, request: _Request) -> float:
         """How much more than usual a cold worker may have from here; 0 lest it be pushed over."""
         if not self.cold(worker):
             return 1.0
         told, age = self.settings, self.now - worker.slow_start_from
-        ramp = told.cold_share + (1 - told.cold_share) * max(age, 0.0) / told.warm_within
+        ramp = told.slow_start_min_share + (1 - told.slow_start_min_share) * max(age, 0.0) / told.slow_start_s
         late = self.now + request.expected / ramp > request.due and self.now < request.start_by
-        if late or worker.slow_start_from < self.started > self.now - told.tip_after:
+        if late or worker.slow_start_from < self.started > self.now - told.overload_window_s:
             return 0.0  # it need not be late elsewhere; and what an earlier life of this one sent counts
-        while worker.sent and worker.sent[0][0] < self.now - told.tip_after:
+        while worker.sent and worker.sent[0][0] < self.now - told.overload_window_s:
             worker.sent.popleft()
         slots = min(self.limit(worker), self.limits.get(worker.kind, LIMIT))
-        budget = COLD_MARGIN * told.fall_multiple * ramp * slots * told.tip_after
+        budget = COLD_MARGIN * told.overload_multiple * ramp * slots * told.overload_window_s
         # Where an Nth is less than a job few own it, by a rank; in powers of two most see as many.
         size, parts = told.group_size, max(1, int(budget / (2 * self.mean_work * (self.pace or 1.0))))
         owners = min(size, 1 << parts.bit_length() - 1)
@@ -599,10 +614,10 @@
     def may_repeat(self, request: _Request, worker: _Worker) -> bool:
         """Rule 2: a job that may have run goes on only where its effect is known to be dropped."""
         cls, first = request.cls, request.ran
-        if first is None or cls.semantics == interface.RETRYABLE:
+        if first is None or cls.semantics == Semantics.RETRYABLE:
             return True
-        written = self.now + self.settings.connect_timeout  # at the latest; another may have sent before us
-        if cls.semantics == interface.FRAGILE or written >= request.asked + cls.dedup_window:
+        written = self.now + self.settings.connect_timeout_s  # at the latest; another may have sent before us
+        if cls.semantics == Semantics.UNSAFE or written >= request.asked + cls.dedup_window_s:
             return False
         cell, zone = worker.cell == first.worker.cell, worker.zone == first.worker.zone
         return {"cell": cell, "all": True}.get(cls.dedup_group, zone)
@@ -619,7 +634,7 @@
             worker.sent.append((self.now, self.slot_seconds(request, worker)))
         request.attempts.append(_Attempt(worker, self.now, position=self.out(worker)))
         request.pending += 1
-        self.actions.append(interface.Send(request.id, worker.id))
+        self.actions.append(interface.SendAttempt(request.id, worker.id))
 
     def hold(self, request: _Request) -> None:
         late, until = self.now >= request.start_by, self.give_up_at(request)
@@ -628,7 +643,7 @@
             return
         request.held, until = True, until if late else min(until, request.start_by)
         entry = (2 * late + request.over, until, request.id, request)
-        insort(self.held.setdefault(request.cls.kind, []), entry)
+        insort(self.held.setdefault(request.cls.worker_kind, []), entry)
 
     def give_up_at(self, request: _Request) -> float:
         """When a held job is let go; hints being rough, a first try may start while it would be in time."""
@@ -657,21 +672,25 @@
                     continue
                 # No slot in time: as full as by its own word, but in a large group it may want news.
                 self.fulls += entry[0] == 0 and not self.many
-                if entry[0] < 2 and request.cls.late_worth > 0 and self.rate == INF:
+                if entry[0] < 2 and request.cls.late_value > 0 and self.rate == INF:
                     self.hold(request)  # in a full fleet late work would take slots from work in time
                 else:
                     self.finish(request)
 
     # ---- worker health ------------------------------------------------------------------------------------
 
-    def learn(self, attempt: _Attempt, request: _Request, event: interface.Outcome) -> None:
+    def learn(self, attempt: _Attempt, request: _Request, event: interface.AttemptEnded) -> None:
         worker, outcome = attempt.worker, event.outcome
         unheard, age = worker.last_sign <= attempt.sent_at, self.now - attempt.sent_at  # clients leave early
-        if outcome in (interface.SERVED, interface.ERROR):
+        if outcome in (AttemptOutcome.SERVED, AttemptOutcome.SERVER_ERROR):
             worker.last_sign = self.now  # a time-out or a word from its door does not show that it works
         out = self.out(worker)
         worker.low = min(worker.low, out)
-        if outcome in (interface.SERVED, interface.ERROR, interface.FULL):
+        if outcome in (
+            AttemptOutcome.SERVED,
+            AttemptOutcome.SERVER_ERROR,
+            AttemptOutcome.REJECTED,
+        ):
             self.recent.append(worker)
             worker.idle.append(self.now)
             worker.connect_after = 0.0
@@ -683,7 +702,7 @@
             seen = round(free) + min(worker.low, worker.low_before)  # an old report: this fits for certain
             self.learn_limit(worker, max(seen, worker.limit))
         self.hear_load(worker, event.load)
-        if outcome == interface.SERVED:
+        if outcome == AttemptOutcome.SERVED:
             pace = max(event.latency - attempt.waited, event.latency / 10, 1e-4) / request.work
             weight = min(request.work / self.mean_work, 3.0)  # waits make short jobs seem slow
             self.job_time += 0.05 * (event.latency - self.job_time) if self.job_time else event.latency
@@ -696,7 +715,7 @@
             if free is None and out + request.slots >= self.limit(worker):
                 weight = LEARN if worker.limit else 1.0
                 self.learn_limit(worker, worker.limit + weight * (out + request.slots + 1 - worker.limit))
-        elif outcome == interface.FULL:
+        elif outcome == AttemptOutcome.REJECTED:
             # With slots free it drains unseen or fails fast, and its word says nothing of the fleet.
             unfilled = out + request.slots <= UNFILLED * self.limit(worker)
             if free is not None and round(free) >= request.slots:
@@ -705,7 +724,7 @@
                 worker.barred[request.cls] = self.now + length, length
                 number = self.settings.classes.index(request.cls)
                 self.actions.append(
-                    interface.Log(f"worker {worker.id} turned away class {number} with slots free")
+                    interface.LogMessage(f"worker {worker.id} turned away class {number} with slots free")
                 )
                 return
             if worker.trial or unfilled or event.latency > HANDED_BACK:
@@ -716,16 +735,21 @@
             worker.limit = max(1.0, min(self.limit(worker), out))
         doubted = self.now - worker.last_sign > UNNOTICED or worker.fail > PEER_BLAME / 2
         if (
-            outcome == interface.NO_CONNECTION
+            outcome == AttemptOutcome.NO_CONNECTION
         ):  # open ones may be used: it may be full of them, or slow to open
             worker.connect_after = self.now + BENCH_FIRST * (0.75 + 0.5 * self.random.random())
-        failed = outcome == interface.ERROR or outcome == interface.NO_CONNECTION and doubted
-        if outcome == interface.RESET:
+        failed = outcome == AttemptOutcome.SERVER_ERROR or outcome == AttemptOutcome.NO_CONNECTION and doubted
+        if outcome == AttemptOutcome.CONNECTION_LOST:
             # One may break while the worker serves the others: two without a sign between them are its fault.
             failed, worker.broke_at = worker.last_sign <= worker.broke_at, self.now
-        if failed or outcome in (interface.TIMEOUT, interface.CANCELLED) and unheard and age > self.job_time:
+        if (
+            failed
+            or outcome in (AttemptOutcome.TIMEOUT, AttemptOutcome.CANCELLED)
+            and unheard
+            and age > self.job_time
+        ):
             self.blame(worker, BLAME)
-        worker.idle = [] if outcome == interface.RESET else worker.idle
+        worker.idle = [] if outcome == AttemptOutcome.CONNECTION_LOST else worker.idle
 
     def hear_load(self, worker: _Worker, load: Mapping[str, float] | None) -> None:
         free = load.get(self.settings.free_slots_field) if load else None
@@ -735,7 +759,7 @@
 
     def on_probed(self, event: interface.ProbeResult) -> None:
         worker, self.asking = self.workers.get(event.worker), self.asking - 1
-        if worker is not None and event.outcome == interface.SERVED:
+        if worker is not None and event.outcome == AttemptOutcome.SERVED:
             worker.idle.append(self.now)
             self.hear_load(worker, event.load)
         if self.asking <= 0:  # with the first word alone the job went to who was full, or to anybody
@@ -755,12 +779,14 @@
         if self.now >= worker.bench_over:  # failures at the same time, told by several, are one
             worker.bench_for = min(BENCH_MOST, worker.bench_for * 2) if worker.trial else BENCH_FIRST
             worker.trial = True
-            self.actions.append(interface.Log(f"worker {worker.id} benched, failure share {worker.fail:.2f}"))
+            self.actions.append(
+                interface.LogMessage(f"worker {worker.id} benched, failure share {worker.fail:.2f}")
+            )
         worker.bench_over = self.now + worker.bench_for
         turn = self.random.random() * max(BENCH_FIRST, TRIAL_TURN * (len(self.fleet.mates) - FEW))
         worker.benched_until = worker.bench_over + turn  # lest all try it at once
 
-    def on_notice(self, event: interface.Notice) -> None:
+    def on_notice(self, event: interface.ProgressNotice) -> None:
         worker = self.workers.get(event.worker)
         if worker is not None:
             worker.last_sign = self.now
@@ -768,7 +794,7 @@
         if request is None or not 0 <= event.attempt < len(request.attempts):
             return
         attempt = request.attempts[event.attempt]
-        if event.what == interface.STARTED:
+        if event.kind == NoticeKind.STARTED:
             attempt.waited = self.now - attempt.sent_at
             if not attempt.noticed:
                 self.wait += LEARN * (attempt.waited - self.wait)
@@ -776,7 +802,7 @@
                 self.fulls += self.many and self.now > request.start_by  # as full, though the queue is not
             attempt.share_at = self.now
         elif worker is not None:
-            self.follow(attempt, worker, event.value)
+            self.follow(attempt, worker, event.fraction_done)
         if not any(a.noticed for a in request.attempts):
             self.call_off(request, attempt)
         attempt.noticed = True
@@ -785,7 +811,7 @@
         """How fast a job goes on. Its length is not known, but it is the same all the time: when it goes on
         slower than it did, the worker has slowed down, though it answers and fails nothing."""
         span = self.now - (attempt.share_at or attempt.sent_at)
-        if span < self.settings.progress / 2 or share < attempt.share:
+        if span < self.settings.progress_interval_s / 2 or share < attempt.share:
             return  # told again, or late
         rate, speed = (share - attempt.share) / span, self.speed(worker)
         attempt.full_rate = max(attempt.full_rate, rate if attempt.full_rate else rate / speed, 1e-6)
@@ -799,13 +825,13 @@
     def call_off(self, request: _Request, but: _Attempt | None = None) -> None:
         """Attempts that nobody needs give their places back, where a worker heeds that."""
         for number, attempt in enumerate(request.attempts):
-            if self.settings.cancel and attempt.open and attempt is not but:
-                self.actions.append(interface.Cancel(request.id, number))
+            if self.settings.cancel_allowed and attempt.open and attempt is not but:
+                self.actions.append(interface.CancelAttempt(request.id, number))
 
     def copy_stranded(self) -> None:
         """Jobs on a worker that fell silent may never end, on one that has slowed down they will be late, and
         one whose start is not told may never have arrived: a copy takes a free slot."""
-        if not self.settings.tells_start:
+        if not self.settings.reports_start:
             return
         self.fleet_speed = median([self.speed(w) for w in self.pool[-1]] or [1.0])
         for request in list(self.requests.values()):
@@ -822,19 +848,19 @@
         if attempt.rate >= SLOW * attempt.full_rate * self.fleet_speed:
             return False
         whole = 1 / attempt.full_rate
-        due = request.asked + request.cls.aim + request.cls.stretch * whole
+        due = request.asked + request.cls.latency_objective_s + request.cls.objective_stretch * whole
         left = (1 - attempt.share) / max(attempt.rate, 1e-6)
         return self.now + whole / self.fleet_speed < due < self.now + left
 
     def copy(self, request: _Request) -> None:
         allowed = (
-            request.cls.semantics != interface.FRAGILE and self.settings.may_duplicate and not request.over
+            request.cls.semantics != Semantics.UNSAFE and self.settings.hedging_allowed and not request.over
         )
         left = allowed and len(request.attempts) < self.settings.max_attempts
         if (worker := self.choose(request) if left else None) is not None:
             self.send(request, worker)
 
-    def on_outcome(self, event: interface.Outcome) -> None:
+    def on_outcome(self, event: interface.AttemptEnded) -> None:
         request = self.requests.get(event.request)
         if request is None or not 0 <= event.attempt < len(request.attempts):
             return
@@ -846,19 +872,19 @@
         worker.out = max(0.0, worker.out - request.slots)
         before = worker.fail
         self.learn(attempt, request, event)
-        failed = worker.fail > before or event.outcome == interface.RESET
-        served = event.outcome == interface.SERVED
+        failed = worker.fail > before or event.outcome == AttemptOutcome.CONNECTION_LOST
+        served = event.outcome == AttemptOutcome.SERVED
         ended = codec.SERVED if served else codec.FAILED if failed else codec.ENDED
         self.fleet.note(self.now, worker.key, ended, round(request.slots))
         self.let_go(worker)
-        attempt.unrun = event.outcome in interface.PROVEN_UNRUN
+        attempt.unrun = event.outcome in PROVEN_UNRUN
         if event.settled:
             request.done = True
             self.call_off(request)
         if request.done:
             self.end(request)
-        elif request.pending == 0 and not request.held and event.outcome == interface.UNUSABLE:
-            self.actions.append(interface.Abort(request.id))  # no other worker would take it, nor later
+        elif request.pending == 0 and not request.held and event.outcome == AttemptOutcome.INVALID_REQUEST:
+            self.actions.append(interface.Fail(request.id))  # no other worker would take it, nor later
             self.end(request)
         elif request.pending == 0 and not request.held:
             self.again(request)
@@ -878,19 +904,19 @@
         """Final answer without a result; a refusal says that nothing ran or that a repeat is harmless."""
         cls = request.cls
         harmless = (
-            cls.semantics == interface.RETRYABLE
-            or cls.semantics == interface.DEDUP
+            cls.semantics == Semantics.RETRYABLE
+            or cls.semantics == Semantics.DEDUPLICATED
             and cls.dedup_group == "all"
         )
         if request.ran is None or harmless:
             self.refuse(request)
         else:
-            self.actions.append(interface.Abort(request.id))
+            self.actions.append(interface.Fail(request.id))
             self.end(request)
 
     def refuse(self, request: _Request) -> None:
-        after = self.settings.max_retry_after * (0.5 + 0.5 * self.random.random())  # lest all come at once
-        self.actions.append(interface.Refuse(request.id, after if self.settings.retry_after else 0.0))
+        after = self.settings.max_retry_after_s * (0.5 + 0.5 * self.random.random())  # lest all come at once
+        self.actions.append(interface.Reject(request.id, after if self.settings.retry_after_allowed else 0.0))
         self.end(request)
 
     def end(self, request: _Request) -> None:
@@ -899,12 +925,12 @@
             self.requests.pop(request.id, None)
 
     def on_gone(
-        self, event: interface.ClientGone | interface.StreamStarted
+        self, event: interface.ClientDisconnected | interface.StreamStarted
     ) -> None:  # what is out still has its outcome
         if event.request in self.requests:
             self.end(self.requests[event.request])
 
-    def on_timer(self, event: interface.Timer) -> None:
+    def on_timer(self, event: interface.TimerFired) -> None:
         if event.token == REPORT:
             self.report()
             self.actions.append(
@@ -925,16 +951,16 @@
 
     HANDLERS: ClassVar[dict[type, Callable[..., None]]] = {
         interface.Start: on_start,
-        interface.Membership: on_membership,
-        interface.Maintenance: on_maintenance,
-        interface.Elsewhere: on_elsewhere,
-        interface.Job: on_job,
-        interface.Outcome: on_outcome,
-        interface.Notice: on_notice,
+        interface.MembershipUpdate: on_membership,
+        interface.MaintenanceMode: on_maintenance,
+        interface.SiblingLoad: on_elsewhere,
+        interface.JobArrived: on_job,
+        interface.AttemptEnded: on_outcome,
+        interface.ProgressNotice: on_notice,
         interface.StreamStarted: on_gone,
-        interface.ClientGone: on_gone,
+        interface.ClientDisconnected: on_gone,
         interface.PeerMessage: on_peer,
-        interface.Timer: on_timer,
-        interface.Stalled: on_stalled,
+        interface.TimerFired: on_timer,
+        interface.ProcessStalled: on_stalled,
         interface.ProbeResult: on_probed,
     }
--- a/beaconhinge/policy/interface.py
+++ b/beaconhinge/policy/interface.py
@@ -8,43 +8,79 @@
 
 from collections.abc import Mapping
 from dataclasses import dataclass, field
+from enum import IntEnum, StrEnum
 from typing import TypeAlias
 
-RETRYABLE, DEDUP, FRAGILE = "retryable", "dedup", "fragile"
 
-# Attempt outcomes. Those in PROVEN_UNRUN guarantee that the job never started.
-SERVED = "served"
-FULL = "turned_away"
-ERROR = "server_error"
-TIMEOUT = "no_answer"
-NO_CONNECTION = "no_connection"
-RESET = "connection_lost"
-CANCELLED = "called_off"
-NOT_SENT = "not_sent"
-UNUSABLE = "unusable"  # the worker finds fault with the request itself; not on the simulator's wire
-OUTCOMES = frozenset((SERVED, FULL, ERROR, TIMEOUT, NO_CONNECTION, RESET, CANCELLED, NOT_SENT))
-PROVEN_UNRUN = frozenset((FULL, NO_CONNECTION, NOT_SENT))
+class Semantics(StrEnum):
+    """Whether a request of a class may run twice."""
 
-# Kinds of a membership update, states of a worker in it, and what a progress notice tells.
-CHANGES, SNAPSHOT, REMEMBERED, REFUSED = "changes", "all", "remembered", "refused"
-UP, DRAINING, GONE = "U", "L", "D"
-STARTED, PROGRESS = 1, 2
-REPEAT = 2  # flag of a job: a client's repeat, where clients mark theirs
+    RETRYABLE = "retryable"
+    DEDUPLICATED = "dedup"  # workers of one deduplication group drop a second run within a window
+    UNSAFE = "fragile"  # must never run twice, and has no idempotency key
+
+
+class AttemptOutcome(StrEnum):
+    """How an attempt ended. The values are those of the simulator's wire and of the counters' names."""
+
+    SERVED = "served"
+    REJECTED = "turned_away"  # by the worker, before it began
+    SERVER_ERROR = "server_error"
+    TIMEOUT = "no_answer"
+    NO_CONNECTION = "no_connection"
+    CONNECTION_LOST = "connection_lost"
+    CANCELLED = "called_off"
+    NOT_SENT = "not_sent"
+    INVALID_REQUEST = "unusable"  # the worker rejects the request itself; not on the simulator's wire
+
+
+WIRE_OUTCOMES = frozenset(AttemptOutcome) - {AttemptOutcome.INVALID_REQUEST}
+
+PROVEN_UNRUN = frozenset((AttemptOutcome.REJECTED, AttemptOutcome.NO_CONNECTION, AttemptOutcome.NOT_SENT))
+"""Outcomes which guarantee that the job never started."""
+
+
+class UpdateKind(StrEnum):
+    """What a membership update holds."""
+
+    CHANGES = "changes"
+    SNAPSHOT = "all"
+    BOOTSTRAP = "remembered"  # the list from the configuration, or from the process before
+    REFUSED = "refused"  # discovery has not answered
+
+
+class WorkerState(StrEnum):
+    """State of a worker in a membership update."""
+
+    READY = "U"
+    DRAINING = "L"
+    GONE = "D"
+
+
+class NoticeKind(IntEnum):
+    """What a worker reports of a job in flight."""
+
+    STARTED = 1
+    PROGRESS = 2
+
+
+RETRY_FLAG = 2
+"""Flag of a job: a client's retry, where clients mark theirs."""
 
 
 @dataclass(slots=True, frozen=True)
 class RequestClass:
     """One class of jobs. `aim` + `stretch` x the job's own run time is the time in which it is wanted."""
 
-    aim: float
-    deadline: float
-    semantics: str = RETRYABLE
+    latency_objective_s: float
+    deadline_s: float
+    semantics: Semantics = Semantics.RETRYABLE
     dedup_group: str = "all"
-    dedup_window: float = 0.0
-    late_worth: float = 0.0
+    dedup_window_s: float = 0.0
+    late_value: float = 0.0
     importance: float = 1.0
-    stretch: float = 0.0
-    kind: int = -1
+    objective_stretch: float = 0.0
+    worker_kind: int = -1
     stream: bool = False
     priority: int = 0
 
@@ -66,41 +102,43 @@
     group_size: int = 1
     own_number: int = 0
     zone: int = 0
-    subscribe: bool = False  # membership comes only on request
-    must_ask_in: float = 10.0
-    peers: bool = False
-    probes: bool = False
-    cancel: bool = False
-    may_duplicate: bool = False
-    retry_after: bool = False
-    max_retry_after: float = 1.0
+    membership_on_request: bool = False  # membership comes only on request
+    membership_max_age_s: float = 10.0
+    peer_messages: bool = False
+    probes_allowed: bool = False
+    cancel_allowed: bool = False
+    hedging_allowed: bool = False
+    retry_after_allowed: bool = False
+    max_retry_after_s: float = 1.0
     max_attempts: int = 4
-    max_held: int = 20000
-    connect_timeout: float = 0.25
-    progress: float = 0.0  # interval of progress notices; 0: none
-    tells_start: bool = False
+    max_queued: int = 20000
+    connect_timeout_s: float = 0.25
+    progress_interval_s: float = 0.0  # interval of progress notices; 0: none
+    reports_start: bool = False
     free_slots_field: str = ""  # name of the load report value that holds free slots, "" if none does
     queue_field: str = ""  # of the one that holds the jobs that wait
-    over_share_worth: float = 1.0
-    grace_to_answer: float = 0.0
-    drain_grace: float = 0.0
-    drain_release: float = 0.0  # within it idle connections to a draining worker are closed; 0: no such rule
-    cold_share: float = 1.0
-    warm_within: float = 0.0
-    fall_multiple: float = 1.0
-    tip_after: float = 1.0
+    over_quota_value: float = 1.0
+    answer_grace_s: float = 0.0
+    drain_grace_s: float = 0.0
+    drain_close_within_s: float = (
+        0.0  # within it idle connections to a draining worker are closed; 0: no such rule
+    )
+    slow_start_min_share: float = 1.0
+    slow_start_s: float = 0.0
+    overload_multiple: float = 1.0
+    overload_window_s: float = 1.0
     quantum: float = 0.001
     cost_waste: float = 0.0
     cost_cross_zone: float = 0.0
     cost_handshake: float = 0.0
-    idle_close: float = 15.0
-    marks_retry: bool = False
+    idle_timeout_s: float = 15.0
+    clients_mark_retries: bool = False
 
     @classmethod
     def from_pairs(cls, pairs: Mapping[str, str]) -> Settings:
         """Read path=value pairs; unknown keys are skipped, nonsense raises ValueError naming the key."""
-        read = _Reader(pairs)
-        count = read.whole("requestClasses.count", 0)
+        read = _PairReader(pairs)
+        count = read.integer("requestClasses.count", 0)
         if count < 1:
             raise ValueError("requestClasses.count: at least one class is needed")
         stretches = read.numbers("familyInfo.classStretch")
@@ -109,32 +147,34 @@
         classes = []
         for i in range(count):
             path = f"requestClasses.{i}."
-            semantics = pairs.get(path + "semantics", RETRYABLE)
-            if semantics not in (RETRYABLE, DEDUP, FRAGILE):
+            semantics = pairs.get(path + "semantics", Semantics.RETRYABLE.value)
+            if semantics not in frozenset(Semantics):
                 raise ValueError(f"{path}semantics: {semantics!r} is not known")
             classes.append(
                 RequestClass(
-                    aim=read.seconds(path + "aim", 1.0),
-                    deadline=read.seconds(path + "hardLimit", 10.0),
-                    semantics=semantics,
+                    latency_objective_s=read.non_negative(path + "aim", 1.0),
+                    deadline_s=read.non_negative(path + "hardLimit", 10.0),
+                    semantics=Semantics(semantics),
                     dedup_group=pairs.get(path + "group", "all"),
-                    dedup_window=read.seconds(path + "dedupWindow", 0.0),
-                    late_worth=read.seconds(path + "lateWorth", 0.0),
-                    importance=read.seconds(path + "importance", 1.0),
-                    stretch=read.seconds(path + "aimStretch", stretches[i] if i < len(stretches) else 0.0),
-                    kind=int(kinds[i]) if i < len(kinds) else -1,
+                    dedup_window_s=read.non_negative(path + "dedupWindow", 0.0),
+                    late_value=read.non_negative(path + "lateWorth", 0.0),
+                    importance=read.non_negative(path + "importance", 1.0),
+                    objective_stretch=read.non_negative(
+                        path + "aimStretch", stretches[i] if i < len(stretches) else 0.0
+                    ),
+                    worker_kind=int(kinds[i]) if i < len(kinds) else -1,
                     stream=read.flag(path + "stream"),
                     priority=int(priorities[i]) if i < len(priorities) else 0,
                 )
             )
         tenants = tuple(
-            Tenant(read.seconds(f"orgs.{i}.share", 1.0), read.seconds(f"orgs.{i}.quotaRps", 0.0))
-            for i in range(read.whole("orgs.count", 0))
+            Tenant(read.non_negative(f"orgs.{i}.share", 1.0), read.non_negative(f"orgs.{i}.quotaRps", 0.0))
+            for i in range(read.integer("orgs.count", 0))
         ) or (Tenant(),)
-        group_size = read.whole("groupSize", 1)
+        group_size = read.integer("groupSize", 1)
         if group_size < 1:
             raise ValueError("groupSize: must be 1 or more")
-        own_number = read.whole("myNumber", 0)
+        own_number = read.integer("myNumber", 0)
         if not 0 <= own_number < group_size:
             raise ValueError("myNumber: must be from 0 to groupSize - 1")
         free = queue = ""
@@ -149,40 +189,40 @@
             tenants=tenants,
             group_size=group_size,
             own_number=own_number,
-            zone=read.whole("zone", 0),
-            subscribe=pairs.get("membershipMode", "pushed") == "on_request",
-            must_ask_in=read.seconds("rules.mustAskIn", 10.0),
-            peers=read.flag("policyLimits.peers"),
-            probes=read.flag("policyLimits.probes"),
-            cancel=read.flag("policyLimits.cancel"),
-            may_duplicate=read.flag("policyLimits.mayDuplicate"),
-            retry_after=read.flag("policyLimits.retryAfter"),
-            max_retry_after=read.seconds("policyLimits.maxRetryAfter", 1.0),
-            max_attempts=read.whole("policyLimits.maxAttempts", 4),
-            max_held=read.whole("policyLimits.mostHeld", 20000),
-            connect_timeout=read.seconds("policyLimits.connectTimeout", 0.25),
-            progress=read.seconds("familyInfo.progress", 0.0),
-            tells_start=read.flag("familyInfo.tellsStart"),
+            zone=read.integer("zone", 0),
+            membership_on_request=pairs.get("membershipMode", "pushed") == "on_request",
+            membership_max_age_s=read.non_negative("rules.mustAskIn", 10.0),
+            peer_messages=read.flag("policyLimits.peers"),
+            probes_allowed=read.flag("policyLimits.probes"),
+            cancel_allowed=read.flag("policyLimits.cancel"),
+            hedging_allowed=read.flag("policyLimits.mayDuplicate"),
+            retry_after_allowed=read.flag("policyLimits.retryAfter"),
+            max_retry_after_s=read.non_negative("policyLimits.maxRetryAfter", 1.0),
+            max_attempts=read.integer("policyLimits.maxAttempts", 4),
+            max_queued=read.integer("policyLimits.mostHeld", 20000),
+            connect_timeout_s=read.non_negative("policyLimits.connectTimeout", 0.25),
+            progress_interval_s=read.non_negative("familyInfo.progress", 0.0),
+            reports_start=read.flag("familyInfo.tellsStart"),
             free_slots_field=free,
             queue_field=queue,
-            over_share_worth=read.seconds("overShareWorth", 1.0),
-            grace_to_answer=read.seconds("rules.graceToAnswer", 0.0),
-            drain_grace=read.seconds("rules.drainGrace", 0.0),
-            drain_release=read.seconds("rules.drainRelease", 0.0),
-            cold_share=read.seconds("rules.coldShare", 1.0),
-            warm_within=read.seconds("rules.warmWithin", 0.0),
-            fall_multiple=read.seconds("rules.fallMultiple", 1.0),
-            tip_after=read.seconds("rules.tipAfter", 1.0),
-            quantum=read.seconds("quantum", 0.001),
-            cost_waste=read.seconds("costs.waste", 0.0),
-            cost_cross_zone=read.seconds("costs.crossZone", 0.0),
-            cost_handshake=read.seconds("costs.handshake", 0.0),
-            idle_close=read.seconds("policyLimits.idleClose", 15.0),
-            marks_retry=read.flag("clients.marksRetry"),
+            over_quota_value=read.non_negative("overShareWorth", 1.0),
+            answer_grace_s=read.non_negative("rules.graceToAnswer", 0.0),
+            drain_grace_s=read.non_negative("rules.drainGrace", 0.0),
+            drain_close_within_s=read.non_negative("rules.drainRelease", 0.0),
+            slow_start_min_share=read.non_negative("rules.coldShare", 1.0),
+            slow_start_s=read.non_negative("rules.warmWithin", 0.0),
+            overload_multiple=read.non_negative("rules.fallMultiple", 1.0),
+            overload_window_s=read.non_negative("rules.tipAfter", 1.0),
+            quantum=read.non_negative("quantum", 0.001),
+            cost_waste=read.non_negative("costs.waste", 0.0),
+            cost_cross_zone=read.non_negative("costs.crossZone", 0.0),
+            cost_handshake=read.non_negative("costs.handshake", 0.0),
+            idle_timeout_s=read.non_negative("policyLimits.idleClose", 15.0),
+            clients_mark_retries=read.flag("clients.marksRetry"),
         )
 
 
-class _Reader:
+class _PairReader:
     """Typed look-ups in path=value pairs."""
 
     def __init__(self, pairs: Mapping[str, str]) -> None:
@@ -200,13 +240,13 @@
             raise ValueError(f"{key}: {text!r} is not a finite number")
         return value
 
-    def seconds(self, key: str, default: float) -> float:
+    def non_negative(self, key: str, default: float) -> float:
         value = self.number(key, default)
         if value < 0:
             raise ValueError(f"{key}: must not be negative")
         return value
 
-    def whole(self, key: str, default: int) -> int:
+    def integer(self, key: str, default: int) -> int:
         return int(self.number(key, default))
 
     def flag(self, key: str) -> bool:
@@ -224,11 +264,11 @@
 
 
 @dataclass(slots=True)
-class Member:
+class MemberEntry:
     """One worker in a membership update."""
 
     worker: int
-    status: str = UP
+    state: WorkerState = WorkerState.READY
     kind: int = 0
     cell: int = 0
     zone: int = 0
@@ -245,22 +285,22 @@
 
 
 @dataclass(slots=True)
-class Membership:
-    how: str
+class MembershipUpdate:
+    kind: UpdateKind
     version: int = 0
-    members: list[Member] = field(default_factory=list)
+    members: list[MemberEntry] = field(default_factory=list)
 
 
 @dataclass(slots=True)
-class Maintenance:
+class MaintenanceMode:
     """Operators take a worker out, or put it back, whatever lists say. Not on the simulator's wire."""
 
     worker: int
-    out: bool
+    enabled: bool
 
 
 @dataclass(slots=True)
-class Elsewhere:
+class SiblingLoad:
     """Another process of this dispatcher has more slots out on a worker, or fewer; 0: the worker was heard
     there. Not on the simulator's wire.
     """
@@ -270,11 +310,11 @@
 
 
 @dataclass(slots=True)
-class Job:
+class JobArrived:
     """A request has arrived and waits for its one final answer, `remaining` seconds at most."""
 
     request: int
-    cls: int
+    class_index: int
     tenant: int
     remaining: float
     key: str = ""
@@ -282,17 +322,17 @@
     slots: float = 1.0
     memory: float = 0.0
     flags: int = 0
-    doubted: bool = False  # it may have run elsewhere, and nobody knows where
-    patience: float = 0.0  # seconds that its client waits, maybe more than `remaining`; 0: no more
+    may_run_elsewhere: bool = False  # it may have run elsewhere, and nobody knows where
+    client_timeout: float = 0.0  # seconds that its client waits, maybe more than `remaining`; 0: no more
 
 
 @dataclass(slots=True)
-class Notice:
+class ProgressNotice:
     request: int
     worker: int
     attempt: int
-    what: int
-    value: float = 0.0
+    kind: int  # a NoticeKind; any other number counts as progress
+    fraction_done: float = 0.0
 
 
 @dataclass(slots=True)
@@ -304,13 +344,13 @@
 
 
 @dataclass(slots=True)
-class Outcome:
+class AttemptEnded:
     """An attempt is over; `settled` is set when the request has its final answer."""
 
     request: int
     worker: int
     attempt: int
-    outcome: str
+    outcome: AttemptOutcome
     settled: bool = False
     latency: float = 0.0
     load: Mapping[str, float] | None = None
@@ -318,7 +358,7 @@
 
 
 @dataclass(slots=True)
-class ClientGone:
+class ClientDisconnected:
     request: int
 
 
@@ -331,44 +371,44 @@
 @dataclass(slots=True)
 class ProbeResult:
     worker: int
-    outcome: str
+    outcome: AttemptOutcome
     latency: float = 0.0
     load: Mapping[str, float] | None = None
 
 
 @dataclass(slots=True)
-class Stalled:
+class ProcessStalled:
     """The instance itself did not run for so many seconds, until now."""
 
     seconds: float
 
 
 @dataclass(slots=True)
-class Timer:
+class TimerFired:
     token: int
 
 
 Event: TypeAlias = (
     Start
-    | Membership
-    | Maintenance
-    | Elsewhere
-    | Job
-    | Notice
+    | MembershipUpdate
+    | MaintenanceMode
+    | SiblingLoad
+    | JobArrived
+    | ProgressNotice
     | StreamStarted
-    | Outcome
-    | ClientGone
+    | AttemptEnded
+    | ClientDisconnected
     | PeerMessage
     | ProbeResult
-    | Stalled
-    | Timer
+    | ProcessStalled
+    | TimerFired
 )
 
 # ---- actions ------------------------------------------------------------------------------------------
 
 
 @dataclass(slots=True)
-class Send:
+class SendAttempt:
     """Attempt the request on a worker; `timeout` 0 means until the client gives up."""
 
     request: int
@@ -377,7 +417,7 @@
 
 
 @dataclass(slots=True)
-class Refuse:
+class Reject:
     """Final answer: not done, harmless to repeat after `retry_after` seconds."""
 
     request: int
@@ -385,14 +425,14 @@
 
 
 @dataclass(slots=True)
-class Abort:
+class Fail:
     """Final answer: an error; it is not told whether the job ran."""
 
     request: int
 
 
 @dataclass(slots=True)
-class Cancel:
+class CancelAttempt:
     request: int
     attempt: int
 
@@ -404,27 +444,27 @@
 
 
 @dataclass(slots=True)
-class Subscribe:
-    on: bool = True
+class SubscribeMembership:
+    enabled: bool = True
 
 
 @dataclass(slots=True)
-class Fetch:
+class FetchMembership:
     """Ask for the whole membership list once."""
 
 
 @dataclass(slots=True)
-class Probe:
+class ProbeWorker:
     worker: int
 
 
 @dataclass(slots=True)
-class Disconnect:
+class CloseIdleConnections:
     worker: int
 
 
 @dataclass(slots=True)
-class Tell:
+class SendToPeer:
     """Send a message to one peer, or to all if `peer` is -1."""
 
     payload: bytes
@@ -432,10 +472,20 @@
 
 
 @dataclass(slots=True)
-class Log:
+class LogMessage:
     text: str
 
 
 Action: TypeAlias = (
-    Send | Refuse | Abort | Cancel | SetTimer | Subscribe | Fetch | Probe | Disconnect | Tell | Log
+    SendAttempt
+    | Reject
+    | Fail
+    | CancelAttempt
+    | SetTimer
+    | SubscribeMembership
+    | FetchMembership
+    | ProbeWorker
+    | CloseIdleConnections
+    | SendToPeer
+    | LogMessage
 )
--- a/beaconhinge/quota_snapshots/writer.py
+++ b/beaconhinge/quota_snapshots/writer.py
@@ -3,21 +3,21 @@
 from __future__ import annotations
 
 from ..policy.dispatcher import Dispatcher
-from ..runtime.metrics import Stats
-from ..runtime.timer_wheel import Wheel
+from ..runtime.metrics import Metrics
+from ..runtime.timer_wheel import TimerWheel
 from ..store import Put, Store, StoreError
 from . import record
 
 KEY = b"books"
 
 
-class Keeper:
+class SnapshotWriter:
     def __init__(
         self,
         store: Store,
         dispatcher: Dispatcher,
-        wheel: Wheel,
-        stats: Stats,
+        wheel: TimerWheel,
+        stats: Metrics,
         interval_s: float,
         max_age_s: float,
     ) -> None:
@@ -38,7 +38,7 @@
             found = record.decode(data)
             age = record.check(found, self.dispatcher.settings, now, self.max_age_s)
         except (record.Stale, StoreError) as why:
-            self.stats.complain("books_dropped", why=why)
+            self.stats.count_and_log("books_dropped", why=why)
             return False
         record.restore(self.dispatcher, found, now, age)
         self.stats.count("books_restored")
@@ -60,4 +60,4 @@
             await self.store.commit([Put(KEY, taken)])
             self.stats.count("books_written")
         except StoreError as error:
-            self.stats.complain("books_not_written", why=error)
+            self.stats.count_and_log("books_not_written", why=error)
--- a/beaconhinge/recovery/stall.py
+++ b/beaconhinge/recovery/stall.py
@@ -8,15 +8,15 @@
 from collections import deque
 from dataclasses import dataclass
 
-from ..policy import interface
+from ..policy.interface import AttemptOutcome
 
 KEPT = 8  # stalls remembered; an attempt that outlasts more of them is judged by the last ones
 
 # What an attempt that a stall may have ended is told as: ended by us, and whether it can have run.
 EXCUSED = {
-    interface.TIMEOUT: interface.CANCELLED,
-    interface.RESET: interface.CANCELLED,
-    interface.NO_CONNECTION: interface.NOT_SENT,
+    AttemptOutcome.TIMEOUT: AttemptOutcome.CANCELLED,
+    AttemptOutcome.CONNECTION_LOST: AttemptOutcome.CANCELLED,
+    AttemptOutcome.NO_CONNECTION: AttemptOutcome.NOT_SENT,
 }
 
 
@@ -51,7 +51,7 @@
         self.stalls.append(stall)
         return stall
 
-    def outcome(self, sent_at: float, outcome: str) -> str:
+    def outcome(self, sent_at: float, outcome: AttemptOutcome) -> AttemptOutcome:
         """What an attempt's end is to be told as. A word from the worker itself stands."""
         if self.stalls and sent_at < self.stalls[-1].ended:
             return EXCUSED.get(outcome, outcome)
--- a/beaconhinge/runtime/clock.py
+++ b/beaconhinge/runtime/clock.py
@@ -16,6 +16,6 @@
     def now(self) -> float:
         return self._offset + time.monotonic()
 
-    def wall(self) -> float:
+    def wall_time(self) -> float:
         """What the wall clock shows, Unix time; it may have been set anew since this one began."""
         return time.time()
--- a/beaconhinge/runtime/metrics.py
+++ b/beaconhinge/runtime/metrics.py
@@ -9,10 +9,10 @@
 from collections.abc import Callable, Coroutine
 from typing import Any, TextIO
 
-QUIET_FOR = 5.0  # seconds between two log lines of one kind of complaint
+REPEAT_INTERVAL_S = 5.0  # seconds between two log lines of one kind of complaint
 
 
-class Stats:
+class Metrics:
     def __init__(
         self,
         now: Callable[[], float],
@@ -25,7 +25,7 @@
         self._write = writer or self._plain_line  # another form comes from `beaconhinge.logs`
         self.counters: Counter[str] = Counter()
         self.tasks: set[asyncio.Task[Any]] = set()
-        self._quiet_until: dict[str, float] = {}
+        self._suppressed_until: dict[str, float] = {}
         self.traced = traced  # topics whose single events are logged too
 
     def count(self, name: str, by: int = 1) -> None:
@@ -47,25 +47,25 @@
         if topic in self.traced:
             self.log(event, **fields)
 
-    def complain(self, name: str, **fields: object) -> None:
+    def count_and_log(self, name: str, **fields: object) -> None:
         """Count what should not happen and log it, at a limited rate: a peer may send it without end."""
         self.count(name)
-        if self.now() >= self._quiet_until.get(name, 0.0):
-            self._quiet_until[name] = self.now() + QUIET_FOR
+        if self.now() >= self._suppressed_until.get(name, 0.0):
+            self._suppressed_until[name] = self.now() + REPEAT_INTERVAL_S
             self.log(name, total=self.counters[name], **fields)
 
-    def holds(self, condition: bool, name: str) -> bool:
+    def check(self, condition: bool, name: str) -> bool:
         """What must hold: an assertion in debug, a counter under `python -O`, which `run` uses."""
         assert condition, name
         if not condition:
-            self.complain("broken_" + name)
+            self.count_and_log("broken_" + name)
         return condition
 
-    def failure(self, where: str, error: BaseException) -> None:
+    def log_exception(self, where: str, error: BaseException) -> None:
         """Log an exception with the place that it came from."""
         last = traceback.extract_tb(error.__traceback__)[-1:]
         at = f"{last[0].filename.rsplit('/', 1)[-1]}:{last[0].lineno}" if last else "unknown"
-        self.complain("task_failed", task=where, error=f"{type(error).__name__}: {error}", at=at)
+        self.count_and_log("task_failed", task=where, error=f"{type(error).__name__}: {error}", at=at)
 
     def spawn(self, coroutine: Coroutine[Any, Any, None], name: str) -> asyncio.Task[None]:
         task = asyncio.get_running_loop().create_task(coroutine, name=name)
@@ -76,9 +76,9 @@
     def _ended(self, task: asyncio.Task[Any]) -> None:
         self.tasks.discard(task)
         if not task.cancelled() and (error := task.exception()) is not None:
-            self.failure(task.get_name(), error)
+            self.log_exception(task.get_name(), error)
 
-    def report(self) -> None:
+    def log_counters(self) -> None:
         self.log("counters", **dict(sorted(self.counters.items())))
 
 
--- a/beaconhinge/runtime/timer_wheel.py
+++ b/beaconhinge/runtime/timer_wheel.py
@@ -7,68 +7,68 @@
 from collections.abc import Callable
 from types import TracebackType
 
-TICK = 0.005
+TICK_S = 0.005
 SLOTS = 512
 
 
 class Timer:
     __slots__ = ("call", "due")
 
-    def __init__(self, due: int, call: Callable[[], object]) -> None:
-        self.due = due
-        self.call: Callable[[], object] | None = call
+    def __init__(self, due_tick: int, callback: Callable[[], object]) -> None:
+        self.due = due_tick
+        self.call: Callable[[], object] | None = callback
 
     def cancel(self) -> None:
         self.call = None
 
 
-class Wheel:
+class TimerWheel:
     """Timers hang in the slot of their tick; the wheel sleeps while no timer is left."""
 
-    def __init__(self, now: Callable[[], float], failed: Callable[[str, BaseException], None]) -> None:
+    def __init__(self, now: Callable[[], float], on_error: Callable[[str, BaseException], None]) -> None:
         self.now = now
-        self.failed = failed
+        self.failed = on_error
         self._slots: list[list[Timer]] = [[] for _ in range(SLOTS)]
         self._origin = now()
-        self._turned = 0  # the last tick whose slot was emptied
+        self._last_tick = 0  # the last tick whose slot was emptied
         self._count = 0
-        self._wake: asyncio.TimerHandle | None = None
-        self._wakes_at = 0  # the tick for which the loop's timer is set
-        self._turning = False
-        self.held_for: Callable[[], float] = lambda: 0.0  # seconds that timers have to wait still
+        self._wakeup: asyncio.TimerHandle | None = None
+        self._wakeup_tick = 0  # the tick for which the loop's timer is set
+        self._firing = False
+        self.postponed_for: Callable[[], float] = lambda: 0.0  # seconds that timers have to wait still
 
     def after(self, seconds: float, call: Callable[[], object]) -> Timer:
         if self._count == 0:
-            self._turned = max(self._turned, self._ticks())
-        due = max(math.ceil((self.now() + seconds - self._origin) / TICK), self._turned + 1)
+            self._last_tick = max(self._last_tick, self._current_tick())
+        due = max(math.ceil((self.now() + seconds - self._origin) / TICK_S), self._last_tick + 1)
         timer = Timer(due, call)
         self._slots[due % SLOTS].append(timer)
         self._count += 1
-        if not self._turning and (self._wake is None or due < self._wakes_at):
-            self._sleep()
+        if not self._firing and (self._wakeup is None or due < self._wakeup_tick):
+            self._schedule_wakeup()
         return timer
 
-    def limit(self, seconds: float) -> Limit:
-        return Limit(self, seconds)
+    def timeout(self, seconds: float) -> Timeout:
+        return Timeout(self, seconds)
 
-    def turn(self) -> None:
+    def fire_due(self) -> None:
         """Fire what is due. A late loop catches up; more than a whole turn late, each slot is seen once."""
-        wait = self.held_for()
+        wait = self.postponed_for()
         if wait > 0:
             # What came while the process stood still is read first; no newer timer shortens that.
-            self._wakes_at = 0
-            self._wake = asyncio.get_running_loop().call_later(wait, self.turn)
+            self._wakeup_tick = 0
+            self._wakeup = asyncio.get_running_loop().call_later(wait, self.fire_due)
             return
-        self._wake, self._turning = None, True
-        target = self._ticks()
+        self._wakeup, self._firing = None, True
+        target = self._current_tick()
         due: list[Timer] = []
-        for tick in range(max(self._turned + 1, target - SLOTS + 1), target + 1):
+        for tick in range(max(self._last_tick + 1, target - SLOTS + 1), target + 1):
             slot = self._slots[tick % SLOTS]
             if slot:
                 due += [t for t in slot if t.due <= target]
                 self._slots[tick % SLOTS] = [t for t in slot if t.due > target and t.call is not None]
                 self._count -= len(slot) - len(self._slots[tick % SLOTS])
-        self._turned = max(self._turned, target)
+        self._last_tick = max(self._last_tick, target)
         for timer in sorted(due, key=lambda t: t.due):
             call, timer.call = timer.call, None
             if call is not None:
@@ -76,31 +76,31 @@
                     call()
                 except Exception as error:  # one timer's failure must not lose the others
                     self.failed("timer", error)
-        self._turning = False
+        self._firing = False
         if self._count:
-            self._sleep()
+            self._schedule_wakeup()
 
-    def _ticks(self) -> int:
-        return math.floor((self.now() - self._origin) / TICK + 1e-6)
+    def _current_tick(self) -> int:
+        return math.floor((self.now() - self._origin) / TICK_S + 1e-6)
 
-    def _sleep(self) -> None:
-        ahead = next((n for n in range(1, SLOTS) if self._slots[(self._turned + n) % SLOTS]), SLOTS)
-        self._wakes_at = self._turned + ahead
-        wait = self._origin + self._wakes_at * TICK - self.now()
-        if self._wake is not None:
-            self._wake.cancel()
-        self._wake = asyncio.get_running_loop().call_later(max(wait, 0.0), self.turn)
+    def _schedule_wakeup(self) -> None:
+        ahead = next((n for n in range(1, SLOTS) if self._slots[(self._last_tick + n) % SLOTS]), SLOTS)
+        self._wakeup_tick = self._last_tick + ahead
+        wait = self._origin + self._wakeup_tick * TICK_S - self.now()
+        if self._wakeup is not None:
+            self._wakeup.cancel()
+        self._wakeup = asyncio.get_running_loop().call_later(max(wait, 0.0), self.fire_due)
 
 
-class Limit:
+class Timeout:
     """`async with wheel.limit(seconds)`: the body gets that long, then TimeoutError is raised."""
 
-    def __init__(self, wheel: Wheel, seconds: float) -> None:
+    def __init__(self, wheel: TimerWheel, seconds: float) -> None:
         self._wheel = wheel
         self._seconds = seconds
         self._expired = False
 
-    async def __aenter__(self) -> Limit:
+    async def __aenter__(self) -> Timeout:
         self._task = asyncio.current_task()
         self._timer = self._wheel.after(self._seconds, self._expire)
         return self
--- a/beaconhinge/simulator.py
+++ b/beaconhinge/simulator.py
@@ -9,6 +9,7 @@
 
 from .policy import interface
 from .policy.dispatcher import Dispatcher
+from .policy.interface import WIRE_OUTCOMES, AttemptOutcome, UpdateKind, WorkerState
 
 
 class WireError(Exception):
@@ -69,15 +70,15 @@
         except ValueError:
             raise self.fail(name, f"{value!r} is not a load report") from None
 
-    def outcome(self, at: int, name: str) -> str:
+    def outcome(self, at: int, name: str) -> AttemptOutcome:
         value = self.text(at, name)
-        if value not in interface.OUTCOMES:
+        if value not in WIRE_OUTCOMES:
             raise self.fail(name, f"{value!r} is no outcome")
-        return value
+        return AttemptOutcome(value)
 
 
-def _job(line: _Line) -> interface.Job:
-    return interface.Job(
+def _job(line: _Line) -> interface.JobArrived:
+    return interface.JobArrived(
         line.whole(2, "call"),
         line.whole(3, "cls"),
         line.whole(4, "clientGroup", 0),
@@ -90,8 +91,8 @@
     )
 
 
-def _resolved(line: _Line) -> interface.Outcome:
-    return interface.Outcome(
+def _resolved(line: _Line) -> interface.AttemptEnded:
+    return interface.AttemptEnded(
         line.whole(2, "call"),
         line.whole(3, "worker"),
         line.whole(7, "seqNo"),
@@ -103,8 +104,8 @@
     )
 
 
-def _notice(line: _Line) -> interface.Notice:
-    return interface.Notice(
+def _notice(line: _Line) -> interface.ProgressNotice:
+    return interface.ProgressNotice(
         line.whole(2, "call"),
         line.whole(3, "worker"),
         line.whole(4, "seqNo"),
@@ -139,8 +140,8 @@
     "HEAD_RECEIVED": _head,
     "NEIGHBOUR_SAYS": _peer,
     "CHECK_RESULT": _probe,
-    "REMINDER": lambda line: interface.Timer(line.whole(2, "tag")),
-    "VANISHED": lambda line: interface.ClientGone(line.whole(2, "call")),
+    "REMINDER": lambda line: interface.TimerFired(line.whole(2, "tag")),
+    "VANISHED": lambda line: interface.ClientDisconnected(line.whole(2, "call")),
 }
 
 
@@ -149,17 +150,17 @@
 
 
 FORMATS: dict[type, Callable[[int, Any], str]] = {
-    interface.Send: lambda i, a: f"TRANSMIT\t{i}\t{a.request}\t{_decimal(a.timeout)}\t{a.worker}\n",
-    interface.Refuse: lambda i, a: f"DECLINE\t{i}\t{a.request}\t{_decimal(a.retry_after)}\n",
-    interface.Abort: lambda i, a: f"ABORT\t{i}\t{a.request}\n",
-    interface.Cancel: lambda i, a: f"DROP_ATTEMPT\t{i}\t{a.request}\t{a.attempt}\n",
+    interface.SendAttempt: lambda i, a: f"TRANSMIT\t{i}\t{a.request}\t{_decimal(a.timeout)}\t{a.worker}\n",
+    interface.Reject: lambda i, a: f"DECLINE\t{i}\t{a.request}\t{_decimal(a.retry_after)}\n",
+    interface.Fail: lambda i, a: f"ABORT\t{i}\t{a.request}\n",
+    interface.CancelAttempt: lambda i, a: f"DROP_ATTEMPT\t{i}\t{a.request}\t{a.attempt}\n",
     interface.SetTimer: lambda i, a: f"NOTIFY_ME\t{i}\t{a.token}\t{_decimal(a.after)}\n",
-    interface.Subscribe: lambda i, a: f"STREAM_CHANGES\t{i}\t{int(a.on)}\n",
-    interface.Fetch: lambda i, a: f"LOOKUP\t{i}\n",
-    interface.Probe: lambda i, a: f"INSPECT\t{i}\t{a.worker}\n",
-    interface.Disconnect: lambda i, a: f"LET_GO\t{i}\t{a.worker}\n",
-    interface.Tell: lambda i, a: f"BROADCAST_TO\t{i}\t{a.peer}\t{a.payload.hex() or '-'}\n",
-    interface.Log: lambda i, a: f"RECORD\t{i}\t{' '.join(a.text.split())}\n",
+    interface.SubscribeMembership: lambda i, a: f"STREAM_CHANGES\t{i}\t{int(a.enabled)}\n",
+    interface.FetchMembership: lambda i, a: f"LOOKUP\t{i}\n",
+    interface.ProbeWorker: lambda i, a: f"INSPECT\t{i}\t{a.worker}\n",
+    interface.CloseIdleConnections: lambda i, a: f"LET_GO\t{i}\t{a.worker}\n",
+    interface.SendToPeer: lambda i, a: f"BROADCAST_TO\t{i}\t{a.peer}\t{a.payload.hex() or '-'}\n",
+    interface.LogMessage: lambda i, a: f"RECORD\t{i}\t{' '.join(a.text.split())}\n",
 }
 
 
@@ -255,7 +256,7 @@
 
     def membership(self, now: float, line: _Line, index: str, number: int, reply: list[str]) -> int:
         how = line.text(2, "how")
-        if how not in (interface.CHANGES, interface.SNAPSHOT, interface.REMEMBERED, interface.REFUSED):
+        if how not in frozenset(UpdateKind):
             raise line.fail("how", f"{how!r} is not known")
         members = []
         for _ in range(line.whole(4, "rows", 0)):
@@ -266,12 +267,12 @@
             if parts[0] != "ITEM":
                 raise item.fail("rows", "the count of entries is wrong")
             status = item.text(3, "health")
-            if status not in (interface.UP, interface.DRAINING, interface.GONE):
+            if status not in frozenset(WorkerState):
                 raise item.fail("health", f"{status!r} is not known")
             members.append(
-                interface.Member(
+                interface.MemberEntry(
                     item.whole(4, "worker"),
-                    status,
+                    WorkerState(status),
                     item.whole(1, "classOfHost", 0),
                     item.whole(2, "cluster", 0),
                     item.whole(7, "dc", 0),
@@ -279,7 +280,7 @@
                     item.number(6, "onlineSince", 0.0),
                 )
             )
-        event = interface.Membership(how, line.whole(3, "version", 0), members)
+        event = interface.MembershipUpdate(UpdateKind(how), line.whole(3, "version", 0), members)
         self.handle(now, line.whole(1, "dispatcher"), event, reply)
         return number
 
--- a/beaconhinge/standin/fleet/discovery.py
+++ b/beaconhinge/standin/fleet/discovery.py
@@ -7,6 +7,7 @@
 from functools import partial
 
 from ...policy import interface
+from ...policy.interface import UpdateKind
 from .clock import Clock
 
 PATIENCE = 2.0  # seconds that a call may wait for its turn
@@ -23,7 +24,7 @@
         clock: Clock,
         rng: random.Random,
         calls_a_second: float,
-        tell: Callable[[int, interface.Membership], None],
+        tell: Callable[[int, interface.MembershipUpdate], None],
     ) -> None:
         self.clock = clock
         self.random = rng
@@ -33,11 +34,11 @@
         self.late_until = 0.0  # till then watchers hear of no change
         self._busy_until = 0.0
         self._version = 0
-        self._log: list[tuple[int, interface.Member]] = []
+        self._log: list[tuple[int, interface.MemberEntry]] = []
         self._known: dict[int, int] = {}  # of those that watch
         self._call: dict[int, int] = {}  # the last one of each
 
-    def publish(self, members: list[interface.Member]) -> None:
+    def publish(self, members: list[interface.MemberEntry]) -> None:
         self._version += 1
         self._log += [(self._version, member) for member in members]
         late = max(0.0, self.late_until - self.clock.now)
@@ -66,7 +67,7 @@
     def _refuse(self, number: int, call: int) -> None:
         if self._call.get(number) == call:
             self.refusals += 1
-            self.tell(number, interface.Membership(interface.REFUSED))
+            self.tell(number, interface.MembershipUpdate(UpdateKind.REFUSED))
 
     def _answer(self, number: int, known: int, call: int) -> None:
         if self._call.get(number) == call:
@@ -80,4 +81,7 @@
     def _changes(self, number: int, known: int) -> None:
         self._known[number] = self._version
         changed = {member.worker: member for version, member in self._log if version > known}
-        self.tell(number, interface.Membership(interface.CHANGES, self._version, list(changed.values())))
+        self.tell(
+            number,
+            interface.MembershipUpdate(UpdateKind.CHANGES, self._version, list(changed.values())),
+        )
--- a/beaconhinge/standin/fleet/plan.py
+++ b/beaconhinge/standin/fleet/plan.py
@@ -6,7 +6,7 @@
 import random
 from dataclasses import dataclass
 
-from ...policy import interface
+from ...policy.interface import Semantics
 
 TROUBLES = (
     "",
@@ -46,7 +46,7 @@
     stretch: float
     deadline: float
     worth: float
-    semantics: str = interface.RETRYABLE
+    semantics: str = Semantics.RETRYABLE
     group: str = "all"
     window: float = 5.0
     wide: float = 0.0  # part of its jobs that take two slots
@@ -87,7 +87,7 @@
 SCRIPTS = Site(
     (
         Sort("render", 0.69, 0.57, 0.25, 2.0, 7.5, 3.0),
-        Sort("publish", 0.31, 2.3, 0.6, 2.5, 25.0, 9.0, interface.DEDUP, "cell", 40.0),
+        Sort("publish", 0.31, 2.3, 0.6, 2.5, 25.0, 9.0, Semantics.DEDUPLICATED, "cell", 40.0),
     ),
     (Kind(0.32, 4, 5, 1.3), Kind(0.39, 5, 6, 0.95), Kind(0.29, 5, 5, 0.7)),
     (0.54, 0.29, 0.17),
@@ -97,7 +97,20 @@
     (
         Sort("lookup", 0.49, 0.8, 0.4, 2.5, 10.0, 2.0, cv=0.7),
         Sort("summary", 0.27, 3.2, 1.5, 2.5, 25.0, 1.0, wide=0.2, cv=0.5),
-        Sort("close", 0.24, 4.9, 4.0, 2.0, 25.0, 5.0, interface.DEDUP, "cell", 40.0, wide=0.2, cv=0.5),
+        Sort(
+            "close",
+            0.24,
+            4.9,
+            4.0,
+            2.0,
+            25.0,
+            5.0,
+            Semantics.DEDUPLICATED,
+            "cell",
+            40.0,
+            wide=0.2,
+            cv=0.5,
+        ),
     ),
     (Kind(0.3, 5, 6, 1.45), Kind(0.7, 4, 4, 0.95)),
     zones=1,
--- a/beaconhinge/standin/fleet/result.py
+++ b/beaconhinge/standin/fleet/result.py
@@ -4,7 +4,7 @@
 
 from dataclasses import asdict, dataclass
 
-from ...policy import interface
+from ...policy.interface import AttemptOutcome
 from .world import Wish, World
 
 WINDOW = 10  # seconds
@@ -72,7 +72,7 @@
         failed=_ended(wishes, "failed"),
         waited=sum(w > 0.1 for w in world.waits) / max(1, len(world.waits)),
         attempts=count["attempts"] / jobs,
-        no_connection=count["outcome_" + interface.NO_CONNECTION],
+        no_connection=count["outcome_" + AttemptOutcome.NO_CONNECTION],
         calls=world.discovery.calls,
         calls_refused=world.discovery.refusals,
         datagrams=count["datagrams"],
--- a/beaconhinge/standin/fleet/workers.py
+++ b/beaconhinge/standin/fleet/workers.py
@@ -8,7 +8,7 @@
 from dataclasses import dataclass, field
 from functools import partial
 
-from ...policy import interface
+from ...policy.interface import AttemptOutcome, WorkerState
 from .clock import Clock
 from .plan import Kind
 
@@ -41,7 +41,7 @@
 
     started: Callable[[Attempt], object]
     progress: Callable[[Attempt, float], object]
-    ended: Callable[[Attempt, str, dict[str, float] | None], object]
+    ended: Callable[[Attempt, AttemptOutcome, dict[str, float] | None], object]
 
 
 @dataclass(eq=False)
@@ -55,7 +55,7 @@
     zone: int
     cell: int
     speed: float
-    state: str = interface.UP
+    state: WorkerState = WorkerState.READY
     reachable: bool = True
     started_at: float = 0.0  # 0: long ago
     cold_for: float = 0.0
@@ -82,7 +82,7 @@
     def _report(self, period: float) -> None:
         free, depth = float(self.of.slots - self._taken), float(len(self.queue))
         self.clock.after(self.random.uniform(0.05, 0.44), partial(self._show, free, depth))
-        if self.state != interface.GONE:
+        if self.state != WorkerState.GONE:
             self.clock.after(period, partial(self._report, period))
 
     def _show(self, free: float, depth: float) -> None:
@@ -130,7 +130,7 @@
         self._carry_on()
         for attempt in [a for a in self.running if a.left <= 1e-5]:
             self.running.remove(attempt)
-            self.tell.ended(attempt, interface.SERVED, self.load)
+            self.tell.ended(attempt, AttemptOutcome.SERVED, self.load)
         self._fill()
         self._plan()
 
@@ -154,10 +154,12 @@
     def arrive(self, attempt: Attempt) -> None:
         if not attempt.open or not self.reachable or self.hung:
             return  # given up, lost on the way, or taken for ever: its sender finds out by time
-        if self.state != interface.UP or len(self.queue) >= QUEUE_PER_CORE * self.of.cores:
-            self.tell.ended(attempt, interface.FULL, self.load)
+        if self.state != WorkerState.READY or len(self.queue) >= QUEUE_PER_CORE * self.of.cores:
+            self.tell.ended(attempt, AttemptOutcome.REJECTED, self.load)
         elif self.fails_fast:
-            self.clock.after(FAIL_FAST, partial(self.tell.ended, attempt, interface.ERROR, self.load))
+            self.clock.after(
+                FAIL_FAST, partial(self.tell.ended, attempt, AttemptOutcome.SERVER_ERROR, self.load)
+            )
         else:
             if self.warmth(self.clock.now) < 1.0:
                 self._weigh(attempt)
@@ -192,22 +194,22 @@
 
     def drain(self) -> None:
         """Complete what runs, hand back what waits, take nothing new."""
-        self.state = interface.DRAINING
+        self.state = WorkerState.DRAINING
         waiting, self.queue = self.queue, deque()
         for attempt in waiting:
-            self.tell.ended(attempt, interface.FULL, {"x0": 0.0})
+            self.tell.ended(attempt, AttemptOutcome.REJECTED, {"x0": 0.0})
 
     def lose(self) -> None:
         """The machine is cut off: what it held breaks, and nobody hears from it any more."""
         self._carry_on()
-        self.reachable, self.state = False, interface.GONE
+        self.reachable, self.state = False, WorkerState.GONE
         held, self.running, self.queue = [*self.running, *self.queue], [], deque()
         self._plan()
         for attempt in held:
-            self.tell.ended(attempt, interface.RESET, None)
+            self.tell.ended(attempt, AttemptOutcome.CONNECTION_LOST, None)
 
     def start(self, cold_for: float) -> None:
         """Up again, or for the first time, and cold."""
-        self.reachable, self.state = True, interface.UP
+        self.reachable, self.state = True, WorkerState.READY
         self.started_at, self.cold_for = self.clock.now, cold_for
         self._sent.clear()
