--- a/beaconhinge/standin/fleet/world.py
+++ b/beaconhinge/standin/fleet/world.py
@@ -11,6 +11,15 @@
 
 from ...policy import interface
 from ...policy.dispatcher import Dispatcher
+from ...policy.interface import (
+    PROVEN_UNRUN,
+    RETRY_FLAG,
+    AttemptOutcome,
+    NoticeKind,
+    Semantics,
+    UpdateKind,
+    WorkerState,
+)
 from .clock import Clock
 from .discovery import Discovery
 from .plan import Plan, Sort, settings
@@ -30,9 +39,9 @@
 GRACE = 0.05  # seconds, as the rules have them on sockets
 WARM_FROM = 0.1  # seconds before the told end of warming up from which on a box is not counted as cold
 OWN_WORD = (
-    interface.NO_CONNECTION,
-    interface.TIMEOUT,
-    interface.CANCELLED,
+    AttemptOutcome.NO_CONNECTION,
+    AttemptOutcome.TIMEOUT,
+    AttemptOutcome.CANCELLED,
 )  # outcomes that a dispatcher finds by itself
 Modules = Callable[[interface.Settings, int], Dispatcher]
 
@@ -57,7 +66,9 @@
         """To run it twice, wherever that is."""
         sort = self.sort
         return (
-            sort.semantics == interface.RETRYABLE or sort.semantics == interface.DEDUP and sort.group == "all"
+            sort.semantics == Semantics.RETRYABLE
+            or sort.semantics == Semantics.DEDUPLICATED
+            and sort.group == "all"
         )
 
 
@@ -161,11 +172,11 @@
         box.stall(self.random.uniform(0.0, self.plan.pause))
         self.clock.after(self.random.uniform(4, 11), partial(self._stall, box))
 
-    def _member(self, box: Box, state: str | None = None) -> interface.Member:
+    def _member(self, box: Box, state: WorkerState | None = None) -> interface.MemberEntry:
         started = EPOCH + box.started_at if box.started_at else 0.0
-        return interface.Member(box.id, state or box.state, box.kind, box.cell, box.zone, 1.0, started)
+        return interface.MemberEntry(box.id, state or box.state, box.kind, box.cell, box.zone, 1.0, started)
 
-    def _publish(self, boxes: list[Box], state: str) -> None:
+    def _publish(self, boxes: list[Box], state: WorkerState) -> None:
         self.discovery.publish([self._member(box, state) for box in boxes])
 
     # ---- dispatchers ---------------------------------------------------------------------------------------
@@ -188,7 +199,7 @@
         if node.life > 1:
             node.module = self._module(node.number)
         self.feed(node, interface.Start())
-        self.feed(node, interface.Membership(interface.REMEMBERED, 0, list(self.remembered)))
+        self.feed(node, interface.MembershipUpdate(UpdateKind.BOOTSTRAP, 0, list(self.remembered)))
 
     def _kill(self, node: Node) -> None:
         node.up = False
@@ -205,42 +216,46 @@
     def feed(self, node: Node, event: interface.Event) -> None:
         if not node.up:
             return
-        if isinstance(event, interface.Membership) and event.how != interface.REFUSED:
+        if isinstance(event, interface.MembershipUpdate) and event.kind != UpdateKind.REFUSED:
             node.version = event.version
             for member in event.members:
-                if member.status == interface.UP:
+                if member.state == WorkerState.READY:
                     node.drained.pop(member.worker, None)
                 else:
                     node.drained.setdefault(member.worker, self.clock.now)
         for action in node.module.handle(EPOCH + self.clock.now, event):
             self._carry_out(node, action)
 
-    def _listed(self, number: int, event: interface.Membership) -> None:
+    def _listed(self, number: int, event: interface.MembershipUpdate) -> None:
         self.feed(self.nodes[number], event)
 
     def _timer(self, node: Node, life: int, token: int) -> None:
         if node.life == life:
-            self.feed(node, interface.Timer(token))
+            self.feed(node, interface.TimerFired(token))
 
     def _carry_out(self, node: Node, action: interface.Action) -> None:
         match action:
             case interface.SetTimer():
                 self.clock.after(action.after, partial(self._timer, node, node.life, action.token))
-            case interface.Send():
+            case interface.SendAttempt():
                 self._send(node.requests[action.request], self.boxes[action.worker])
-            case interface.Refuse() | interface.Abort():
+            case interface.Reject() | interface.Fail():
                 self._final(node.requests[action.request], action)
-            case interface.Cancel():
-                self._ended(node.requests[action.request].attempts[action.attempt], interface.CANCELLED, None)
-            case interface.Tell():
+            case interface.CancelAttempt():
+                self._ended(
+                    node.requests[action.request].attempts[action.attempt],
+                    AttemptOutcome.CANCELLED,
+                    None,
+                )
+            case interface.SendToPeer():
                 self._tell(node, action)
-            case interface.Probe():
+            case interface.ProbeWorker():
                 self.count["probes"] += 1
                 self._probe(node, self.boxes[action.worker])
-            case interface.Subscribe():
+            case interface.SubscribeMembership():
                 self.discovery.call(node.number, node.version)
 
-    def _tell(self, node: Node, action: interface.Tell) -> None:
+    def _tell(self, node: Node, action: interface.SendToPeer) -> None:
         for other in self.nodes if action.peer < 0 else [self.nodes[action.peer]]:
             if other is not node:
                 self.count["datagrams"] += 1
@@ -253,7 +268,7 @@
 
     def _probe(self, node: Node, box: Box) -> None:
         if box.reachable and not box.hung and not self._apart(node, box):
-            told = interface.ProbeResult(box.id, interface.SERVED, 0.001, box.load)
+            told = interface.ProbeResult(box.id, AttemptOutcome.SERVED, 0.001, box.load)
             self.clock.after(2 * self._hop(), partial(self.feed, node, told))
 
     def _apart(self, node: Node, box: Box) -> bool:
@@ -275,23 +290,23 @@
         self.count["attempts"] += 1
         self.count["cross_zone"] += box.zone != node.zone
         if not box.reachable or self._apart(node, box):
-            self.clock.after(CONNECT, partial(self._ended, attempt, interface.NO_CONNECTION, None))
-        elif box.state == interface.GONE:
-            self.clock.after(self._hop(), partial(self._ended, attempt, interface.NO_CONNECTION, None))
+            self.clock.after(CONNECT, partial(self._ended, attempt, AttemptOutcome.NO_CONNECTION, None))
+        elif box.state == WorkerState.GONE:
+            self.clock.after(self._hop(), partial(self._ended, attempt, AttemptOutcome.NO_CONNECTION, None))
         else:
             self.clock.after(self._hop(), partial(box.arrive, attempt))
-        self.clock.after(request.deadline - now, partial(self._ended, attempt, interface.TIMEOUT, None))
+        self.clock.after(request.deadline - now, partial(self._ended, attempt, AttemptOutcome.TIMEOUT, None))
 
     def _check_send(self, request: Request, box: Box) -> None:
         gone = request.node.drained.get(box.id)
         if gone is not None and self.clock.now > gone + 0.4 + GRACE:
             self.broken.append(f"a send to a box known to drain for {self.clock.now - gone:.2f} s")
         sort, ran = request.wish.sort, [a for a in request.attempts if a.started or a.open]
-        if sort.semantics == interface.DEDUP and ran:
+        if sort.semantics == Semantics.DEDUPLICATED and ran:
             apart = {"cell": ran[0].box.cell != box.cell, "zone": ran[0].box.zone != box.zone}
             if apart.get(sort.group) or self.clock.now > ran[0].sent_at + sort.window + GRACE:
                 self.broken.append("a keyed job that may have run was sent out of its group, or too late")
-        if sort.semantics == interface.FRAGILE and ran:
+        if sort.semantics == Semantics.UNSAFE and ran:
             self.broken.append("a fragile job that may have run was sent again")
         if not self.plan.site.may_duplicate and any(a.open for a in request.attempts):
             self.broken.append("two attempts out of one request")
@@ -307,15 +322,20 @@
         """
         told, now, site = request.node.module.settings, self.clock.now, self.plan.site
         knows = request.node.module.workers[box.id].started_at > 0
-        if not box.started_at or now >= box.started_at + told.warm_within - WARM_FROM or not knows:
+        if not box.started_at or now >= box.started_at + told.slow_start_s - WARM_FROM or not knows:
             return
         self.count["cold_sends"] += 1
         sent = self.cold[box.id, box.started_at]
         sent.append((now, request.wish.sort.work * request.wish.slots / site.mean_work))
-        while sent[0][0] < now - told.tip_after:
+        while sent[0][0] < now - told.overload_window_s:
             sent.popleft()
-        ramp = told.cold_share + (1 - told.cold_share) * (now - box.started_at) / told.warm_within
-        allowed = told.fall_multiple * ramp * told.tip_after * box.of.cores * box.speed / site.mean_work
+        ramp = (
+            told.slow_start_min_share
+            + (1 - told.slow_start_min_share) * (now - box.started_at) / told.slow_start_s
+        )
+        allowed = (
+            told.overload_multiple * ramp * told.overload_window_s * box.of.cores * box.speed / site.mean_work
+        )
         got = sum(work for _, work in sent)
         if got > allowed + 2 * math.sqrt(allowed) + 2:
             self.broken.append(f"a cold box got {got:.1f} jobs of mean work where {allowed:.1f} are allowed")
@@ -323,20 +343,21 @@
     def _started(self, attempt: Attempt) -> None:
         if attempt.open:
             self.waits.append(self.clock.now - attempt.sent_at)
-            self.clock.after(self._hop(), partial(self._notice, attempt, interface.STARTED, 0.0))
+            self.clock.after(self._hop(), partial(self._notice, attempt, NoticeKind.STARTED, 0.0))
 
     def _progress(self, attempt: Attempt, share: float) -> None:
-        self._notice(attempt, interface.PROGRESS, share)
+        self._notice(attempt, NoticeKind.PROGRESS, share)
 
     def _notice(self, attempt: Attempt, what: int, share: float) -> None:
         request = attempt.owner
         assert isinstance(request, Request)
         if attempt.open and request.live and not self._apart(request.node, attempt.box):
             self.feed(
-                request.node, interface.Notice(request.number, attempt.box.id, attempt.number, what, share)
+                request.node,
+                interface.ProgressNotice(request.number, attempt.box.id, attempt.number, what, share),
             )
 
-    def _ended(self, attempt: Attempt, outcome: str, load: dict[str, float] | None) -> None:
+    def _ended(self, attempt: Attempt, outcome: AttemptOutcome, load: dict[str, float] | None) -> None:
         request = attempt.owner
         assert isinstance(request, Request)
         if not attempt.open or not request.live:
@@ -344,22 +365,22 @@
         if outcome not in OWN_WORD and self._apart(request.node, attempt.box):
             return  # lost on the way: its sender finds out by time
         attempt.open = False
-        attempt.started = attempt.started or outcome not in interface.PROVEN_UNRUN
+        attempt.started = attempt.started or outcome not in PROVEN_UNRUN
         self.count["outcome_" + outcome] += 1
-        if outcome == interface.SERVED and not request.answered:
+        if outcome == AttemptOutcome.SERVED and not request.answered:
             request.answered = True
             self._answer(request.wish, "served", 0.0)
         # The module hears of it when its present event is dealt with.
         self.clock.after(0.0, partial(self._outcome, attempt, outcome, load))
 
-    def _outcome(self, attempt: Attempt, outcome: str, load: dict[str, float] | None) -> None:
+    def _outcome(self, attempt: Attempt, outcome: AttemptOutcome, load: dict[str, float] | None) -> None:
         request = attempt.owner
         assert isinstance(request, Request)
         if request.live:
             latency = self.clock.now - attempt.sent_at
             self.feed(
                 request.node,
-                interface.Outcome(
+                interface.AttemptEnded(
                     request.number, attempt.box.id, attempt.number, outcome, request.answered, latency, load
                 ),
             )
@@ -367,14 +388,14 @@
 
     # ---- clients -------------------------------------------------------------------------------------------
 
-    def _final(self, request: Request, action: interface.Refuse | interface.Abort) -> None:
-        refused = isinstance(action, interface.Refuse)
+    def _final(self, request: Request, action: interface.Reject | interface.Fail) -> None:
+        refused = isinstance(action, interface.Reject)
         if request.answered:
             self.broken.append("a second final answer")
         elif refused and not request.wish.harmless and any(a.started or a.open for a in request.attempts):
             self.broken.append("a job was refused that may have run")
         request.answered = True
-        after = action.retry_after if isinstance(action, interface.Refuse) else 0.0
+        after = action.retry_after if isinstance(action, interface.Reject) else 0.0
         self._answer(request.wish, "refused" if refused else "failed", after)
         self._forget(request)
 
@@ -404,8 +425,10 @@
         request = Request(wish, node, node.life, node.last_number, self.clock.now + left)
         node.requests[request.number] = request
         self.clock.after(left + GRACE, partial(self._overdue, request))
-        flags = interface.REPEAT if repeat else 0
-        job = interface.Job(request.number, wish.cls, wish.tenant, left, slots=float(wish.slots), flags=flags)
+        flags = RETRY_FLAG if repeat else 0
+        job = interface.JobArrived(
+            request.number, wish.cls, wish.tenant, left, slots=float(wish.slots), flags=flags
+        )
         self.feed(node, job)
 
     def _overdue(self, request: Request) -> None:
@@ -488,43 +511,43 @@
             box.lose()
         for wave in range(3):
             part = lost[wave::3]
-            self.clock.after(3.0 + 0.4 * wave, partial(self._publish, part, interface.GONE))
+            self.clock.after(3.0 + 0.4 * wave, partial(self._publish, part, WorkerState.GONE))
             self.clock.after(self.plan.lost_for + 0.35 * wave, partial(self._come_back, part))
 
     def _come_back(self, boxes: list[Box]) -> None:
         for box in boxes:
             box.start(self.random.uniform(*COLD))
-        self.clock.after(self.random.uniform(0.2, 0.5), partial(self._publish, boxes, interface.UP))
+        self.clock.after(self.random.uniform(0.2, 0.5), partial(self._publish, boxes, WorkerState.READY))
 
     def _swap(self, old: list[Box]) -> None:
         """Drain some boxes, and start as many new ones."""
         for box in old:
             box.drain()
             self.clock.after(self.random.uniform(2.0, 4.0), partial(self._end_box, box))
-        self.clock.after(0.45, partial(self._publish, old, interface.DRAINING))
+        self.clock.after(0.45, partial(self._publish, old, WorkerState.DRAINING))
         fresh = [self._new_box(box.kind, box.zone) for box in old]
         for box in fresh:
-            box.state = interface.GONE
+            box.state = WorkerState.GONE
         self.clock.after(1.5, partial(self._come_up, fresh))
 
     def _come_up(self, boxes: list[Box]) -> None:
         for box in boxes:
             box.start(self.random.uniform(*COLD))
-        self.clock.after(0.7, partial(self._publish, boxes, interface.UP))
+        self.clock.after(0.7, partial(self._publish, boxes, WorkerState.READY))
 
     def _drain_some(self) -> None:
         """Some begin to drain and stay so, and nobody takes their place."""
         leaving = self.random.sample(list(self.boxes.values()), max(1, round(DRAINED * len(self.boxes))))
         for box in leaving:
             box.drain()
-        self.clock.after(0.45, partial(self._publish, leaving, interface.DRAINING))
+        self.clock.after(0.45, partial(self._publish, leaving, WorkerState.DRAINING))
 
     def _end_box(self, box: Box) -> None:
         if box.running:
             self.clock.after(0.5, partial(self._end_box, box))
         else:
-            box.state = interface.GONE
-            self.clock.after(2.0, partial(self._publish, [box], interface.GONE))
+            box.state = WorkerState.GONE
+            self.clock.after(2.0, partial(self._publish, [box], WorkerState.GONE))
 
     def _replace(self) -> None:
         """Six in ten boxes are replaced within 7 s."""
--- a/benchmarks/leases.py
+++ b/benchmarks/leases.py
@@ -26,10 +26,10 @@
 
 from beaconhinge.config.local import Leases as Settings
 from beaconhinge.net.leases import Leases
-from beaconhinge.net.peers import Peers
+from beaconhinge.net.peers import PeerSocket
 from beaconhinge.runtime.clock import Clock
-from beaconhinge.runtime.metrics import Stats
-from beaconhinge.runtime.timer_wheel import Wheel
+from beaconhinge.runtime.metrics import Metrics
+from beaconhinge.runtime.timer_wheel import TimerWheel
 from beaconhinge.standin.ports import free_port
 from beaconhinge.standin.rig import Scenario
 from beaconhinge.standin.rig.runner import ScenarioRun
@@ -51,8 +51,8 @@
     made = []
     for number in range(count):
         clock = Clock()
-        stats = Stats(clock.now, writer=lambda event, fields: None)
-        wheel = Wheel(clock.now, stats.failure)
+        stats = Metrics(clock.now, writer=lambda event, fields: None)
+        wheel = TimerWheel(clock.now, stats.log_exception)
         settings = SimpleNamespace(own_number=number, group_size=count)
         config: Any = SimpleNamespace(
             name=f"n{number}",
@@ -63,7 +63,7 @@
             mgmt=None,
         )
         core: Any = SimpleNamespace(owners={}, feed=lambda event: None)
-        peers = Peers(config, core, wheel, stats)
+        peers = PeerSocket(config, core, wheel, stats)
         peers.listen()
         store = None if folder is None else Store.open(folder / str(number))
         leases = Leases(Settings(enabled=True, span_s=SPAN), config, store, peers, wheel, stats)
--- a/benchmarks/loglines.py
+++ b/benchmarks/loglines.py
@@ -13,7 +13,7 @@
 from typing import Literal, TextIO
 
 from beaconhinge.logs import writer
-from beaconhinge.runtime.metrics import Stats
+from beaconhinge.runtime.metrics import Metrics
 
 LINES, ROUNDS = 20_000, 5
 IMPORT = """
@@ -25,7 +25,7 @@
 """
 
 
-def line_cost(stats: Stats) -> float:
+def line_cost(stats: Metrics) -> float:
     begun = time.perf_counter()
     for number in range(LINES):
         stats.log(
@@ -41,11 +41,11 @@
 
 
 def main() -> None:
-    def structured(form: Literal["logfmt", "json"]) -> Callable[[TextIO], Stats]:
-        return lambda sink: Stats(time.time, writer=writer(form, sink, time.time))
+    def structured(form: Literal["logfmt", "json"]) -> Callable[[TextIO], Metrics]:
+        return lambda sink: Metrics(time.time, writer=writer(form, sink, time.time))
 
-    forms: dict[str, Callable[[TextIO], Stats]] = {
-        "plain": lambda sink: Stats(time.time, sink),
+    forms: dict[str, Callable[[TextIO], Metrics]] = {
+        "plain": lambda sink: Metrics(time.time, sink),
         "logfmt": structured("logfmt"),
         "json": structured("json"),
     }
--- a/benchmarks/module.py
+++ b/benchmarks/module.py
@@ -16,6 +16,7 @@
 from beaconhinge.gossip import codec
 from beaconhinge.policy import interface
 from beaconhinge.policy.dispatcher import TICK, Dispatcher
+from beaconhinge.policy.interface import AttemptOutcome, NoticeKind, UpdateKind
 from beaconhinge.standin.fleet.plan import settings
 
 GROUPS, FLEETS, EVENTS = (2, 10, 40, 200), (10, 60, 200, 600), 1500
@@ -27,10 +28,10 @@
     made.handle(1000.0, interface.Start())
     made.handle(
         1000.0,
-        interface.Membership(
-            interface.REMEMBERED,
+        interface.MembershipUpdate(
+            UpdateKind.BOOTSTRAP,
             1,
-            [interface.Member(n * 7919 + 1, cell=n % 6, zone=n % 2) for n in range(workers)],
+            [interface.MemberEntry(n * 7919 + 1, cell=n % 6, zone=n % 2) for n in range(workers)],
         ),
     )
     return made
@@ -40,7 +41,7 @@
     """Seconds of CPU, in microseconds for each event of a kind."""
     made, draw, now, spent = module(group, workers), random.Random(1), 1000.0, dict.fromkeys(KINDS, 0.0)
     counted = dict.fromkeys(KINDS, 0)
-    out: deque[interface.Send] = deque()
+    out: deque[interface.SendAttempt] = deque()
     depth = max(2, 3 * workers // group)
 
     def feed(kind: str, event: interface.Event) -> None:
@@ -49,25 +50,30 @@
         spent[kind] += time.process_time() - begun
         counted[kind] += 1
         for sent in actions:
-            if isinstance(sent, interface.Send):
+            if isinstance(sent, interface.SendAttempt):
                 out.append(sent)
-                feed("notice", interface.Notice(sent.request, sent.worker, 0, interface.STARTED))
+                feed(
+                    "notice",
+                    interface.ProgressNotice(sent.request, sent.worker, 0, NoticeKind.STARTED),
+                )
 
     for number in range(EVENTS):
         now += 0.01
-        feed("job", interface.Job(number, number % 2, number % 3, 20.0))
+        feed("job", interface.JobArrived(number, number % 2, number % 3, 20.0))
         while len(out) > depth:
             done = out.popleft()
             feed(
                 "outcome",
-                interface.Outcome(done.request, done.worker, 0, interface.SERVED, True, 0.4, {"x0": 2.0}),
+                interface.AttemptEnded(
+                    done.request, done.worker, 0, AttemptOutcome.SERVED, True, 0.4, {"x0": 2.0}
+                ),
             )
         news = [(draw.getrandbits(14), codec.SENT) for _ in range(3)]
         peer = 1 + number % min(group - 1, 39)
         payload = codec.encode_news(codec.News(peer & 255, number & 255, news))
         feed("datagram", interface.PeerMessage(peer, payload))
         if number % 10 == 0:
-            feed("timer", interface.Timer(TICK))
+            feed("timer", interface.TimerFired(TICK))
     return {kind: 1e6 * spent[kind] / max(1, counted[kind]) for kind in KINDS}
 
 
--- a/tests/books/test_books.py
+++ b/tests/books/test_books.py
@@ -18,9 +18,9 @@
 from beaconhinge.policy import interface
 from beaconhinge.policy.dispatcher import Dispatcher
 from beaconhinge.quota_snapshots import record
-from beaconhinge.quota_snapshots.writer import KEY, Keeper
-from beaconhinge.runtime.metrics import Stats
-from beaconhinge.runtime.timer_wheel import Wheel
+from beaconhinge.quota_snapshots.writer import KEY, SnapshotWriter
+from beaconhinge.runtime.metrics import Metrics
+from beaconhinge.runtime.timer_wheel import TimerWheel
 from beaconhinge.standin.disk import SimDisk, failing
 from beaconhinge.store import Put, Store
 
@@ -139,20 +139,20 @@
     async def story() -> None:
         now = [1000.0]
         disk, log = SimDisk(), io.StringIO()
-        stats = Stats(lambda: now[0], log)
+        stats = Metrics(lambda: now[0], log)
         store = Store.open("sim", disk=disk, new_id=lambda: b"S" * 16)
-        wheel = Wheel(lambda: now[0], stats.failure)
-        await Keeper(store, busy(), wheel, stats, 0.5, 30.0).write()
+        wheel = TimerWheel(lambda: now[0], stats.log_exception)
+        await SnapshotWriter(store, busy(), wheel, stats, 0.5, 30.0).write()
         now[0] += 1.0
         fresh = Dispatcher(settings(), 2)
         fresh.handle(now[0], interface.Start())
-        assert Keeper(store, fresh, wheel, stats, 0.5, 30.0).restore()
+        assert SnapshotWriter(store, fresh, wheel, stats, 0.5, 30.0).restore()
         assert fresh.rate == pytest.approx(55.0) and "books_restored age=1.000" in log.getvalue()
         await store.commit([Put(KEY, b"rubbish")])
-        assert not Keeper(store, fresh, wheel, stats, 0.5, 30.0).restore()
+        assert not SnapshotWriter(store, fresh, wheel, stats, 0.5, 30.0).restore()
         assert "books_dropped" in log.getvalue() and stats.counters["books_dropped"] == 1
         disk.faults = failing("sync", 5)
-        keeper = Keeper(store, fresh, wheel, stats, 0.5, 30.0)
+        keeper = SnapshotWriter(store, fresh, wheel, stats, 0.5, 30.0)
         await keeper._again()  # a failed disk is told once, and nothing more is tried
         assert stats.counters["books_not_written"] == 1 and "books_not_written" in log.getvalue()
         await store.close()
--- a/tests/books/world.py
+++ b/tests/books/world.py
@@ -14,6 +14,7 @@
 
 from beaconhinge.policy import interface
 from beaconhinge.policy.dispatcher import Dispatcher
+from beaconhinge.policy.interface import AttemptOutcome, UpdateKind
 from beaconhinge.quota_snapshots import record
 
 SHARES = (0.54, 0.29, 0.17)
@@ -99,8 +100,10 @@
                 self.dropped.append(str(why))
         self.feed(
             node,
-            interface.Membership(
-                interface.REMEMBERED, 1, [interface.Member(worker=100 + i) for i in range(WORKERS)]
+            interface.MembershipUpdate(
+                UpdateKind.BOOTSTRAP,
+                1,
+                [interface.MemberEntry(worker=100 + i) for i in range(WORKERS)],
             ),
         )
         self.write(node, node.life)
@@ -119,7 +122,7 @@
         node = self.random.choice(alive)
         self.requests += 1
         self.tenant[node.number, node.life, self.requests] = tenant
-        self.feed(node, interface.Job(self.requests, 0, tenant, 2.0))
+        self.feed(node, interface.JobArrived(self.requests, 0, tenant, 2.0))
 
     def feed(self, node: Node, event: interface.Event) -> None:
         if node.dispatcher is None:
@@ -127,10 +130,10 @@
         life = node.life
         for action in node.dispatcher.handle(self.now, event):
             if isinstance(action, interface.SetTimer):
-                self.later(node, life, action.after, interface.Timer(action.token))
-            elif isinstance(action, interface.Send):
+                self.later(node, life, action.after, interface.TimerFired(action.token))
+            elif isinstance(action, interface.SendAttempt):
                 self.send(node, life, action)
-            elif isinstance(action, interface.Tell):
+            elif isinstance(action, interface.SendToPeer):
                 for other in self.nodes:
                     if other is not node:
                         self.later(
@@ -140,12 +143,17 @@
     def later(self, node: Node, life: int, after: float, event: interface.Event) -> None:
         self.at(after, lambda: self.feed(node, event) if node.life == life else None)
 
-    def send(self, node: Node, life: int, action: interface.Send) -> None:
+    def send(self, node: Node, life: int, action: interface.SendAttempt) -> None:
         attempt = node.attempts[action.request]
         node.attempts[action.request] += 1
         worker, request = action.worker, action.request
         if self.busy[worker] >= SLOTS:
-            self.later(node, life, 0.002, interface.Outcome(request, worker, attempt, interface.FULL))
+            self.later(
+                node,
+                life,
+                0.002,
+                interface.AttemptEnded(request, worker, attempt, AttemptOutcome.REJECTED),
+            )
             return
         self.busy[worker] += 1
 
@@ -153,7 +161,10 @@
             self.busy[worker] -= 1
             self.served.append((self.now, node.number, self.tenant[node.number, life, request]))
             if node.life == life:
-                self.feed(node, interface.Outcome(request, worker, attempt, interface.SERVED, True, TIME))
+                self.feed(
+                    node,
+                    interface.AttemptEnded(request, worker, attempt, AttemptOutcome.SERVED, True, TIME),
+                )
 
         self.at(TIME, done)
 
--- a/tests/cli/test_logs_sum.py
+++ b/tests/cli/test_logs_sum.py
@@ -10,22 +10,22 @@
 
 from beaconhinge.cli import main
 from beaconhinge.logs import summary, writer
-from beaconhinge.runtime.metrics import Stats
+from beaconhinge.runtime.metrics import Metrics
 
 
 def written(form: str, start: float) -> str:
     """Two lives of one process and some trouble, as its own `Stats` logs them."""
     sink, now = io.StringIO(), [start]
-    stats = Stats(lambda: now[0], sink, None if form == "plain" else writer(form, sink, lambda: now[0]))
+    stats = Metrics(lambda: now[0], sink, None if form == "plain" else writer(form, sink, lambda: now[0]))
     for life in (1, 2):
         stats.counters.clear()
         stats.log("started", name="n0", workers=9)
         stats.count("requests_taken", 10)
-        stats.report()
+        stats.log_counters()
         now[0] += 1.0
-        stats.complain("discovery_failed", why="status 503: a = 'b'")
+        stats.count_and_log("discovery_failed", why="status 503: a = 'b'")
         stats.count("requests_taken", 5 * life)
-        stats.report()
+        stats.log_counters()
         now[0] += 1.5
     return sink.getvalue()
 
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -7,6 +7,7 @@
 
 from beaconhinge.policy import interface
 from beaconhinge.policy.dispatcher import Dispatcher
+from beaconhinge.policy.interface import PROVEN_UNRUN, AttemptOutcome, Semantics, UpdateKind, WorkerState
 
 PAIRS = {
     "groupSize": "1",
@@ -42,31 +43,31 @@
     return interface.Settings.from_pairs(pairs)
 
 
-def members(count: int, **common: object) -> list[interface.Member]:
-    return [interface.Member(worker=100 + i, cell=i % 2, **common) for i in range(count)]  # type: ignore[arg-type]
+def members(count: int, **common: object) -> list[interface.MemberEntry]:
+    return [interface.MemberEntry(worker=100 + i, cell=i % 2, **common) for i in range(count)]  # type: ignore[arg-type]
 
 
 def started(count: int = 4, seed: int = 1, now: float = 100.0, **changes: str) -> Dispatcher:
     dispatcher = Dispatcher(settings(**changes), seed)
     dispatcher.handle(now, interface.Start())
-    dispatcher.handle(now, interface.Membership(interface.REMEMBERED, 1, members(count)))
+    dispatcher.handle(now, interface.MembershipUpdate(UpdateKind.BOOTSTRAP, 1, members(count)))
     return dispatcher
 
 
-def sends(actions: Iterable[interface.Action]) -> list[interface.Send]:
-    return [a for a in actions if isinstance(a, interface.Send)]
+def sends(actions: Iterable[interface.Action]) -> list[interface.SendAttempt]:
+    return [a for a in actions if isinstance(a, interface.SendAttempt)]
 
 
-def job(request: int, cls: int = 0, **more: object) -> interface.Job:
+def job(request: int, cls: int = 0, **more: object) -> interface.JobArrived:
     values: dict[str, object] = {"remaining": 4.0, "size_hint": 0.5}
     values.update(more)
-    return interface.Job(request, cls, values.pop("tenant", 0), **values)  # type: ignore[arg-type]
+    return interface.JobArrived(request, cls, values.pop("tenant", 0), **values)  # type: ignore[arg-type]
 
 
 def outcome(
     request: int, worker: int, what: str, attempt: int = 0, latency: float = 0.5
-) -> interface.Outcome:
-    return interface.Outcome(request, worker, attempt, what, what == interface.SERVED, latency)
+) -> interface.AttemptEnded:
+    return interface.AttemptEnded(request, worker, attempt, what, what == AttemptOutcome.SERVED, latency)
 
 
 @dataclass
@@ -95,89 +96,89 @@
         self.broken: list[str] = []
 
     def event(self, now: float, event: interface.Event) -> None:
-        if isinstance(event, interface.Membership) and event.how != interface.REFUSED:
+        if isinstance(event, interface.MembershipUpdate) and event.kind != UpdateKind.REFUSED:
             named = {m.worker for m in event.members}
-            if event.how != interface.CHANGES:
+            if event.kind != UpdateKind.CHANGES:
                 for worker in self.cells:
                     if worker not in named:
                         self.left.setdefault(worker, now)
             for m in event.members:
                 self.cells[m.worker] = (m.cell, m.zone)
-                if m.status == interface.UP:
+                if m.state == WorkerState.READY:
                     self.left.pop(m.worker, None)
                     self.started_at[m.worker] = m.started_at
                 else:
                     if m.worker not in self.left:
                         self.used[m.worker] = now
                     self.left.setdefault(m.worker, now)
-        elif isinstance(event, interface.Job):
-            self.calls[event.request] = _Call(self.given.classes[event.cls], now + event.remaining)
-        elif isinstance(event, interface.Outcome) and event.request in self.calls:
+        elif isinstance(event, interface.JobArrived):
+            self.calls[event.request] = _Call(self.given.classes[event.class_index], now + event.remaining)
+        elif isinstance(event, interface.AttemptEnded) and event.request in self.calls:
             call = self.calls[event.request]
             call.outcomes[event.attempt] = event.outcome
             self.used[event.worker] = now
             call.settled = call.settled or event.settled
-        elif isinstance(event, interface.ClientGone) and event.request in self.calls:
+        elif isinstance(event, interface.ClientDisconnected) and event.request in self.calls:
             self.calls[event.request].gone = True
 
     def actions(self, now: float, actions: Iterable[interface.Action]) -> None:
         for action in actions:
-            if isinstance(action, interface.Send):
+            if isinstance(action, interface.SendAttempt):
                 self._send(now, action)
-            elif isinstance(action, interface.Disconnect):
+            elif isinstance(action, interface.CloseIdleConnections):
                 self.used.pop(action.worker, None)
-            elif isinstance(action, (interface.Refuse, interface.Abort)):
+            elif isinstance(action, (interface.Reject, interface.Fail)):
                 call = self.calls[action.request]
                 if call.settled:
                     self.broken.append(f"1: second final answer for {action.request}")
-                if now > call.deadline + self.given.grace_to_answer:
+                if now > call.deadline + self.given.answer_grace_s:
                     self.broken.append(f"1: late answer for {action.request}")
-                if isinstance(action, interface.Refuse) and not self._refusable(call):
+                if isinstance(action, interface.Reject) and not self._refusable(call):
                     self.broken.append(f"2: refusal of {action.request}, which may have run")
                 call.settled = True
 
     def end(self, now: float) -> None:
         for number, call in self.calls.items():
-            if not call.settled and not call.gone and now > call.deadline + self.given.grace_to_answer:
+            if not call.settled and not call.gone and now > call.deadline + self.given.answer_grace_s:
                 self.broken.append(f"1: no answer for {number}")
-        if self.given.drain_release > 0:
+        if self.given.drain_close_within_s > 0:
             for worker in self.left.keys() & self.used.keys():
-                if now > max(self.used[worker], self.left[worker]) + self.given.drain_release:
+                if now > max(self.used[worker], self.left[worker]) + self.given.drain_close_within_s:
                     self.broken.append(f"3: connections to {worker}, which has left, were kept")
 
     def _may_have_run(self, call: _Call) -> list[int]:
-        return [i for i in range(len(call.attempts)) if call.outcomes.get(i) not in interface.PROVEN_UNRUN]
+        return [i for i in range(len(call.attempts)) if call.outcomes.get(i) not in PROVEN_UNRUN]
 
     def _refusable(self, call: _Call) -> bool:
-        free = call.cls.semantics == interface.RETRYABLE or (
-            call.cls.semantics == interface.DEDUP and call.cls.dedup_group == "all"
+        free = call.cls.semantics == Semantics.RETRYABLE or (
+            call.cls.semantics == Semantics.DEDUPLICATED and call.cls.dedup_group == "all"
         )
         return free or not self._may_have_run(call)
 
-    def _send(self, now: float, send: interface.Send) -> None:
+    def _send(self, now: float, send: interface.SendAttempt) -> None:
         call = self.calls[send.request]
         if call.settled:
             self.broken.append(f"1: send after the end of {send.request}")
         ran = self._may_have_run(call)
-        if ran and call.cls.semantics == interface.FRAGILE:
+        if ran and call.cls.semantics == Semantics.UNSAFE:
             self.broken.append(f"2: repeat of {send.request}")
-        if ran and call.cls.semantics == interface.DEDUP:
+        if ran and call.cls.semantics == Semantics.DEDUPLICATED:
             worker, sent_at = call.attempts[ran[0]]
             at = {"cell": 0, "zone": 1}.get(call.cls.dedup_group)
             if at is not None and self.cells[worker][at] != self.cells[send.worker][at]:
                 self.broken.append(f"2: {send.request} left its group")
-            if now > sent_at + call.cls.dedup_window:
+            if now > sent_at + call.cls.dedup_window_s:
                 self.broken.append(f"2: {send.request} repeated after its window")
-        if len(call.outcomes) < len(call.attempts) and not self.given.may_duplicate:
+        if len(call.outcomes) < len(call.attempts) and not self.given.hedging_allowed:
             self.broken.append(f"2: two attempts of {send.request} at once")
-        if now > self.left.get(send.worker, float("inf")) + self.given.drain_grace:
+        if now > self.left.get(send.worker, float("inf")) + self.given.drain_grace_s:
             self.broken.append(f"3: send to {send.worker}, which has left")
         call.attempts.append((send.worker, now))
         age = now - self.started_at.get(send.worker, 0.0)
-        if age < self.given.warm_within:
+        if age < self.given.slow_start_s:
             log = self.cold.setdefault(send.worker, [])
             log.append((now, 1.0))
-            recent = [t for t, _ in log if t > now - self.given.tip_after]
+            recent = [t for t, _ in log if t > now - self.given.overload_window_s]
             if len(recent) > COLD_JOBS:
                 self.broken.append(f"4: {len(recent)} sends to the cold worker {send.worker}")
 
@@ -207,7 +208,7 @@
             self.log.append((self.now, repr(action)))
             if isinstance(action, interface.SetTimer):
                 self.timers.append((self.now + action.after, action.token))
-            elif isinstance(action, interface.Send):
+            elif isinstance(action, interface.SendAttempt):
                 attempt = self.count.get(action.request, 0)
                 self.count[action.request] = attempt + 1
                 self.open.append((action.request, action.worker, attempt))
@@ -224,14 +225,14 @@
             self.now = max(self.now, at)
             if kind == 1:
                 self.timers.remove((at, first))
-                self.feed(interface.Timer(first))
+                self.feed(interface.TimerFired(first))
             else:
-                self.resolve(self.open.index((first, worker, attempt)), interface.TIMEOUT)
+                self.resolve(self.open.index((first, worker, attempt)), AttemptOutcome.TIMEOUT)
         self.now = max(self.now, until)
 
     def resolve(self, index: int, outcome: str) -> None:
         request, worker, attempt = self.open.pop(index)
         call = self.checker.calls[request]
-        settled = call.settled or outcome == interface.SERVED
+        settled = call.settled or outcome == AttemptOutcome.SERVED
         sent_at = call.attempts[attempt][1]
-        self.feed(interface.Outcome(request, worker, attempt, outcome, settled, self.now - sent_at))
+        self.feed(interface.AttemptEnded(request, worker, attempt, outcome, settled, self.now - sent_at))
--- a/tests/leases/test_hold.py
+++ b/tests/leases/test_hold.py
@@ -12,8 +12,8 @@
 from beaconhinge.config.local import Leases as Settings
 from beaconhinge.leases import terms
 from beaconhinge.net.leases import LeaseLost, Leases
-from beaconhinge.runtime.metrics import Stats
-from beaconhinge.runtime.timer_wheel import Wheel
+from beaconhinge.runtime.metrics import Metrics
+from beaconhinge.runtime.timer_wheel import TimerWheel
 
 
 class Alone:
@@ -22,8 +22,8 @@
     def __init__(self) -> None:
         self.now = 100.0
         self.logged: list[str] = []
-        self.stats = Stats(lambda: self.now, writer=lambda event, fields: self.logged.append(event))
-        self.wheel = Wheel(lambda: self.now, self.stats.failure)
+        self.stats = Metrics(lambda: self.now, writer=lambda event, fields: self.logged.append(event))
+        self.wheel = TimerWheel(lambda: self.now, self.stats.log_exception)
         settings = SimpleNamespace(own_number=0, group_size=1)
         config: Any = SimpleNamespace(name="n0", settings=settings, peer_listen=None)
         peers: Any = SimpleNamespace(talk={}, config=config, send=lambda number, payload: None)
@@ -36,7 +36,7 @@
 
     def pass_(self, seconds: float) -> None:
         self.now += seconds
-        self.wheel.turn()
+        self.wheel.fire_due()
 
     def voted(self, name: str) -> bool:
         assert self.leases.node is not None
--- a/tests/management/test_handover.py
+++ b/tests/management/test_handover.py
@@ -12,6 +12,7 @@
 from beaconhinge.management.handover import Frames, Unusable
 from beaconhinge.policy import interface
 from beaconhinge.policy.dispatcher import Dispatcher
+from beaconhinge.policy.interface import AttemptOutcome, UpdateKind
 
 
 def worked(seed: int = 1, **changes: str) -> Dispatcher:
@@ -21,15 +22,24 @@
     for number in range(200):
         now += draw.random() / 10
         sent += [
-            a for a in dispatcher.handle(now, job(number, cls=number % 3)) if isinstance(a, interface.Send)
+            a
+            for a in dispatcher.handle(now, job(number, cls=number % 3))
+            if isinstance(a, interface.SendAttempt)
         ]
         if sent and draw.random() < 0.8:
             done = sent.pop(0)
-            what = draw.choice([interface.SERVED] * 6 + [interface.ERROR, interface.FULL, interface.RESET])
+            what = draw.choice(
+                [AttemptOutcome.SERVED] * 6
+                + [
+                    AttemptOutcome.SERVER_ERROR,
+                    AttemptOutcome.REJECTED,
+                    AttemptOutcome.CONNECTION_LOST,
+                ]
+            )
             after = dispatcher.handle(now, outcome(done.request, done.worker, what))
-            sent += [a for a in after if isinstance(a, interface.Send) and a.request != done.request]
-        dispatcher.handle(now, interface.Timer(1))
-    dispatcher.handle(now, interface.Maintenance(103, True))
+            sent += [a for a in after if isinstance(a, interface.SendAttempt) and a.request != done.request]
+        dispatcher.handle(now, interface.TimerFired(1))
+    dispatcher.handle(now, interface.MaintenanceMode(103, True))
     return dispatcher
 
 
@@ -41,7 +51,7 @@
     given, got = handover.take(old), handover.take(new)
     assert got["fleet"].pop("sequence") == (given["fleet"].pop("sequence") + handover.AHEAD) & 0xFFFF
     assert json.loads(json.dumps(got)) == json.loads(json.dumps(given))
-    new.handle(130.0, interface.Membership(interface.SNAPSHOT, 3, members(6)))
+    new.handle(130.0, interface.MembershipUpdate(UpdateKind.SNAPSHOT, 3, members(6)))
     assert not new.workers[103].listed  # out by hand, across the hand-over
     assert sum(w.out for w in old.workers.values()) == sum(w.out for w in new.workers.values()) > 0
 
@@ -50,13 +60,13 @@
 def test_slots_of_the_other_process_count_until_they_end(many: str) -> None:
     dispatcher = started(2, groupSize=many, policyLimits__peers="true")
     worker = dispatcher.workers[100]
-    dispatcher.handle(101.0, interface.Elsewhere(100, 3.0))
+    dispatcher.handle(101.0, interface.SiblingLoad(100, 3.0))
     assert dispatcher.out(worker) == worker.out == 3.0
-    dispatcher.handle(108.0, interface.Elsewhere(100, 0.0))
+    dispatcher.handle(108.0, interface.SiblingLoad(100, 0.0))
     assert not dispatcher.silent(worker)  # it was heard by the other
-    dispatcher.handle(109.0, interface.Elsewhere(100, -3.0))
+    dispatcher.handle(109.0, interface.SiblingLoad(100, -3.0))
     assert dispatcher.out(worker) == worker.out == 0.0
-    dispatcher.handle(109.0, interface.Elsewhere(999, 1.0))  # left the list meanwhile
+    dispatcher.handle(109.0, interface.SiblingLoad(999, 1.0))  # left the list meanwhile
 
 
 def test_a_form_cut_or_changed_at_any_byte_is_not_used() -> None:
--- a/tests/management/test_management.py
+++ b/tests/management/test_management.py
@@ -15,8 +15,9 @@
 from beaconhinge.__main__ import run
 from beaconhinge.membership.inventory import worker_number
 from beaconhinge.net import management
-from beaconhinge.net.sockets import Unavailable, tcp_listener
+from beaconhinge.net.sockets import AddressUnavailable, tcp_listener
 from beaconhinge.policy import interface
+from beaconhinge.policy.interface import AttemptOutcome, UpdateKind, WorkerState
 
 FIRST = worker_number("s-0")
 Story = Callable[[Stage, "Operator"], Awaitable[None]]
@@ -82,7 +83,7 @@
 def test_callers_that_say_nothing_delay_nobody_and_crowds_of_clients_take_no_descriptor_of_theirs(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr("beaconhinge.net.sockets.SPARE", 40)
+    monkeypatch.setattr("beaconhinge.net.sockets.RESERVED_DESCRIPTORS", 40)
 
     async def story(scene: Stage, operator: Operator) -> None:
         clients = [await scene.open() for _ in range(64)]
@@ -191,25 +192,25 @@
     from helpers import members, sends, started
 
     dispatcher = started(2)
-    out = dispatcher.handle(101.0, interface.Maintenance(100, True))
+    out = dispatcher.handle(101.0, interface.MaintenanceMode(100, True))
     assert not sends(out)
-    dispatcher.handle(101.0, interface.Maintenance(100, True))
+    dispatcher.handle(101.0, interface.MaintenanceMode(100, True))
     for how, changed in (
-        (interface.SNAPSHOT, members(2)),
-        (interface.CHANGES, [interface.Member(100, interface.GONE)]),
-        (interface.CHANGES, [interface.Member(100, started_at=102.0)]),
-        (interface.REMEMBERED, members(2)),
+        (UpdateKind.SNAPSHOT, members(2)),
+        (UpdateKind.CHANGES, [interface.MemberEntry(100, WorkerState.GONE)]),
+        (UpdateKind.CHANGES, [interface.MemberEntry(100, started_at=102.0)]),
+        (UpdateKind.BOOTSTRAP, members(2)),
     ):
-        dispatcher.handle(103.0, interface.Membership(how, 2, changed))
+        dispatcher.handle(103.0, interface.MembershipUpdate(how, 2, changed))
         assert {s.worker for n in range(20) for s in sends(dispatcher.handle(103.0, work(n)))} <= {101}
         for n in range(20):
-            dispatcher.handle(103.0, interface.ClientGone(n))
-            dispatcher.handle(103.0, interface.Outcome(n, 101, 0, interface.CANCELLED, True))
-    dispatcher.handle(104.0, interface.Maintenance(100, False))
+            dispatcher.handle(103.0, interface.ClientDisconnected(n))
+            dispatcher.handle(103.0, interface.AttemptEnded(n, 101, 0, AttemptOutcome.CANCELLED, True))
+    dispatcher.handle(104.0, interface.MaintenanceMode(100, False))
     back = dispatcher.workers[100]
     assert back.listed and back.started_at == 102.0 and dispatcher.cold(back)
-    dispatcher.handle(105.0, interface.Maintenance(101, True))
-    dispatcher.handle(106.0, interface.Maintenance(101, False))
+    dispatcher.handle(105.0, interface.MaintenanceMode(101, True))
+    dispatcher.handle(106.0, interface.MaintenanceMode(101, False))
     assert dispatcher.workers[101].slow_start_from == 106.0  # no list has told of a restart
     assert dispatcher.cold(dispatcher.workers[101])
 
@@ -218,12 +219,14 @@
     from helpers import started
 
     dispatcher = started(2, rules__drainRelease="1")
-    assert interface.Disconnect(100) in dispatcher.handle(101.0, interface.Maintenance(100, True))
+    assert interface.CloseIdleConnections(100) in dispatcher.handle(
+        101.0, interface.MaintenanceMode(100, True)
+    )
 
 
 def test_drain_sends_clients_away_and_resume_takes_them_back(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr("beaconhinge.net.listener.PART_AFTER", 0.05)
-    module = Scripted([interface.Send(1, FIRST)])
+    module = Scripted([interface.SendAttempt(1, FIRST)])
     monkeypatch.setattr("beaconhinge.__main__.Dispatcher", lambda settings, seed: module)
 
     async def story(scene: Stage, operator: Operator) -> None:
@@ -291,7 +294,7 @@
     with socket.socket() as taken:
         taken.bind(("127.0.0.1", 0))
         taken.listen()
-        with pytest.raises(Unavailable, match=r"mgmt: 127.0.0.1:\d+: "):
+        with pytest.raises(AddressUnavailable, match=r"mgmt: 127.0.0.1:\d+: "):
             tcp_listener(taken.getsockname(), "mgmt")
     path = tmp_path / "config.json"
     content = {**json.loads(json.dumps(_minimal())), "mgmt": "here"}
--- a/tests/management/test_upgrade.py
+++ b/tests/management/test_upgrade.py
@@ -107,7 +107,7 @@
 def test_jobs_of_the_old_process_end_there_and_call_backs_find_their_way(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    module = Scripted([interface.Send(1, FIRST)])
+    module = Scripted([interface.SendAttempt(1, FIRST)])
     module.take = lambda: {}  # type: ignore[attr-defined]
     monkeypatch.setattr("beaconhinge.__main__.Dispatcher", lambda settings, seed: module)
     monkeypatch.setattr("beaconhinge.management.handover.take", lambda module: {})
--- a/tests/progress/test_streams.py
+++ b/tests/progress/test_streams.py
@@ -15,15 +15,15 @@
 
 from beaconhinge import __main__ as program
 from beaconhinge.config import Limits
-from beaconhinge.config.local import Ours, Progress
+from beaconhinge.config.local import LocalConfig, Progress
 from beaconhinge.dispatch.request import Answer, Job
 from beaconhinge.net.http1 import Closed, Connection
 from beaconhinge.net.streams import Streams
 from beaconhinge.policy import interface
-from beaconhinge.runtime.metrics import Stats
-from beaconhinge.runtime.timer_wheel import Wheel
+from beaconhinge.runtime.metrics import Metrics
+from beaconhinge.runtime.timer_wheel import TimerWheel
 
-ON = Ours(progress=Progress(enabled=True, events_per_s=1000.0))
+ON = LocalConfig(progress=Progress(enabled=True, events_per_s=1000.0))
 Event = tuple[str, dict[str, Any], int]
 
 
@@ -137,7 +137,7 @@
 
 
 def test_a_refusal_before_the_job_is_admitted_is_the_plain_one(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(program, "Dispatcher", lambda *args: Scripted([interface.Refuse(1, 1.5)]))
+    monkeypatch.setattr(program, "Dispatcher", lambda *args: Scripted([interface.Reject(1, 1.5)]))
 
     async def story(scene: Stage) -> None:
         seen = await scene.ask(job(Accept="text/event-stream"))
@@ -148,7 +148,7 @@
 
 
 def test_a_refusal_after_the_stream_began_is_its_outcome(monkeypatch: pytest.MonkeyPatch) -> None:
-    module = Scripted([interface.Send(1, 0)], {interface.Outcome: [interface.Refuse(1, 0.75)]})
+    module = Scripted([interface.SendAttempt(1, 0)], {interface.AttemptEnded: [interface.Reject(1, 0.75)]})
     monkeypatch.setattr(program, "Dispatcher", lambda *args: module)
 
     async def story(scene: Stage) -> None:
@@ -181,7 +181,7 @@
 
 
 def test_limits_refuse_with_a_time_to_come_back() -> None:
-    limits = Ours(progress=Progress(enabled=True, max_streams=2, max_streams_tenant=1))
+    limits = LocalConfig(progress=Progress(enabled=True, max_streams=2, max_streams_tenant=1))
 
     async def story(scene: Stage) -> None:
         _, first, _ = await opened(scene, "r1")
@@ -239,7 +239,7 @@
     told(story)
 
 
-STAYS = Ours(progress=Progress(enabled=True, events_per_s=1000.0, detached_s=5.0))
+STAYS = LocalConfig(progress=Progress(enabled=True, events_per_s=1000.0, detached_s=5.0))
 
 
 async def back(
@@ -334,7 +334,7 @@
         _, late, _ = await back(scene, token, seen=1)
         assert [content["status"] for _, content, _ in await late.rest()] == [502]
 
-    play(story, ours=Ours(progress=Progress(enabled=True, detached_s=0.05)))
+    play(story, ours=LocalConfig(progress=Progress(enabled=True, detached_s=0.05)))
 
 
 def test_after_sigterm_a_detached_job_can_still_be_come_back_to() -> None:
@@ -358,7 +358,7 @@
         here.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
         here.setblocking(False)
         log = io.StringIO()
-        stats = Stats(lambda: 1.0, log)
+        stats = Metrics(lambda: 1.0, log)
         loop = asyncio.get_running_loop()
         left: list[bool] = []
 
@@ -387,7 +387,7 @@
             Progress(enabled=True, stalled_s=0.05),
             Sites(),
             All(),  # type: ignore[arg-type]
-            Wheel(loop.time, stats.failure),
+            TimerWheel(loop.time, stats.log_exception),
             stats,
         )
         connection = Connection(here, True, lambda: None)
--- a/tests/recovery/test_keys.py
+++ b/tests/recovery/test_keys.py
@@ -28,8 +28,8 @@
     Question,
     Reply,
 )
-from beaconhinge.runtime.metrics import Stats
-from beaconhinge.runtime.timer_wheel import Wheel
+from beaconhinge.runtime.metrics import Metrics
+from beaconhinge.runtime.timer_wheel import TimerWheel
 from beaconhinge.store import Put
 
 WINDOW = 60.0
@@ -324,7 +324,7 @@
             self.changes += changes
 
     async def story() -> list[object]:
-        disk, stats = Disk(), Stats(lambda: 100.0, writer=lambda event, fields: None)
+        disk, stats = Disk(), Metrics(lambda: 100.0, writer=lambda event, fields: None)
         settings = Settings.from_pairs(
             {
                 "requestClasses.count": "1",
@@ -336,7 +336,13 @@
         )
         config = SimpleNamespace(name="n0", settings=settings, keyed=lambda cls: True)
         wired = Keys(
-            config, disk, 10, 10, SimpleNamespace(talk={}), Wheel(lambda: 100.0, stats.failure), stats
+            config,
+            disk,
+            10,
+            10,
+            SimpleNamespace(talk={}),
+            TimerWheel(lambda: 100.0, stats.log_exception),
+            stats,
         )  # type: ignore[arg-type]
         first, second = (Job(name, 0, 0, 9.0, 100.0, b"/", b"", dedup_key="k") for name in ("a", "b"))
         assert (await wired.enter(first)).entered
--- a/tests/recovery/test_phases.py
+++ b/tests/recovery/test_phases.py
@@ -18,8 +18,8 @@
 from beaconhinge.recovery.incarnations import Hello, Lives
 from beaconhinge.recovery.stages import ASKING, LISTENING, MOST, NORMAL, READING, Return
 from beaconhinge.runtime.clock import Clock
-from beaconhinge.runtime.metrics import Stats
-from beaconhinge.runtime.timer_wheel import Wheel
+from beaconhinge.runtime.metrics import Metrics
+from beaconhinge.runtime.timer_wheel import TimerWheel
 from beaconhinge.standin.harness import Scene
 from beaconhinge.standin.ports import free_port
 
@@ -112,10 +112,14 @@
             busy -= 1
             done.append((request, worker))
 
-        stats = Stats(lambda: now[0], writer=lambda event, fields: None)
+        stats = Metrics(lambda: now[0], writer=lambda event, fields: None)
         workers: Any = SimpleNamespace(withdraw=withdraw)
         orphans = Orphans(
-            workers, Wheel(lambda: now[0], stats.failure), stats, 10.0, lambda request: request == "keyed"
+            workers,
+            TimerWheel(lambda: now[0], stats.log_exception),
+            stats,
+            10.0,
+            lambda request: request == "keyed",
         )
         for _ in range(2):
             for number in range(9):
@@ -193,7 +197,7 @@
 
 
 def test_a_word_of_the_operators_is_not_confirmed_before_it_is_on_the_disk() -> None:
-    from beaconhinge.net.operator_calls import Operators
+    from beaconhinge.net.operator_calls import OperatorCalls
     from beaconhinge.net.restart import ByHand
     from beaconhinge.store import Put, StoreError
 
@@ -214,13 +218,13 @@
 
     async def story() -> None:
         clock, logged = Clock(), []
-        stats = Stats(clock.now, writer=lambda event, fields: logged.append(event))
+        stats = Metrics(clock.now, writer=lambda event, fields: logged.append(event))
         core: Any = SimpleNamespace(stats=stats, feed=lambda event: None)
         config: Any = SimpleNamespace(name="n0", settings=SimpleNamespace(own_number=0))
         workers: Any = SimpleNamespace(lists=lambda host: True)
         disk: Any = Disk()
-        hands = ByHand(config, disk, Wheel(clock.now, stats.failure), stats)
-        operators = Operators(config, core, workers, SimpleNamespace(), SimpleNamespace())  # type: ignore[arg-type]
+        hands = ByHand(config, disk, TimerWheel(clock.now, stats.log_exception), stats)
+        operators = OperatorCalls(config, core, workers, SimpleNamespace(), SimpleNamespace())  # type: ignore[arg-type]
         hands.restore(operators.apply)
         assert operators.out == {"s-1"} and "hands_foreign" in logged  # another dispatcher's stays out of it
         operators.keep = hands.keep
--- a/tests/recovery/test_requests.py
+++ b/tests/recovery/test_requests.py
@@ -7,11 +7,11 @@
 
 import pytest
 
-from beaconhinge.dispatch.policy_runner import Core
-from beaconhinge.dispatch.request import Job, Known, Requests
+from beaconhinge.dispatch.policy_runner import PolicyRunner
+from beaconhinge.dispatch.request import Job, Known, RequestTable
 from beaconhinge.policy import Settings, interface
-from beaconhinge.runtime.metrics import Stats
-from beaconhinge.runtime.timer_wheel import Wheel
+from beaconhinge.runtime.metrics import Metrics
+from beaconhinge.runtime.timer_wheel import TimerWheel
 
 
 class Refusing:
@@ -22,7 +22,7 @@
 
     def handle(self, now: float, event: interface.Event) -> list[interface.Action]:
         self.heard.append(event)
-        return [interface.Refuse(event.request, 0.0)] if isinstance(event, interface.Job) else []
+        return [interface.Reject(event.request, 0.0)] if isinstance(event, interface.JobArrived) else []
 
 
 class Slow:
@@ -40,13 +40,15 @@
         self.ended.append(may_have_run)
 
 
-def taken(wait: Any, clock: list[float], remaining: float) -> tuple[list[interface.Job], list[bool], str]:
-    async def story() -> tuple[list[interface.Job], list[bool], str]:
+def taken(
+    wait: Any, clock: list[float], remaining: float
+) -> tuple[list[interface.JobArrived], list[bool], str]:
+    async def story() -> tuple[list[interface.JobArrived], list[bool], str]:
         module, told = Refusing(), []
-        stats = Stats(lambda: clock[0], writer=lambda event, fields: told.append(event))
-        wheel = Wheel(lambda: clock[0], stats.failure)
-        requests = Requests(
-            Core(module, wheel, stats),
+        stats = Metrics(lambda: clock[0], writer=lambda event, fields: told.append(event))
+        wheel = TimerWheel(lambda: clock[0], stats.log_exception)
+        requests = RequestTable(
+            PolicyRunner(module, wheel, stats),
             None,
             wheel,
             stats,
@@ -63,7 +65,7 @@
         job = Job("a", 0, 0, remaining, clock[0], b"/publish", b"", dedup_key="k")
         answer = await asyncio.wait_for(requests.take(job).answer, 5)
         await asyncio.sleep(0)
-        return [e for e in module.heard if isinstance(e, interface.Job)], book.ended, answer.end
+        return [e for e in module.heard if isinstance(e, interface.JobArrived)], book.ended, answer.end
 
     return asyncio.run(story())
 
@@ -77,7 +79,7 @@
         clock[0] += passed
 
     jobs, ended, end = taken(wait, clock, 1.0)
-    assert len(jobs) == 1 and jobs[0].remaining == pytest.approx(left) and not jobs[0].doubted
+    assert len(jobs) == 1 and jobs[0].remaining == pytest.approx(left) and not jobs[0].may_run_elsewhere
     assert ended == [False] and end == "refused"
 
 
@@ -89,5 +91,5 @@
         await asyncio.Event().wait()
 
     jobs, ended, end = taken(wait, clock, 1.0)
-    assert len(jobs) == 1 and jobs[0].doubted and jobs[0].remaining == pytest.approx(0.4)
+    assert len(jobs) == 1 and jobs[0].may_run_elsewhere and jobs[0].remaining == pytest.approx(0.4)
     assert ended == [] and end == "refused"
--- a/tests/recovery/test_stall.py
+++ b/tests/recovery/test_stall.py
@@ -11,8 +11,9 @@
 from beaconhinge.gossip import codec
 from beaconhinge.gossip.aggregation import Fleet
 from beaconhinge.policy import Dispatcher, Settings, interface
+from beaconhinge.policy.interface import AttemptOutcome, UpdateKind
 from beaconhinge.recovery.stall import EXCUSED, StallWatch
-from beaconhinge.runtime.timer_wheel import Wheel
+from beaconhinge.runtime.timer_wheel import TimerWheel
 
 SPANS = st.lists(st.floats(0.0, 30.0, allow_nan=False), min_size=1, max_size=8)
 
@@ -36,7 +37,16 @@
     SPANS,
     st.floats(0.3, 5.0),
     st.integers(0, 8),
-    st.sampled_from(sorted({*EXCUSED, interface.SERVED, interface.ERROR, interface.FULL})),
+    st.sampled_from(
+        sorted(
+            {
+                *EXCUSED,
+                AttemptOutcome.SERVED,
+                AttemptOutcome.SERVER_ERROR,
+                AttemptOutcome.REJECTED,
+            }
+        )
+    ),
 )
 def test_own_time_and_blame_leave_out_what_the_process_slept_through(
     spans: list[float], after: float, since: int, outcome: str
@@ -58,12 +68,12 @@
 def test_timers_wait_for_the_sockets_after_a_stall_and_no_new_one_shortens_that() -> None:
     async def story() -> list[str]:
         loop, fired, failures = asyncio.get_running_loop(), [], []
-        wheel = Wheel(loop.time, lambda where, error: failures.append(where))
+        wheel = TimerWheel(loop.time, lambda where, error: failures.append(where))
         held = [0.05, 0.0]
-        wheel.held_for = lambda: held.pop(0) if held else 0.0
+        wheel.postponed_for = lambda: held.pop(0) if held else 0.0
         done = asyncio.Event()
         wheel.after(0.0, lambda: fired.append("due"))
-        wheel.turn()  # after the stall: held
+        wheel.fire_due()  # after the stall: held
         assert not fired
         wheel.after(0.0, lambda: (fired.append("newer"), done.set()))
         loop.call_soon(lambda: fired.append("socket"))
@@ -90,7 +100,10 @@
     )
     made.handle(100.0, interface.Start())
     made.handle(
-        100.0, interface.Membership(interface.REMEMBERED, 1, [interface.Member(worker=n) for n in range(4)])
+        100.0,
+        interface.MembershipUpdate(
+            UpdateKind.BOOTSTRAP, 1, [interface.MemberEntry(worker=n) for n in range(4)]
+        ),
     )
     return made
 
@@ -98,11 +111,11 @@
 def test_boxes_are_not_silent_for_the_time_in_which_nobody_listened() -> None:
     slept, awake = dispatcher(1), dispatcher(1)
     for module in (slept, awake):
-        module.handle(100.1, interface.Job(request=1, cls=0, tenant=0, remaining=7.5))
+        module.handle(100.1, interface.JobArrived(request=1, class_index=0, tenant=0, remaining=7.5))
         sent = next(iter(module.requests.values())).attempts[0].worker
         module.job_time = 0.2
         if module is slept:
-            module.handle(106.0, interface.Stalled(5.8))
+            module.handle(106.0, interface.ProcessStalled(5.8))
         module.now = 106.0
         assert module.silent(sent) == (module is awake)
 
@@ -122,4 +135,4 @@
 
 def test_an_upgrade_of_nothing_else_follows_from_a_stall() -> None:
     """It decides nothing by itself: no send, no refusal, no call."""
-    assert dispatcher(5).handle(104.0, interface.Stalled(3.0)) == []
+    assert dispatcher(5).handle(104.0, interface.ProcessStalled(3.0)) == []
--- a/tests/stage.py
+++ b/tests/stage.py
@@ -18,7 +18,7 @@
 
 from beaconhinge.__main__ import serve
 from beaconhinge.config import Config, parse
-from beaconhinge.config.local import Ours
+from beaconhinge.config.local import LocalConfig
 from beaconhinge.policy import interface
 from beaconhinge.standin.ports import free_port as free_port
 
@@ -139,7 +139,7 @@
 
 class Stage:
     def __init__(
-        self, worker: Script, workers: int, changes: dict[str, Any], ours: Ours | None = None
+        self, worker: Script, workers: int, changes: dict[str, Any], ours: LocalConfig | None = None
     ) -> None:
         self.ours = ours
         self.workers = [Peer(worker) for _ in range(workers)]
@@ -245,7 +245,7 @@
     worker: Script,
     workers: int,
     changes: dict[str, Any],
-    ours: Ours | None = None,
+    ours: LocalConfig | None = None,
     shared: Path | None = None,
     before: Callable[[int], object] = id,
 ) -> AsyncIterator[Stage]:
@@ -268,7 +268,7 @@
     story: Callable[[Stage], Awaitable[None]],
     worker: Script = accept,
     workers: int = 1,
-    ours: Ours | None = None,
+    ours: LocalConfig | None = None,
     shared: Path | None = None,
     **changes: Any,
 ) -> None:
@@ -287,13 +287,15 @@
     def __init__(
         self, on_job: list[interface.Action], then: dict[type, list[interface.Action]] | None = None
     ) -> None:
-        self.on = {interface.Job: on_job, **(then or {})}
+        self.on = {interface.JobArrived: on_job, **(then or {})}
         self.events: asyncio.Queue[Any] = asyncio.Queue()
 
     def handle(self, _now: float, event: interface.Event) -> list[interface.Action]:
-        if not isinstance(event, (interface.Start, interface.Membership)):
+        if not isinstance(event, (interface.Start, interface.MembershipUpdate)):
             self.events.put_nowait(event)
-        return self.on.pop(type(event), [interface.Subscribe()] if isinstance(event, interface.Start) else [])
+        return self.on.pop(
+            type(event), [interface.SubscribeMembership()] if isinstance(event, interface.Start) else []
+        )
 
 
 def scripted(
--- a/tests/test_asking.py
+++ b/tests/test_asking.py
@@ -8,6 +8,7 @@
 from beaconhinge.gossip.aggregation import Reported, Spent
 from beaconhinge.policy import interface
 from beaconhinge.policy.dispatcher import ASKED, TICK, Dispatcher
+from beaconhinge.policy.interface import AttemptOutcome
 
 ALONE = {
     "groupSize": "6",
@@ -19,14 +20,15 @@
 
 
 def asked(actions: list[interface.Action]) -> list[int]:
-    return [a.worker for a in actions if isinstance(a, interface.Probe)]
+    return [a.worker for a in actions if isinstance(a, interface.ProbeWorker)]
 
 
 def told(
     dispatcher: Dispatcher, now: float, worker: int, free: float, depth: float = 0.0
 ) -> list[interface.Action]:
     return dispatcher.handle(
-        now, interface.ProbeResult(worker, interface.SERVED, 0.001, {"x0": free, "depth": depth})
+        now,
+        interface.ProbeResult(worker, AttemptOutcome.SERVED, 0.001, {"x0": free, "depth": depth}),
     )
 
 
@@ -46,7 +48,7 @@
     dispatcher = started(20, **ALONE)
     workers = asked(dispatcher.handle(101.0, job(1)))
     assert not sends(told(dispatcher, 101.002, workers[0], free=3.0))
-    assert [s.worker for s in sends(dispatcher.handle(101.1, interface.Timer(TICK)))] == [workers[0]]
+    assert [s.worker for s in sends(dispatcher.handle(101.1, interface.TimerFired(TICK)))] == [workers[0]]
     assert asked(dispatcher.handle(101.2, job(2)))  # and the next one is asked for anew
     late = [told(dispatcher, 101.25, worker, free=0.0) for worker in workers[1:]]
     assert all(len(sends(actions)) <= 1 for actions in late)
@@ -68,8 +70,8 @@
     ends = [
         a
         for at in range(25)
-        for a in dispatcher.handle(101.0 + at / 10, interface.Timer(TICK))
-        if isinstance(a, (interface.Refuse, interface.Abort))
+        for a in dispatcher.handle(101.0 + at / 10, interface.TimerFired(TICK))
+        if isinstance(a, (interface.Reject, interface.Fail))
     ]
     assert len(ends) == 1
 
@@ -89,7 +91,7 @@
     dispatcher = started(4, groupSize="1")
     dispatcher.job_time = 0.5
     [send] = sends(dispatcher.handle(101.0, job(1)))
-    dispatcher.handle(103.0, outcome(1, send.worker, interface.CANCELLED))
+    dispatcher.handle(103.0, outcome(1, send.worker, AttemptOutcome.CANCELLED))
     assert dispatcher.workers[send.worker].fail > 0
 
 
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -21,9 +21,10 @@
 
 from beaconhinge.membership.inventory import worker_number
 from beaconhinge.net.http1 import Connection
-from beaconhinge.net.listener import Frontend
+from beaconhinge.net.listener import Listener
 from beaconhinge.net.sockets import connect
 from beaconhinge.policy import interface
+from beaconhinge.policy.interface import AttemptOutcome
 
 ROOT = Path(__file__).resolve().parent.parent
 FIRST, SECOND = worker_number("s-0"), worker_number("s-1")
@@ -76,7 +77,7 @@
 ) -> None:
     """Its dial came up after the client had gone, and brought the whole job."""
     module, dialled, dropped = (
-        scripted(monkeypatch, interface.Send(1, FIRST)),
+        scripted(monkeypatch, interface.SendAttempt(1, FIRST)),
         asyncio.Event(),
         asyncio.Event(),
     )
@@ -101,9 +102,9 @@
             sock.sendall(b"POST /render HT")
         sock.close()
         async with asyncio.timeout(0.1):
-            ended = await event(module, interface.Outcome)
+            ended = await event(module, interface.AttemptEnded)
             await dropped.wait()
-        assert (ended.outcome, ended.settled) == (interface.NOT_SENT, True)
+        assert (ended.outcome, ended.settled) == (AttemptOutcome.NOT_SENT, True)
         assert scene.workers[0].connections == 0
 
     limits = {"connectTimeout": 5.0, "cancel": True, "idleClose": 5.0, "peers": True}
@@ -115,7 +116,7 @@
     monkeypatch: pytest.MonkeyPatch, gone: bool
 ) -> None:
     """The client's end lies unread: the first byte would be written before the task that reads it has run."""
-    module, clients = scripted(monkeypatch, interface.Send(1, FIRST)), list[socket.socket]()
+    module, clients = scripted(monkeypatch, interface.SendAttempt(1, FIRST)), list[socket.socket]()
 
     async def up(address: tuple[str, int]) -> socket.socket:
         sock = await connect(address)
@@ -129,18 +130,18 @@
         clients.append(client(scene))
         clients[0].sendall(job())
         if gone:
-            assert (await event(module, interface.Outcome)).outcome == interface.NOT_SENT
+            assert (await event(module, interface.AttemptEnded)).outcome == AttemptOutcome.NOT_SENT
             assert scene.workers[0].seen.empty()
-            module.on[interface.Job] = [interface.Send(2, FIRST)]
+            module.on[interface.JobArrived] = [interface.SendAttempt(2, FIRST)]
             asked = asyncio.create_task(scene.post(X_Request_ID="r2"))
             assert (await scene.workers[0].seen.get()).headers["x-request-id"] == "r2"
             asked.cancel()
         else:
             await scene.workers[0].seen.get()
             clients[0].close()  # after its first byte: the attempt keeps its outcome
-            await event(module, interface.ClientGone)
+            await event(module, interface.ClientDisconnected)
             await scene.news(state="done", result="unread")
-            assert (await event(module, interface.Outcome)).outcome == interface.SERVED
+            assert (await event(module, interface.AttemptEnded)).outcome == AttemptOutcome.SERVED
         assert scene.workers[0].connections == 1
 
     play(story)
@@ -150,7 +151,7 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     module, dialled = (
-        scripted(monkeypatch, interface.Send(1, FIRST), interface.Send(1, SECOND)),
+        scripted(monkeypatch, interface.SendAttempt(1, FIRST), interface.SendAttempt(1, SECOND)),
         asyncio.Event(),
     )
 
@@ -167,8 +168,10 @@
         await dialled.wait()
         await scene.news(state="done", result="first")
         assert (await asked).body == b"first"
-        ended = {(found := await event(module, interface.Outcome)).worker: found.outcome for _ in range(2)}
-        assert ended == {FIRST: interface.SERVED, SECOND: interface.NOT_SENT}
+        ended = {
+            (found := await event(module, interface.AttemptEnded)).worker: found.outcome for _ in range(2)
+        }
+        assert ended == {FIRST: AttemptOutcome.SERVED, SECOND: AttemptOutcome.NOT_SENT}
         assert scene.workers[1].connections == 0
 
     play(story, workers=2)
@@ -221,7 +224,7 @@
         await asyncio.sleep(0.05)
         assert sock.recv(4096).startswith(b"HTTP/1.1 200")
         if first == "request":
-            before(monkeypatch, Frontend, "_close_idle_clients", lambda: sock.sendall(job()))
+            before(monkeypatch, Listener, "_close_idle_clients", lambda: sock.sendall(job()))
         else:
             after(monkeypatch, Connection, "end", lambda _: sock.sendall(job()))
         await scene.stop()
@@ -250,7 +253,7 @@
         await asyncio.sleep(0.7)  # clients are refused by now
         sock = client(scene)
         await asyncio.sleep(0.05)
-        after(monkeypatch, Frontend, "_see_off", lambda _: sock.sendall(job(X_Request_ID="r2")))
+        after(monkeypatch, Listener, "_see_off", lambda _: sock.sendall(job(X_Request_ID="r2")))
         await scene.news(state="done", result="kept")
         assert (await asked).body == b"kept"
         assert await answer_to(sock) == b""
@@ -266,7 +269,7 @@
 
     async def story(scene: Stage) -> None:
         late = list[socket.socket]()
-        before(monkeypatch, Frontend, "_stop_listening", lambda: late.append(client(scene)))
+        before(monkeypatch, Listener, "_stop_listening", lambda: late.append(client(scene)))
         await scene.stop()
         while not late:
             await asyncio.sleep(0.005)
@@ -303,7 +306,7 @@
     async def story(scene: Stage) -> None:
         crowd = [client(scene) for _ in range(29)]  # 64 descriptors leave 30 to clients
         await asyncio.sleep(0.2)  # none of them is fresh any more
-        before(monkeypatch, Frontend, "_close_one", lambda: crowd[0].sendall(job(X_Timeout_Ms="300")))
+        before(monkeypatch, Listener, "_close_one", lambda: crowd[0].sendall(job(X_Timeout_Ms="300")))
         newcomer = asyncio.create_task(scene.post("/render", X_Request_ID="r2", X_Timeout_Ms="300"))
         got = await answer_to(crowd[1])  # the next one had to go
         assert got == b""
@@ -392,7 +395,9 @@
             return reply(404)
         return reply(202)
 
-    module = scripted(monkeypatch, interface.Send(1, FIRST), ClientGone=[interface.Cancel(1, 0)])
+    module = scripted(
+        monkeypatch, interface.SendAttempt(1, FIRST), ClientDisconnected=[interface.CancelAttempt(1, 0)]
+    )
 
     async def story(scene: Stage) -> None:
         sock = client(scene)
@@ -400,7 +405,7 @@
         seen = scene.workers[0].seen
         assert (await seen.get()).start.startswith("POST")
         await scene.news(state="started")
-        await event(module, interface.Notice)
+        await event(module, interface.ProgressNotice)
         if first == "the result":
             assert (await scene.news(**told)).status == 204
             sock.close()
@@ -409,18 +414,22 @@
             assert (await seen.get()).start == "DELETE /jobs/r1 HTTP/1.1"
             assert (await scene.news(**told)).status == 204
             gate.set()
-        outcome = await event(module, interface.Outcome)
-        given = {"done": interface.SERVED, "returned": interface.FULL, "lost": interface.RESET}[told["state"]]
-        assert outcome.outcome == (given if first == "the result" else interface.CANCELLED)
-        module.on[interface.Job] = [
-            interface.Send(2, FIRST)
+        outcome = await event(module, interface.AttemptEnded)
+        given = {
+            "done": AttemptOutcome.SERVED,
+            "returned": AttemptOutcome.REJECTED,
+            "lost": AttemptOutcome.CONNECTION_LOST,
+        }[told["state"]]
+        assert outcome.outcome == (given if first == "the result" else AttemptOutcome.CANCELLED)
+        module.on[interface.JobArrived] = [
+            interface.SendAttempt(2, FIRST)
         ]  # the next job of that name has nothing of the first
         again = asyncio.create_task(scene.post())
         assert (await seen.get()).start.startswith("POST")
         await scene.news(state="done", result="new")
         assert (await again).body == b"new"
         left = [module.events.get_nowait() for _ in range(module.events.qsize())]
-        assert [e.request for e in left if isinstance(e, interface.Outcome)] == [2]
+        assert [e.request for e in left if isinstance(e, interface.AttemptEnded)] == [2]
 
     play(story, worker)
 
@@ -515,7 +524,7 @@
     code: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """The first failure counted as the end of the queue, and closing the listener reset all who waited there."""
-    listeners, frontends = list[FailingListener](), list[Frontend]()
+    listeners, frontends = list[FailingListener](), list[Listener]()
 
     def listening(address: tuple[str, int], *_more: object) -> socket.socket:
         listener = FailingListener(socket.AF_INET, socket.SOCK_STREAM)
@@ -528,7 +537,7 @@
         return listener
 
     monkeypatch.setattr("beaconhinge.net.listener.tcp_listener", listening)
-    after(monkeypatch, Frontend, "listen", frontends.append)
+    after(monkeypatch, Listener, "listen", frontends.append)
 
     async def story(scene: Stage) -> None:
         waiting = [client(scene), client(scene)]
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -17,6 +17,7 @@
 from beaconhinge.net.discovery import Discovery
 from beaconhinge.net.sockets import connect
 from beaconhinge.policy import interface
+from beaconhinge.policy.interface import AttemptOutcome, UpdateKind, WorkerState
 
 
 def test_a_list_of_version_0_is_watched_and_not_asked_for_again_and_again() -> None:
@@ -91,7 +92,7 @@
 def test_an_entry_turns_into_a_member_with_a_number_of_32_bits() -> None:
     [host] = Inventory(["a", "b"], ["k"]).read({"version": 4, "full": True, "servers": [HOST]}).hosts
     assert host.address == ("127.0.0.1", 9)
-    assert host.member == interface.Member(worker_number("s-1"), interface.UP, 0, 3, 1, 1.0, 1.5)
+    assert host.member == interface.MemberEntry(worker_number("s-1"), WorkerState.READY, 0, 3, 1, 1.0, 1.5)
     assert 0 <= host.member.worker < 2**32
 
 
@@ -298,7 +299,7 @@
     news: dict[str, object], monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """A connection was made to where the configured list had the worker; where it failed the worker was blamed."""
-    told, module = asyncio.Event(), scripted(monkeypatch, interface.Send(1, worker_number("s-0")))
+    told, module = asyncio.Event(), scripted(monkeypatch, interface.SendAttempt(1, worker_number("s-0")))
 
     async def script(scene: Stage, message: Seen) -> bytes | None:
         await told.wait()
@@ -308,10 +309,10 @@
 
     async def story(scene: Stage) -> None:
         asked = asyncio.create_task(scene.post())
-        await event(module, interface.Job)
+        await event(module, interface.JobArrived)
         told.set()
-        outcome = await event(module, interface.Outcome)
-        assert outcome.outcome == interface.NOT_SENT
+        outcome = await event(module, interface.AttemptEnded)
+        assert outcome.outcome == AttemptOutcome.NOT_SENT
         assert scene.workers[0].connections == 0
         asked.cancel()
 
@@ -533,8 +534,8 @@
     from helpers import members, started
 
     one, other = started(0), started(0)
-    one.handle(101.0, interface.Membership(interface.SNAPSHOT, 7, members(9)))
-    other.handle(101.0, interface.Membership(interface.SNAPSHOT, 7, members(9)[::-1]))
+    one.handle(101.0, interface.MembershipUpdate(UpdateKind.SNAPSHOT, 7, members(9)))
+    other.handle(101.0, interface.MembershipUpdate(UpdateKind.SNAPSHOT, 7, members(9)[::-1]))
     assert {w.id for w in one.pool[-1]} == {w.id for w in other.pool[-1]} == {m.worker for m in members(9)}
-    one.handle(102.0, interface.Membership(interface.SNAPSHOT, 3, members(2)))
+    one.handle(102.0, interface.MembershipUpdate(UpdateKind.SNAPSHOT, 3, members(2)))
     assert {w.id for w in one.pool[-1]} == {m.worker for m in members(2)}
--- a/tests/test_guard.py
+++ b/tests/test_guard.py
@@ -8,9 +8,9 @@
 import pytest
 
 from beaconhinge.dispatch.send_guard import Refusal, SendState, refusal
-from beaconhinge.policy.interface import DRAINING, GONE, UP, Member
+from beaconhinge.policy.interface import MemberEntry, WorkerState
 
-WORKER = Member(7, UP, started_at=50.0)
+WORKER = MemberEntry(7, WorkerState.READY, started_at=50.0)
 ALLOWED = SendState(
     list_usable=True,
     chosen=WORKER,
@@ -32,8 +32,8 @@
     (Refusal.CLIENT_GONE, {"wanted": False}),
     (Refusal.OUT_OF_TIME, {"time_left": 0.0}),
     (Refusal.WORKER_REMOVED, {"listed": None}),
-    (Refusal.WORKER_DRAINING, {"listed": replace(WORKER, status=DRAINING)}),
-    (Refusal.WORKER_DRAINING, {"listed": replace(WORKER, status=GONE)}),
+    (Refusal.WORKER_DRAINING, {"listed": replace(WORKER, state=WorkerState.DRAINING)}),
+    (Refusal.WORKER_DRAINING, {"listed": replace(WORKER, state=WorkerState.GONE)}),
     (Refusal.WORKER_REPLACED, {"listed": replace(WORKER, started_at=60.0)}),
     (Refusal.WORKER_REPLACED, {"same_address": False}),
     (Refusal.OUT_BY_HAND, {"out_by_hand": True}),
--- a/tests/test_hints.py
+++ b/tests/test_hints.py
@@ -11,7 +11,7 @@
 
 from beaconhinge.dispatch.work_estimates import FEW, SPREAD, Hints
 from beaconhinge.policy import interface
-from beaconhinge.runtime.metrics import Stats
+from beaconhinge.runtime.metrics import Metrics
 
 
 def test_a_deployment_without_hints_and_an_odd_client_in_one_get_none() -> None:
@@ -65,20 +65,20 @@
 
 def test_the_module_has_the_clients_guess_and_a_bad_one_costs_no_job(monkeypatch: pytest.MonkeyPatch) -> None:
     """Without its reading `size_hint` stays 0, and every class is taken for one that costs the mean."""
-    module, counted, count = scripted(monkeypatch), Counter[str](), Stats.count
+    module, counted, count = scripted(monkeypatch), Counter[str](), Metrics.count
 
-    def counting(stats: Stats, name: str, by: int = 1) -> None:
+    def counting(stats: Metrics, name: str, by: int = 1) -> None:
         counted[name] += by
         count(stats, name, by)
 
-    monkeypatch.setattr(Stats, "count", counting)
+    monkeypatch.setattr(Metrics, "count", counting)
 
     async def story(scene: Stage) -> None:
         seen = []
         for number, cost in enumerate(("250000", "500000.5", None, "a lot", "-1", "nan", "9" * 32)):
             _, client = await scene.open()
             client.write(job(X_Request_ID=f"r{number}", X_Cost=cost))
-            seen.append((await event(module, interface.Job)).size_hint)
+            seen.append((await event(module, interface.JobArrived)).size_hint)
         assert seen[:2] == [0.25, 0.5000005]
         assert all(0.25 <= work <= 0.51 for work in seen[2:6])  # the mean in place of what cannot be read
         assert seen[6] <= 5.0  # seconds that the client waits
--- a/tests/test_large_fleet.py
+++ b/tests/test_large_fleet.py
@@ -7,6 +7,7 @@
 from beaconhinge.gossip import codec
 from beaconhinge.gossip.aggregation import Fleet
 from beaconhinge.policy import interface
+from beaconhinge.policy.interface import UpdateKind
 from beaconhinge.standin.fleet.plan import LONG_JOBS, SCRIPTS, Plan, Site
 from beaconhinge.standin.fleet.result import result
 from beaconhinge.standin.fleet.world import World
@@ -135,8 +136,8 @@
     from helpers import job, sends, started
 
     dispatcher = started(0)
-    many = [interface.Member(n, cell=n % 6, zone=n % 2) for n in range(3000)]
-    dispatcher.handle(101.0, interface.Membership(interface.SNAPSHOT, 2, many))
+    many = [interface.MemberEntry(n, cell=n % 6, zone=n % 2) for n in range(3000)]
+    dispatcher.handle(101.0, interface.MembershipUpdate(UpdateKind.SNAPSHOT, 2, many))
     assert len({s.worker for n in range(200) for s in sends(dispatcher.handle(101.0, job(n)))}) > 150
 
 
--- a/tests/test_large_groups.py
+++ b/tests/test_large_groups.py
@@ -12,6 +12,7 @@
 from beaconhinge.policy import dispatcher as policy
 from beaconhinge.policy import interface
 from beaconhinge.policy.dispatcher import Dispatcher
+from beaconhinge.policy.interface import RETRY_FLAG, AttemptOutcome, UpdateKind
 
 
 def member(size: int, number: int = 0, workers: int = 4, **changes: str) -> Dispatcher:
@@ -39,16 +40,18 @@
             for number, dispatcher in enumerate(self.members):
                 if number in self.silent:
                     continue
-                dispatcher.handle(self.now, interface.Timer(policy.TICK))
+                dispatcher.handle(self.now, interface.TimerFired(policy.TICK))
                 if self.random.random() < rate * 0.1:
                     self.jobs += 1
                     for send in self.carry(number, dispatcher.handle(self.now, job(self.jobs))):
                         self.carry(
                             number,
-                            dispatcher.handle(self.now, outcome(send.request, send.worker, interface.SERVED)),
+                            dispatcher.handle(
+                                self.now, outcome(send.request, send.worker, AttemptOutcome.SERVED)
+                            ),
                         )
                 if self.now >= self.report_at[number]:
-                    actions = dispatcher.handle(self.now, interface.Timer(policy.REPORT))
+                    actions = dispatcher.handle(self.now, interface.TimerFired(policy.REPORT))
                     timers = [
                         a.after
                         for a in actions
@@ -57,9 +60,9 @@
                     self.report_at[number] = self.now + timers[0]
                     self.carry(number, actions)
 
-    def carry(self, sender: int, actions: list[interface.Action]) -> list[interface.Send]:
+    def carry(self, sender: int, actions: list[interface.Action]) -> list[interface.SendAttempt]:
         for action in actions:
-            if isinstance(action, interface.Tell):
+            if isinstance(action, interface.SendToPeer):
                 to = range(len(self.members)) if action.peer < 0 else [action.peer]
                 for peer in to:
                     if peer == sender or peer in self.silent:
@@ -135,7 +138,10 @@
     group = [member(size, number, workers=0) for number in range(size)]
     sent: list[tuple[float, float]] = []
     for dispatcher in group:
-        dispatcher.handle(now, interface.Membership(interface.SNAPSHOT, 2, members(1, started_at=now - age)))
+        dispatcher.handle(
+            now,
+            interface.MembershipUpdate(UpdateKind.SNAPSHOT, 2, members(1, started_at=now - age)),
+        )
         dispatcher.workers[100].limit = slots
         dispatcher.pace = 1.0
         dispatcher.mean_work = hint
@@ -144,33 +150,35 @@
             number = 1000 * step + 1
             for send in sends(dispatcher.handle(now, job(number, size_hint=hint))):
                 sent.append((now, hint))
-                dispatcher.handle(now, outcome(send.request, send.worker, interface.SERVED))
+                dispatcher.handle(now, outcome(send.request, send.worker, AttemptOutcome.SERVED))
             if number in dispatcher.requests:
-                dispatcher.handle(now, interface.ClientGone(number))
+                dispatcher.handle(now, interface.ClientDisconnected(number))
         now += 0.1
     given = group[0].settings
     for start, _ in sent:
         ramp = (
-            given.cold_share
-            + (1 - given.cold_share) * (start + given.tip_after - 100.0 + age) / given.warm_within
+            given.slow_start_min_share
+            + (1 - given.slow_start_min_share)
+            * (start + given.overload_window_s - 100.0 + age)
+            / given.slow_start_s
         )
-        window = sum(load for at, load in sent if start <= at < start + given.tip_after)
-        assert window <= given.fall_multiple * ramp * slots * given.tip_after
+        window = sum(load for at, load in sent if start <= at < start + given.overload_window_s)
+        assert window <= given.overload_multiple * ramp * slots * given.overload_window_s
     assert len(sent) >= 2
 
 
 def test_slow_handshakes_leave_open_connections_in_use() -> None:
     dispatcher = member(150, workers=2)
     first = sends(dispatcher.handle(100.0, job(1)))[0].worker
-    dispatcher.handle(100.1, outcome(1, first, interface.SERVED))
+    dispatcher.handle(100.1, outcome(1, first, AttemptOutcome.SERVED))
     for n, worker in enumerate(dispatcher.workers.values(), 2):  # a further, new connection to each fails
         request = n
         dispatcher.workers[200 - worker.id + 1].benched_until = 200.0
         worker.benched_until, open_ones, worker.idle = 0.0, worker.idle, []
         assert sends(dispatcher.handle(100.2, job(request)))[0].worker == worker.id
         worker.idle = open_ones
-        dispatcher.handle(100.2, interface.ClientGone(request))
-        dispatcher.handle(100.26, outcome(request, worker.id, interface.NO_CONNECTION))
+        dispatcher.handle(100.2, interface.ClientDisconnected(request))
+        dispatcher.handle(100.26, outcome(request, worker.id, AttemptOutcome.NO_CONNECTION))
     for worker in dispatcher.workers.values():
         worker.benched_until = 0.0
     assert sends(dispatcher.handle(100.3, job(9)))[0].worker == first
@@ -181,16 +189,16 @@
     dispatcher = member(150)
     dispatcher.job_time = 1.0
     worker = sends(dispatcher.handle(100.0, job(1, 2, remaining=0.4)))[0].worker
-    dispatcher.handle(100.4, outcome(1, worker, interface.TIMEOUT))
+    dispatcher.handle(100.4, outcome(1, worker, AttemptOutcome.TIMEOUT))
     assert dispatcher.workers[worker].fail == 0.0
 
 
-@pytest.mark.parametrize("flags, refused", [(0, False), (interface.REPEAT, True)])
+@pytest.mark.parametrize("flags, refused", [(0, False), (RETRY_FLAG, True)])
 def test_less_time_left_is_a_repeat_only_by_its_mark_where_clients_mark(flags: int, refused: bool) -> None:
     dispatcher = member(2, clients__marksRetry="true")
     dispatcher.handle(100.0, job(1, 2))
     actions = dispatcher.handle(100.1, job(2, 2, remaining=0.8, flags=flags))
-    assert any(isinstance(a, interface.Refuse) for a in actions) == refused
+    assert any(isinstance(a, interface.Reject) for a in actions) == refused
 
 
 TELLS = {"familyInfo__tellsStart": "true", "policyLimits__mayDuplicate": "true"}
@@ -207,13 +215,13 @@
         news = codec.encode_news(codec.News(5, 1 + step, signs))
         for event in (
             interface.PeerMessage(1, news),
-            interface.Timer(policy.TICK),
-            interface.Timer(17),
-            interface.Timer(18),
+            interface.TimerFired(policy.TICK),
+            interface.TimerFired(17),
+            interface.TimerFired(18),
         ):
             assert not sends(dispatcher.handle(100.0 + step / 10, event))
     assert [len(r.attempts) for r in dispatcher.requests.values()] == [1, 1]
-    later = [dispatcher.handle(103.0 + step / 10, interface.Timer(policy.TICK)) for step in range(20)]
+    later = [dispatcher.handle(103.0 + step / 10, interface.TimerFired(policy.TICK)) for step in range(20)]
     assert any(sends(actions) for actions in later)  # from a worker that has fallen silent they are fetched
 
 
@@ -229,7 +237,7 @@
 def test_a_small_clump_of_a_tenant_within_its_quota_is_not_over_it() -> None:
     dispatcher = member(150, orgs__count="1", orgs__0__quotaRps="30", orgs__0__share="1")
     for step in range(200):  # twenty seconds without a job fill the quota's bucket
-        dispatcher.handle(100.0 + step * 0.1, interface.Timer(policy.TICK))
+        dispatcher.handle(100.0 + step * 0.1, interface.TimerFired(policy.TICK))
     for n in range(1, 5):
         dispatcher.handle(120.0, job(n))
     assert [dispatcher.requests[n].over for n in range(1, 5)] == [False] * 4
@@ -240,15 +248,15 @@
     times = []
     for dispatcher in group:
         if refused:
-            dispatcher.handle(100.0, interface.Membership(interface.REFUSED))
+            dispatcher.handle(100.0, interface.MembershipUpdate(UpdateKind.REFUSED))
         for step in range(int(seconds * 10)):
             now = 100.0 + step / 10
             if any(
-                isinstance(a, interface.Subscribe)
-                for a in dispatcher.handle(now, interface.Timer(policy.TICK))
+                isinstance(a, interface.SubscribeMembership)
+                for a in dispatcher.handle(now, interface.TimerFired(policy.TICK))
             ):
                 times.append(now)
-                dispatcher.handle(now, interface.Membership(interface.CHANGES, 1))
+                dispatcher.handle(now, interface.MembershipUpdate(UpdateKind.CHANGES, 1))
     return sorted(times)
 
 
@@ -265,13 +273,16 @@
 def test_a_refused_call_is_repeated_ever_later_but_in_time_for_the_rule() -> None:
     dispatcher, now, waits = member(40, membershipMode="on_request"), 100.0, []
     for _ in range(60):
-        dispatcher.handle(now, interface.Membership(interface.REFUSED))
+        dispatcher.handle(now, interface.MembershipUpdate(UpdateKind.REFUSED))
         waits.append(dispatcher.ask_at - now)
         now = dispatcher.ask_at
         assert any(
-            isinstance(a, interface.Subscribe) for a in dispatcher.handle(now, interface.Timer(policy.TICK))
+            isinstance(a, interface.SubscribeMembership)
+            for a in dispatcher.handle(now, interface.TimerFired(policy.TICK))
         )
-    assert max(waits) <= 2 * dispatcher.settings.must_ask_in and sum(waits[20:]) / 40 > 0.8 * sum(waits[:1])
-    dispatcher.handle(now, interface.Membership(interface.CHANGES, 2))
-    dispatcher.handle(now, interface.Membership(interface.REFUSED))
+    assert max(waits) <= 2 * dispatcher.settings.membership_max_age_s and sum(waits[20:]) / 40 > 0.8 * sum(
+        waits[:1]
+    )
+    dispatcher.handle(now, interface.MembershipUpdate(UpdateKind.CHANGES, 2))
+    dispatcher.handle(now, interface.MembershipUpdate(UpdateKind.REFUSED))
     assert dispatcher.ask_at <= now + policy.ASK_SPREAD * 40
--- a/tests/test_lifecycle.py
+++ b/tests/test_lifecycle.py
@@ -10,6 +10,7 @@
 
 from beaconhinge.membership.inventory import worker_number
 from beaconhinge.policy import interface
+from beaconhinge.policy.interface import AttemptOutcome
 
 FIRST, SECOND = worker_number("s-0"), worker_number("s-1")
 
@@ -22,10 +23,10 @@
 def test_a_cancel_before_the_202_closes_the_connection(monkeypatch: pytest.MonkeyPatch) -> None:
     module = scripted(
         monkeypatch,
-        interface.Send(1, FIRST),
+        interface.SendAttempt(1, FIRST),
         interface.SetTimer(9, 0.05),
-        Timer=[interface.Cancel(1, 0)],
-        Outcome=[interface.Abort(1)],
+        TimerFired=[interface.CancelAttempt(1, 0)],
+        AttemptEnded=[interface.Fail(1)],
     )
 
     async def script(_message: Seen) -> bytes | None:
@@ -34,8 +35,8 @@
 
     async def story(scene: Stage) -> None:
         assert (await scene.post()).status == 502
-        ended = await event(module, interface.Outcome)
-        assert (ended.outcome, ended.settled) == (interface.CANCELLED, False)
+        ended = await event(module, interface.AttemptEnded)
+        assert (ended.outcome, ended.settled) == (AttemptOutcome.CANCELLED, False)
         assert await scene.workers[0].ended.get()
         assert scene.workers[0].seen.qsize() == 1  # the job, and no DELETE
 
@@ -44,7 +45,10 @@
 
 def test_a_cancel_after_the_202_withdraws_the_job(monkeypatch: pytest.MonkeyPatch) -> None:
     module = scripted(
-        monkeypatch, interface.Send(1, FIRST), Notice=[interface.Cancel(1, 0)], Outcome=[interface.Abort(1)]
+        monkeypatch,
+        interface.SendAttempt(1, FIRST),
+        ProgressNotice=[interface.CancelAttempt(1, 0)],
+        AttemptEnded=[interface.Fail(1)],
     )
 
     async def story(scene: Stage) -> None:
@@ -53,7 +57,7 @@
         await asyncio.sleep(0.2)  # the 202 is read
         await scene.news(state="started")
         assert (await asked).status == 502
-        assert (await event(module, interface.Outcome)).outcome == interface.CANCELLED
+        assert (await event(module, interface.AttemptEnded)).outcome == AttemptOutcome.CANCELLED
         assert (await scene.workers[0].seen.get()).start == "DELETE /jobs/r1 HTTP/1.1"
         assert scene.workers[0].connections == 1
 
@@ -66,13 +70,15 @@
 def test_an_attempt_ends_at_its_time_out_or_the_deadline(
     monkeypatch: pytest.MonkeyPatch, timeout: float, wait: str, least: float
 ) -> None:
-    module = scripted(monkeypatch, interface.Send(1, FIRST, timeout), Outcome=[interface.Refuse(1, 1.5)])
+    module = scripted(
+        monkeypatch, interface.SendAttempt(1, FIRST, timeout), AttemptEnded=[interface.Reject(1, 1.5)]
+    )
 
     async def story(scene: Stage) -> None:
         answer = await scene.post(X_Timeout_Ms=wait)
         assert (answer.status, answer.headers["retry-after"]) == (503, "1.500")
-        ended = await event(module, interface.Outcome)
-        assert (ended.outcome, ended.settled) == (interface.TIMEOUT, False)
+        ended = await event(module, interface.AttemptEnded)
+        assert (ended.outcome, ended.settled) == (AttemptOutcome.TIMEOUT, False)
         assert least <= ended.latency < least + 1.0
 
     play(story)
@@ -81,7 +87,7 @@
 def test_the_first_result_is_the_answer_and_the_second_copy_ends_settled(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    module = scripted(monkeypatch, interface.Send(1, FIRST), interface.Send(1, SECOND))
+    module = scripted(monkeypatch, interface.SendAttempt(1, FIRST), interface.SendAttempt(1, SECOND))
 
     async def story(scene: Stage) -> None:
         asked = asyncio.create_task(scene.post())
@@ -89,35 +95,41 @@
             await worker.seen.get()
         await scene.news(1, state="done", result="second", load={"x0": 2.5})
         assert (await asked).body == b"second"
-        ended = await event(module, interface.Outcome)
+        ended = await event(module, interface.AttemptEnded)
         assert (ended.worker, ended.attempt, ended.outcome, ended.settled) == (
             SECOND,
             1,
-            interface.SERVED,
+            AttemptOutcome.SERVED,
             True,
         )
         assert ended.load == {"x0": 2.5}
         await scene.news(0, state="lost")
-        ended = await event(module, interface.Outcome)
-        assert (ended.worker, ended.outcome, ended.settled) == (FIRST, interface.RESET, True)
+        ended = await event(module, interface.AttemptEnded)
+        assert (ended.worker, ended.outcome, ended.settled) == (
+            FIRST,
+            AttemptOutcome.CONNECTION_LOST,
+            True,
+        )
 
     play(story, workers=2)
 
 
 def test_a_client_that_leaves_is_told_and_outcomes_are_still_read(monkeypatch: pytest.MonkeyPatch) -> None:
-    module = scripted(monkeypatch, interface.Send(1, FIRST), ClientGone=[interface.Send(1, SECOND)])
+    module = scripted(
+        monkeypatch, interface.SendAttempt(1, FIRST), ClientDisconnected=[interface.SendAttempt(1, SECOND)]
+    )
 
     async def story(scene: Stage) -> None:
         _, writer = await scene.open()
         writer.write(job())
         await scene.workers[0].seen.get()
         writer.close()
-        assert (await event(module, interface.ClientGone)).request == 1
-        late = await event(module, interface.Outcome)  # nothing is sent for a request that is over
-        assert (late.worker, late.outcome, late.settled) == (SECOND, interface.NOT_SENT, True)
+        assert (await event(module, interface.ClientDisconnected)).request == 1
+        late = await event(module, interface.AttemptEnded)  # nothing is sent for a request that is over
+        assert (late.worker, late.outcome, late.settled) == (SECOND, AttemptOutcome.NOT_SENT, True)
         await scene.news(state="done", result="unread")
-        ended = await event(module, interface.Outcome)
-        assert (ended.worker, ended.outcome, ended.settled) == (FIRST, interface.SERVED, True)
+        ended = await event(module, interface.AttemptEnded)
+        assert (ended.worker, ended.outcome, ended.settled) == (FIRST, AttemptOutcome.SERVED, True)
 
     play(story, workers=2)
 
@@ -126,7 +138,7 @@
 def test_a_connection_that_does_not_come_up_has_run_nothing(
     monkeypatch: pytest.MonkeyPatch, where: str
 ) -> None:
-    module = scripted(monkeypatch, interface.Send(1, FIRST), Outcome=[interface.Refuse(1)])
+    module = scripted(monkeypatch, interface.SendAttempt(1, FIRST), AttemptEnded=[interface.Reject(1)])
 
     async def story(scene: Stage) -> None:
         scene.workers[0].server.close()
@@ -137,21 +149,21 @@
 
             monkeypatch.setattr("beaconhinge.net.worker_pool.connect", never)
         assert (await scene.post()).status == 503
-        assert (await event(module, interface.Outcome)).outcome == interface.NO_CONNECTION
+        assert (await event(module, interface.AttemptEnded)).outcome == AttemptOutcome.NO_CONNECTION
 
     play(story)
 
 
 def test_one_worker_has_one_attempt_of_a_request_at_a_time(monkeypatch: pytest.MonkeyPatch) -> None:
-    module = scripted(monkeypatch, interface.Send(1, FIRST), interface.Send(1, FIRST))
+    module = scripted(monkeypatch, interface.SendAttempt(1, FIRST), interface.SendAttempt(1, FIRST))
     monkeypatch.setattr(
-        "beaconhinge.runtime.metrics.Stats.holds", lambda self, condition, name: condition
+        "beaconhinge.runtime.metrics.Metrics.check", lambda self, condition, name: condition
     )  # as under -O
 
     async def story(scene: Stage) -> None:
         asked = asyncio.create_task(scene.post())
-        ended = await event(module, interface.Outcome)
-        assert (ended.attempt, ended.outcome) == (1, interface.NOT_SENT)
+        ended = await event(module, interface.AttemptEnded)
+        assert (ended.attempt, ended.outcome) == (1, AttemptOutcome.NOT_SENT)
         await scene.news(state="done", result="one")
         assert (await asked).body == b"one"
 
@@ -162,9 +174,9 @@
     module = scripted(monkeypatch)
 
     def fail(_now: float, event: interface.Event) -> list[interface.Action]:
-        if isinstance(event, interface.Job):
+        if isinstance(event, interface.JobArrived):
             raise ZeroDivisionError("in the module")
-        return [interface.Subscribe()] if isinstance(event, interface.Start) else []
+        return [interface.SubscribeMembership()] if isinstance(event, interface.Start) else []
 
     module.handle = fail  # type: ignore[method-assign]
 
@@ -179,7 +191,7 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     scripted(monkeypatch)
-    monkeypatch.setattr("beaconhinge.runtime.metrics.Stats.holds", lambda self, condition, name: condition)
+    monkeypatch.setattr("beaconhinge.runtime.metrics.Metrics.check", lambda self, condition, name: condition)
 
     async def story(scene: Stage) -> None:
         assert (await scene.post(X_Timeout_Ms="100")).status == 502
@@ -190,28 +202,28 @@
 @pytest.mark.parametrize(
     ("action", "start"),
     [
-        (interface.Probe(FIRST), "GET /metrics/load HTTP/1.1"),
-        (interface.Fetch(), "GET /discovery/hosts HTTP/1.1"),
+        (interface.ProbeWorker(FIRST), "GET /metrics/load HTTP/1.1"),
+        (interface.FetchMembership(), "GET /discovery/hosts HTTP/1.1"),
     ],
 )
 def test_other_actions_reach_their_owner(
     monkeypatch: pytest.MonkeyPatch, action: interface.Action, start: str
 ) -> None:
-    module = scripted(monkeypatch, action, interface.Refuse(1))
+    module = scripted(monkeypatch, action, interface.Reject(1))
 
     async def script(_message: Seen) -> bytes | None:
         return reply(200, b"err_ps=0.5,x0=3")
 
     async def story(scene: Stage) -> None:
         await scene.post()
-        peer = scene.workers[0] if isinstance(action, interface.Probe) else scene.discovery
+        peer = scene.workers[0] if isinstance(action, interface.ProbeWorker) else scene.discovery
         while (await peer.seen.get()).start != start:
             pass
-        if isinstance(action, interface.Probe):
+        if isinstance(action, interface.ProbeWorker):
             result = await event(module, interface.ProbeResult)
             assert (result.worker, result.outcome, result.load) == (
                 FIRST,
-                interface.SERVED,
+                AttemptOutcome.SERVED,
                 {"err_ps": 0.5, "x0": 3.0},
             )
 
@@ -219,12 +231,12 @@
 
 
 def test_a_timer_on_which_the_module_fails_is_fed_again(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr("beaconhinge.dispatch.policy_runner.FAILED_TIMER_AGAIN", 0.05)
+    monkeypatch.setattr("beaconhinge.dispatch.policy_runner.FAILED_TIMER_RETRY_S", 0.05)
     module, failures = scripted(monkeypatch, interface.SetTimer(9, 0.01)), [ZeroDivisionError("once")]
     answer = module.handle
 
     def fail_once(now: float, event: interface.Event) -> list[interface.Action]:
-        if isinstance(event, interface.Timer) and failures:
+        if isinstance(event, interface.TimerFired) and failures:
             raise failures.pop()
         return answer(now, event)
 
@@ -233,7 +245,7 @@
     async def story(scene: Stage) -> None:
         _, writer = await scene.open()
         writer.write(job())
-        assert (await event(module, interface.Timer)).token == 9
+        assert (await event(module, interface.TimerFired)).token == 9
         writer.close()
 
     play(story)
@@ -242,7 +254,7 @@
 def test_an_answer_at_the_deadline_is_the_modules_own_though_the_loop_is_late(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    scripted(monkeypatch, interface.Send(1, FIRST), Outcome=[interface.Refuse(1, 1.0)])
+    scripted(monkeypatch, interface.SendAttempt(1, FIRST), AttemptEnded=[interface.Reject(1, 1.0)])
 
     async def story(scene: Stage) -> None:
         asked = asyncio.create_task(scene.post(X_Timeout_Ms="150"))
@@ -254,15 +266,15 @@
 
 
 def test_a_send_for_a_request_that_is_over_has_its_outcome_too(monkeypatch: pytest.MonkeyPatch) -> None:
-    module = scripted(monkeypatch, ClientGone=[interface.Send(1, FIRST)])
+    module = scripted(monkeypatch, ClientDisconnected=[interface.SendAttempt(1, FIRST)])
 
     async def story(scene: Stage) -> None:
         _, writer = await scene.open()
         writer.write(job())
-        await event(module, interface.Job)
+        await event(module, interface.JobArrived)
         writer.close()
-        ended = await event(module, interface.Outcome)
-        assert (ended.outcome, ended.settled) == (interface.NOT_SENT, True)
+        ended = await event(module, interface.AttemptEnded)
+        assert (ended.outcome, ended.settled) == (AttemptOutcome.NOT_SENT, True)
         assert scene.workers[0].seen.empty()
 
     play(story)
--- a/tests/test_logs.py
+++ b/tests/test_logs.py
@@ -10,12 +10,12 @@
 import pytest
 
 from beaconhinge.logs import writer
-from beaconhinge.runtime.metrics import Stats
+from beaconhinge.runtime.metrics import Metrics
 
 
-def lines(form: Literal["logfmt", "json"], act: Callable[[Stats], Any]) -> list[str]:
+def lines(form: Literal["logfmt", "json"], act: Callable[[Metrics], Any]) -> list[str]:
     sink = io.StringIO()
-    act(Stats(lambda: 12.5, writer=writer(form, sink, lambda: 12.5)))
+    act(Metrics(lambda: 12.5, writer=writer(form, sink, lambda: 12.5)))
     return sink.getvalue().splitlines()
 
 
@@ -39,7 +39,7 @@
 @pytest.mark.parametrize("form", ["logfmt", "json"])
 def test_values_are_bounded_and_forge_nothing(form: Literal["logfmt", "json"]) -> None:
     evil = 'x\nevent=stopped time=1 "' + "\x00é" + "y" * 5000
-    [line] = lines(form, lambda s: s.complain("client_message_malformed", why=evil))
+    [line] = lines(form, lambda s: s.count_and_log("client_message_malformed", why=evil))
     assert len(line) < 600 and line.isascii()
     if form == "json":
         told = json.loads(line)
@@ -48,9 +48,9 @@
 
 @pytest.mark.parametrize("form", ["logfmt", "json"])
 def test_complaints_are_limited_and_counted_in_each_form(form: Literal["logfmt", "json"]) -> None:
-    def act(stats: Stats) -> None:
+    def act(stats: Metrics) -> None:
         for _ in range(5):
-            stats.complain("sockets_short", worker="w")
+            stats.count_and_log("sockets_short", worker="w")
 
     assert len(lines(form, act)) == 1
 
@@ -60,6 +60,6 @@
         def write(self, text: str) -> int:
             raise BrokenPipeError
 
-    stats = Stats(lambda: 1.0, writer=writer("json", Broken(), lambda: 1.0))
+    stats = Metrics(lambda: 1.0, writer=writer("json", Broken(), lambda: 1.0))
     stats.log("started")
     assert stats.counters["log_lost"] == 1
--- a/tests/test_mechanism.py
+++ b/tests/test_mechanism.py
@@ -12,11 +12,19 @@
 from beaconhinge.policy import dispatcher as policy
 from beaconhinge.policy import interface
 from beaconhinge.policy.dispatcher import Dispatcher, max_min
+from beaconhinge.policy.interface import (
+    RETRY_FLAG,
+    AttemptOutcome,
+    NoticeKind,
+    Semantics,
+    UpdateKind,
+    WorkerState,
+)
 from beaconhinge.quota_snapshots import record
 
 
 def finals(actions: list[interface.Action]) -> list[type]:
-    return [type(a) for a in actions if isinstance(a, (interface.Refuse, interface.Abort))]
+    return [type(a) for a in actions if isinstance(a, (interface.Reject, interface.Fail))]
 
 
 # ---- shares and rate
@@ -44,14 +52,14 @@
     for number in range(1, 9):
         dispatcher.handle(100.0 + number * 0.1, job(number))
     dispatcher.fulls, dispatcher.sends = 5, 8
-    dispatcher.handle(101.5, interface.Timer(policy.TICK))
+    dispatcher.handle(101.5, interface.TimerFired(policy.TICK))
     first = dispatcher.rate
     assert first < float("inf")
     dispatcher.fulls, dispatcher.sends = 5, 8
-    dispatcher.handle(101.6, interface.Timer(policy.TICK))
+    dispatcher.handle(101.6, interface.TimerFired(policy.TICK))
     assert dispatcher.rate == first
     dispatcher.fulls = 0
-    dispatcher.handle(102.6, interface.Timer(policy.TICK))
+    dispatcher.handle(102.6, interface.TimerFired(policy.TICK))
     assert dispatcher.rate > first
 
 
@@ -69,7 +77,7 @@
     dispatcher.buckets[(0, 0)].tokens = 0.0
     dispatcher.buckets[(1, 0)].tokens = 1.0
     refused = dispatcher.handle(100.1, job(41, tenant=0))
-    assert finals(refused) == [interface.Refuse] and not sends(refused)
+    assert finals(refused) == [interface.Reject] and not sends(refused)
     assert finals(dispatcher.handle(100.1, job(42, tenant=1))) == []
 
 
@@ -78,7 +86,7 @@
     advice = set()
     for number in range(1, 20):
         for action in dispatcher.handle(100.0, job(number, remaining=0.05)):
-            if isinstance(action, interface.Refuse):
+            if isinstance(action, interface.Reject):
                 advice.add(action.retry_after)
     assert len(advice) == 19 and all(1.0 <= a <= 2.0 for a in advice)
 
@@ -87,7 +95,7 @@
     dispatcher = started()
     assert sends(dispatcher.handle(100.0, job(1)))
     late = dispatcher.handle(103.0, job(2, remaining=0.8))
-    assert finals(late) == [interface.Refuse] and not sends(late)
+    assert finals(late) == [interface.Reject] and not sends(late)
 
 
 # ---- peers
@@ -110,13 +118,13 @@
 
 def test_a_new_bucket_reports_at_once() -> None:
     actions = group(1, 0).handle(100.0, job(1))
-    assert any(isinstance(a, interface.Tell) for a in actions)
+    assert any(isinstance(a, interface.SendToPeer) for a in actions)
 
 
 def test_one_nth_until_the_peer_is_heard_then_by_demand() -> None:
     dispatcher = group(1, 0)
     dispatcher.handle(100.0, job(1))
-    dispatcher.handle(100.5, interface.Timer(policy.REPORT))
+    dispatcher.handle(100.5, interface.TimerFired(policy.REPORT))
     assert dispatcher.own_part(dispatcher.total_demand()) == 0.5
     dispatcher.handle(100.6, report(5, 1, 50.0))
     assert dispatcher.own_part(dispatcher.total_demand()) < 0.1
@@ -147,7 +155,7 @@
     dispatcher = group(1, 0)
     dispatcher.handle(100.0, report(5, 1, 5.0, out=3))
     assert dispatcher.out(dispatcher.workers[100]) == 3
-    dispatcher.handle(110.0, interface.Timer(policy.TICK))
+    dispatcher.handle(110.0, interface.TimerFired(policy.TICK))
     assert dispatcher.out(dispatcher.workers[100]) == 0 and not dispatcher.fleet.peers[1].demand
 
 
@@ -239,7 +247,7 @@
     dispatcher.workers[100].limit = 1.0
     dispatcher.handle(100.0, job(1))
     assert not sends(dispatcher.handle(100.0, job(2)))
-    assert [s.request for s in sends(dispatcher.handle(100.3, outcome(1, 100, interface.SERVED)))] == [2]
+    assert [s.request for s in sends(dispatcher.handle(100.3, outcome(1, 100, AttemptOutcome.SERVED)))] == [2]
 
 
 def test_threshold_learns_from_free_slots_and_from_full() -> None:
@@ -247,13 +255,13 @@
         count=1, report__source="answers", report__names="tps,x0", familyInfo__reportX0="free_slots"
     )
     dispatcher.handle(100.0, job(1))
-    done = outcome(1, 100, interface.SERVED)
+    done = outcome(1, 100, AttemptOutcome.SERVED)
     done.load = {"x0": 4.1}
     dispatcher.handle(100.5, done)
     assert dispatcher.workers[100].limit == 4.0
     for n in range(2, 6):
         dispatcher.handle(101.0, job(n))
-    dispatcher.handle(101.1, outcome(5, 100, interface.FULL, latency=0.001))
+    dispatcher.handle(101.1, outcome(5, 100, AttemptOutcome.REJECTED, latency=0.001))
     assert dispatcher.workers[100].limit == 3.0 and dispatcher.fulls == 1
 
 
@@ -261,7 +269,8 @@
     def placed(started_at: float, hint: float) -> int:
         dispatcher = started(count=0, groupSize="3")
         dispatcher.handle(
-            102.0, interface.Membership(interface.SNAPSHOT, 2, members(1, started_at=started_at))
+            102.0,
+            interface.MembershipUpdate(UpdateKind.SNAPSHOT, 2, members(1, started_at=started_at)),
         )
         dispatcher.workers[100].limit = dispatcher.limits[0] = 8.0
         dispatcher.pace = 1.0
@@ -278,7 +287,9 @@
 
     def placed(cls: int, seconds: float) -> int:
         dispatcher = started(count=0, groupSize="3")
-        dispatcher.handle(102.0, interface.Membership(interface.SNAPSHOT, 2, members(1, started_at=98.0)))
+        dispatcher.handle(
+            102.0, interface.MembershipUpdate(UpdateKind.SNAPSHOT, 2, members(1, started_at=98.0))
+        )
         dispatcher.workers[100].limit = dispatcher.limits[0] = 8.0
         dispatcher.pace = 0.4
         for kind, work in ((0, seconds), (1, 0.1)):
@@ -293,7 +304,7 @@
 
 def test_a_cold_workers_budget_goes_by_its_kinds_slots_where_its_own_seem_more() -> None:
     dispatcher = started(count=0)
-    dispatcher.handle(102.0, interface.Membership(interface.SNAPSHOT, 2, members(1, started_at=98.0)))
+    dispatcher.handle(102.0, interface.MembershipUpdate(UpdateKind.SNAPSHOT, 2, members(1, started_at=98.0)))
     dispatcher.workers[100].limit, dispatcher.limits[0], dispatcher.pace = 8.0, 2.0, 1.0
     # 0.75 x 3 x 0.52 x 2 slots x 1 s: 2.3 s
     assert sum(bool(sends(dispatcher.handle(102.0, job(n, size_hint=0.4)))) for n in range(1, 20)) == 5
@@ -311,7 +322,10 @@
         record.restore(dispatcher, record.take(dispatcher, 100.0), 100.0, 0.0)
         dispatcher.quota = [99.0] * len(dispatcher.quota)
     for now, started_at, expected in ((100.9, 99.0, False), (100.95, 100.5, True), (101.1, 99.0, True)):
-        dispatcher.handle(now, interface.Membership(interface.SNAPSHOT, 2, members(1, started_at=started_at)))
+        dispatcher.handle(
+            now,
+            interface.MembershipUpdate(UpdateKind.SNAPSHOT, 2, members(1, started_at=started_at)),
+        )
         dispatcher.workers[100].started_at = started_at
         dispatcher.workers[100].limit = dispatcher.limits[0] = 8.0
         assert bool(sends(dispatcher.handle(now, job(int(now * 100), size_hint=0.1)))) is expected
@@ -320,7 +334,7 @@
 def test_a_restart_under_the_same_id_is_cold_again() -> None:
     dispatcher = started(count=1)
     dispatcher.workers[100].fail = 0.9
-    dispatcher.handle(105.0, interface.Membership(interface.CHANGES, 2, members(1, started_at=105.0)))
+    dispatcher.handle(105.0, interface.MembershipUpdate(UpdateKind.CHANGES, 2, members(1, started_at=105.0)))
     worker = dispatcher.workers[100]
     assert worker.fail == 0.0 and worker.started_at == 105.0
 
@@ -328,39 +342,46 @@
 def test_drained_and_missing_workers_get_nothing_at_once() -> None:
     dispatcher = started(count=2)
     dispatcher.handle(
-        100.0, interface.Membership(interface.CHANGES, 2, [interface.Member(100, interface.DRAINING)])
+        100.0,
+        interface.MembershipUpdate(UpdateKind.CHANGES, 2, [interface.MemberEntry(100, WorkerState.DRAINING)]),
     )
     assert {s.worker for n in range(1, 9) for s in sends(dispatcher.handle(100.0, job(n)))} == {101}
-    dispatcher.handle(100.0, interface.Membership(interface.SNAPSHOT, 3, []))
+    dispatcher.handle(100.0, interface.MembershipUpdate(UpdateKind.SNAPSHOT, 3, []))
     assert not sends(dispatcher.handle(100.0, job(9)))
 
 
-@pytest.mark.parametrize("how", [interface.CHANGES, interface.SNAPSHOT, interface.REMEMBERED])
+@pytest.mark.parametrize("how", [UpdateKind.CHANGES, UpdateKind.SNAPSHOT, UpdateKind.BOOTSTRAP])
 def test_idle_connections_to_a_leaving_worker_are_given_back(how: str) -> None:
     dispatcher = started(count=1, rules__drainRelease="0.8")
     dispatcher.handle(100.0, job(1))
-    leaving = [interface.Member(100, interface.DRAINING)]
-    assert interface.Disconnect(100) in dispatcher.handle(101.0, interface.Membership(how, 2, leaving))
-    assert interface.Disconnect(100) in dispatcher.handle(102.0, outcome(1, 100, interface.SERVED))
-    dispatcher.handle(103.0, interface.Membership(interface.CHANGES, 3, members(1)))
+    leaving = [interface.MemberEntry(100, WorkerState.DRAINING)]
+    assert interface.CloseIdleConnections(100) in dispatcher.handle(
+        101.0, interface.MembershipUpdate(how, 2, leaving)
+    )
+    assert interface.CloseIdleConnections(100) in dispatcher.handle(
+        102.0, outcome(1, 100, AttemptOutcome.SERVED)
+    )
+    dispatcher.handle(103.0, interface.MembershipUpdate(UpdateKind.CHANGES, 3, members(1)))
     dispatcher.handle(103.0, job(2))
-    assert interface.Disconnect(100) not in dispatcher.handle(104.0, outcome(2, 100, interface.SERVED))
-    assert interface.Disconnect(100) in dispatcher.handle(
-        105.0, interface.Membership(interface.SNAPSHOT, 4, [])
+    assert interface.CloseIdleConnections(100) not in dispatcher.handle(
+        104.0, outcome(2, 100, AttemptOutcome.SERVED)
+    )
+    assert interface.CloseIdleConnections(100) in dispatcher.handle(
+        105.0, interface.MembershipUpdate(UpdateKind.SNAPSHOT, 4, [])
     )
 
 
 def test_subscription_is_asked_again_with_back_off_inside_the_limit() -> None:
     dispatcher = Dispatcher(settings(membershipMode="on_request", rules__mustAskIn="8"), 3)
-    assert interface.Subscribe(True) in dispatcher.handle(100.0, interface.Start())
+    assert interface.SubscribeMembership(True) in dispatcher.handle(100.0, interface.Start())
     asked, now = [100.0], 100.0
-    dispatcher.handle(now, interface.Membership(interface.REFUSED))
+    dispatcher.handle(now, interface.MembershipUpdate(UpdateKind.REFUSED))
     while now < 140.0:
         now += 0.1
-        actions = dispatcher.handle(now, interface.Timer(policy.TICK))
-        if interface.Subscribe(True) in actions:
+        actions = dispatcher.handle(now, interface.TimerFired(policy.TICK))
+        if interface.SubscribeMembership(True) in actions:
             asked.append(now)
-            dispatcher.handle(now, interface.Membership(interface.REFUSED))
+            dispatcher.handle(now, interface.MembershipUpdate(UpdateKind.REFUSED))
     gaps = [b - a for a, b in zip(asked, asked[1:], strict=False)]
     # Not asking counts as knowing after four times 8 s when a call was refused; half of that is kept free.
     assert len(gaps) > 5 and max(gaps) <= 16.2 and sum(gaps[:3]) < sum(gaps[-3:])
@@ -369,7 +390,7 @@
 # ---- attempts and health
 
 
-@pytest.mark.parametrize("what", [interface.FULL, interface.NO_CONNECTION])
+@pytest.mark.parametrize("what", [AttemptOutcome.REJECTED, AttemptOutcome.NO_CONNECTION])
 def test_proven_unrun_fragile_goes_elsewhere(what: str) -> None:
     dispatcher = started()
     first = sends(dispatcher.handle(100.0, job(1, 2)))[0].worker
@@ -377,27 +398,34 @@
     assert len(again) == 1 and again[0].worker != first
 
 
-@pytest.mark.parametrize("what", [interface.ERROR, interface.RESET, interface.TIMEOUT])
+@pytest.mark.parametrize(
+    "what",
+    [
+        AttemptOutcome.SERVER_ERROR,
+        AttemptOutcome.CONNECTION_LOST,
+        AttemptOutcome.TIMEOUT,
+    ],
+)
 def test_fragile_that_may_have_run_is_aborted(what: str) -> None:
     dispatcher = started()
     first = sends(dispatcher.handle(100.0, job(1, 2)))[0].worker
     actions = dispatcher.handle(100.1, outcome(1, first, what))
-    assert finals(actions) == [interface.Abort] and not sends(actions)
+    assert finals(actions) == [interface.Fail] and not sends(actions)
 
 
 def test_keyed_stays_in_its_cell_and_window() -> None:
     dispatcher = started()
     first = sends(dispatcher.handle(100.0, job(1, 1)))[0].worker
-    again = sends(dispatcher.handle(100.1, outcome(1, first, interface.ERROR)))
+    again = sends(dispatcher.handle(100.1, outcome(1, first, AttemptOutcome.SERVER_ERROR)))
     assert [s.worker % 2 for s in again] == [first % 2]
-    actions = dispatcher.handle(102.5, outcome(1, again[0].worker, interface.ERROR, 1))
-    assert finals(actions) == [interface.Abort]
+    actions = dispatcher.handle(102.5, outcome(1, again[0].worker, AttemptOutcome.SERVER_ERROR, 1))
+    assert finals(actions) == [interface.Fail]
 
 
 def test_a_fast_failer_is_benched_and_returns_by_single_trials() -> None:
     dispatcher = started()
     first = sends(dispatcher.handle(100.0, job(1, 2)))[0].worker
-    dispatcher.handle(100.1, outcome(1, first, interface.ERROR))
+    dispatcher.handle(100.1, outcome(1, first, AttemptOutcome.SERVER_ERROR))
     worker = dispatcher.workers[first]
     assert worker.trial
     placed = [s.worker for n in range(2, 9) for s in sends(dispatcher.handle(100.2, job(n)))]
@@ -410,7 +438,7 @@
     dispatcher = started()
     for number in range(1, 40):
         for send in sends(dispatcher.handle(100.0, job(number, 2))):
-            dispatcher.handle(100.0, outcome(number, send.worker, interface.ERROR))
+            dispatcher.handle(100.0, outcome(number, send.worker, AttemptOutcome.SERVER_ERROR))
     assert sum(w.trial for w in dispatcher.workers.values()) == 3
 
 
@@ -419,25 +447,25 @@
     for worker in dispatcher.workers.values():
         worker.limit = 4.0
     first = sends(dispatcher.handle(100.0, job(1)))[0].worker
-    dispatcher.handle(100.0, outcome(1, first, interface.FULL, latency=0.001))
+    dispatcher.handle(100.0, outcome(1, first, AttemptOutcome.REJECTED, latency=0.001))
     assert dispatcher.workers[first].trial and dispatcher.fulls == 0
 
 
 def test_a_time_out_blames_only_a_worker_that_was_silent() -> None:
     dispatcher = started(count=2)
     first = sends(dispatcher.handle(100.0, job(1)))[0].worker
-    dispatcher.handle(102.0, interface.Notice(1, first, 0, interface.PROGRESS, 0.3))
-    dispatcher.handle(104.0, outcome(1, first, interface.TIMEOUT))
+    dispatcher.handle(102.0, interface.ProgressNotice(1, first, 0, NoticeKind.PROGRESS, 0.3))
+    dispatcher.handle(104.0, outcome(1, first, AttemptOutcome.TIMEOUT))
     assert dispatcher.workers[first].fail == 0.0
 
 
 def test_unknown_ended_and_gone_requests_are_ignored() -> None:
     dispatcher = started()
-    assert dispatcher.handle(100.0, outcome(9, 100, interface.ERROR)) == []
-    assert dispatcher.handle(100.0, interface.ClientGone(9)) == []
+    assert dispatcher.handle(100.0, outcome(9, 100, AttemptOutcome.SERVER_ERROR)) == []
+    assert dispatcher.handle(100.0, interface.ClientDisconnected(9)) == []
     first = sends(dispatcher.handle(100.0, job(1)))[0].worker
-    dispatcher.handle(100.1, interface.ClientGone(1))
-    late = dispatcher.handle(100.2, outcome(1, first, interface.ERROR))
+    dispatcher.handle(100.1, interface.ClientDisconnected(1))
+    late = dispatcher.handle(100.2, outcome(1, first, AttemptOutcome.SERVER_ERROR))
     assert not sends(late) and finals(late) == []
     assert dispatcher.workers[first].out == 0
 
@@ -445,8 +473,8 @@
 def test_a_start_told_with_the_answer_does_not_make_a_worker_infinitely_quick() -> None:
     dispatcher = started(count=2, familyInfo__tellsStart="true")
     first = sends(dispatcher.handle(100.0, job(1)))[0].worker
-    dispatcher.handle(100.5, interface.Notice(1, first, 0, interface.STARTED))
-    dispatcher.handle(100.5, outcome(1, first, interface.SERVED))
+    dispatcher.handle(100.5, interface.ProgressNotice(1, first, 0, NoticeKind.STARTED))
+    dispatcher.handle(100.5, outcome(1, first, AttemptOutcome.SERVED))
     assert dispatcher.workers[first].pace > 0
     assert sends(dispatcher.handle(100.6, job(2)))
 
@@ -474,7 +502,7 @@
 
 def test_unknown_keys_are_skipped_and_absent_ones_have_defaults() -> None:
     read = interface.Settings.from_pairs({"requestClasses.count": "1", "later.invention": "1"})
-    assert read.classes[0].semantics == interface.RETRYABLE and read.group_size == 1
+    assert read.classes[0].semantics == Semantics.RETRYABLE and read.group_size == 1
 
 
 def test_a_worker_that_stands_still_is_passed_over_and_its_time_outs_blame_it() -> None:
@@ -487,9 +515,9 @@
         for send in sends(actions):
             if step * 0.25 > 2.0 - 1e-9 or send.worker != stalled:
                 placed.append(send.worker)
-                dispatcher.handle(100.0 + step * 0.25, outcome(1 + step, send.worker, interface.SERVED))
+                dispatcher.handle(100.0 + step * 0.25, outcome(1 + step, send.worker, AttemptOutcome.SERVED))
     for request in [r for r in list(dispatcher.requests) if dispatcher.requests[r].pending]:
-        dispatcher.handle(104.0, outcome(request, stalled, interface.TIMEOUT))
+        dispatcher.handle(104.0, outcome(request, stalled, AttemptOutcome.TIMEOUT))
     assert dispatcher.workers[stalled].trial
     assert {s.worker for n in range(50, 55) for s in sends(dispatcher.handle(104.0, job(n)))} != {stalled}
 
@@ -503,8 +531,8 @@
 
 
 def notice(dispatcher: Dispatcher, now: float, request: int, worker: int, share: float | None = None) -> None:
-    what = interface.STARTED if share is None else interface.PROGRESS
-    dispatcher.handle(now, interface.Notice(request, worker, 0, what, share or 0.0))
+    what = NoticeKind.STARTED if share is None else NoticeKind.PROGRESS
+    dispatcher.handle(now, interface.ProgressNotice(request, worker, 0, what, share or 0.0))
 
 
 NOTED = {"familyInfo__tellsStart": "true", "familyInfo__progress": "1", "policyLimits__mayDuplicate": "true"}
@@ -521,7 +549,7 @@
     placed = [send for n in range(2, 8) for send in sends(dispatcher.handle(106.0, job(n, remaining=60.0)))]
     assert placed and slow not in {send.worker for send in placed}
     for n in range(2, 8):
-        dispatcher.handle(106.5, interface.ClientGone(n))
+        dispatcher.handle(106.5, interface.ClientDisconnected(n))
     for step in range(1, 5):
         notice(dispatcher, 106.0 + step, 1, slow, 0.52 + 0.1 * step)
     assert dispatcher.speed(dispatcher.workers[slow]) > policy.SLOW
@@ -543,7 +571,7 @@
     notice(dispatcher, 100.0, 1, first)
     for step, share in enumerate(shares):
         notice(dispatcher, 101.0 + step, 1, first, share)
-    again = sends(dispatcher.handle(103.1, interface.Timer(policy.TICK)))
+    again = sends(dispatcher.handle(103.1, interface.TimerFired(policy.TICK)))
     assert [send.request for send in again if send.worker != first] == [1] * copied
 
 
@@ -557,12 +585,12 @@
     first = sends(dispatcher.handle(100.0, job(1, cls)))[0].worker
     if noticed:
         notice(dispatcher, 100.0, 1, first)
-    assert not sends(dispatcher.handle(100.9, interface.Timer(policy.TICK)))
-    assert len(sends(dispatcher.handle(101.1, interface.Timer(policy.TICK)))) == copied
+    assert not sends(dispatcher.handle(100.9, interface.TimerFired(policy.TICK)))
+    assert len(sends(dispatcher.handle(101.1, interface.TimerFired(policy.TICK)))) == copied
 
 
-def full(request: int, worker: int, free: float) -> interface.Outcome:
-    return interface.Outcome(request, worker, 0, interface.FULL, False, 0.1, {"x0": free})
+def full(request: int, worker: int, free: float) -> interface.AttemptEnded:
+    return interface.AttemptEnded(request, worker, 0, AttemptOutcome.REJECTED, False, 0.1, {"x0": free})
 
 
 def test_a_class_that_a_worker_with_free_slots_turns_away_is_barred_there_alone() -> None:
@@ -581,9 +609,9 @@
         dispatcher.workers[worker]
     ) >= limit
     for n in range(1, 11):
-        dispatcher.handle(100.3, interface.ClientGone(n))
+        dispatcher.handle(100.3, interface.ClientDisconnected(n))
         for attempt, send in enumerate(dispatcher.requests[n].attempts if n in dispatcher.requests else ()):
-            dispatcher.handle(100.3, outcome(n, send.worker.id, interface.CANCELLED, attempt))
+            dispatcher.handle(100.3, outcome(n, send.worker.id, AttemptOutcome.CANCELLED, attempt))
     later = [send.worker for n in range(20, 26) for send in sends(dispatcher.handle(101.0, job(n)))]
     assert worker in later
 
@@ -603,7 +631,7 @@
     mine = [n for n, at in placed.items() if at == worker]
     assert len(mine) >= 2
     for n in mine[:breaks]:
-        dispatcher.handle(100.5, outcome(n, worker, interface.RESET))
+        dispatcher.handle(100.5, outcome(n, worker, AttemptOutcome.CONNECTION_LOST))
         if sign:
             notice(dispatcher, 100.6, n, worker)
     assert dispatcher.workers[worker].trial == benched
@@ -612,7 +640,9 @@
 def test_a_request_that_a_worker_finds_faulty_is_failed_at_once_and_nobody_is_blamed() -> None:
     dispatcher = started(count=3)
     worker = sends(dispatcher.handle(100.0, job(1)))[0].worker
-    assert dispatcher.handle(100.1, outcome(1, worker, interface.UNUSABLE)) == [interface.Abort(request=1)]
+    assert dispatcher.handle(100.1, outcome(1, worker, AttemptOutcome.INVALID_REQUEST)) == [
+        interface.Fail(request=1)
+    ]
     assert (dispatcher.workers[worker].fail, dispatcher.workers[worker].trial) == (0.0, False)
     assert 1 not in dispatcher.requests
 
@@ -632,7 +662,7 @@
             for send in sends(dispatcher.handle(100.0, job(n, 1)))
             if send.worker == 100
         ][:1]
-        again = sends(dispatcher.handle(at, outcome(first.request, 100, interface.RESET)))
+        again = sends(dispatcher.handle(at, outcome(first.request, 100, AttemptOutcome.CONNECTION_LOST)))
         return [send.worker for send in again if send.request == first.request] == [102]
 
     # The window is 2 s from the first attempt.
@@ -643,7 +673,7 @@
     ("remaining", "flags", "marks", "expected"),
     [
         (3.0, 0, "true", [True, True, False]),
-        (3.0, interface.REPEAT, "true", [True, False, False]),
+        (3.0, RETRY_FLAG, "true", [True, False, False]),
         (3.0, 0, "false", [True, False, False]),
         (4.0, 0, "false", [True, True, False]),
     ],
@@ -668,7 +698,7 @@
             for send in sends(dispatcher.handle(100.0, job(n, 1, remaining=remaining, flags=flags)))
             if send.worker == 100
         ][:1]
-        again = sends(dispatcher.handle(at, outcome(first.request, 100, interface.RESET)))
+        again = sends(dispatcher.handle(at, outcome(first.request, 100, AttemptOutcome.CONNECTION_LOST)))
         return [send.worker for send in again if send.request == first.request] == [102]
 
     # The window is 2 s from the first try, which is this one's own or a second before it.
@@ -685,8 +715,8 @@
         taken = [send.worker]
         for attempt in range(3):
             at += 0.3
-            again = sends(dispatcher.handle(at, outcome(1, taken[-1], interface.NO_CONNECTION, attempt)))
-            again = again or sends(dispatcher.handle(at + 0.2, interface.Timer(policy.TICK)))
+            again = sends(dispatcher.handle(at, outcome(1, taken[-1], AttemptOutcome.NO_CONNECTION, attempt)))
+            again = again or sends(dispatcher.handle(at + 0.2, interface.TimerFired(policy.TICK)))
             if not again:
                 break
             taken.append(again[0].worker)
@@ -698,29 +728,27 @@
 
 
 @pytest.mark.parametrize("marks", ["true", "false"])
-@pytest.mark.parametrize("flags", [0, interface.REPEAT])
+@pytest.mark.parametrize("flags", [0, RETRY_FLAG])
 def test_a_process_that_ends_does_not_take_its_own_end_for_a_clients_long_wait(
     marks: str, flags: int
 ) -> None:
     """The less time that a job had there was read as time gone since its client's first try: all were refused."""
     dispatcher = started(clients__marksRetry=marks)
     assert sends(dispatcher.handle(100.0, job(1, 2, remaining=4.0, size_hint=0.5)))
-    taken = job(2, 2, remaining=1.5, size_hint=0.5, patience=4.0, flags=flags)
+    taken = job(2, 2, remaining=1.5, size_hint=0.5, client_timeout=4.0, flags=flags)
     assert sends(dispatcher.handle(100.1, taken))
-    late = job(
-        3, 2, remaining=1.5, size_hint=0.5, flags=interface.REPEAT
-    )  # 2.5 s are gone for its client too
-    assert finals(dispatcher.handle(100.2, late)) == [interface.Refuse]
+    late = job(3, 2, remaining=1.5, size_hint=0.5, flags=RETRY_FLAG)  # 2.5 s are gone for its client too
+    assert finals(dispatcher.handle(100.2, late)) == [interface.Reject]
 
 
 def test_a_process_that_ends_refuses_at_once_what_would_outlast_it_and_only_then() -> None:
     """Taken, it would be lost with the process, and may have run: another dispatcher can still have it."""
     dispatcher = started(clients__marksRetry="true")
     dispatcher.pace = 1.0
-    assert finals(dispatcher.handle(100.0, job(1, remaining=1.0, size_hint=2.0, patience=4.0))) == [
-        interface.Refuse
+    assert finals(dispatcher.handle(100.0, job(1, remaining=1.0, size_hint=2.0, client_timeout=4.0))) == [
+        interface.Reject
     ]
-    assert sends(dispatcher.handle(100.0, job(2, remaining=1.0, size_hint=0.5, patience=4.0)))
+    assert sends(dispatcher.handle(100.0, job(2, remaining=1.0, size_hint=0.5, client_timeout=4.0)))
     assert sends(dispatcher.handle(100.0, job(3, remaining=1.0, size_hint=2.0)))  # its client's own choice
 
 
@@ -730,7 +758,7 @@
     for version, (told, own) in enumerate(
         [(98.0, 98.0), (40.0, 40.0), (97.5 - 3600, 99.5), (0.0, 0.0)], start=2
     ):
-        member = interface.Member(100, started_at=told, slow_start_from=own)
-        dispatcher.handle(100.0, interface.Membership(interface.CHANGES, version, [member]))
+        member = interface.MemberEntry(100, started_at=told, slow_start_from=own)
+        dispatcher.handle(100.0, interface.MembershipUpdate(UpdateKind.CHANGES, version, [member]))
         assert dispatcher.cold(dispatcher.workers[100])
     assert dispatcher.workers[100].slow_start_from == 99.5
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -8,7 +8,7 @@
 
 from beaconhinge.membership.discovery_watch import PAUSE, Call, DiscoveryWatch, Step
 from beaconhinge.membership.inventory import Hosts, Inventory
-from beaconhinge.policy import interface
+from beaconhinge.policy.interface import UpdateKind
 
 TOLD_SILENT, TOLD_AFTER_WAIT, GRACE = 6.0, 2.0, 0.4  # seconds, as the operators have them
 
@@ -38,7 +38,7 @@
     """One that has caught up, and is about to watch."""
     following = Following(pushed, size, must_ask_in, version)
     assert following.next_call().wait == 0
-    assert following.take(answer(version), 0.01, differs=False).kind == interface.CHANGES
+    assert following.take(answer(version), 0.01, differs=False).kind == UpdateKind.CHANGES
     return following
 
 
@@ -183,14 +183,14 @@
     following = watching(version=9)
     following.next_call()
     step = following.take(answer(3, True), 0.02)  # a second answer to an earlier call, say
-    assert step.kind == "" and not step.keep and following.version == 9
+    assert step.kind is None and not step.keep and following.version == 9
     assert following.next_call().index is None
-    assert following.take(answer(9, True), 0.02).kind == interface.SNAPSHOT
+    assert following.take(answer(9, True), 0.02).kind == UpdateKind.SNAPSHOT
     following.next_call()
-    assert following.take(answer(2), 1.0).kind == ""
+    assert following.take(answer(2), 1.0).kind is None
     assert following.next_call().index is None
     step = following.take(answer(2, True), 0.02)  # so discovery has begun anew
-    assert step.kind == interface.SNAPSHOT and step.keep and following.version == 2
+    assert step.kind == UpdateKind.SNAPSHOT and step.keep and following.version == 2
 
 
 def test_the_same_again_before_its_wait_is_over_closes_the_connection() -> None:
@@ -201,23 +201,23 @@
     call = following.next_call()
     assert call.index == 5 and call.wait > 0
     step = following.take(answer(5), call.wait)  # nothing new, in due time
-    assert step.kind == "" and step.keep
+    assert step.kind is None and step.keep
 
 
 def test_changes_where_all_was_asked_for_are_not_taken() -> None:
     following = Following(False, 3, 10.0, None)
     assert following.next_call().index is None
-    assert following.take(answer(4), 0.01).kind == ""
+    assert following.take(answer(4), 0.01).kind is None
     assert following.version is None
-    assert following.take(answer(4, True), 0.01).kind == interface.SNAPSHOT
+    assert following.take(answer(4, True), 0.01).kind == UpdateKind.SNAPSHOT
 
 
 def test_an_entry_that_cannot_be_read_has_all_asked_for_once_and_no_more() -> None:
     following = watching()
     following.next_call()
-    assert following.take(answer(6, False, {"id": "s-1"}), 0.3).kind == interface.CHANGES
+    assert following.take(answer(6, False, {"id": "s-1"}), 0.3).kind == UpdateKind.CHANGES
     assert following.next_call().index is None
-    assert following.take(answer(6, True, {"id": "s-1"}), 0.02).kind == interface.SNAPSHOT
+    assert following.take(answer(6, True, {"id": "s-1"}), 0.02).kind == UpdateKind.SNAPSHOT
     call = following.next_call()
     assert call.index == 6 and call.wait > 0  # it is what discovery has
 
@@ -236,7 +236,7 @@
     for _ in range(2000):  # as long as that lasts
         step = following.take(answer(6, False), 0.01)
     assert step.pause == 2.0
-    assert following.take(answer(6, True), 0.01).kind == interface.SNAPSHOT
+    assert following.take(answer(6, True), 0.01).kind == UpdateKind.SNAPSHOT
     assert following.next_call().wait > 0
 
 
--- a/tests/test_other_deployments.py
+++ b/tests/test_other_deployments.py
@@ -11,13 +11,14 @@
 
 from beaconhinge.policy import interface
 from beaconhinge.policy.dispatcher import BENCH_MOST, Dispatcher
+from beaconhinge.policy.interface import RETRY_FLAG, AttemptOutcome, UpdateKind
 
 HANGING, WORKERS = 100, 9
 UNSAFE, WAITS = 2, 25.0  # the class, and the seconds that its clients wait
 SLOTS = 4  # of a worker
 
 
-def weighed(weights: list[float]) -> list[interface.Member]:
+def weighed(weights: list[float]) -> list[interface.MemberEntry]:
     listed = members(WORKERS)
     for member, weight in zip(listed, weights, strict=True):
         member.weight = weight
@@ -51,7 +52,7 @@
         self._order = count()
         self._due: list[tuple[float, int, interface.Event]] = []
         self._feed(100.0, interface.Start())
-        self._feed(100.0, interface.Membership(interface.REMEMBERED, 1, weighed(weights)))
+        self._feed(100.0, interface.MembershipUpdate(UpdateKind.BOOTSTRAP, 1, weighed(weights)))
 
     def jobs(self, rate: float, seconds: float) -> None:
         for number in range(int(rate * seconds)):
@@ -61,7 +62,7 @@
             self._feed(now, event)
 
     def list_again(self, at: float, weights: list[float]) -> None:
-        self._later(at, interface.Membership(interface.CHANGES, int(at), weighed(weights)))
+        self._later(at, interface.MembershipUpdate(UpdateKind.CHANGES, int(at), weighed(weights)))
 
     def _later(self, at: float, event: interface.Event) -> None:
         heapq.heappush(self._due, (at, next(self._order), event))
@@ -71,37 +72,35 @@
 
     def _feed(self, now: float, event: interface.Event) -> None:
         for action in self.dispatcher.handle(now, event):
-            if isinstance(action, interface.Send):
+            if isinstance(action, interface.SendAttempt):
                 self._run(now, action)
             elif isinstance(action, interface.SetTimer):
-                self._later(now + action.after, interface.Timer(action.token))
-            elif isinstance(action, (interface.Refuse, interface.Abort)):
+                self._later(now + action.after, interface.TimerFired(action.token))
+            elif isinstance(action, (interface.Reject, interface.Fail)):
                 self.ended[type(action).__name__] += 1
                 turn = self.tries.get(action.request, 0)
-                if isinstance(action, interface.Refuse) and turn < self.retries:
+                if isinstance(action, interface.Reject) and turn < self.retries:
                     again = next(self._numbers)
                     self.tries[again] = turn + 1
-                    self._later(
-                        now, job(again, UNSAFE, remaining=WAITS, size_hint=1.0, flags=interface.REPEAT)
-                    )
+                    self._later(now, job(again, UNSAFE, remaining=WAITS, size_hint=1.0, flags=RETRY_FLAG))
 
-    def _run(self, now: float, send: interface.Send) -> None:
+    def _run(self, now: float, send: interface.SendAttempt) -> None:
         number = sum(request == send.request for _, _, request in self.sent)
         self.sent.append((now, send.worker, send.request))
-        what, after = interface.SERVED, 1.0
+        what, after = AttemptOutcome.SERVED, 1.0
         if send.worker == HANGING and now < 100.0 + self.hangs_for:
-            what, after = interface.TIMEOUT, WAITS
+            what, after = AttemptOutcome.TIMEOUT, WAITS
         elif self._running(send.worker, now) >= SLOTS:
-            what, after = interface.FULL, 0.002
+            what, after = AttemptOutcome.REJECTED, 0.002
         else:
             self.spans.append((send.worker, now, now + after))
         self.ended[what] += 1
         load = None
-        if self.late and what != interface.TIMEOUT:
+        if self.late and what != AttemptOutcome.TIMEOUT:
             free = SLOTS - self._running(send.worker, now + after - self.late)
             load = {"x0": float(free), "depth": 0.0}
         self._later(
-            now + after, interface.Outcome(send.request, send.worker, number, what, True, after, load)
+            now + after, interface.AttemptEnded(send.request, send.worker, number, what, True, after, load)
         )
 
 
--- a/tests/test_own_sites.py
+++ b/tests/test_own_sites.py
@@ -9,10 +9,14 @@
 import pytest
 
 from beaconhinge.config import Config, ConfigError, parse
-from beaconhinge.policy import interface
+from beaconhinge.policy.interface import Semantics
 
 SITES = Path(__file__).parent.parent / "deploy" / "sites"
-EFFECTS = {"safe": interface.RETRYABLE, "keyed": interface.DEDUP, "unsafe": interface.FRAGILE}
+EFFECTS = {
+    "safe": Semantics.RETRYABLE,
+    "keyed": Semantics.DEDUPLICATED,
+    "unsafe": Semantics.UNSAFE,
+}
 FIELDS = {"queue": "depth", "x0": "x0"}  # as they are named on sockets
 
 
@@ -87,13 +91,13 @@
     found = config(site)
     told = found.settings
     assert site["name"] == name
-    assert told.subscribe is not pushed and told.peers is pushed
+    assert told.membership_on_request is not pushed and told.peer_messages is pushed
     assert (len(found.zones), len(found.class_names), len(found.tenant_names)) == (zones, classes, tenants)
     semantics = [cls.semantics for cls in told.classes]
-    assert semantics.count(interface.FRAGILE) == semantics.count(interface.DEDUP) == 1
+    assert semantics.count(Semantics.UNSAFE) == semantics.count(Semantics.DEDUPLICATED) == 1
     assert told.free_slots_field == "x0" and told.queue_field == "depth"
-    assert [cls.dedup_window > 0 for cls in told.classes] == [
-        cls.semantics == interface.DEDUP for cls in told.classes
+    assert [cls.dedup_window_s > 0 for cls in told.classes] == [
+        cls.semantics == Semantics.DEDUPLICATED for cls in told.classes
     ]
 
 
--- a/tests/test_parts.py
+++ b/tests/test_parts.py
@@ -19,10 +19,10 @@
 from stage import SETTINGS, free_port
 
 from beaconhinge.config import ConfigError, flatten, load, parse
-from beaconhinge.net.sockets import SPARE, Budget
+from beaconhinge.net.sockets import RESERVED_DESCRIPTORS, DescriptorBudget
 from beaconhinge.runtime.clock import Clock
-from beaconhinge.runtime.metrics import Stats
-from beaconhinge.runtime.timer_wheel import SLOTS, TICK, Wheel
+from beaconhinge.runtime.metrics import Metrics
+from beaconhinge.runtime.timer_wheel import SLOTS, TICK_S, TimerWheel
 
 ROOT = Path(__file__).resolve().parent.parent
 GIVEN: dict[str, Any] = {
@@ -143,11 +143,11 @@
     assert times == sorted(times)
 
 
-@pytest.mark.parametrize("seconds", [0.0, TICK, 0.02, 0.0501, 0.1])
+@pytest.mark.parametrize("seconds", [0.0, TICK_S, 0.02, 0.0501, 0.1])
 def test_a_timer_fires_once_and_never_early(seconds: float) -> None:
     async def run() -> None:
         clock, failures = Clock(), []
-        wheel = Wheel(clock.now, lambda where, error: failures.append(error))
+        wheel = TimerWheel(clock.now, lambda where, error: failures.append(error))
         fired: asyncio.Queue[float] = asyncio.Queue()
         start = clock.now()
         wheel.after(1.0, lambda: fired.put_nowait(0.0))  # a far one must not hold up a near one
@@ -164,14 +164,14 @@
 def test_the_wheel_keeps_timers_beyond_a_turn_and_catches_up_when_late() -> None:
     async def run() -> None:
         now, fired = [0.0], []
-        wheel = Wheel(lambda: now[0], lambda where, error: None)
+        wheel = TimerWheel(lambda: now[0], lambda where, error: None)
         for ticks in (1, SLOTS - 1, SLOTS, SLOTS + 1, 3 * SLOTS + 5):
-            wheel.after(ticks * TICK, lambda ticks=ticks: fired.append(ticks))
-        now[0] += SLOTS * TICK
-        wheel.turn()
+            wheel.after(ticks * TICK_S, lambda ticks=ticks: fired.append(ticks))
+        now[0] += SLOTS * TICK_S
+        wheel.fire_due()
         assert fired == [1, SLOTS - 1, SLOTS]
-        now[0] += 10 * SLOTS * TICK
-        wheel.turn()
+        now[0] += 10 * SLOTS * TICK_S
+        wheel.fire_due()
         assert fired == [1, SLOTS - 1, SLOTS, SLOTS + 1, 3 * SLOTS + 5]
 
     asyncio.run(run())
@@ -179,10 +179,10 @@
 
 def test_a_limit_ends_its_body_with_a_time_out_and_passes_on_a_cancel() -> None:
     async def run() -> None:
-        wheel = Wheel(Clock().now, lambda where, error: None)
+        wheel = TimerWheel(Clock().now, lambda where, error: None)
 
         async def body(seconds: float) -> None:
-            async with wheel.limit(seconds):
+            async with wheel.timeout(seconds):
                 await asyncio.Event().wait()
 
         with pytest.raises(TimeoutError):
@@ -198,19 +198,19 @@
 
 def test_complaints_are_all_counted_and_logged_at_a_limited_rate_on_one_line() -> None:
     now, sink = [10.0], io.StringIO()
-    stats = Stats(lambda: now[0], sink)
+    stats = Metrics(lambda: now[0], sink)
     for _ in range(1000):
-        stats.complain("callback_malformed", why="a\nforged line x=1 \x1b[31m \u2028")
+        stats.count_and_log("callback_malformed", why="a\nforged line x=1 \x1b[31m \u2028")
     assert stats.counters["callback_malformed"] == 1000
     assert len(sink.getvalue().splitlines()) == 1
     now[0] += 6.0
-    stats.complain("callback_malformed", why="again")
+    stats.count_and_log("callback_malformed", why="again")
     assert sink.getvalue().splitlines()[1] == "16.000 callback_malformed total=1001 why=again"
 
 
 def test_a_failed_task_is_logged_and_counted() -> None:
     async def run() -> None:
-        stats = Stats(lambda: 1.0, sink := io.StringIO())
+        stats = Metrics(lambda: 1.0, sink := io.StringIO())
 
         async def broken() -> None:
             raise KeyError("x")
@@ -225,10 +225,10 @@
 
 def test_what_must_hold_is_asserted_in_debug_and_counted_in_release() -> None:
     with pytest.raises(AssertionError, match="name"):
-        Stats(lambda: 1.0).holds(False, "name")
+        Metrics(lambda: 1.0).check(False, "name")
     code = (
-        "from beaconhinge.runtime.metrics import Stats; s = Stats(lambda: 1.0)\n"
-        "print(s.holds(False, 'name'), s.holds(True, 'name'), s.counters['broken_name'])"
+        "from beaconhinge.runtime.metrics import Metrics; s = Metrics(lambda: 1.0)\n"
+        "print(s.check(False, 'name'), s.check(True, 'name'), s.counters['broken_name'])"
     )
     done = subprocess.run(
         [sys.executable, "-O", "-c", code], cwd=ROOT, capture_output=True, text=True, timeout=20
@@ -237,20 +237,26 @@
 
 
 def test_a_short_budget_closes_idle_connections_first_and_keeps_some_for_workers() -> None:
-    budget, idle = Budget(SPARE + 4, 100), ["a", "b"]
+    budget, idle = DescriptorBudget(RESERVED_DESCRIPTORS + 4, 100), ["a", "b"]
 
     def reclaim() -> bool:
         if not idle:
             return False
         idle.pop()
-        budget.give_back()
+        budget.release()
         return True
 
     budget.used = 2  # the two idle ones
     budget.reclaimers.append(reclaim)
-    assert [budget.take() for _ in range(5)] == [True, True, True, True, False]
+    assert [budget.acquire() for _ in range(5)] == [True, True, True, True, False]
     assert idle == []
-    assert [budget.hold(count) for count in (60, 50, -60, 100, 1)] == [True, False, True, True, False]
+    assert [budget.reserve_body_bytes(count) for count in (60, 50, -60, 100, 1)] == [
+        True,
+        False,
+        True,
+        True,
+        False,
+    ]
 
 
 def test_the_page_for_on_call_staff_names_every_line_and_counter() -> None:
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -17,7 +17,7 @@
 def test_datagrams_go_to_all_or_one_and_come_from_known_peers(
     monkeypatch: pytest.MonkeyPatch, target: int, arrives: bool
 ) -> None:
-    module = Scripted([interface.Tell(b"hello", target), interface.Refuse(1)])
+    module = Scripted([interface.SendToPeer(b"hello", target), interface.Reject(1)])
     monkeypatch.setattr("beaconhinge.__main__.Dispatcher", lambda settings, seed: module)
 
     async def story(scene: Stage) -> None:
@@ -51,7 +51,7 @@
 
 
 def test_a_dispatcher_that_stops_tells_nothing_more(monkeypatch: pytest.MonkeyPatch) -> None:
-    module = Scripted([interface.Tell(b"before", 1), interface.Refuse(1)])
+    module = Scripted([interface.SendToPeer(b"before", 1), interface.Reject(1)])
     monkeypatch.setattr("beaconhinge.__main__.Dispatcher", lambda settings, seed: module)
 
     async def story(scene: Stage) -> None:
@@ -62,7 +62,7 @@
             assert peer.recv(300) == b"before"
             os.kill(os.getpid(), signal.SIGTERM)
             await asyncio.sleep(0.05)
-            module.on[interface.Job] = [interface.Tell(b"after", 1), interface.Refuse(1)]
+            module.on[interface.JobArrived] = [interface.SendToPeer(b"after", 1), interface.Reject(1)]
             await scene.post(X_Request_ID="r2")
             with pytest.raises(TimeoutError):
                 peer.recv(300)
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -10,8 +10,9 @@
 
 from beaconhinge.policy import interface
 from beaconhinge.policy.dispatcher import Dispatcher
+from beaconhinge.policy.interface import WIRE_OUTCOMES, AttemptOutcome, UpdateKind, WorkerState
 
-OUTCOMES = st.sampled_from(sorted(interface.OUTCOMES - {interface.NOT_SENT}))
+OUTCOMES = st.sampled_from(sorted(WIRE_OUTCOMES - {AttemptOutcome.NOT_SENT}))
 STEP = st.one_of(
     st.tuples(st.just("job"), st.integers(0, 2), st.floats(0.05, 4.0), st.sampled_from([0.0, 0.2, 3.0])),
     st.tuples(st.just("outcome"), st.integers(0, 50), OUTCOMES),
@@ -26,7 +27,7 @@
 
 def play(driver: Driver, steps: list[tuple]) -> None:
     driver.feed(interface.Start())
-    driver.feed(interface.Membership(interface.REMEMBERED, 1, members(4)))
+    driver.feed(interface.MembershipUpdate(UpdateKind.BOOTSTRAP, 1, members(4)))
     number = 0
     for step in steps:
         match step:
@@ -38,18 +39,18 @@
             case ("wait", seconds):
                 driver.advance(driver.now + seconds)
             case ("member", index, status, restarted):
-                member = interface.Member(
+                member = interface.MemberEntry(
                     100 + index, status, cell=index % 2, started_at=driver.now if restarted else 0.0
                 )
-                driver.feed(interface.Membership(interface.CHANGES, 2, [member]))
+                driver.feed(interface.MembershipUpdate(UpdateKind.CHANGES, 2, [member]))
             case ("gone", index) if number:
                 request = 1 + index % number
                 if not driver.checker.calls[request].settled:
-                    driver.feed(interface.ClientGone(request))
+                    driver.feed(interface.ClientDisconnected(request))
             case ("list", count):
-                driver.feed(interface.Membership(interface.SNAPSHOT, 3, members(count)))
+                driver.feed(interface.MembershipUpdate(UpdateKind.SNAPSHOT, 3, members(count)))
             case ("refused",):
-                driver.feed(interface.Membership(interface.REFUSED))
+                driver.feed(interface.MembershipUpdate(UpdateKind.REFUSED))
             case ("peer", payload):
                 driver.feed(interface.PeerMessage(1, payload))
     driver.advance(driver.now + 10.0)
@@ -97,12 +98,12 @@
         return list(answer) if isinstance(event, when) else []
 
     driver = Driver(settings(), policy)
-    driver.feed(interface.Membership(interface.SNAPSHOT, 1, members(2)))
+    driver.feed(interface.MembershipUpdate(UpdateKind.SNAPSHOT, 1, members(2)))
     return driver
 
 
 def test_checker_sees_a_lost_request() -> None:
-    driver = offender([], interface.Job)
+    driver = offender([], interface.JobArrived)
     driver.feed(job(1))
     driver.advance(driver.now + 5)
     driver.checker.end(driver.now)
@@ -110,25 +111,28 @@
 
 
 def test_checker_sees_a_send_after_the_end() -> None:
-    driver = offender([interface.Refuse(1), interface.Send(1, 100)], interface.Job)
+    driver = offender([interface.Reject(1), interface.SendAttempt(1, 100)], interface.JobArrived)
     driver.feed(job(1))
     assert driver.checker.broken == ["1: send after the end of 1"]
 
 
 @pytest.mark.parametrize(
-    "answer, cls", [(interface.Send(1, 100), 2), (interface.Refuse(1), 2), (interface.Send(1, 101), 1)]
+    "answer, cls",
+    [(interface.SendAttempt(1, 100), 2), (interface.Reject(1), 2), (interface.SendAttempt(1, 101), 1)],
 )
 def test_checker_sees_a_second_effect(answer: interface.Action, cls: int) -> None:
-    driver = offender([answer], interface.Outcome)
+    driver = offender([answer], interface.AttemptEnded)
     driver.feed(job(1, cls))
-    driver.checker.actions(driver.now, [interface.Send(1, 100)])
-    driver.feed(interface.Outcome(1, 100, 0, interface.RESET))
+    driver.checker.actions(driver.now, [interface.SendAttempt(1, 100)])
+    driver.feed(interface.AttemptEnded(1, 100, 0, AttemptOutcome.CONNECTION_LOST))
     assert driver.checker.broken and driver.checker.broken[0].startswith("2:")
 
 
 def test_checker_sees_a_send_to_a_drained_worker() -> None:
-    driver = offender([interface.Send(1, 100)], interface.Job)
-    driver.feed(interface.Membership(interface.CHANGES, 2, [interface.Member(100, interface.DRAINING)]))
+    driver = offender([interface.SendAttempt(1, 100)], interface.JobArrived)
+    driver.feed(
+        interface.MembershipUpdate(UpdateKind.CHANGES, 2, [interface.MemberEntry(100, WorkerState.DRAINING)])
+    )
     driver.advance(driver.now + 0.6)
     driver.feed(job(1))
     assert driver.checker.broken == ["3: send to 100, which has left"]
@@ -138,18 +142,24 @@
     chosen = settings(rules__drainRelease="0.8")
     for given_back in (False, True):
         driver = Driver(
-            chosen, lambda now, event, back=given_back: [interface.Disconnect(100)] if back else []
+            chosen, lambda now, event, back=given_back: [interface.CloseIdleConnections(100)] if back else []
+        )
+        driver.feed(interface.MembershipUpdate(UpdateKind.SNAPSHOT, 1, members(2)))
+        driver.feed(
+            interface.MembershipUpdate(
+                UpdateKind.CHANGES, 2, [interface.MemberEntry(100, WorkerState.DRAINING)]
+            )
         )
-        driver.feed(interface.Membership(interface.SNAPSHOT, 1, members(2)))
-        driver.feed(interface.Membership(interface.CHANGES, 2, [interface.Member(100, interface.DRAINING)]))
         driver.checker.end(driver.now + 1.0)
         assert bool(driver.checker.broken) != given_back
 
 
 def test_checker_sees_a_cold_worker_pushed_over() -> None:
-    driver = offender([], interface.Job)
-    driver.feed(interface.Membership(interface.CHANGES, 2, [interface.Member(100, started_at=driver.now)]))
+    driver = offender([], interface.JobArrived)
+    driver.feed(
+        interface.MembershipUpdate(UpdateKind.CHANGES, 2, [interface.MemberEntry(100, started_at=driver.now)])
+    )
     for number in range(1, 7):
         driver.feed(job(number))
-        driver.checker.actions(driver.now, [interface.Send(number, 100)])
+        driver.checker.actions(driver.now, [interface.SendAttempt(number, 100)])
     assert any(text.startswith("4:") for text in driver.checker.broken)
--- a/tests/test_sites.py
+++ b/tests/test_sites.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from beaconhinge.policy import interface
+from beaconhinge.policy.interface import Semantics, WorkerState
 from beaconhinge.standin.fleet.plan import LONG_JOBS, SCRIPTS, Plan, Site
 from beaconhinge.standin.fleet.result import classes
 from beaconhinge.standin.fleet.world import World
@@ -34,13 +34,13 @@
     "no cancel": replace(SCRIPTS, cancel=False),
     "one at a time": replace(SCRIPTS, may_duplicate=False),
     "starts not told": replace(LONG_JOBS, tells_start=False),
-    "fragile render": with_semantics(SCRIPTS, interface.FRAGILE, only=0),
-    "fragile publish": with_semantics(SCRIPTS, interface.FRAGILE, only=1),
-    "fragile lookup": with_semantics(LONG_JOBS, interface.FRAGILE, only=0),
-    "all fragile": with_semantics(LONG_JOBS, interface.FRAGILE),
-    "keyed by all": with_semantics(SCRIPTS, interface.DEDUP, "all"),
-    "keyed by zone": with_semantics(SCRIPTS, interface.DEDUP, "zone"),
-    "keyed by cell": with_semantics(LONG_JOBS, interface.DEDUP, "cell"),
+    "fragile render": with_semantics(SCRIPTS, Semantics.UNSAFE, only=0),
+    "fragile publish": with_semantics(SCRIPTS, Semantics.UNSAFE, only=1),
+    "fragile lookup": with_semantics(LONG_JOBS, Semantics.UNSAFE, only=0),
+    "all fragile": with_semantics(LONG_JOBS, Semantics.UNSAFE),
+    "keyed by all": with_semantics(SCRIPTS, Semantics.DEDUPLICATED, "all"),
+    "keyed by zone": with_semantics(SCRIPTS, Semantics.DEDUPLICATED, "zone"),
+    "keyed by cell": with_semantics(LONG_JOBS, Semantics.DEDUPLICATED, "cell"),
 }
 
 
@@ -52,7 +52,7 @@
 
 def hit(world: World) -> bool:
     """Whether the day's trouble touched anything: a box drained or gone, or jobs taken for ever."""
-    return any(box.hung or box.state != interface.UP for box in world.boxes.values())
+    return any(box.hung or box.state != WorkerState.READY for box in world.boxes.values())
 
 
 @pytest.mark.parametrize("trouble", ["drain", "hang"])
--- a/tests/test_verification.py
+++ b/tests/test_verification.py
@@ -18,7 +18,7 @@
     Read,
     Verification,
 )
-from beaconhinge.policy import interface
+from beaconhinge.policy.interface import UpdateKind, WorkerState
 
 NOTIFIED_AFTER = 6.0
 
@@ -80,7 +80,7 @@
     assert made.verification.unconfirmed_since == 1.0
     assert made.call(3.0).index is None
     step = made.answered(hosts(6, entry("s-2"), full=True), 0.02, 3.02, 0.5, differs=True)
-    assert step.contradicts and step.kind == interface.SNAPSHOT
+    assert step.contradicts and step.kind == UpdateKind.SNAPSHOT
     assert made.call(3.07).index == 6  # watched meanwhile
     assert made.call(3.02 + AFTER_DOUBT).index is None
     step = made.answered(hosts(6, entry("s-2"), full=True), 0.02, 3.05 + AFTER_DOUBT, 0.5, differs=False)
@@ -181,8 +181,8 @@
         }
     ).encode()
     found = Inventory(["a"], ["k"]).salvage(body[:cut])
-    expected = {"s-1": interface.DRAINING} if cut > body.index(b"}") else {}
-    expected |= {"s-3": interface.GONE} if cut > body.rindex(b"Gone") + 5 else {}
+    expected = {"s-1": WorkerState.DRAINING} if cut > body.index(b"}") else {}
+    expected |= {"s-3": WorkerState.GONE} if cut > body.rindex(b"Gone") + 5 else {}
     assert (found.states if found else {}) == expected
     assert found is None or (found.version, found.full, found.hosts) == (9, False, [])
 
