--- /dev/null
+++ b/tests/golden/golden_process.py
@@ -0,0 +1,365 @@
+"""The program as its users have it: a process with a JSON configuration, raw sockets and bytes around it.
+
+Nothing here imports the program, so nothing here changes when the program's own names do.
+"""
+
+from __future__ import annotations
+
+import contextlib
+import copy
+import json
+import os
+import queue
+import re
+import socket
+import subprocess
+import sys
+import threading
+import time
+from collections.abc import Callable, Iterator
+from pathlib import Path
+from typing import Any
+
+from golden_ports import free_port
+
+ROOT = Path(__file__).resolve().parents[2]
+PATIENCE_S = 20.0  # for any one condition, on a machine that is loaded
+HOST = "127.0.0.1"
+
+SETTINGS: dict[str, Any] = {
+    "groupSize": 1,
+    "myNumber": 0,
+    "kinds": ["fast", "slow"],
+    "dcs": ["east", "west"],
+    "zone": 0,
+    "membershipMode": "on_request",
+    "quantum": 0.002,
+    "report": {"names": ["err_ps", "x0"], "source": "answers"},
+    "familyInfo": {
+        "classKind": [-1, -1],
+        "classStretch": [2.0, 2.5],
+        "progress": 1.0,
+        "reportX0": "free slots",
+        "tellsStart": True,
+    },
+    "orgs": [
+        {"name": "acme", "share": 0.7, "quotaRps": 0.0},
+        {"name": "umbrella", "share": 0.3, "quotaRps": 0.0},
+    ],
+    "policyLimits": {
+        "cancel": True,
+        "connectTimeout": 0.25,
+        "idleClose": 5.0,
+        "maxAttempts": 3,
+        "mostHeld": 100,
+        "maxRetryAfter": 2.0,
+        "mayDuplicate": False,
+        "peers": False,
+        "probes": False,
+        "retryAfter": True,
+    },
+    "requestClasses": [
+        {"name": "render", "aim": 2.5, "hardLimit": 25.0, "semantics": "retryable"},
+        {
+            "name": "publish",
+            "aim": 2.5,
+            "hardLimit": 25.0,
+            "semantics": "dedup",
+            "group": "cell",
+            "dedupWindow": 40.0,
+        },
+    ],
+    "rules": {"graceToAnswer": 0.008, "mustAskIn": 10.0, "drainGrace": 0.4},
+}
+
+
+def settings(**changes: Any) -> dict[str, Any]:
+    """The settings with changes; a double underscore parts the names of a path."""
+    changed = copy.deepcopy(SETTINGS)
+    for path, value in changes.items():
+        *tables, last = path.split("__")
+        table = changed
+        for name in tables:
+            table = table[name]
+        table[last] = value
+    return changed
+
+
+def wait_for(condition: Callable[[], Any], what: str, seconds: float = PATIENCE_S) -> Any:
+    """The first true value of the condition."""
+    end = time.monotonic() + seconds
+    while not (found := condition()):
+        assert time.monotonic() < end, f"waited {seconds:g} s in vain for {what}"
+        time.sleep(0.01)
+    return found
+
+
+def read_message(connection: socket.socket, before: bytes = b"") -> bytes:
+    """The bytes of one HTTP message whose length its head says; empty if the other side has ended."""
+    data = before
+    while b"\r\n\r\n" not in data:
+        part = connection.recv(65536)
+        if not part:
+            return data
+        data += part
+    head, _, body = data.partition(b"\r\n\r\n")
+    length = re.search(rb"(?i)\r\ncontent-length: *(\d+)", head)
+    while length is not None and len(body) < int(length[1]):
+        part = connection.recv(65536)
+        assert part, f"the connection ended within a body: {data!r}"
+        body += part
+    return head + b"\r\n\r\n" + body
+
+
+def connect(port: int) -> socket.socket:
+    """A connection on loopback, with a limit on each wait."""
+    return socket.create_connection((HOST, port), timeout=PATIENCE_S)
+
+
+def read_to_end(connection: socket.socket) -> bytes:
+    """All bytes until the other side ends or breaks the connection."""
+    data = b""
+    with contextlib.suppress(ConnectionError):
+        while part := connection.recv(65536):
+            data += part
+    return data
+
+
+def exchange(port: int, data: bytes) -> bytes:
+    """The one answer to these bytes, on a connection of its own."""
+    with connect(port) as connection:
+        connection.sendall(data)
+        return read_message(connection)
+
+
+def request(
+    path: str = "/render", body: bytes = b"work", method: str = "POST", **headers: str | None
+) -> bytes:
+    """A request as clients write it; headers given as None are left out."""
+    fields: dict[str, str | None] = {
+        "X_Request_ID": "r1",
+        "X_Tenant_Id": "acme",
+        "X_Timeout_Ms": "20000",
+        "Content_Length": str(len(body)),
+        **headers,
+    }
+    lines = "".join(
+        f"{name.replace('_', '-')}: {value}\r\n" for name, value in fields.items() if value is not None
+    )
+    return f"{method} {path} HTTP/1.1\r\nHost: x\r\n{lines}\r\n".encode() + body
+
+
+def answer(status: int, body: bytes = b"", **headers: str) -> bytes:
+    """An answer as workers and discovery write it."""
+    lines = "".join(f"{name.replace('_', '-')}: {value}\r\n" for name, value in headers.items())
+    return f"HTTP/1.1 {status} X\r\nContent-Length: {len(body)}\r\n{lines}\r\n".encode() + body
+
+
+class RecordingServer:
+    """A worker, or discovery: keeps each request's bytes and answers as its script says.
+
+    A script that gives None has the connection ended.
+    """
+
+    def __init__(self, script: Callable[[bytes], bytes | None]) -> None:
+        self.script = script
+        self.received: queue.Queue[bytes] = queue.Queue()
+        self._listener = socket.create_server((HOST, 0), backlog=64)
+        self.port: int = self._listener.getsockname()[1]
+        self._open: set[socket.socket] = set()
+        threading.Thread(target=self._accept, daemon=True).start()
+
+    def _accept(self) -> None:
+        with contextlib.suppress(OSError):
+            while True:
+                connection, _ = self._listener.accept()
+                self._open.add(connection)
+                threading.Thread(target=self._serve, args=(connection,), daemon=True).start()
+
+    def _serve(self, connection: socket.socket) -> None:
+        with contextlib.suppress(OSError), connection:
+            while message := read_message(connection):
+                self.received.put(message)
+                reply = self.script(message)
+                if reply is None:
+                    return
+                connection.sendall(reply)
+
+    def next(self) -> bytes:
+        """The next request that was received."""
+        return self.received.get(timeout=PATIENCE_S)
+
+    def close(self) -> None:
+        """End the listener and all connections."""
+        with contextlib.suppress(OSError):
+            self._listener.shutdown(socket.SHUT_RDWR)
+        self._listener.close()
+        for connection in list(self._open):
+            with contextlib.suppress(OSError):
+                connection.shutdown(socket.SHUT_RDWR)
+
+
+def host(name: str, port: int, **changes: Any) -> dict[str, Any]:
+    """A worker's entry in discovery's list."""
+    return {
+        "id": name,
+        "addr": f"{HOST}:{port}",
+        "zone": "east",
+        "kind": "fast",
+        "cell": 0,
+        "state": "Ready",
+        "weight": 1.0,
+        "started_ms": 0,
+        **changes,
+    }
+
+
+def host_list(version: int, servers: list[dict[str, Any]], full: bool = True) -> bytes:
+    """Discovery's answer with a list."""
+    return answer(200, json.dumps({"version": version, "full": full, "servers": servers}).encode())
+
+
+class Process:
+    """One process of the program, with its ports, its log and its folder for the next process."""
+
+    def __init__(
+        self,
+        folder: Path,
+        discovery_port: int,
+        *,
+        toml: str = "",
+        shared: bool = True,
+        wall_clock: float | None = None,
+        program: Path = ROOT,
+        python: str = sys.executable,
+        **changes: Any,
+    ) -> None:
+        """Start it. `shared`: it is given the folder in which a process leaves word for the next one.
+
+        `wall_clock` sets what its wall clock shows at the start, Unix time.
+        """
+        self.folder = folder
+        self.port = int(changes.get("listen", f":{free_port()}").rpartition(":")[2])
+        self.management_port = free_port()
+        content = {
+            "name": "n0",
+            "listen": f"{HOST}:{self.port}",
+            "discovery": f"{HOST}:{discovery_port}",
+            "mgmt": f"{HOST}:{self.management_port}",
+            "seed": "1f",
+            "settings": SETTINGS,
+            **changes,
+        }
+        folder.mkdir(parents=True, exist_ok=True)
+        self.log_path = folder / f"log-{self.management_port}.txt"
+        configuration = folder / f"configuration-{self.management_port}.json"
+        configuration.write_text(json.dumps(content))
+        environment = {
+            **{
+                name: value
+                for name, value in os.environ.items()
+                if not name.startswith(("RELAY_", "BEACONHINGE_"))
+            },
+            "RELAY_CONFIG": str(configuration),
+            "PYTHONPATH": str(program),
+        }
+        environment.pop("TMPDIR", None)
+        if shared:
+            environment["TMPDIR"] = str(folder)
+        if toml:
+            (folder / f"own-{self.management_port}.toml").write_text(toml)
+            environment["BEACONHINGE_CONFIG"] = str(folder / f"own-{self.management_port}.toml")
+        command = [python, "-m", "beaconhinge"]
+        if wall_clock is not None:
+            command = [python, "-c", _AT_ANOTHER_TIME.format(wall_clock=wall_clock)]
+        with self.log_path.open("wb") as log:
+            self.process = subprocess.Popen(command, cwd=program, env=environment, stderr=log, stdout=log)
+
+    def log(self) -> str:
+        """What it has written to its log so far."""
+        return self.log_path.read_text()
+
+    def logged(self, event: str) -> str:
+        """The first log line of that event; waits for it."""
+
+        def found() -> str:
+            assert self.process.poll() is None, self.log()
+            return next((line for line in self.log().splitlines() if line.split(" ")[1:2] == [event]), "")
+
+        return str(wait_for(found, f"the log event {event} in\n{self.log()}"))
+
+    def call(self, line: bytes) -> bytes:
+        """The answer to an operator's call."""
+        with connect(self.management_port) as connection:
+            connection.sendall(line)
+            return read_to_end(connection)
+
+    def wait_until_ready(self) -> None:
+        """Until it says so to its operators."""
+
+        def ready() -> bool:
+            assert self.process.poll() is None, self.log()
+            with contextlib.suppress(OSError):
+                return self.call(b"ready\n") == b"SUCCESS ready\n"
+            return False
+
+        wait_for(ready, "a process that is ready")
+
+    def wait_until_listening(self) -> None:
+        """Until operators' calls are answered, whatever with."""
+
+        def listening() -> bool:
+            assert self.process.poll() is None, self.log()
+            with contextlib.suppress(OSError):
+                return self.call(b"ready\n") != b""
+            return False
+
+        wait_for(listening, "a process that answers operators")
+
+    def ask(self, data: bytes) -> bytes:
+        """The answer to a client's bytes."""
+        return exchange(self.port, data)
+
+    def tell(self, request_id: str, worker: str, **content: Any) -> bytes:
+        """A worker's call-back; gives the answer to it."""
+        body = json.dumps({"id": request_id, "from": worker, **content}).encode()
+        head = f"POST /_jobs/news HTTP/1.1\r\nContent-Length: {len(body)}\r\n\r\n".encode()
+        return self.ask(head + body)
+
+    def figures(self) -> dict[str, Any]:
+        """What `show-stat` shows."""
+        shown: dict[str, Any] = json.loads(self.call(b"show-stat\n").partition(b"\n")[0])
+        return shown
+
+    def kill(self) -> None:
+        """End it at once, if it has not ended."""
+        self.process.kill()
+        self.process.wait()
+
+
+_AT_ANOTHER_TIME = """
+import runpy, time
+shift = {wall_clock} - time.time()
+real = time.time
+time.time = lambda: real() + shift
+runpy.run_module("beaconhinge", run_name="__main__", alter_sys=True)
+"""
+
+
+@contextlib.contextmanager
+def running(*things: Process | RecordingServer) -> Iterator[None]:
+    """End these processes and servers when the block is left."""
+    try:
+        yield
+    finally:
+        for thing in things:
+            thing.kill() if isinstance(thing, Process) else thing.close()
+
+
+def steady(data: bytes) -> bytes:
+    """Without what depends on time: the time that a job has left, and a wait that is drawn at random.
+
+    The draws come in one order, but how many come before depends on time.
+    """
+    data = re.sub(rb"X-Timeout-Ms: \d+", b"X-Timeout-Ms: (time left)", data)
+    return re.sub(rb"Retry-After: [12]\.\d{3}\r", b"Retry-After: (1 to 2 s)\r", data)
--- /dev/null
+++ b/tests/golden/test_waits.py
@@ -0,0 +1,15 @@
+"""Answers that come after long waits, begun with the first test of the folder (`conftest.py`)."""
+
+from __future__ import annotations
+
+import pytest
+from conftest import SlowMessages
+from golden_files import check_cases
+from golden_process import wait_for
+
+pytestmark = pytest.mark.xdist_group("processes")
+
+
+def test_slow_messages_are_told_the_same(slow_messages: SlowMessages) -> None:
+    wait_for(lambda: len(slow_messages.answers) == 2, "the answers to slow messages", 40.0)
+    check_cases("client_slow.json", dict(sorted(slow_messages.answers.items())))
