--- a/tests/golden/test_scripted_run.py
+++ b/tests/golden/test_scripted_run.py
@@ -144,7 +144,7 @@
             call_back("done", result="late"),
             ANSWER,
         )
-        run.play("no body, HTTP/1.1 PUT as POST", request(body=b"", X_Request_ID="a3"), ATTEMPT, DONE, ANSWER)
+        run.play("no body", request(body=b"", X_Request_ID="a3"), ATTEMPT, DONE, ANSWER)
         run.play(
             "a keyed job",
             request(
--- a/tests/golden/test_stored_data.py
+++ b/tests/golden/test_stored_data.py
@@ -76,7 +76,9 @@
         {"name": "umbrella", "share": 0.3, "quotaRps": 2.0},
     ],
 )
-STATE, SERVING, PARTED, DONE = 1, 2, 3, 4  # kinds of frames between the two processes of an upgrade
+# Kinds of frames between the two processes of an upgrade.
+STATE, SERVING, PARTED, DONE, CALL_BACK, SLOTS, OUT, BACK, DRAIN, RESUME = range(1, 11)
+FIRST_WORKER = 2417871472  # the number of s-0, a hash of that id
 FRAME = struct.Struct(">IB")  # length of what follows, kind
 
 
@@ -274,6 +276,11 @@
     return data
 
 
+def write_frame(connection: socket.socket, kind: int, content: bytes = b"") -> None:
+    """A frame to the other process."""
+    connection.sendall(FRAME.pack(len(content), kind) + content)
+
+
 def content_of(state: bytes) -> dict[str, Any]:
     """The content of a state: a line with a checksum comes before it."""
     head, _, body = state.partition(b"\n")
@@ -282,14 +289,21 @@
     return content
 
 
-def take_over(process: Process) -> bytes:
-    """Take the part of a new process, as far as to be given the state; then leave."""
+@contextlib.contextmanager
+def successor(process: Process) -> Iterator[socket.socket]:
+    """Take the part of a new process: the connection on which it is given the state."""
     word = process.folder / f"beaconhinge-{HOST}-{process.port}.json"
     wait_for(word.exists, "the word that the process leaves")
     told = json.loads(word.read_text())
     assert list(told) == ["mgmt", "token"] and told["mgmt"] == f"{HOST}:{process.management_port}"
     with connect(process.management_port) as connection:
         connection.sendall(f"take-over {told['token']}\n".encode())
+        yield connection
+
+
+def take_over(process: Process) -> bytes:
+    """Take the part of a new process as far as to be given the state; then leave."""
+    with successor(process) as connection:
         kind, state = read_frame(connection)
         assert kind == STATE
         return state
@@ -325,13 +339,62 @@
     assert content["out"] == golden["out"]
 
 
+def test_an_old_process_tells_the_new_one_the_same(tmp_path: Path) -> None:
+    site = Site()
+    process = site.start(tmp_path)
+    found: dict[str, object] = {}
+    with site.running(process):
+        process.wait_until_ready()
+        with connect(process.port) as client, successor(process) as new:
+            assert read_frame(new)[0] == STATE
+            token = json.loads((tmp_path / f"beaconhinge-{HOST}-{process.port}.json").read_text())["token"]
+            found["another that would take over"] = process.call(f"take-over {token}\n".encode())
+
+            def told(name: str, line: bytes) -> None:
+                found[f"{name}, answer"] = process.call(line)
+                found[f"{name}, frame"] = list(read_frame(new))
+
+            told("a worker out", b"disable-server s-1\n")
+            told("a worker back", b"enable-server s-1\n")
+            process.call(b"disable-server s-1\n")
+            process.call(b"disable-server s-2\n")
+            found["two more out"] = [list(read_frame(new)) for _ in range(2)]
+            client.sendall(request(X_Request_ID="in-work"))
+            site.worker.received.get(timeout=PATIENCE_S)
+            found["slots of a job in work"] = list(read_frame(new))
+            process.tell("elsewhere", "s-0", state="done", result="made")
+            found["a call-back for another process"] = list(read_frame(new))
+            process.tell("in-work", "s-0", state="done", result="made")
+            read_message(client)
+            found["slots when it has ended"] = list(read_frame(new))
+            told("drain", b"drain\n")
+            told("resume", b"resume\n")
+            write_frame(new, OUT, b"s-0")
+            write_frame(new, BACK, b"s-1")
+            wait_for(
+                lambda: b"s-0 is in" in process.call(b"enable-server s-0\n"),
+                "a worker that the new one took out",
+            )
+            found["what the new one tells is not told back"] = list(read_frame(new))
+            write_frame(new, SERVING)
+            found["when the new one serves"] = [list(read_frame(new)) for _ in range(2)]
+            found["ready when another has taken over"] = process.call(b"ready\n")
+    check_cases("upgrade_frames.json", found)
+
+
 class OldProcess:
-    """Plays the process that is replaced: hands the golden state to who takes over."""
+    """Plays the process that is replaced: hands the golden state to who takes over.
+
+    It tells of one slot more on the first worker. That it owes nothing any more, and that a worker is out, it
+    says once the test has set the event of that name.
+    """
 
     def __init__(self, folder: Path, port: int, state: bytes) -> None:
         self.state = state
         self.line = b""
         self.served = threading.Event()
+        self.owes_nothing = threading.Event()
+        self.tells_of_workers = threading.Event()
         self.failure: BaseException | None = None
         self._listener = socket.create_server((HOST, 0))
         word = {"mgmt": f"{HOST}:{self._listener.getsockname()[1]}", "token": "0123456789abcdef" * 2}
@@ -348,8 +411,13 @@
                     self.line += read_exactly(connection, 1)
                 connection.sendall(FRAME.pack(len(self.state), STATE) + self.state)
                 assert read_frame(connection) == (SERVING, b"")
-                connection.sendall(FRAME.pack(0, PARTED) + FRAME.pack(0, DONE))
+                write_frame(connection, PARTED)
+                write_frame(connection, SLOTS, struct.pack(">Id", FIRST_WORKER, 1.0))
                 self.served.set()
+                self.owes_nothing.wait(PATIENCE_S)
+                write_frame(connection, DONE)
+                self.tells_of_workers.wait(PATIENCE_S)
+                write_frame(connection, OUT, b"s-0")
                 connection.recv(1)  # stays, until the other has ended
         except OSError as error:
             self.failure = error
@@ -371,15 +439,21 @@
     try:
         with site.running(process):
             wait_for(lambda: old.served.is_set() or old.failure, "a process that takes over")
+            process.wait_until_listening()
+            assert process.call(b"ready\n") == b"FAILURE the process before still has jobs\n"
+            old.owes_nothing.set()
             process.wait_until_ready()
             assert old.line == b"take-over " + b"0123456789abcdef" * 2 + b"\n"
             assert process.logged(TAKEN_OVER).split(" ")[2:] == ["workers=3", "out=1"]
             assert process.figures()["hosts_listed"] == 3
             assert_nothing_refused(process)
             handed_on = content_of(take_over(process))
+            assert process.figures()["hosts_down"] == 1
+            old.tells_of_workers.set()
+            wait_for(lambda: process.figures()["hosts_down"] == 2, "a worker that the old process took out")
     finally:
         old.close()
-    assert old.failure is None
+    assert old.failure is None, old.failure
     check_handed_on(handed_on, golden)
 
 
@@ -405,6 +479,7 @@
         assert list(fields) == list(before[number][0])
         assert {name: fields[name] for name in LASTING} == {name: before[number][0][name] for name in LASTING}
         assert barred == before[number][2]
+        assert fields["out"] == before[number][0]["out"] + (number == FIRST_WORKER)
     peers, peers_before = module["fleet"]["peers"], was["fleet"]["peers"]
     assert [(number, list(fields)) for number, fields, *_ in peers] == [
         (n, list(f)) for n, f, *_ in peers_before
