--- /dev/null
+++ b/tests/golden/slow_messages.py
@@ -0,0 +1,30 @@
+"""Clients that take too long over a message."""
+
+from __future__ import annotations
+
+import threading
+
+from golden_process import Process, connect, read_message, read_to_end, request
+
+
+class SlowMessages:
+    """Clients whose messages never become whole. The answers take up to ten seconds, beside other tests."""
+
+    def __init__(self, process: Process) -> None:
+        self.process = process
+        self.answers: dict[str, object] = {}
+        self.threads = [threading.Thread(target=self._first), threading.Thread(target=self._later)]
+        for thread in self.threads:
+            thread.start()
+
+    def _first(self) -> None:
+        with connect(self.process.port) as connection:
+            connection.sendall(b"POST /render HTTP/1.1\r\nHo")
+            self.answers["408 of the first message on a connection"] = read_to_end(connection)
+
+    def _later(self) -> None:
+        with connect(self.process.port) as connection:
+            connection.sendall(b"GET /up HTTP/1.1\r\n\r\n")
+            read_message(connection)
+            connection.sendall(request()[:-2])
+            self.answers["408 of a later message on a connection"] = read_to_end(connection)
--- a/tests/golden/test_waits.py
+++ b/tests/golden/test_waits.py
@@ -3,9 +3,9 @@
 from __future__ import annotations
 
 import pytest
-from conftest import SlowMessages
 from golden_files import check_cases
 from golden_process import wait_for
+from slow_messages import SlowMessages
 
 pytestmark = pytest.mark.xdist_group("processes")
 
