--- a/beaconhinge/__main__.py
+++ b/beaconhinge/__main__.py
@@ -39,7 +39,7 @@
 
 async def serve(
     reader: Callable[[], Config],
-    ours: LocalConfig | None = None,
+    local_config: LocalConfig | None = None,
     shared: Path | None = None,
     reread: Callable[[], LocalConfig] | None = None,
 ) -> None:
@@ -50,47 +50,49 @@
     loop = asyncio.get_running_loop()
     clock = Clock()
     traced = frozenset(os.environ.get("BEACONHINGE_TRACE", "").split(","))
-    stats = Metrics(clock.now, writer=_log_writer(ours, clock) if ours else None, traced=traced)
-    wheel = TimerWheel(clock.now, stats.log_exception)
-    core = PolicyRunner(Dispatcher(config.settings, config.seed), wheel, stats)
+    metrics = Metrics(
+        clock.now, writer=_log_writer(local_config, clock) if local_config else None, traced=traced
+    )
+    timers = TimerWheel(clock.now, metrics.log_exception)
+    policy_runner = PolicyRunner(Dispatcher(config.settings, config.seed), timers, metrics)
     # Beside the callers' descriptors a second process needs its own to start with.
     aside = 2 * (CALLERS + 1) + RESERVED_DESCRIPTORS if config.mgmt else 0
     budget = DescriptorBudget(config.limits.sockets, config.limits.body_bytes, aside)
-    workers = WorkerPool(config, core, wheel, budget, stats)
-    discovery = Discovery(config, core, workers, wheel, stats, clock.wall_time)
-    peers = PeerSocket(config, core, wheel, stats)
-    requests = RequestTable(core, workers, wheel, stats, config.settings, config.class_names)
-    frontend = Listener(
+    workers = WorkerPool(config, policy_runner, timers, budget, metrics)
+    discovery = Discovery(config, policy_runner, workers, timers, metrics, clock.wall_time)
+    peers = PeerSocket(config, policy_runner, timers, metrics)
+    requests = RequestTable(policy_runner, workers, timers, metrics, config.settings, config.class_names)
+    listener = Listener(
         config,
         requests,
         workers.news,
         lambda: bool(workers.workers) and discovery.current,
         peers.others,
-        wheel,
+        timers,
         budget,
-        stats,
+        metrics,
     )
-    operators = OperatorCalls(config, core, workers, requests, frontend)
+    operators = OperatorCalls(config, policy_runner, workers, requests, listener)
     upgrade = None
     if config.mgmt is not None and shared is not None:
         upgrade = Upgrade(
             config,
             config.mgmt,
             shared,
-            core,
+            policy_runner,
             workers,
             discovery,
             peers,
-            frontend,
+            listener,
             operators,
             budget,
-            wheel,
-            stats,
+            timers,
+            metrics,
         )
-    if ours and ours.progress.enabled:
+    if local_config and local_config.progress.enabled:
         from .net.streams import Streams
 
-        frontend.streams = Streams(ours.progress, config, requests, wheel, stats)
+        listener.streams = Streams(local_config.progress, config, requests, timers, metrics)
 
     def reload() -> None:
         """Read the whole configuration again; nothing of a faulty one counts. Requests in work go on."""
@@ -99,12 +101,12 @@
             if leases is not None and reread is not None and (why := leases.reload(reread().leases)):
                 raise ConfigError(why)
         except ConfigError as error:
-            stats.count_and_log("reload_refused", why=error)
+            metrics.count_and_log("reload_refused", why=error)
             return
         discovery.move(new.discovery)
         peers.move(new)
-        stats.count("reloads")
-        stats.log(
+        metrics.count("reloads")
+        metrics.log(
             "reloaded",
             discovery=f"{new.discovery[0]}:{new.discovery[1]}",
             wait_for_restart=",".join(config.kept_until_restart(new)) or "none",
@@ -114,59 +116,63 @@
     stopping = asyncio.Event()
     for number in (signal.SIGTERM, signal.SIGINT):
         loop.add_signal_handler(number, stopping.set)
-    loop.add_signal_handler(signal.SIGUSR1, stats.log_counters)
+    loop.add_signal_handler(signal.SIGUSR1, metrics.log_counters)
     loop.add_signal_handler(signal.SIGHUP, reload)
     signal.pthread_sigmask(signal.SIG_UNBLOCK, HELD)  # one that came since `run` began is dealt with now
     inherited = await upgrade.inherit() if upgrade is not None else None
     peers.listen()
-    core.feed(interface.Start())
+    policy_runner.feed(interface.Start())
     if upgrade is not None and inherited is not None:
         upgrade.restore(inherited)
-    keeper = _keeper(ours, core, wheel, stats) if ours and ours.store.folder else None
+    keeper = (
+        _keeper(local_config, policy_runner, timers, metrics)
+        if local_config and local_config.store.folder
+        else None
+    )
     returning = None
-    if ours and ours.recovery.enabled:
+    if local_config and local_config.recovery.enabled:
         from .net.recovery import recover
 
         returning = recover(
-            ours.recovery,
+            local_config.recovery,
             config,
             keeper.store if keeper else None,
-            core,
-            wheel,
+            policy_runner,
+            timers,
             requests,
             workers,
             discovery,
             peers,
-            frontend,
+            listener,
             operators,
             upgrade,
-            stats,
+            metrics,
         )
-    if ours and ours.leases.enabled:
+    if local_config and local_config.leases.enabled:
         from .net.lease_calls import lease
 
         leases = lease(
-            ours.leases,
+            local_config.leases,
             config,
             keeper.store if keeper else None,
             operators,
             upgrade,
             peers,
-            wheel,
-            stats,
+            timers,
+            metrics,
             inherited,
         )
     discovery.remembered()
-    frontend.listen()
+    listener.listen()
     if returning is not None:
         returning.open(inherited is not None)
     if upgrade is not None:
         await upgrade.serving()
     if config.mgmt is not None:
-        management = Management(config.mgmt, operators.acts, wheel, stats)
+        management = Management(config.mgmt, operators.acts, timers, metrics)
         management.adopt = upgrade.adopt if upgrade is not None else None
         management.listen()
-    stats.log(
+    metrics.log(
         "started",
         name=config.name,
         listen=f"{config.listen[0]}:{config.listen[1]}",
@@ -175,28 +181,30 @@
     )
 
     await stopping.wait()
-    stats.log("stopping", owed=frontend.owing)
+    metrics.log("stopping", owed=listener.owing)
     if leases is not None:
         leases.leave()
     peers.leave()
-    await frontend.finish()
+    await listener.finish()
     if keeper is not None:
         await keeper.write()
         await keeper.store.close()
-        stats.counters.update(keeper.store.engine.counters)
-    stats.log_counters()
-    stats.log("stopped")
+        metrics.counters.update(keeper.store.engine.counters)
+    metrics.log_counters()
+    metrics.log("stopped")
 
 
-def _log_writer(ours: LocalConfig, clock: Clock) -> Callable[[str, dict[str, object]], None] | None:
-    if ours.log.format == "plain":
+def _log_writer(local_config: LocalConfig, clock: Clock) -> Callable[[str, dict[str, object]], None] | None:
+    if local_config.log.format == "plain":
         return None
     from .logs import writer
 
-    return writer(ours.log.format, sys.stderr, clock.now)
+    return writer(local_config.log.format, sys.stderr, clock.now)
 
 
-def _keeper(ours: LocalConfig, core: PolicyRunner, wheel: TimerWheel, stats: Metrics) -> SnapshotWriter:
+def _keeper(
+    local_config: LocalConfig, policy_runner: PolicyRunner, timers: TimerWheel, metrics: Metrics
+) -> SnapshotWriter:
     """The books of the last life are there before the module hears of anything. Blocks; the door is shut
     still.
     """
@@ -204,12 +212,12 @@
     from .store import Store
 
     keeper = SnapshotWriter(
-        Store.open(ours.store.folder, ours.store, log=stats.log),
-        core.dispatcher,
-        wheel,
-        stats,
-        ours.books.interval_s,
-        ours.books.max_age_s,
+        Store.open(local_config.store.folder, local_config.store, log=metrics.log),
+        policy_runner.dispatcher,
+        timers,
+        metrics,
+        local_config.books.interval_s,
+        local_config.books.max_age_s,
     )
     keeper.restore()
     keeper.keep()
@@ -226,7 +234,7 @@
     os.environ["UV_USE_IO_URING"] = "0"
     # A new configuration may come while this starts: SIGHUP would end a process that has no handler yet.
     signal.pthread_sigmask(signal.SIG_BLOCK, HELD)
-    ours: LocalConfig | None = None
+    local_config: LocalConfig | None = None
     reread: Callable[[], LocalConfig] | None = None
     try:
         if environment.get("BEACONHINGE_CONFIG"):
@@ -234,11 +242,11 @@
 
             path = environment["BEACONHINGE_CONFIG"]
             reread = lambda: read(path)  # noqa: E731
-            ours = reread()
-            if ours.platform.config:
-                environment = {**environment, "RELAY_CONFIG": ours.platform.config}
+            local_config = reread()
+            if local_config.platform.config:
+                environment = {**environment, "RELAY_CONFIG": local_config.platform.config}
         shared = Path(environment["TMPDIR"]) if environment.get("TMPDIR") else None
-        uvloop.run(serve(lambda: load(environment), ours, shared, reread))
+        uvloop.run(serve(lambda: load(environment), local_config, shared, reread))
     except ConfigError as error:
         print(f"beaconhinge: {error}", file=sys.stderr)
         return 2
--- a/beaconhinge/cli/config.py
+++ b/beaconhinge/cli/config.py
@@ -27,9 +27,9 @@
         else:
             from ..config.local import read
 
-            ours = read(file)
-            if ours.platform.config:
-                load({"RELAY_CONFIG": ours.platform.config})
+            local_config = read(file)
+            if local_config.platform.config:
+                load({"RELAY_CONFIG": local_config.platform.config})
     except ConfigError as error:
         if as_json:
             print(json.dumps({"file": str(file), "well": False, "error": str(error)}))
--- a/beaconhinge/cli/store.py
+++ b/beaconhinge/cli/store.py
@@ -85,7 +85,7 @@
     Example: beaconhinge store stat /var/lib/beaconhinge --json
     """
     store = _open(folder)
-    _print(store.stats(), as_json)
+    _print(store.metrics(), as_json)
     store.shut()
     return 0
 
--- a/beaconhinge/config/local.py
+++ b/beaconhinge/config/local.py
@@ -159,28 +159,28 @@
         content = tomllib.loads(file.read_text(encoding="utf-8"))
     except (OSError, UnicodeDecodeError, tomllib.TOMLDecodeError) as error:
         raise ConfigError(f"{path}: {error}") from None
-    ours = convert(content, str(path))
-    platform, store = ours.platform, ours.store
+    local_config = convert(content, str(path))
+    platform, store = local_config.platform, local_config.store
     if platform.config:
         platform = msgspec.structs.replace(platform, config=str(file.parent / platform.config))
     if store.folder:
         store = msgspec.structs.replace(store, folder=str(file.parent / store.folder))
-    return msgspec.structs.replace(ours, platform=platform, store=store)
+    return msgspec.structs.replace(local_config, platform=platform, store=store)
 
 
 def convert(content: Mapping[str, Any], name: str) -> LocalConfig:
     """Raises ConfigError, with `name` for the file."""
     _known(content, LocalConfig, name, "")
     try:
-        ours = msgspec.convert(content, LocalConfig)
+        local_config = msgspec.convert(content, LocalConfig)
     except msgspec.ValidationError as error:
         reason, _, place = str(error).partition(" - at `$.")
         raise ConfigError(f"{name}: {place.rstrip('`')}: {reason}") from None
     for table in ("store", "books", "progress", "recovery", "leases"):
-        problem = getattr(ours, table).problem()
+        problem = getattr(local_config, table).problem()
         if problem is not None:
             raise ConfigError(f"{name}: {table}.{problem[0]}: {problem[1]}")
-    return ours
+    return local_config
 
 
 def _known(content: Mapping[str, Any], kind: type[msgspec.Struct], name: str, path: str) -> None:
@@ -195,7 +195,7 @@
             _known(value, inner, name, f"{path}{key}.")
 
 
-def tables(ours: LocalConfig) -> dict[str, dict[str, Any]]:
+def tables(local_config: LocalConfig) -> dict[str, dict[str, Any]]:
     """Every key with its value, for printing."""
-    told: dict[str, dict[str, Any]] = msgspec.to_builtins(ours)
+    told: dict[str, dict[str, Any]] = msgspec.to_builtins(local_config)
     return told
--- a/beaconhinge/dispatch/policy_runner.py
+++ b/beaconhinge/dispatch/policy_runner.py
@@ -19,21 +19,21 @@
 
 
 class PolicyRunner:
-    def __init__(self, dispatcher: Dispatcher, wheel: TimerWheel, stats: Metrics) -> None:
+    def __init__(self, dispatcher: Dispatcher, timers: TimerWheel, metrics: Metrics) -> None:
         self.dispatcher = dispatcher
-        self.wheel = wheel
-        self.stats = stats
+        self.timers = timers
+        self.metrics = metrics
         self.request_handlers: dict[
             int, ActionHandler
         ] = {}  # by number: who takes the instructions for a request
         self.action_handlers: dict[type, ActionHandler] = {
             interface.SetTimer: self._set_timer,
-            interface.LogMessage: lambda action: stats.log("module", text=action.text),
+            interface.LogMessage: lambda action: metrics.log("module", text=action.text),
         }
         for kind in (interface.SendAttempt, interface.Reject, interface.Fail, interface.CancelAttempt):
             self.action_handlers[kind] = self._route_to_request
         self.monitor = SendMonitor(self._report_violation)
-        self.arrivals = Arrivals(wheel.now())
+        self.arrivals = Arrivals(timers.now())
         self._events: deque[interface.Event] = deque()
         self._feeding = False
         # Hears of events that the module failed on, and may not have applied.
@@ -43,8 +43,8 @@
     def _report_violation(self, rule: Rule, request: str, worker: str, why: str) -> None:
         """A rule was broken by what was written: fatal in debug, counted under `python -O`, which `run`
         uses."""
-        self.stats.count(f"invariant_violations_{rule.value}")
-        self.stats.count_and_log(
+        self.metrics.count(f"invariant_violations_{rule.value}")
+        self.metrics.count_and_log(
             "invariant_violations", rule=rule.value, request=request, worker=worker, why=why
         )
         if __debug__:
@@ -55,7 +55,7 @@
         if self._feeding:
             self._events.append(event)
             return
-        self.arrivals.ran(self.wheel.now())
+        self.arrivals.ran(self.timers.now())
         self.check_for_stall()  # which may feed first
         self._events.append(event)
         self._feeding = True
@@ -67,9 +67,9 @@
 
     def _handle(self, event: interface.Event) -> None:
         try:
-            actions = self.dispatcher.handle(self.wheel.now(), event)
+            actions = self.dispatcher.handle(self.timers.now(), event)
         except Exception as error:  # the request of that event still gets its answer
-            self.stats.log_exception(f"module on {type(event).__name__}", error)
+            self.metrics.log_exception(f"module on {type(event).__name__}", error)
             self.on_event_failed(event)
             if isinstance(event, (interface.JobArrived, interface.AttemptEnded)):
                 self._route_to_request(interface.Fail(event.request))
@@ -82,17 +82,17 @@
                 if owner is not None:
                     owner(action)
                 else:
-                    self.stats.count_and_log("action_without_owner", action=type(action).__name__)
+                    self.metrics.count_and_log("action_without_owner", action=type(action).__name__)
             except Exception as error:  # one owner's failure must not cost the others their actions
-                self.stats.log_exception(f"owner of {type(action).__name__}", error)
+                self.metrics.log_exception(f"owner of {type(action).__name__}", error)
 
     def _route_to_request(
         self, action: interface.SendAttempt | interface.Reject | interface.Fail | interface.CancelAttempt
     ) -> None:
         owner = self.request_handlers.get(action.request)
         # A request leaves the table once it is answered and every attempt has ended: nothing is due then.
-        if self.stats.check(owner is not None, "instruction_for_open_request") and owner is not None:
+        if self.metrics.check(owner is not None, "instruction_for_open_request") and owner is not None:
             owner(action)
 
     def _set_timer(self, action: interface.SetTimer) -> None:
-        self.wheel.after(action.after, lambda: self.feed(interface.TimerFired(action.token)))
+        self.timers.after(action.after, lambda: self.feed(interface.TimerFired(action.token)))
--- a/beaconhinge/dispatch/request.py
+++ b/beaconhinge/dispatch/request.py
@@ -202,18 +202,18 @@
 
     def __init__(
         self,
-        core: PolicyRunner,
+        policy_runner: PolicyRunner,
         carrier: Carrier,
-        wheel: TimerWheel,
-        stats: Metrics,
+        timers: TimerWheel,
+        metrics: Metrics,
         settings: interface.Settings,
         class_names: Sequence[str],
     ) -> None:
         self.class_names = class_names
-        self.core = core
+        self.policy_runner = policy_runner
         self.carrier = carrier
-        self.wheel = wheel
-        self.stats = stats
+        self.timers = timers
+        self.metrics = metrics
         self.settings = settings
         self.in_hand: dict[str, Request] = {}
         self._last = 0
@@ -234,7 +234,7 @@
 
     def turn_away(self, job: Job) -> Answer:
         """Refuse a job without the module's word: there is no room for it, or no time."""
-        self.stats.count(figures.counter(figures.BUSY, self.class_names[job.cls]))
+        self.metrics.count(figures.counter(figures.BUSY, self.class_names[job.cls]))
         return Answer(REFUSED, retry_after=self.settings.max_retry_after_s)
 
     def take(
@@ -244,8 +244,8 @@
         # Numbers stay under 2^32 like the simulator's; the module adds to them for its timers.
         self._last = self._last % 0xFFFF0000 + 1
         request = self.in_hand[job.id] = Request(self, self._last, job, watcher, has_left)
-        self.stats.count("requests_taken")
-        self.stats.spawn(request.live(), "request")
+        self.metrics.count("requests_taken")
+        self.metrics.spawn(request.live(), "request")
         return request
 
 
@@ -272,7 +272,7 @@
     def client_left(self) -> None:
         if not self._left:
             self._left = True
-            self.all.core.monitor.client_left(self.job.id, self.all.wheel.now())
+            self.all.policy_runner.monitor.client_left(self.job.id, self.all.timers.now())
             self._steps.put_nowait(ClientLeft())
 
     def wanted(self) -> bool:
@@ -282,22 +282,22 @@
         return not self._left and not self.answer.done()
 
     async def live(self) -> None:
-        core, stats, job = self.all.core, self.all.stats, self.job
-        core.request_handlers[self.number] = self._steps.put_nowait
+        policy_runner, metrics, job = self.all.policy_runner, self.all.metrics, self.job
+        policy_runner.request_handlers[self.number] = self._steps.put_nowait
         unsafe = self.all.settings.classes[job.cls].semantics == Semantics.UNSAFE
-        core.monitor.request_taken(job.id, job.deadline, unsafe)
+        policy_runner.monitor.request_taken(job.id, job.deadline, unsafe)
         late = job.remaining + self.all.settings.answer_grace_s / 2
-        backstop = self.all.wheel.after(late, lambda: self._steps.put_nowait(Overdue()))
+        backstop = self.all.timers.after(late, lambda: self._steps.put_nowait(Overdue()))
         known, spent = Known(), 0.0
         try:
             if self.all.before is not None or self.all.keys is not None and job.dedup_key:
                 known = await self._known()
-                spent = self.all.wheel.now() - job.taken_at  # that took time
+                spent = self.all.timers.now() - job.taken_at  # that took time
             if known.result is not None:
                 self._finish(Answer(AttemptOutcome.SERVED, known.result))
                 return
             left, patience = (max(span - spent, 0.0) for span in (job.remaining, job.patience))
-            core.feed(
+            policy_runner.feed(
                 interface.JobArrived(
                     self.number,
                     job.cls,
@@ -331,7 +331,7 @@
                             self.watcher.accepted()
                     case Told():
                         self._show(step)
-                        core.feed(
+                        policy_runner.feed(
                             interface.ProgressNotice(
                                 self.number, step.attempt.worker, step.attempt.number, step.what, step.share
                             )
@@ -340,15 +340,15 @@
                         self._ended(step)
                     case ClientLeft():
                         if self._finish(Answer(GONE)):
-                            core.feed(interface.ClientDisconnected(self.number))
+                            policy_runner.feed(interface.ClientDisconnected(self.number))
                     case Overdue() if not self._steps.empty():
                         # The loop was late: the module's answer may wait behind the outcome at the deadline.
                         self._steps.put_nowait(step)
                     case Overdue():
                         # The module answers before this; if it fails to, the client gets an answer still.
-                        if not stats.check(self.answer.done(), "answered_by_deadline"):
+                        if not metrics.check(self.answer.done(), "answered_by_deadline"):
                             self._finish(Answer(FAILED))
-                            core.feed(interface.ClientDisconnected(self.number))
+                            policy_runner.feed(interface.ClientDisconnected(self.number))
         finally:
             backstop.cancel()
             self._finish(Answer(FAILED))  # only if something above has failed: the client gets its answer
@@ -358,8 +358,8 @@
                 self.all.keys.left(
                     job, may_have_run, answer.body if answer.end == AttemptOutcome.SERVED else None
                 )
-            core.request_handlers.pop(self.number, None)
-            core.monitor.request_over(job.id)
+            policy_runner.request_handlers.pop(self.number, None)
+            policy_runner.monitor.request_over(job.id)
             del self.all.in_hand[job.id]
 
     async def _known(self) -> Known:
@@ -367,7 +367,7 @@
         dispatchers that do not answer, must not cost it its answer.
         """
         try:
-            async with self.all.wheel.timeout(self.job.remaining / 2):
+            async with self.all.timers.timeout(self.job.remaining / 2):
                 if self.all.before is not None:
                     await self.all.before()
                 if self.all.keys is not None and self.job.dedup_key:
@@ -377,7 +377,7 @@
             return Known(doubted=bool(self.job.dedup_key))
 
     def _send(self, order: interface.SendAttempt) -> None:
-        now = self.all.wheel.now()
+        now = self.all.timers.now()
         until = min(self.job.deadline, now + order.timeout if order.timeout > 0 else self.job.deadline)
         attempt = Attempt(
             self.job,
@@ -391,13 +391,13 @@
         )
         busy = any(a.open and a.worker == order.worker for a in self._attempts)
         self._attempts.append(attempt)
-        self.all.stats.count("attempts")
-        one_at_a_time = self.all.stats.check(not busy, "one_attempt_per_worker")
+        self.all.metrics.count("attempts")
+        one_at_a_time = self.all.metrics.check(not busy, "one_attempt_per_worker")
         if not self.wanted() or until <= now or not one_at_a_time:
             attempt.end(AttemptOutcome.NOT_SENT)
             return
-        attempt.timer = self.all.wheel.after(until - now, lambda: attempt.end(AttemptOutcome.TIMEOUT))
-        self.all.stats.trace(
+        attempt.timer = self.all.timers.after(until - now, lambda: attempt.end(AttemptOutcome.TIMEOUT))
+        self.all.metrics.trace(
             "attempts", "attempt", request=self.job.id, worker=order.worker, number=attempt.number
         )
         self.all.carrier.start(attempt)
@@ -419,8 +419,8 @@
         self._may_have_run = self._may_have_run or step.outcome not in PROVEN_UNRUN
         if self.watcher is not None and step.outcome != AttemptOutcome.SERVED:
             self.watcher.lost(attempt.number)
-        self.all.stats.count("outcome_" + step.outcome)
-        self.all.stats.trace(
+        self.all.metrics.count("outcome_" + step.outcome)
+        self.all.metrics.trace(
             "attempts",
             "attempt_ended",
             request=self.job.id,
@@ -430,8 +430,8 @@
         )
         if step.outcome == AttemptOutcome.SERVED:
             self._finish(Answer(AttemptOutcome.SERVED, step.body))
-        latency = self.all.own_seconds(attempt.sent_at, self.all.wheel.now())
-        self.all.core.feed(
+        latency = self.all.own_seconds(attempt.sent_at, self.all.timers.now())
+        self.all.policy_runner.feed(
             interface.AttemptEnded(
                 self.number,
                 attempt.worker,
@@ -452,10 +452,10 @@
         for attempt in self._attempts:
             if not attempt.begun:  # it waits for its connection, and nobody for it
                 attempt.end(AttemptOutcome.NOT_SENT)
-        self.all.stats.count("answer_" + answer.end)
-        self.all.stats.trace(
+        self.all.metrics.count("answer_" + answer.end)
+        self.all.metrics.trace(
             "attempts", "answered", request=self.job.id, end=answer.end, attempts=len(self._attempts)
         )
         if answer.end in FIGURE:
-            self.all.stats.count(figures.counter(FIGURE[answer.end], self.all.class_names[self.job.cls]))
+            self.all.metrics.count(figures.counter(FIGURE[answer.end], self.all.class_names[self.job.cls]))
         return True
--- a/beaconhinge/net/discovery.py
+++ b/beaconhinge/net/discovery.py
@@ -52,19 +52,19 @@
     def __init__(
         self,
         config: Config,
-        core: PolicyRunner,
+        policy_runner: PolicyRunner,
         workers: WorkerPool,
-        wheel: TimerWheel,
-        stats: Metrics,
+        timers: TimerWheel,
+        metrics: Metrics,
         wall_clock: Callable[[], float],
     ) -> None:
         self.config = config
         self._wall_clock = wall_clock
         self._start_times = StartTimes()
-        self.core = core
+        self.policy_runner = policy_runner
         self.workers = workers
-        self.wheel = wheel
-        self.stats = stats
+        self.timers = timers
+        self.metrics = metrics
         settings = config.settings
         self._random = random.Random(config.seed)  # of its own: the module's draws stay as they are
         self.watch = DiscoveryWatch(
@@ -72,33 +72,33 @@
             settings.group_size,
             settings.membership_max_age_s,
             _whole_version(config.known),
-            wheel.now(),
+            timers.now(),
             self._random.random(),
         )
         self.inventory = Inventory(
-            config.zones, config.kinds, lambda why: stats.count_and_log("list_entry_malformed", why=why)
+            config.zones, config.kinds, lambda why: metrics.count_and_log("list_entry_malformed", why=why)
         )
         self.address = config.discovery
         self.known = config.known or Hosts()
         self.told: Callable[[str], None] = lambda how: None  # hears of each list
         self._watch: asyncio.Task[None] | None = None
         self._heard = asyncio.Event()  # a call has been answered, or has failed
-        self._listed_at = wheel.now()
-        self.freshness = Freshness(not settings.membership_on_request, wheel.now())
+        self._listed_at = timers.now()
+        self.freshness = Freshness(not settings.membership_on_request, timers.now())
         self._content: dict[str, object] = {}  # of the last answer
         self._usable = asyncio.Event()  # the list may be acted on
         self._taken: deque[str] = deque(maxlen=TRACED_LISTS)
-        core.action_handlers[interface.SubscribeMembership] = self._subscribe
-        core.action_handlers[interface.FetchMembership] = lambda action: self._again(whole=True)
-        core.on_event_failed = self._not_applied
+        policy_runner.action_handlers[interface.SubscribeMembership] = self._subscribe
+        policy_runner.action_handlers[interface.FetchMembership] = lambda action: self._again(whole=True)
+        policy_runner.on_event_failed = self._not_applied
         workers.list_usable = lambda: self.current
         workers.list_usable_again = self._usable_again
-        wheel.after(RUN_CHECK, self._check)
+        timers.after(RUN_CHECK, self._check)
 
     @property
     def current(self) -> bool:
         """Whether the list may be acted on, as far as is known this moment."""
-        now = self.wheel.now()
+        now = self.timers.now()
         if self.freshness.ran(now):
             self._stood_still()
         return self.freshness.state(now) is not ListState.UNKNOWN
@@ -108,8 +108,8 @@
         return self.watch.version
 
     def _check(self) -> None:
-        self.wheel.after(RUN_CHECK, self._check)
-        self._start_times.wall_clock_read(self.wheel.now(), self._wall_clock())
+        self.timers.after(RUN_CHECK, self._check)
+        self._start_times.wall_clock_read(self.timers.now(), self._wall_clock())
         self._look()
 
     def _look(self) -> None:
@@ -118,7 +118,7 @@
             self._usable.set()
         elif self._usable.is_set():
             self._usable.clear()
-            self.stats.count_and_log("list_unknown", list_age=self.wheel.now() - self._listed_at)
+            self.metrics.count_and_log("list_unknown", list_age=self.timers.now() - self._listed_at)
 
     async def _usable_again(self) -> None:
         """Wait until the list may be acted on. It may have turned unknown since the last look: the event is
@@ -130,7 +130,7 @@
     def _stood_still(self) -> None:
         """Nobody knows what was told meanwhile: ask at once, whatever call is out."""
         self._usable.clear()
-        self.stats.count("list_asked_after_standing_still")
+        self.metrics.count("list_asked_after_standing_still")
         if self._watch is not None:
             self._again()
 
@@ -149,7 +149,7 @@
         """
         if here and self.version is not None and self.version > hosts.version:
             return
-        self.watch.begin(_whole_version(hosts) if here else None, self.wheel.now(), self._random.random())
+        self.watch.begin(_whole_version(hosts) if here else None, self.timers.now(), self._random.random())
         self.known = hosts
 
     def move(self, address: Address) -> None:
@@ -159,7 +159,7 @@
         if address == self.address:
             return
         self.address = address
-        pause = self.watch.moved(self.wheel.now(), self._random.random())
+        pause = self.watch.moved(self.timers.now(), self._random.random())
         if self._watch is not None:  # soon: the module would ask again only when the old watch had failed
             self._again(pause=pause)
 
@@ -175,7 +175,7 @@
         if self._watch is not None:
             self._watch.cancel()
         self.watch.catch_up(whole)
-        self._watch = self.stats.spawn(self._follow(pause), "watch")
+        self._watch = self.metrics.spawn(self._follow(pause), "watch")
 
     async def refresh(self) -> None:
         """Have what has changed at once. Returns when it is there, or could not be had."""
@@ -190,23 +190,23 @@
             while True:
                 await asyncio.sleep(pause)
                 self.watch.entries = len(self.workers.workers)
-                began = self.wheel.now()
+                began = self.timers.now()
                 call = self.watch.call(began)
                 try:
                     hosts = await self._call(line, call)
                 except (OSError, Closed, BadMessage, InventoryError) as error:
                     pause = self._failed(line, call, error, began)
                 else:
-                    pause = self._answered(line, call, hosts, self.wheel.now() - began)
+                    pause = self._answered(line, call, hosts, self.timers.now() - began)
                 self._heard.set()
                 self._look()
         finally:
             line.drop()
 
     def _answered(self, line: _Line, call: Call, hosts: Hosts, after: float) -> float:
-        now, known = self.wheel.now(), self.version
+        now, known = self.timers.now(), self.version
         if self.watch.failing:
-            self.stats.log("discovery_back", list_age=now - self._listed_at)
+            self.metrics.log("discovery_back", list_age=now - self._listed_at)
         self._complete(hosts)
         differs = self.workers.differs(hosts)
         step = self.watch.answered(hosts, after, now, self._random.random(), differs)
@@ -217,15 +217,15 @@
             self.freshness.failed(now - after, now, down=False, watched=False)
         if not step.keep:
             line.drop()
-            self.stats.count_and_log("list_out_of_turn", version=hosts.version, known=self.version)
+            self.metrics.count_and_log("list_out_of_turn", version=hosts.version, known=self.version)
         if call.wait == 0 and step.kind and hosts.version == known:
-            self.stats.count("lists_verified")
+            self.metrics.count("lists_verified")
         if step.contradicts:
-            self.stats.count_and_log("list_contradicted", version=hosts.version, entries=len(hosts.hosts))
+            self.metrics.count_and_log("list_contradicted", version=hosts.version, entries=len(hosts.hosts))
         if step.kind:
             self._taken.append(f"{step.kind}:{known}-{hosts.version}:{len(hosts.hosts)}:{len(hosts.unread)}")
             if differs or hosts.version != known:
-                self.stats.log(
+                self.metrics.log(
                     "list_taken",
                     kind=step.kind,
                     version=hosts.version,
@@ -236,11 +236,11 @@
                     unread=len(hosts.unread),
                     after=after,
                 )
-            self.core.monitor.list_taken(self._content, now)
+            self.policy_runner.monitor.list_taken(self._content, now)
             self._tell(step.kind, hosts)
         else:
             members = [host.member for host in self.workers.hosts()]
-            self.stats.trace(
+            self.metrics.trace(
                 "lists",
                 "list_unchanged",
                 version=hosts.version,
@@ -269,37 +269,37 @@
             return
         self._complete(hosts)
         if self.workers.differs(hosts):
-            self.stats.count_and_log("list_salvaged", version=hosts.version, entries=len(hosts.hosts))
+            self.metrics.count_and_log("list_salvaged", version=hosts.version, entries=len(hosts.hosts))
             self._tell(UpdateKind.CHANGES, hosts)
 
     def _failed(self, line: _Line, call: Call, error: Exception, began: float) -> float:
         down = isinstance(error, (ConnectionRefusedError, ConnectionResetError, BrokenPipeError, Closed))
-        self.freshness.failed(began, self.wheel.now(), down, call.wait > 0)
+        self.freshness.failed(began, self.timers.now(), down, call.wait > 0)
         begun = line.connection is not None and line.connection.partial
         if line.connection is not None and begun:
             self._salvage(line.connection.unfinished_body())
         line.drop()
         silent = isinstance(error, TimeoutError) and not begun
         if silent and call.wait:
-            self.stats.count_and_log("watch_silent", list_age=self.wheel.now() - self._listed_at)
+            self.metrics.count_and_log("watch_silent", list_age=self.timers.now() - self._listed_at)
         else:
-            self.stats.count_and_log("discovery_failed", why=f"{type(error).__name__}: {error}")
-        return self.watch.failed(silent, self.wheel.now(), self._random.random(), begun)
+            self.metrics.count_and_log("discovery_failed", why=f"{type(error).__name__}: {error}")
+        return self.watch.failed(silent, self.timers.now(), self._random.random(), begun)
 
     def _not_applied(self, event: interface.Event) -> None:
         """The module failed on an event: if that was a list, it may hold another one than is believed
         here."""
         if isinstance(event, interface.MembershipUpdate):
-            self.watch.failed_to_apply(self.wheel.now())
+            self.watch.failed_to_apply(self.timers.now())
 
     async def _call(self, line: _Line, call: Call) -> Hosts:
-        self.stats.count("discovery_calls")
+        self.metrics.count("discovery_calls")
         query = "" if call.index is None else f"?index={call.index}&wait={call.wait * 1000:.0f}"
         if line.connection is not None and not line.connection.silent():
             # A second answer to the call before: every later one would be taken for that of another call.
             line.drop()
-            self.stats.count("discovery_spoke_unasked")
-        async with self.wheel.timeout(call.patience):
+            self.metrics.count("discovery_spoke_unasked")
+        async with self.timers.timeout(call.patience):
             if line.connection is None:
                 sock = await connect(self.address)
                 line.connection = Connection(sock, False, lambda: None, MAX_LIST)
@@ -323,27 +323,27 @@
 
     async def _whole_answer(self, connection: Connection, longest: float) -> Message:
         """The rest of an answer that has begun. It may take so long at most, as long as bytes come."""
-        until = self.wheel.now() + longest
+        until = self.timers.now() + longest
         while True:
-            received, left = connection.received, until - self.wheel.now()
+            received, left = connection.received, until - self.timers.now()
             try:
-                async with self.wheel.timeout(min(STALL, left)):
+                async with self.timers.timeout(min(STALL, left)):
                     return await connection.next()
             except TimeoutError:
-                if connection.received == received or self.wheel.now() >= until:
+                if connection.received == received or self.timers.now() >= until:
                     raise
 
     def _tell(self, how: UpdateKind, hosts: Hosts) -> None:
-        self.stats.count("lists_" + how)
+        self.metrics.count("lists_" + how)
         if hosts.full:  # who stands there in bytes that cannot be read has not left
             hosts.hosts += self.workers.named(hosts.unread)
         self.workers.update(hosts)
-        self.core.feed(interface.MembershipUpdate(how, hosts.version, self._members(hosts)))
+        self.policy_runner.feed(interface.MembershipUpdate(how, hosts.version, self._members(hosts)))
         self.told(how)
 
     def _members(self, hosts: Hosts) -> list[interface.MemberEntry]:
         """The list for the module, with each start of a worker on this process's clock."""
-        now = self.wheel.now()
+        now = self.timers.now()
         self._start_times.wall_clock_read(now, self._wall_clock())
         if hosts.full:
             self._start_times.keep({host.id for host in hosts.hosts})
--- a/beaconhinge/net/keys.py
+++ b/beaconhinge/net/keys.py
@@ -45,14 +45,14 @@
         max_keys: int,
         max_bytes: int,
         peers: PeerSocket,
-        wheel: TimerWheel,
-        stats: Metrics,
+        timers: TimerWheel,
+        metrics: Metrics,
     ) -> None:
         self.config = config
         self.store = store
         self.peers = peers
-        self.wheel = wheel
-        self.stats = stats
+        self.timers = timers
+        self.metrics = metrics
         classes = [cls for number, cls in enumerate(config.settings.classes) if config.keyed(number)]
         window = max((cls.dedup_window_s + cls.deadline_s for cls in classes), default=0.0)
         self.book = KeyBook(window, self._unsure_until(window), max_keys, max_bytes)
@@ -62,7 +62,7 @@
         peers.talk |= dict.fromkeys((keys.ASK, keys.ANSWER, keys.FETCH, keys.PART), self._heard)
         if store is not None:
             self._restore(store)
-        wheel.after(SWEEP, self._sweep)
+        timers.after(SWEEP, self._sweep)
 
     # ---- the journal ---------------------------------------------------------------------------------------
 
@@ -78,10 +78,10 @@
             except StoreError:
                 pass  # as good as none
         number = self.config.settings.own_number
-        return keys.unsure_until(found, self.config.name, number, self.wheel.now(), window)
+        return keys.unsure_until(found, self.config.name, number, self.timers.now(), window)
 
     def _restore(self, store: Store) -> None:
-        now, damaged = self.wheel.now(), 0
+        now, damaged = self.timers.now(), 0
         try:
             for place, data in store.scan(PREFIX):
                 try:
@@ -93,8 +93,8 @@
             damaged += 1
         if damaged:  # what it does not tell is not known
             self.book.unsure_until = now + self.book.window
-        self.stats.spawn(self._sign(), "keys")
-        self.stats.log(
+        self.metrics.spawn(self._sign(), "keys")
+        self.metrics.log(
             "keys_restored",
             keys=len(self.book),
             damaged=damaged,
@@ -108,7 +108,7 @@
         """Whether it is on the disk that this dispatcher has the key."""
         if self.store is None:
             return True
-        put = Put(PREFIX + name.to_bytes(8, "big"), keys.record(self.wheel.now(), job.id))
+        put = Put(PREFIX + name.to_bytes(8, "big"), keys.record(self.timers.now(), job.id))
         return await self._commit([self._owner(), put])
 
     async def _forget(self, names: list[int]) -> None:
@@ -120,34 +120,34 @@
 
     async def _commit(self, changes: list[Change]) -> bool:
         try:
-            async with self.wheel.timeout(DISK_WITHIN):
+            async with self.timers.timeout(DISK_WITHIN):
                 if self.store is not None:
                     await self.store.commit(changes)
             return True
         except (StoreError, TimeoutError) as error:
-            self.stats.count_and_log("keys_not_written", why=f"{type(error).__name__}: {error}")
+            self.metrics.count_and_log("keys_not_written", why=f"{type(error).__name__}: {error}")
             return False
 
     def _sweep(self) -> None:
-        self.wheel.after(SWEEP, self._sweep)
-        old = self.book.sweep(self.wheel.now())
+        self.timers.after(SWEEP, self._sweep)
+        old = self.book.sweep(self.timers.now())
         forgotten, dropped = self.book.limits_hit()
-        self.stats.count("keys_forgotten", forgotten)
-        self.stats.count("keys_results_dropped", dropped)
+        self.metrics.count("keys_forgotten", forgotten)
+        self.metrics.count("keys_results_dropped", dropped)
         if old and self.store is not None:
-            self.stats.spawn(self._forget(old), "keys")
+            self.metrics.spawn(self._forget(old), "keys")
 
     # ---- a request -----------------------------------------------------------------------------------------
 
     async def enter(self, job: Job) -> Known:
         """Before the module hears of a job with a key: whether it may have run elsewhere, or its result."""
-        now, name = self.wheel.now(), keys.name(job.cls, job.tenant, job.dedup_key)
+        now, name = self.timers.now(), keys.name(job.cls, job.tenant, job.dedup_key)
         result = self.book.result(now, name)
         if result is not None:
-            self.stats.count("keys_answered")
+            self.metrics.count("keys_answered")
             return Known(result=result)
         if self.book.word(now, name) == HERE:
-            self.stats.count("keys_here")
+            self.metrics.count("keys_here")
             return Known(doubted=True)
         ask = job.repeat or not self.config.settings.clients_mark_retries or self.book.claimed(now, name)
         self.book.take(now, name, job.id)
@@ -159,35 +159,35 @@
                 verdict = inquiry.verdict
                 if verdict == NOT_HERE and (now < self.book.unsure_until or not self.settled()):
                     verdict = UNKNOWN
-                self.stats.count(ASKED_FOR[verdict])
+                self.metrics.count(ASKED_FOR[verdict])
                 if verdict == KEPT:
                     return Known(doubted=True, result=await self._fetch(inquiry.keeper, name))
             entered = verdict == NOT_HERE and await self._write(name, job)
         finally:  # it may be given up for want of time
             if not entered:
-                self.book.leave(self.wheel.now(), name, False, None)
+                self.book.leave(self.timers.now(), name, False, None)
         return Known(doubted=not entered, entered=entered)
 
     def left(self, job: Job, may_have_run: bool, result: bytes | None) -> None:
         """The request that `enter` let in has ended."""
         name = keys.name(job.cls, job.tenant, job.dedup_key)
-        self.book.leave(self.wheel.now(), name, may_have_run, result)
+        self.book.leave(self.timers.now(), name, may_have_run, result)
         if not may_have_run and self.store is not None:
-            self.stats.spawn(self._forget([name]), "keys")
+            self.metrics.spawn(self._forget([name]), "keys")
 
     def may_have(self, request: str) -> bool:
         """Whether a job that this life has not sent may be one with a key, whose client comes again."""
-        return self.wheel.now() < self.book.unsure_until or self.book.has(request)
+        return self.timers.now() < self.book.unsure_until or self.book.has(request)
 
     def doubt(self) -> None:
         """The journal is older than what this dispatcher has done since: what it lacks is unknown."""
-        self.book.unsure_until = self.wheel.now() + self.book.window
-        self.stats.spawn(self._sign(), "keys")
+        self.book.unsure_until = self.timers.now() + self.book.window
+        self.metrics.spawn(self._sign(), "keys")
 
     def told(self, request: str, result: str) -> None:
         """A worker's result for which no attempt is open."""
-        if self.book.told(self.wheel.now(), request, result.encode()):
-            self.stats.count("keys_results_late")
+        if self.book.told(self.timers.now(), request, result.encode()):
+            self.metrics.count("keys_results_late")
 
     # ---- the others ----------------------------------------------------------------------------------------
 
@@ -203,7 +203,7 @@
                 for other in inquiry.silent:
                     self.peers.send(other, keys.encode(Question(number, name)))
                 with contextlib.suppress(TimeoutError):
-                    async with self.wheel.timeout(BETWEEN):
+                    async with self.timers.timeout(BETWEEN):
                         await settled.wait()
         finally:
             del self._inquiries[number]
@@ -219,13 +219,13 @@
                 for part in assembly.missing:
                     self.peers.send(keeper, keys.encode(Fetch(number, name, part)))
                 with contextlib.suppress(TimeoutError):
-                    async with self.wheel.timeout(BETWEEN):
+                    async with self.timers.timeout(BETWEEN):
                         await news.wait()
                 if not assembly.missing:
                     break
         finally:
             del self._fetches[number]
-        self.stats.count("keys_fetched", assembly.result is not None)
+        self.metrics.count("keys_fetched", assembly.result is not None)
         return assembly.result
 
     def _heard(self, number: int, payload: bytes) -> None:
@@ -233,7 +233,7 @@
         if isinstance(message, Question):
             if not self.settled():
                 return  # it may be about to learn that it does not know
-            word = self.book.asked(self.wheel.now(), message.name)
+            word = self.book.asked(self.timers.now(), message.name)
             self.peers.send(number, keys.encode(Reply(message.number, word)))
         elif isinstance(message, Reply):
             inquiry, settled = self._inquiries.get(message.number, (None, None))
@@ -242,7 +242,7 @@
                 if inquiry.settled:
                     settled.set()
         elif isinstance(message, Fetch):
-            result = self.book.result(self.wheel.now(), message.name)
+            result = self.book.result(self.timers.now(), message.name)
             part = None if result is None else keys.part_of(result, message)
             if part is not None:
                 self.peers.send(number, keys.encode(part))
@@ -254,4 +254,4 @@
                 if few or not assembly.missing:
                     news.set()
         else:
-            self.stats.count_and_log("datagram_malformed", sender=number, bytes=len(payload))
+            self.metrics.count_and_log("datagram_malformed", sender=number, bytes=len(payload))
--- a/beaconhinge/net/lease_calls.py
+++ b/beaconhinge/net/lease_calls.py
@@ -31,39 +31,39 @@
 
 
 def lease(
-    ours: Settings,
+    local_config: Settings,
     config: Config,
     store: Store | None,
     operators: OperatorCalls,
     upgrade: Upgrade | None,
     peers: PeerSocket,
-    wheel: TimerWheel,
-    stats: Metrics,
+    timers: TimerWheel,
+    metrics: Metrics,
     inherited: dict[str, Any] | None,
 ) -> Leases:
     """Raises ConfigError where the others cannot be heard."""
     if config.peer_listen is None and config.settings.group_size > 1:
         raise ConfigError("leases.enabled: needs peer_listen and peers, by which dispatchers hear each other")
-    leases = Leases(ours, config, store, peers, wheel, stats)
+    leases = Leases(local_config, config, store, peers, timers, metrics)
     if upgrade is not None:
         upgrade.parts["leases"] = leases.handed_over, leases.taken_back
-    operators.acts |= Taken(leases, wheel, stats).acts
+    operators.acts |= Taken(leases, timers, metrics).acts
     leases.open((inherited or {}).get("leases"))
-    Calls(leases, wheel, stats).start(ours.calls)
+    Calls(leases, timers, metrics).start(local_config.calls)
     return leases
 
 
 class Calls:
     """POST to an address at each whole multiple of `every_s` in Unix time, by whoever has the lease then."""
 
-    def __init__(self, leases: Leases, wheel: TimerWheel, stats: Metrics) -> None:
+    def __init__(self, leases: Leases, timers: TimerWheel, metrics: Metrics) -> None:
         self.leases = leases
-        self.wheel = wheel
-        self.stats = stats
+        self.timers = timers
+        self.metrics = metrics
 
     def start(self, wanted: list[LeaseCall]) -> None:
         for call in wanted:
-            self.stats.spawn(self._run(call), f"lease {call.name}")
+            self.metrics.spawn(self._run(call), f"lease {call.name}")
 
     async def _run(self, call: LeaseCall) -> None:
         while True:
@@ -77,12 +77,12 @@
 
     async def _act(self, call: LeaseCall, tenure: Tenure) -> bool:
         """Whether to go on with this tenure."""
-        now = self.wheel.now()
+        now = self.timers.now()
         due = (math.floor(now / call.every_s) + 1) * call.every_s
         await asyncio.sleep(due - now)
         connection = None
         try:
-            async with self.wheel.timeout(CONNECT):
+            async with self.timers.timeout(CONNECT):
                 connection = Connection(await connect(address(call.to, call.name)), False, lambda: None)
             head = {
                 "Host": call.to,
@@ -93,23 +93,23 @@
             data = http1.request("POST", call.path.encode(), head)
             # From here to the kernel nothing else runs: what comes late is told by its number.
             if not tenure.guard(call.longest_s):
-                self.stats.count("lease_acts_put_off")
+                self.metrics.count("lease_acts_put_off")
                 return tenure.left > 0
-            async with self.wheel.timeout(call.longest_s):
+            async with self.timers.timeout(call.longest_s):
                 await connection.send(data)
                 answer = await connection.next()
             tenure.done()
         except (OSError, Closed, BadMessage) as error:  # a time-out is an OSError too
-            self.stats.count_and_log(
+            self.metrics.count_and_log(
                 "lease_act_failed", lease=call.name, why=f"{type(error).__name__}: {error}"
             )
             return True
         finally:
             if connection is not None:
                 connection.close()
-        self.stats.count("lease_acts")
+        self.metrics.count("lease_acts")
         if answer.status in REFUSED:
-            self.stats.count_and_log("lease_number_refused", lease=call.name, number=tenure.number)
+            self.metrics.count_and_log("lease_number_refused", lease=call.name, number=tenure.number)
             return False
         return True
 
@@ -117,10 +117,10 @@
 class Taken:
     """Leases that operators take by calls, for commands of theirs."""
 
-    def __init__(self, leases: Leases, wheel: TimerWheel, stats: Metrics) -> None:
+    def __init__(self, leases: Leases, timers: TimerWheel, metrics: Metrics) -> None:
         self.leases = leases
-        self.wheel = wheel
-        self.stats = stats
+        self.timers = timers
+        self.metrics = metrics
         self.acts: dict[str, Callable[[Call], bytes | Awaitable[bytes]]] = {
             calls.LEASE_LIST: self._list,
             calls.LEASE_TAKE: self._take,
@@ -136,13 +136,13 @@
             lease = self.leases.lease(call.word)
         except ValueError as why:
             return calls.failure(str(why))
-        lease.taken_until = self.wheel.now() + TAKEN
+        lease.taken_until = self.timers.now() + TAKEN
         if lease.taker is None or lease.taker.done():
-            lease.taker = self.stats.spawn(self._keep(call.word), f"lease {call.word}")
+            lease.taker = self.metrics.spawn(self._keep(call.word), f"lease {call.word}")
         held = self.leases.now_held(lease)
         if held is None:
             return calls.success("waiting")
-        return calls.success(f"held {held.number} {max(0, int(1000 * (held.end - self.wheel.now())))}")
+        return calls.success(f"held {held.number} {max(0, int(1000 * (held.end - self.timers.now())))}")
 
     def _give(self, call: Call) -> bytes:
         """The command has ended."""
@@ -163,14 +163,14 @@
 
     async def _keep(self, name: str) -> None:
         lease = self.leases.lease(name)
-        while self.wheel.now() < lease.taken_until:
+        while self.timers.now() < lease.taken_until:
             try:
                 async with (
-                    asyncio.timeout(max(0.0, lease.taken_until - self.wheel.now())) as wait,
+                    asyncio.timeout(max(0.0, lease.taken_until - self.timers.now())) as wait,
                     self.leases.hold(name),
                 ):
                     wait.reschedule(None)
-                    while self.wheel.now() < lease.taken_until:
+                    while self.timers.now() < lease.taken_until:
                         await asyncio.sleep(LOOK)
             except (LeaseLost, TimeoutError):
                 pass
--- a/beaconhinge/net/leases.py
+++ b/beaconhinge/net/leases.py
@@ -52,7 +52,7 @@
         """Seconds for which it holds without a renewal; 0 once it is over."""
         held = self._leases.now_held(self._lease)
         mine = held is not None and held.number == self.number
-        return max(0.0, held.end - self._leases.wheel.now()) if held is not None and mine else 0.0
+        return max(0.0, held.end - self._leases.timers.now()) if held is not None and mine else 0.0
 
     def guard(self, longest: float) -> bool:
         """Whether an act of `longest` seconds at most may begin, in this very step of the event loop. Until
@@ -61,7 +61,7 @@
         held = self._leases.now_held(self._lease)
         if held is None or held.number != self.number:
             return False
-        now = self._leases.wheel.now()
+        now = self._leases.timers.now()
         if not held.guard(now, longest, self._leases.terms.drift):
             return False
         self._lease.busy_until = now + longest
@@ -140,21 +140,21 @@
 class Leases:
     def __init__(
         self,
-        ours: Settings,
+        local_config: Settings,
         config: Config,
         store: Store | None,
         peers: PeerSocket,
-        wheel: TimerWheel,
-        stats: Metrics,
+        timers: TimerWheel,
+        metrics: Metrics,
         rng: Callable[[], float] = random.random,
     ) -> None:
         self.config = config
         self.store = store
         self.peers = peers
-        self.wheel = wheel
-        self.stats = stats
+        self.timers = timers
+        self.metrics = metrics
         self.random = rng
-        self.council, self.terms = self._read(ours)
+        self.council, self.terms = self._read(local_config)
         self.node: Node | None = None  # until this process is the one of its name
         self._leases: dict[int, _Lease] = {}
         self._lock: socket.socket | None = None
@@ -163,22 +163,26 @@
         self._leaving = False
         peers.talk[wire.LEASE] = self._heard
 
-    def _read(self, ours: Settings) -> tuple[Council, Terms]:
-        members = frozenset(ours.members or range(self.config.settings.group_size))
+    def _read(self, local_config: Settings) -> tuple[Council, Terms]:
+        members = frozenset(local_config.members or range(self.config.settings.group_size))
         return (
-            Council(ours.number, members, frozenset(ours.members_before)),
-            Terms(ours.span_s, ours.span_before_s, spread=self.config.settings.group_size // CROWD),
+            Council(local_config.number, members, frozenset(local_config.members_before)),
+            Terms(
+                local_config.span_s,
+                local_config.span_before_s,
+                spread=self.config.settings.group_size // CROWD,
+            ),
         )
 
     def open(self, inherited: dict[str, Any] | None = None) -> None:
         """`inherited`: what the other process of this dispatcher has handed over."""
-        self.stats.spawn(self._begin(inherited), "leases")
+        self.metrics.spawn(self._begin(inherited), "leases")
 
     async def _begin(self, inherited: dict[str, Any] | None) -> None:
         while not self._alone():
-            self.stats.count_and_log("leases_twice", port=self.peers.config.peer_listen)
+            self.metrics.count_and_log("leases_twice", port=self.peers.config.peer_listen)
             await asyncio.sleep(LOCK_AGAIN)
-        now = self.wheel.now()
+        now = self.timers.now()
         floor = round(now * 1000)  # wall time, above every number of an earlier life that a folder has lost
         numbers = {lease: max(number, floor) for lease, number in self._numbers()}
         made = node.new(
@@ -195,9 +199,9 @@
             try:
                 made.take_over(now, max(0.0, time.monotonic() - float(inherited["at"])), inherited["node"])
             except (KeyError, TypeError, ValueError) as error:
-                self.stats.count_and_log("leases_not_inherited", why=f"{type(error).__name__}: {error}")
+                self.metrics.count_and_log("leases_not_inherited", why=f"{type(error).__name__}: {error}")
         self.node = made
-        self.stats.log(
+        self.metrics.log(
             "leases_open",
             members=len(self.council.members),
             number=self.council.number,
@@ -232,7 +236,7 @@
                 if body is not None and len(body) == _NUMBER.size:
                     yield int.from_bytes(place[len(PREFIX) :], "big"), _NUMBER.unpack(body)[0]
         except StoreError as error:  # wall time stands above them
-            self.stats.count_and_log("leases_not_read", why=f"{type(error).__name__}: {error}")
+            self.metrics.count_and_log("leases_not_read", why=f"{type(error).__name__}: {error}")
 
     # ---- what the parts here ask for -----------------------------------------------------------------------
 
@@ -250,28 +254,28 @@
 
     def want(self, lease: _Lease) -> None:
         if self.node is not None and not self._leaving:
-            self._perform(self.node.want(self.wheel.now(), lease.key))
+            self._perform(self.node.want(self.timers.now(), lease.key))
 
     async def settled(self, lease: _Lease) -> None:
         """Wait until no act can be under way any more. Till then it is kept, and nobody else gets it."""
-        while self.now_held(lease) is not None and (left := lease.busy_until - self.wheel.now()) > 0:
+        while self.now_held(lease) is not None and (left := lease.busy_until - self.timers.now()) > 0:
             over = asyncio.Event()
-            self.wheel.after(left, over.set)
+            self.timers.after(left, over.set)
             await over.wait()
 
     def give_up_later(self, lease: _Lease) -> None:
-        self.wheel.after(max(0.0, lease.busy_until - self.wheel.now()), lambda: self.give_up(lease))
+        self.timers.after(max(0.0, lease.busy_until - self.timers.now()), lambda: self.give_up(lease))
 
     def give_up(self, lease: _Lease) -> None:
         stay_out, lease.stay_out = lease.stay_out, 0.0
         if self.node is not None:
-            self._perform(self.node.give_up(self.wheel.now(), lease.key, stay_out))
+            self._perform(self.node.give_up(self.timers.now(), lease.key, stay_out))
 
     def now_held(self, lease: _Lease) -> holder.Tenure | None:
         """With a look at the clock first: a process that was stopped may hold it no longer."""
         if self.node is None:
             return None
-        self._perform(self.node.turn(self.wheel.now()))
+        self._perform(self.node.turn(self.timers.now()))
         held = self.node.holders.get(lease.key)
         return held.tenure if held is not None else None
 
@@ -290,7 +294,7 @@
 
     def show(self) -> str:
         """One line of JSON."""
-        now = self.wheel.now()
+        now = self.timers.now()
         member = self.node.member if self.node is not None else None
         shown = {}
         for lease in sorted(self._leases.values(), key=lambda lease: lease.name):
@@ -316,7 +320,7 @@
     def leave(self) -> None:
         """Before the last word to the others. What an act is under way for ends by its span."""
         self._leaving = True
-        now = self.wheel.now()
+        now = self.timers.now()
         for lease in self._leases.values():
             if self.node is not None and now >= lease.busy_until:
                 self._perform(self.node.give_up(now, lease.key))
@@ -327,7 +331,7 @@
         """For the process that replaces this one, which is out from here on."""
         if self.node is None:
             return None
-        now = self.wheel.now()
+        now = self.timers.now()
         busy = frozenset(lease.key for lease in self._leases.values() if now < lease.busy_until)
         actions, state = self.node.hand_over(now, busy)
         self._perform(actions)
@@ -341,18 +345,18 @@
         if self.node is None:
             self.open()
 
-    def reload(self, ours: Settings) -> str:
+    def reload(self, local_config: Settings) -> str:
         """Take a step, or say why not."""
-        council, span = self._read(ours)
+        council, span = self._read(local_config)
         if (council, span) == (self.council, self.terms):
             return ""
         if council.number <= self.council.number:
             return f"leases.number: must be over {self.council.number} where members or spans change"
         self.council, self.terms = council, span
         if self.node is not None:
-            self._perform(self.node.adopt(self.wheel.now(), council, span))
+            self._perform(self.node.adopt(self.timers.now(), council, span))
             self._steps()
-        self.stats.log("leases_step", number=council.number, members=len(council.members))
+        self.metrics.log("leases_step", number=council.number, members=len(council.members))
         return ""
 
     def _steps(self) -> None:
@@ -361,16 +365,16 @@
         actions = self.node.member.steps()
         self._perform(actions)
         if actions:
-            self.wheel.after(STEP_AGAIN, self._steps)
+            self.timers.after(STEP_AGAIN, self._steps)
 
     # ---- the node ------------------------------------------------------------------------------------------
 
     def _heard(self, number: int, payload: bytes) -> None:
         message = wire.decode(payload)
         if message is None:
-            self.stats.count_and_log("datagram_malformed", sender=number, bytes=len(payload))
+            self.metrics.count_and_log("datagram_malformed", sender=number, bytes=len(payload))
         elif self.node is not None:
-            self._perform(self.node.hear(self.wheel.now(), number, message))
+            self._perform(self.node.hear(self.timers.now(), number, message))
 
     def _perform(self, actions: Iterable[Action]) -> None:
         for action in actions:
@@ -378,7 +382,7 @@
                 case Say():
                     self.peers.send(action.to, wire.encode(action.message))
                 case Write():
-                    self.stats.spawn(self._write(action), "lease number")
+                    self.metrics.spawn(self._write(action), "lease number")
                 case Held():
                     self._tell(action.lease, "lease_held", number=action.number)
                 case Lost():
@@ -387,8 +391,8 @@
 
     def _tell(self, key: int, event: str, **fields: object) -> None:
         lease = self._leases[key]
-        self.stats.count("leases_held" if event == "lease_held" else "leases_lost")
-        self.stats.log(event, lease=lease.name, **fields)
+        self.metrics.count("leases_held" if event == "lease_held" else "leases_lost")
+        self.metrics.log(event, lease=lease.name, **fields)
         lease.changed.set()
         if event == "lease_lost" and lease.lost is not None:
             lease.lost()
@@ -400,12 +404,12 @@
         if self._timer is not None:
             self._timer.cancel()
         self._timer_at = at
-        self._timer = self.wheel.after(max(0.0, at - self.wheel.now()), self._turn)
+        self._timer = self.timers.after(max(0.0, at - self.timers.now()), self._turn)
 
     def _turn(self) -> None:
         self._timer, self._timer_at = None, math.inf
         if self.node is not None:
-            self._perform(self.node.turn(self.wheel.now()))
+            self._perform(self.node.turn(self.timers.now()))
 
     async def _write(self, write: Write) -> None:
         own, well = self.node, False
@@ -413,11 +417,11 @@
             self.config.name, self.config.settings.own_number, _NUMBER.pack(write.number)
         )
         try:
-            async with self.wheel.timeout(DISK_WITHIN):
+            async with self.timers.timeout(DISK_WITHIN):
                 if self.store is not None:
                     await self.store.commit([Put(PREFIX + write.lease.to_bytes(8, "big"), record)])
             well = True
         except (StoreError, TimeoutError) as error:
-            self.stats.count_and_log("lease_not_written", why=f"{type(error).__name__}: {error}")
+            self.metrics.count_and_log("lease_not_written", why=f"{type(error).__name__}: {error}")
         if own is not None and own is self.node:
-            self._perform(own.written(self.wheel.now(), write, well))
+            self._perform(own.written(self.timers.now(), write, well))
--- a/beaconhinge/net/listener.py
+++ b/beaconhinge/net/listener.py
@@ -68,18 +68,18 @@
         news: Callable[[bytes], None],
         ready: Callable[[], bool],
         others: Callable[[], bool],
-        wheel: TimerWheel,
+        timers: TimerWheel,
         budget: DescriptorBudget,
-        stats: Metrics,
+        metrics: Metrics,
     ) -> None:
         self.config = config
         self.requests = requests
         self.news = news
         self.ready = ready
         self.others = others  # whether another dispatcher is there to turn to
-        self.wheel = wheel
+        self.timers = timers
         self.budget = budget
-        self.stats = stats
+        self.metrics = metrics
         self.streams: Streams | None = None  # answers as streams, where they are configured
         self.draining = self.parting = self.refusing = self.ending = False
         self.handed = False  # another process of this dispatcher has the door
@@ -99,7 +99,7 @@
 
     def listen(self) -> None:
         self._listener = tcp_listener(self.config.listen, "listen", self.config.mgmt is not None)
-        self._accepting = self.stats.spawn(self._accept(self._listener), "accept")
+        self._accepting = self.metrics.spawn(self._accept(self._listener), "accept")
 
     async def _accept(self, listener: socket.socket) -> None:
         """All who wait are let in at once: after a stop they have waited for long, and their time runs."""
@@ -114,9 +114,9 @@
     async def _accept_one(self, listener: socket.socket) -> bool:
         """Whether somebody may be there still."""
         while not self._room():
-            self.stats.count_and_log("clients_wait_for_sockets", used=self.budget.used)
+            self.metrics.count_and_log("clients_wait_for_sockets", used=self.budget.used)
             with contextlib.suppress(TimeoutError):
-                async with self.wheel.timeout(FRESH / 2):  # others may have been still for long enough then
+                async with self.timers.timeout(FRESH / 2):  # others may have been still for long enough then
                     await self.budget.wait_for_release()
         try:
             sock, _ = listener.accept()
@@ -125,7 +125,7 @@
             return False
         except OSError as error:  # that connection has failed, or descriptors are short after all
             self.budget.release()
-            self.stats.count_and_log("accept_failed", why=error)
+            self.metrics.count_and_log("accept_failed", why=error)
             await asyncio.sleep(ACCEPT_AGAIN)
             return True
         self._welcome(sock)
@@ -149,21 +149,21 @@
         peer = _Peer(
             Connection(sock, requests=True, closed=self.budget.release, hold=self.budget.reserve_body_bytes)
         )
-        peer.connection.used_at = self.wheel.now()
+        peer.connection.used_at = self.timers.now()
         self.peers[peer] = self.unheard[peer] = None
-        self.stats.count("connections_accepted")
-        self.stats.spawn(self._serve(peer), "connection")
+        self.metrics.count("connections_accepted")
+        self.metrics.spawn(self._serve(peer), "connection")
 
     def _close_one(self) -> bool:
         """First who has never sent a whole message, then who has sent none for the longest."""
-        still = self.wheel.now() - FRESH
+        still = self.timers.now() - FRESH
         for peer in chain(self.unheard, self.peers):
             # A request that lies unread counts as taken: only who has sent nothing to this moment goes.
             rests = peer.connection.silent() if peer in self.unheard else peer.idle
             if peer.connection.used_at < still and rests:
                 self._forget(peer)
                 peer.connection.close()
-                self.stats.count("connections_closed_for_room")
+                self.metrics.count("connections_closed_for_room")
                 return True
         return False
 
@@ -177,26 +177,26 @@
             while True:
                 message = await self._next(peer)
                 if peer.seen_off:
-                    self.stats.count("requests_after_the_end")
+                    self.metrics.count("requests_after_the_end")
                     continue
                 self.unheard.pop(peer, None)
                 data, close = await self._respond(peer, message)
                 if close:
                     await self._part(peer, data)
                     return
-                async with self.wheel.timeout(SLOW_WRITE):
+                async with self.timers.timeout(SLOW_WRITE):
                     await connection.send(data)
-                peer.owed, connection.used_at = False, self.wheel.now()
+                peer.owed, connection.used_at = False, self.timers.now()
                 connection.release()
                 if self.peers.pop(peer, peer) is None:
                     self.peers[peer] = None  # now the last one used
         except BadMessage as error:
-            self.stats.count_and_log("client_message_malformed", why=error)
+            self.metrics.count_and_log("client_message_malformed", why=error)
             await self._part(peer, _problem(error.status, str(error), close=True))
         except (Closed, OSError):  # a time-out is an OSError too
             pass
         except Exception as error:  # a defect here: whoever asked still gets an answer
-            self.stats.log_exception("connection", error)
+            self.metrics.log_exception("connection", error)
             await self._part(peer, _problem(500, "internal error", close=True))
         finally:
             peer.owed = False
@@ -213,7 +213,7 @@
             await connection.begun()
         for wait in (limit, FRESH):
             with contextlib.suppress(TimeoutError):
-                async with self.wheel.timeout(wait):
+                async with self.timers.timeout(wait):
                     return await connection.next()
             if connection.silent():  # or this process was late itself, and has not read what had come
                 break
@@ -225,7 +225,7 @@
         self.unheard.pop(peer, None)
         peer.owed = True
         try:
-            async with self.wheel.timeout(LINGER):
+            async with self.timers.timeout(LINGER):
                 await peer.connection.send(data)
                 await peer.connection.linger()
         except OSError:
@@ -262,12 +262,12 @@
         try:
             job = self._job(path, message)
         except BadMessage as error:
-            self.stats.count_and_log("client_request_refused", status=error.status, why=error)
+            self.metrics.count_and_log("client_request_refused", status=error.status, why=error)
             return _problem(error.status, str(error), close), close
         if self.refusing or job.remaining <= 0:
             return written(self.requests.turn_away(job), True), True
         if self.requests.full:
-            self.stats.count_and_log("requests_over_limit", held=len(self.requests.in_hand))
+            self.metrics.count_and_log("requests_over_limit", held=len(self.requests.in_hand))
             return written(self.requests.turn_away(job), close), close
         if self.streams is not None and self.streams.asked_for(message):
             close = close or peer.connection.version != "1.1"  # which knows no chunks
@@ -320,8 +320,8 @@
         if self.config.keyed(cls) and not key:
             raise BadMessage(400, "Idempotency-Key is missing, which jobs of this class carry")
         extras = _extras(headers.get("x-attrs", ""))
-        now, patience = self.wheel.now(), int(wait) / 1000
-        came_at = self.requests.core.arrivals.earliest(now)
+        now, patience = self.timers.now(), int(wait) / 1000
+        came_at = self.requests.policy_runner.arrivals.earliest(now)
         remaining = min(came_at + patience, self.answer_by) - now
         work = self._work(cls, headers.get("x-cost", ""), patience)
         return Job(
@@ -347,11 +347,11 @@
         if cost.isascii() and len(cost) <= 32 and cost.replace(".", "", 1).isdigit():
             told = float(cost) / 1e6
         elif cost:
-            self.stats.count_and_log("hint_unread", cost=cost)
+            self.metrics.count_and_log("hint_unread", cost=cost)
         bounded = self.hints.bounded
         work = self.hints.fit(cls, told, waits)
         if self.hints.bounded > bounded:
-            self.stats.count("hints_bounded")
+            self.metrics.count("hints_bounded")
         return work
 
     # ---- the end -------------------------------------------------------------------------------------------
@@ -365,13 +365,13 @@
         """Send clients away, and stay: what is in work is answered, and call-backs still come in."""
         if not self.draining:
             self.draining = True
-            self._leaving = self.stats.spawn(self._stay_away(self.wheel.now()), "drain")
+            self._leaving = self.metrics.spawn(self._stay_away(self.timers.now()), "drain")
 
     async def _stay_away(self, since: float) -> None:
         await self._leave(since + ALONE_DRAINED)
         while True:
             await asyncio.sleep(LOOK)
-            self.refusing = self.wheel.now() >= since + REFUSE_DRAINED
+            self.refusing = self.timers.now() >= since + REFUSE_DRAINED
             self._close_idle_clients()
 
     async def let_go(self) -> None:
@@ -382,11 +382,11 @@
         self.handed = self.parting = True
         self.draining = self.refusing = False
         if self._listener is not None and not steer_to_second(self._listener):
-            self.stats.count_and_log("steering_refused")
+            self.metrics.count_and_log("steering_refused")
         await asyncio.sleep(LOOK)
         if self.handed:  # the other process may have died meanwhile
             self._stop_listening()
-            self._leaving = self.stats.spawn(self._send_off(), "send off")
+            self._leaving = self.metrics.spawn(self._send_off(), "send off")
 
     async def _send_off(self) -> None:
         """Who has just come may be about to write; all others come again by the new process."""
@@ -415,7 +415,7 @@
         await asyncio.sleep(PART_AFTER)
         # In a rolling restart the dispatcher before this one may not be back yet: clients parted with then
         # found nobody. The connections that they hold are served until somebody else is there.
-        while not self.others() and self.wheel.now() < part_by:
+        while not self.others() and self.timers.now() < part_by:
             await asyncio.sleep(LOOK)
         self.parting = True
         self._close_idle_clients()
@@ -423,7 +423,7 @@
     async def finish(self) -> None:
         """Serve what still comes, part with clients, and return once all is answered."""
         longest = max(cls.deadline_s for cls in self.config.settings.classes)
-        end = self.wheel.now() + min(longest or LONGEST, LONGEST) + KILL_AFTER
+        end = self.timers.now() + min(longest or LONGEST, LONGEST) + KILL_AFTER
         self.ending = True
         self._end_drain()  # one that has not parted yet starts again: there is time for it
         self.draining, self.answer_by = True, end - ANSWER_BEFORE
@@ -446,7 +446,7 @@
 
     def _newcomers(self) -> bool:
         """Whether somebody came so lately that his request may be on the way."""
-        since = self.wheel.now() - FRESH
+        since = self.timers.now() - FRESH
         return any(peer.connection.used_at > since for peer in self.unheard)
 
     def _close_idle_clients(self, heard: bool = False) -> None:
@@ -463,7 +463,7 @@
         peer.seen_off = True
         peer.connection.end()
         self.leaving.add(peer)
-        self.wheel.after(LINGER, peer.connection.close)
+        self.timers.after(LINGER, peer.connection.close)
 
     def _stop_listening(self) -> None:
         """Take what waits in the backlog, since who sent it counts on an answer, and close the listener."""
@@ -487,7 +487,7 @@
                 return
             except OSError as error:
                 self.budget.release()
-                self.stats.count_and_log("accept_failed", why=error)
+                self.metrics.count_and_log("accept_failed", why=error)
                 failures += 1
                 if error.errno in (errno.EMFILE, errno.ENFILE):
                     self._close_one()
--- a/beaconhinge/net/management.py
+++ b/beaconhinge/net/management.py
@@ -26,36 +26,36 @@
         self,
         address: Address,
         acts: dict[str, Callable[[Call], bytes | Awaitable[bytes]]],
-        wheel: TimerWheel,
-        stats: Metrics,
+        timers: TimerWheel,
+        metrics: Metrics,
     ) -> None:
         self.address = address
         self.acts = acts
-        self.wheel = wheel
-        self.stats = stats
+        self.timers = timers
+        self.metrics = metrics
         self.adopt: Callable[[str, socket.socket], str] | None = None  # a new process; says why not
         self._callers: dict[socket.socket, asyncio.Task[None]] = {}  # in the order they came
         self._adopted: set[socket.socket] = set()
 
     def listen(self) -> None:
-        self.stats.spawn(self._accept(tcp_listener(self.address, "mgmt")), "management")
+        self.metrics.spawn(self._accept(tcp_listener(self.address, "mgmt")), "management")
 
     async def _accept(self, listener: socket.socket) -> None:
         while True:
             try:
                 sock, _ = await asyncio.get_running_loop().sock_accept(listener)
             except OSError as error:  # the caller has left again, or descriptors are short after all
-                self.stats.count_and_log("management_accept_failed", why=error)
+                self.metrics.count_and_log("management_accept_failed", why=error)
                 await asyncio.sleep(0.01)
                 continue
             if len(self._callers) >= CALLERS:  # a whole call is answered at once: the first has not made one
                 self._part(next(iter(self._callers)))
             sock.setblocking(False)
-            task = self._callers[sock] = self.stats.spawn(self._serve(sock), "management call")
+            task = self._callers[sock] = self.metrics.spawn(self._serve(sock), "management call")
             task.add_done_callback(partial(self._done, sock))
 
     def _part(self, sock: socket.socket) -> None:
-        self.stats.count("management_callers_parted")
+        self.metrics.count("management_callers_parted")
         try:
             sock.send(calls.failure("too many callers; this one had made no call yet"))
         except OSError:
@@ -65,14 +65,14 @@
     async def _serve(self, sock: socket.socket) -> None:
         loop = asyncio.get_running_loop()
         try:
-            async with self.wheel.timeout(WHOLE):
+            async with self.timers.timeout(WHOLE):
                 line = await self._line(sock)
             answer = self._answer(line, sock) if line else b""
             if not isinstance(answer, bytes):
                 answer = await answer
             if not answer:
                 return
-            async with self.wheel.timeout(ANSWER):
+            async with self.timers.timeout(ANSWER):
                 await loop.sock_sendall(sock, answer)
                 sock.shutdown(socket.SHUT_WR)
                 while await loop.sock_recv(sock, 1024):  # closing on unread bytes would reset the answer away
@@ -102,7 +102,7 @@
         """Nothing for a connection that another process of this dispatcher keeps."""
         try:
             call = calls.parse(line)
-            self.stats.count("management_calls")
+            self.metrics.count("management_calls")
             if call.name != calls.TAKE_OVER:
                 return self.acts[call.name](call)
             why = self.adopt(call.word, sock) if self.adopt is not None else "no place to leave word in"
@@ -110,8 +110,8 @@
                 self._adopted.add(sock)
             return calls.failure(f"{call.name}: {why}") if why else b""
         except BadCall as why:
-            self.stats.count_and_log("management_call_refused", why=why)
+            self.metrics.count_and_log("management_call_refused", why=why)
             return calls.failure(str(why))
         except Exception as error:  # a defect here: the operator hears of it too
-            self.stats.log_exception("management call", error)
+            self.metrics.log_exception("management call", error)
             return calls.failure("internal error")
--- a/beaconhinge/net/operator_calls.py
+++ b/beaconhinge/net/operator_calls.py
@@ -19,16 +19,16 @@
     def __init__(
         self,
         config: Config,
-        core: PolicyRunner,
+        policy_runner: PolicyRunner,
         workers: WorkerPool,
         requests: RequestTable,
-        frontend: Listener,
+        listener: Listener,
     ) -> None:
         self.config = config
-        self.core = core
+        self.policy_runner = policy_runner
         self.workers = workers
         self.requests = requests
-        self.frontend = frontend
+        self.listener = listener
         self.out: set[str] = set()  # workers out by hand, by id: they may leave the list meanwhile
         workers.out_by_hand = self.out.__contains__
         self.replaces: Callable[[], bool] = lambda: True  # whether a process before this one may be ended
@@ -49,18 +49,18 @@
     def _ready(self, _call: Call) -> bytes:
         if not self.replaces():
             return calls.failure("the process before still has jobs")
-        if self.frontend.handed:
+        if self.listener.handed:
             return calls.failure("another process has taken over")
-        if self.frontend.serving:
+        if self.listener.serving:
             return calls.success("ready")
-        return calls.failure("drained" if self.frontend.draining else "no list of workers yet")
+        return calls.failure("drained" if self.listener.draining else "no list of workers yet")
 
     def _show_stat(self, _call: Call) -> bytes:
         listed = self.workers.workers
-        down = figures.down(self.core.dispatcher, listed, self.core.wheel.now())
+        down = figures.down(self.policy_runner.dispatcher, listed, self.policy_runner.timers.now())
         return calls.shown(
             figures.show(
-                self.core.stats.counters,
+                self.policy_runner.metrics.counters,
                 self.config.class_names,
                 self.requests.owed,
                 len(listed),
@@ -87,19 +87,19 @@
         if out == (host_id in self.out):
             return
         self.out ^= {host_id}
-        self.core.stats.log("worker_out" if out else "worker_back", worker=host_id)
-        self.core.feed(interface.MaintenanceMode(worker_number(host_id), out))
+        self.policy_runner.metrics.log("worker_out" if out else "worker_back", worker=host_id)
+        self.policy_runner.feed(interface.MaintenanceMode(worker_number(host_id), out))
 
     def _drain_or_resume(self, call: Call) -> bytes:
-        if self.frontend.ending:
+        if self.listener.ending:
             return calls.failure("this process is ending")
         drain = call.name == calls.DRAIN
-        self.core.stats.log("drained" if drain else "resumed")
+        self.policy_runner.metrics.log("drained" if drain else "resumed")
         self.send_away(drain)
         self.others(call)
         return calls.success("drains" if drain else "serves")
 
     def send_away(self, drain: bool) -> None:
         """Send clients away or take them again; after a take-over that is for the other process to do."""
-        if not self.frontend.handed:
-            self.frontend.drain() if drain else self.frontend.resume()
+        if not self.listener.handed:
+            self.listener.drain() if drain else self.listener.resume()
--- a/beaconhinge/net/peers.py
+++ b/beaconhinge/net/peers.py
@@ -19,11 +19,13 @@
 
 
 class PeerSocket:
-    def __init__(self, config: Config, core: PolicyRunner, wheel: TimerWheel, stats: Metrics) -> None:
+    def __init__(
+        self, config: Config, policy_runner: PolicyRunner, timers: TimerWheel, metrics: Metrics
+    ) -> None:
         self.config = config
-        self.wheel = wheel
-        self.core = core
-        self.stats = stats
+        self.timers = timers
+        self.policy_runner = policy_runner
+        self.metrics = metrics
         self.move(config)
         self._sock: socket.socket | None = None
         self._heard_at = -math.inf
@@ -31,7 +33,7 @@
         # Who takes datagrams that begin with that byte, given the sender's number; the rest are the module's.
         self.talk: dict[int, Callable[[int, bytes], None]] = {}
         self.woken: Callable[[], bool] = lambda: False  # whether the process has just gone on after a stall
-        core.action_handlers[interface.SendToPeer] = self._tell
+        policy_runner.action_handlers[interface.SendToPeer] = self._tell
 
     def move(self, config: Config) -> None:
         """Reach the others at these addresses from now on."""
@@ -65,7 +67,7 @@
         """Whether another dispatcher was heard lately; where they cannot be heard, whether there are any."""
         if self._sock is None:
             return self.config.settings.group_size > 1
-        return self.wheel.now() - self._heard_at < HEARD_WITHIN
+        return self.timers.now() - self._heard_at < HEARD_WITHIN
 
     def _read(self) -> None:
         assert self._sock is not None
@@ -77,19 +79,19 @@
             except BlockingIOError:
                 return
             except OSError as error:  # an earlier datagram found nobody: no fault of the socket
-                self.stats.count_and_log("datagram_failed", why=error)
+                self.metrics.count_and_log("datagram_failed", why=error)
                 return
             number = self.numbers.get(sender)
             if number is None or len(payload) > MAX_BYTES:
-                self.stats.count_and_log("datagram_malformed", sender=sender[0], bytes=len(payload))
+                self.metrics.count_and_log("datagram_malformed", sender=sender[0], bytes=len(payload))
                 continue
-            self.stats.count("datagrams_received")
+            self.metrics.count("datagrams_received")
             if number != self.config.settings.own_number:
-                self._heard_at = self.wheel.now()
+                self._heard_at = self.timers.now()
             if payload and payload[0] in self.talk:
                 self.talk[payload[0]](number, payload)
                 continue
-            self.core.feed(interface.PeerMessage(number, payload))
+            self.policy_runner.feed(interface.PeerMessage(number, payload))
 
     def forget_waiting(self) -> int:
         """Drop what waits to be read; how many datagrams that were."""
@@ -116,12 +118,12 @@
         if (
             self._sock is None
             or target is None
-            or not self.stats.check(len(payload) <= MAX_BYTES, "datagram_within_bound")
+            or not self.metrics.check(len(payload) <= MAX_BYTES, "datagram_within_bound")
         ):
-            self.stats.count("datagrams_without_way")
+            self.metrics.count("datagrams_without_way")
             return
         try:
             self._sock.sendto(payload, target)
-            self.stats.count("datagrams_sent")
+            self.metrics.count("datagrams_sent")
         except OSError as error:  # it may be lost on the way as well
-            self.stats.count_and_log("datagram_failed", why=error)
+            self.metrics.count_and_log("datagram_failed", why=error)
--- a/beaconhinge/net/recovery.py
+++ b/beaconhinge/net/recovery.py
@@ -32,41 +32,43 @@
 
 
 def recover(
-    ours: Settings,
+    local_config: Settings,
     config: Config,
     store: Store | None,
-    core: PolicyRunner,
-    wheel: TimerWheel,
+    policy_runner: PolicyRunner,
+    timers: TimerWheel,
     requests: RequestTable,
     workers: WorkerPool,
     discovery: Discovery,
     peers: PeerSocket,
-    frontend: Listener,
+    listener: Listener,
     operators: OperatorCalls,
     upgrade: Upgrade | None,
-    stats: Metrics,
+    metrics: Metrics,
 ) -> Returning:
     """Before the door opens: from then on jobs and datagrams come."""
-    recovery = Recovery(ours.stall_s, core, wheel, requests, discovery, peers, stats)
-    returning = Returning(config, store, wheel, peers, stats, recovery.hold_for_return)
+    recovery = Recovery(local_config.stall_s, policy_runner, timers, requests, discovery, peers, metrics)
+    returning = Returning(config, store, timers, peers, metrics, recovery.hold_for_return)
     keys = None
     if any(config.keyed(cls) for cls in range(len(config.settings.classes))):
-        keys = Keys(config, store, ours.max_keys, ours.max_result_bytes, peers, wheel, stats)
+        keys = Keys(
+            config, store, local_config.max_keys, local_config.max_result_bytes, peers, timers, metrics
+        )
         requests.keys, workers.result_late = keys, keys.told
         keys.settled, returning.stale = lambda: returning.serving, keys.doubt
     recovery.woken, discovery.told = returning.woke, returning.listed
     operators.phase = lambda: returning.phase
-    listed = frontend.ready
-    frontend.ready = lambda: listed() and returning.serving
-    until = wheel.now() + max(cls.deadline_s for cls in config.settings.classes)
+    listed = listener.ready
+    listener.ready = lambda: listed() and returning.serving
+    until = timers.now() + max(cls.deadline_s for cls in config.settings.classes)
 
     def stays(request: str) -> bool:
         """Somebody may come for its result, or another process of this dispatcher has it."""
         return upgrade is not None and upgrade.paired or keys is not None and keys.may_have(request)
 
-    workers.orphan = Orphans(workers, wheel, stats, until, stays).told
+    workers.orphan = Orphans(workers, timers, metrics, until, stays).told
     if store is not None:
-        hands = ByHand(config, store, wheel, stats)
+        hands = ByHand(config, store, timers, metrics)
         hands.restore(operators.apply)
         operators.keep = hands.keep
     return returning
@@ -76,35 +78,35 @@
     def __init__(
         self,
         after: float,
-        core: PolicyRunner,
-        wheel: TimerWheel,
+        policy_runner: PolicyRunner,
+        timers: TimerWheel,
         requests: RequestTable,
         discovery: Discovery,
         peers: PeerSocket,
-        stats: Metrics,
+        metrics: Metrics,
         rng: Callable[[], float] = random.random,
     ) -> None:
         self.watch = StallWatch(after)
-        self.core = core
-        self.wheel = wheel
+        self.policy_runner = policy_runner
+        self.timers = timers
         self.requests = requests
         self.discovery = discovery
         self.peers = peers
-        self.stats = stats
+        self.metrics = metrics
         self.random = rng
         self.woken: Callable[[], None] = lambda: None  # hears of each stall
         self._holds: set[str] = set()  # why new jobs wait, for LIST_WITHIN at most
         self._settled = asyncio.Event()
         self._settled.set()
         self._held_until = 0.0  # for timers
-        wheel.postponed_for = self._held_for
-        core.check_for_stall = peers.woken = self.look
+        timers.postponed_for = self._held_for
+        policy_runner.check_for_stall = peers.woken = self.look
         requests.excuse = self._excuse
         requests.own_seconds = self.watch.own_seconds
 
     def look(self) -> bool:
         """Whether the process has just gone on after a stall; all parts know it then."""
-        stall = self.watch.feed(self.wheel.now())
+        stall = self.watch.feed(self.timers.now())
         if stall is not None:
             self._woke(stall)
         return stall is not None
@@ -112,17 +114,17 @@
     def _woke(self, stall: Stall) -> None:
         self._held_until = stall.ended + SOCKETS_FIRST
         dropped = self.peers.forget_waiting()
-        self.stats.count("stalls")
-        self.stats.count("datagrams_stale", dropped)
-        self.stats.log("stalled", seconds=stall.seconds, datagrams_dropped=dropped)
-        self.core.feed(interface.ProcessStalled(stall.seconds))
+        self.metrics.count("stalls")
+        self.metrics.count("datagrams_stale", dropped)
+        self.metrics.log("stalled", seconds=stall.seconds, datagrams_dropped=dropped)
+        self.policy_runner.feed(interface.ProcessStalled(stall.seconds))
         self.woken()
         if STALL not in self._holds:
             self._hold(STALL, True)
             # Datagrams that waited show that others ran meanwhile; else all may wake at this moment.
             alone = dropped > 0 or self.peers.config.settings.group_size <= 1
             wait = 0.0 if alone else SPREAD * self.peers.config.settings.group_size * self.random()
-            self.stats.spawn(self._ask_anew(wait), "list after a stall")
+            self.metrics.spawn(self._ask_anew(wait), "list after a stall")
 
     async def _ask_anew(self, wait: float) -> None:
         try:
@@ -146,17 +148,17 @@
 
     async def _list_first(self) -> None:
         try:
-            async with self.wheel.timeout(LIST_WITHIN):
+            async with self.timers.timeout(LIST_WITHIN):
                 await self._settled.wait()
         except TimeoutError:
-            self.stats.count("stall_list_late")
+            self.metrics.count("stall_list_late")
 
     def _held_for(self) -> float:
         self.look()
-        return self._held_until - self.wheel.now()
+        return self._held_until - self.timers.now()
 
     def _excuse(self, attempt: Attempt, outcome: AttemptOutcome) -> AttemptOutcome:
         told = self.watch.outcome(attempt.sent_at, outcome)
         if told != outcome:
-            self.stats.count("outcomes_excused")
+            self.metrics.count("outcomes_excused")
         return told
--- a/beaconhinge/net/restart.py
+++ b/beaconhinge/net/restart.py
@@ -29,23 +29,23 @@
         self,
         config: Config,
         store: Store | None,
-        wheel: TimerWheel,
+        timers: TimerWheel,
         peers: PeerSocket,
-        stats: Metrics,
+        metrics: Metrics,
         hold: Callable[[bool], None],
     ) -> None:
         self.config = config
         self.store = store
-        self.wheel = wheel
+        self.timers = timers
         self.peers = peers
-        self.stats = stats
+        self.metrics = metrics
         self.hold = hold  # keeps new jobs waiting, or lets them go
         # Called when others have heard of this life, or a later one, from another start.
         self.stale: Callable[[], None] = lambda: None
         self.lives = Lives()
         self.life = 0
         self.start = random.getrandbits(32)
-        self.machine = Return(wheel.now())
+        self.machine = Return(timers.now())
         peers.talk[incarnations.HELLO] = self._heard
         self._entered([READING])
 
@@ -66,7 +66,7 @@
         else:
             self._feed(stages.Opened())
             self._look()
-        self.stats.spawn(self._begin(), "life")
+        self.metrics.spawn(self._begin(), "life")
 
     def woke(self) -> None:
         self._feed(stages.Woke(self._others()))
@@ -78,12 +78,12 @@
             self._feed(stages.Listed())
 
     def _feed(self, event: stages.Event) -> None:
-        self._entered(self.machine.feed(self.wheel.now(), event))
+        self._entered(self.machine.feed(self.timers.now(), event))
 
     def _entered(self, entered: list[int]) -> None:
         for phase in entered:
-            self.stats.count(f"phase_{NAMES[phase]}")
-            self.stats.log(
+            self.metrics.count(f"phase_{NAMES[phase]}")
+            self.metrics.log(
                 "phase",
                 name=NAMES[phase],
                 listed=self.machine.listed,
@@ -96,7 +96,7 @@
     def _look(self) -> None:
         if self.machine.phase == NORMAL:
             return
-        self.wheel.after(LOOK, self._look)
+        self.timers.after(LOOK, self._look)
         self._feed(stages.Turn())
         self._ask()
 
@@ -121,14 +121,14 @@
     def _heard(self, number: int, payload: bytes) -> None:
         hello = incarnations.decode(payload)
         if hello is None:
-            self.stats.count_and_log("datagram_malformed", sender=number, bytes=len(payload))
+            self.metrics.count_and_log("datagram_malformed", sender=number, bytes=len(payload))
             return
         stale = self.lives.hear(number, hello)
         if hello.asks:
             self._tell(number, stale=stale)
         if hello.stale and self.life:
             self.life = 0  # told once, and it claims no life any more
-            self.stats.count_and_log("folder_stale", told_by=number)
+            self.metrics.count_and_log("folder_stale", told_by=number)
             self.stale()
         self._feed(stages.Heard(number, hello.phase))
 
@@ -144,13 +144,13 @@
         name, number = self.config.name, self.config.settings.own_number
         try:
             life = incarnations.next_life(incarnations.read_signed(store.get(LIFE), name, number))
-            async with self.wheel.timeout(DISK_WITHIN):
+            async with self.timers.timeout(DISK_WITHIN):
                 await store.commit(
                     [Put(LIFE, incarnations.signed(name, number, incarnations.life_record(life)))]
                 )
             self.life = life
         except (StoreError, TimeoutError) as error:
-            self.stats.count_and_log("life_not_counted", why=f"{type(error).__name__}: {error}")
+            self.metrics.count_and_log("life_not_counted", why=f"{type(error).__name__}: {error}")
 
 
 class Orphans:
@@ -161,14 +161,14 @@
     def __init__(
         self,
         workers: WorkerPool,
-        wheel: TimerWheel,
-        stats: Metrics,
+        timers: TimerWheel,
+        metrics: Metrics,
         until: float,
         left_to_finish: Callable[[str], bool],
     ) -> None:
         self.workers = workers
-        self.wheel = wheel
-        self.stats = stats
+        self.timers = timers
+        self.metrics = metrics
         self.until = until
         self.left_to_finish = left_to_finish
         self._seen: set[tuple[str, int]] = set()
@@ -178,7 +178,7 @@
     def told(self, request: str, worker: int) -> None:
         """A worker tells of a job that no attempt is open for, and that it has not ended."""
         job = request, worker
-        if self.wheel.now() >= self.until or job in self._seen or len(self._seen) >= MOST_ORPHANS:
+        if self.timers.now() >= self.until or job in self._seen or len(self._seen) >= MOST_ORPHANS:
             return
         if self.left_to_finish(request):
             return
@@ -186,13 +186,13 @@
         self._waiting.append(job)
         if self._busy < ORPHANS:
             self._busy += 1
-            self.stats.spawn(self._withdraw(), "orphans")
+            self.metrics.spawn(self._withdraw(), "orphans")
 
     async def _withdraw(self) -> None:
         try:
             while self._waiting:
                 request, worker = self._waiting.pop(0)
-                self.stats.count("orphans_withdrawn")
+                self.metrics.count("orphans_withdrawn")
                 await self.workers.withdraw(request, worker)
         finally:
             self._busy -= 1
@@ -201,10 +201,10 @@
 class ByHand:
     """Workers that operators have taken out, on the disk under this dispatcher's name."""
 
-    def __init__(self, config: Config, store: Store, wheel: TimerWheel, stats: Metrics) -> None:
+    def __init__(self, config: Config, store: Store, timers: TimerWheel, metrics: Metrics) -> None:
         self.store = store
-        self.wheel = wheel
-        self.stats = stats
+        self.timers = timers
+        self.metrics = metrics
         self._sign = incarnations.signed(config.name, config.settings.own_number, b"")
 
     def restore(self, apply: Callable[[str, bool], None]) -> None:
@@ -216,17 +216,17 @@
                 else:
                     foreign += 1
         except (StoreError, ValueError) as error:
-            self.stats.count_and_log("hands_not_read", why=f"{type(error).__name__}: {error}")
+            self.metrics.count_and_log("hands_not_read", why=f"{type(error).__name__}: {error}")
         if foreign:
-            self.stats.count_and_log("hands_foreign", records=foreign)
+            self.metrics.count_and_log("hands_foreign", records=foreign)
 
     async def keep(self, worker: str, out: bool) -> str:
         """Why it is not on the disk, if so."""
         place = HAND + worker.encode()
         try:
-            async with self.wheel.timeout(DISK_WITHIN):
+            async with self.timers.timeout(DISK_WITHIN):
                 await self.store.commit([Put(place, self._sign) if out else Delete(place)])
             return ""
         except (StoreError, TimeoutError) as error:
-            self.stats.count_and_log("hand_not_written", why=f"{type(error).__name__}: {error}")
+            self.metrics.count_and_log("hand_not_written", why=f"{type(error).__name__}: {error}")
             return f"{type(error).__name__}: {error}"
--- a/beaconhinge/net/streams.py
+++ b/beaconhinge/net/streams.py
@@ -73,19 +73,19 @@
 
 class Streams:
     def __init__(
-        self, told: Progress, config: Config, requests: RequestTable, wheel: TimerWheel, stats: Metrics
+        self, told: Progress, config: Config, requests: RequestTable, timers: TimerWheel, metrics: Metrics
     ) -> None:
         self.told = told
         self.config = config
         self.requests = requests
-        self.wheel = wheel
-        self.stats = stats
+        self.timers = timers
+        self.metrics = metrics
         self.open: Counter[int] = Counter()  # streams by tenant
         self.watches: dict[str, _Watch] = {}  # by job, as long as the registry knows it
         self.registry = Registry(
             told.detached_s, told.keep_outcome_s, told.max_detached, int(KEPT_PART * config.limits.body_bytes)
         )
-        wheel.after(LOOK, self._look)
+        timers.after(LOOK, self._look)
 
     def asked_for(self, message: Message) -> bool:
         accept = message.headers.get("accept", "")
@@ -110,7 +110,7 @@
                 if reading.done() and not reading.result():
                     await self._give_up(request)
                     raise Closed
-            self.stats.count("streams")
+            self.metrics.count("streams")
             entry = self.registry.add(job.id, job.tenant, watch.token, watch.feed)
             self.watches[job.id] = watch
             request.answer.add_done_callback(lambda answer: self._answered(entry, watch, answer.result()))
@@ -129,10 +129,10 @@
         given = _token(query) or message.headers.get("authorization", "").removeprefix("Bearer ").strip()
         entry = self.registry.find(parts[2], given, tenant) if parts[3:] == ["events"] else None
         if entry is None or self._full(entry.tenant):
-            self.stats.count("streams_not_found")
+            self.metrics.count("streams_not_found")
             return False
         seen = codec.last_event_id(message.headers.get("last-event-id", "")) or 0
-        self.stats.count("streams_attached")
+        self.metrics.count("streams_attached")
         self.open[entry.tenant] += 1
         try:
             await self._read(connection, entry, self.watches[entry.id], seen, close)
@@ -143,12 +143,12 @@
     def _answered(self, entry: Entry, watch: _Watch, answer: Answer) -> None:
         watch.feed.outcome(_content(answer))
         watch.wake()
-        self.registry.ended(entry, len(answer.body), self.wheel.now())
+        self.registry.ended(entry, len(answer.body), self.timers.now())
 
     def _look(self) -> None:
-        self.wheel.after(LOOK, self._look)
-        for entry in self.registry.expire(self.wheel.now()):
-            self.stats.count("streams_given_up")
+        self.timers.after(LOOK, self._look)
+        for entry in self.registry.expire(self.timers.now()):
+            self.metrics.count("streams_given_up")
             self.watches[entry.id].request.client_left()
         for job in [job for job in self.watches if job not in self.registry.entries]:
             del self.watches[job]
@@ -160,10 +160,10 @@
 
     def _full(self, tenant: int) -> bool:
         if self.open.total() >= self.told.max_streams:
-            self.stats.count_and_log("streams_over_limit", limit="max_streams")
+            self.metrics.count_and_log("streams_over_limit", limit="max_streams")
             return True
         if self.open[tenant] >= self.told.max_streams_tenant:
-            self.stats.count_and_log("streams_over_limit", limit="max_streams_tenant", tenant=tenant)
+            self.metrics.count_and_log("streams_over_limit", limit="max_streams_tenant", tenant=tenant)
             return True
         return False
 
@@ -176,24 +176,24 @@
         try:
             await self._write(connection, entry, watch, number, seen, close)
         except (Closed, OSError):
-            self.stats.count("streams_left")
-            if self.registry.left(entry, number, self.wheel.now()):
+            self.metrics.count("streams_left")
+            if self.registry.left(entry, number, self.timers.now()):
                 await self._give_up(watch.request)
             raise Closed from None
         except BaseException:  # a defect, or the end of the program: the job must not count as read for ever
-            if self.registry.left(entry, number, self.wheel.now()):
+            if self.registry.left(entry, number, self.timers.now()):
                 watch.request.client_left()
             raise
-        self.registry.left(entry, number, self.wheel.now())
+        self.registry.left(entry, number, self.timers.now())
 
     async def _write(
         self, connection: Connection, entry: Entry, watch: _Watch, number: int, seen: int, close: bool
     ) -> None:
         chunked = not close  # a connection that ends with its stream needs no chunks
-        reader = Reader(watch.feed, self.wheel.now(), seen, self.told.events_per_s, self.told.keep_alive_s)
+        reader = Reader(watch.feed, self.timers.now(), seen, self.told.events_per_s, self.told.keep_alive_s)
         data = _head(close)
         while True:
-            now = self.wheel.now()
+            now = self.timers.now()
             taken_over = entry.reader != number
             said = [] if taken_over else reader.take(now)
             text = b"".join(
@@ -218,16 +218,16 @@
                 return
             if entry.reader != number:  # taken over from while the last event was being written
                 continue
-            reading = await self._wait(connection, watch, reader.wait(self.wheel.now()))
+            reading = await self._wait(connection, watch, reader.wait(self.timers.now()))
             if reading.done() and not reading.result():
                 raise Closed
 
     async def _send(self, connection: Connection, data: bytes, job: str) -> None:
         try:
-            async with self.wheel.timeout(self.told.stalled_s):
+            async with self.timers.timeout(self.told.stalled_s):
                 await connection.send(data)
         except TimeoutError:
-            self.stats.count_and_log("stream_stalled", request=job)
+            self.metrics.count_and_log("stream_stalled", request=job)
             raise
 
     async def _wait(self, connection: Connection, watch: _Watch, most: float | None) -> asyncio.Task[bool]:
--- a/beaconhinge/net/upgrade.py
+++ b/beaconhinge/net/upgrade.py
@@ -47,9 +47,9 @@
 class Link:
     """The connection between the two processes. `took` gets each frame, `lost` is called once at its end."""
 
-    def __init__(self, sock: socket.socket, stats: Metrics) -> None:
+    def __init__(self, sock: socket.socket, metrics: Metrics) -> None:
         self.sock = sock
-        self.stats = stats
+        self.metrics = metrics
         self.frames = handover.Frames()
         self.waiting: list[tuple[int, bytes]] = []  # read, and not yet taken
         self._out: asyncio.Queue[bytes] = asyncio.Queue()
@@ -65,8 +65,8 @@
 
     def start(self, took: Callable[[int, bytes], None], lost: Callable[[], None]) -> None:
         self._took, self._lost = took, lost
-        self._writing = self.stats.spawn(self._write(), "link")
-        self.stats.spawn(self._read(), "link")
+        self._writing = self.metrics.spawn(self._write(), "link")
+        self.metrics.spawn(self._read(), "link")
 
     def send(self, kind: int, payload: bytes = b"") -> None:
         self._out.put_nowait(handover.frame(kind, payload))
@@ -78,9 +78,9 @@
         except OSError:
             pass
         except Unusable as why:
-            self.stats.count_and_log("handover_unusable", why=why)
+            self.metrics.count_and_log("handover_unusable", why=why)
         except Exception as error:  # a defect here: the other process goes on by itself
-            self.stats.log_exception("link", error)
+            self.metrics.log_exception("link", error)
         self._end()
 
     async def _write(self) -> None:
@@ -100,33 +100,33 @@
         config: Config,
         mgmt: Address,
         shared: Path,
-        core: PolicyRunner,
+        policy_runner: PolicyRunner,
         workers: WorkerPool,
         discovery: Discovery,
         peers: PeerSocket,
-        frontend: Listener,
+        listener: Listener,
         operators: OperatorCalls,
         budget: DescriptorBudget,
-        wheel: TimerWheel,
-        stats: Metrics,
+        timers: TimerWheel,
+        metrics: Metrics,
     ) -> None:
         self.mgmt = mgmt
-        self.core = core
+        self.policy_runner = policy_runner
         self.workers = workers
         self.discovery = discovery
         self.peers = peers
-        self.frontend = frontend
+        self.listener = listener
         self.operators = operators
         self.budget = budget
-        self.wheel = wheel
-        self.stats = stats
+        self.timers = timers
+        self.metrics = metrics
         self.word = shared / f"beaconhinge-{config.listen[0]}-{config.listen[1]}.json"
         self.token = secrets.token_hex(16)
         # What other parts hand over, and what they do when the new process has died.
         self.parts: dict[str, tuple[Callable[[], Any], Callable[[], None]]] = {}
         self.before: Link | None = None  # to the process that this one replaces
         self.after: Link | None = None  # to the one that replaces this one
-        self._ready_at = wheel.now() + READY_BY
+        self._ready_at = timers.now() + READY_BY
         self._parted = asyncio.Event()
         self._done = False  # the one before owes nothing any more
         self._inherited: Counter[int] = Counter()  # slots out by the one before, by worker
@@ -138,7 +138,7 @@
     @property
     def ready(self) -> bool:
         """Whether the process before may be ended: it owes nothing any more, or this one waits no longer."""
-        return self.before is None or self._done or self.wheel.now() >= self._ready_at
+        return self.before is None or self._done or self.timers.now() >= self._ready_at
 
     @property
     def paired(self) -> bool:
@@ -157,15 +157,15 @@
         except FileNotFoundError:
             return None
         except (OSError, ValueError, TypeError, KeyError, ConfigError) as error:
-            self.stats.count_and_log(
+            self.metrics.count_and_log(
                 "handover_unusable", why=f"{self.word.name}: {type(error).__name__}: {error}"
             )
             return None
         sock = None
         try:
-            async with self.wheel.timeout(ANSWER):
+            async with self.timers.timeout(ANSWER):
                 sock = await connect(where)
-                link = Link(sock, self.stats)
+                link = Link(sock, self.metrics)
                 await asyncio.get_running_loop().sock_sendall(sock, f"{calls.TAKE_OVER} {token}\n".encode())
                 kind, form = await link.first()
             if kind != handover.STATE:
@@ -175,7 +175,7 @@
             if sock is not None:
                 sock.close()
             # Left over by a process that was killed: nobody is there to be called.
-            self.stats.count_and_log("handover_unusable", why=f"{type(error).__name__}: {error}")
+            self.metrics.count_and_log("handover_unusable", why=f"{type(error).__name__}: {error}")
             return None
         self.before = link
         return content
@@ -189,18 +189,18 @@
             here = tuple(content["discovery"]) == self.discovery.address
             module = content["module"]
         except (InventoryError, KeyError, TypeError) as error:
-            self.stats.count_and_log("handover_unusable", why=f"{type(error).__name__}: {error}")
+            self.metrics.count_and_log("handover_unusable", why=f"{type(error).__name__}: {error}")
             return
         try:
-            handover.restore(self.core.dispatcher, module)
-            for worker in self.core.dispatcher.workers.values():
+            handover.restore(self.policy_runner.dispatcher, module)
+            for worker in self.policy_runner.dispatcher.workers.values():
                 self._inherited[worker.id] = round(worker.out)
         except Unusable as why:  # as with other settings: the list and the operators' word still hold
-            self.stats.count_and_log("handover_unusable", why=why)
+            self.metrics.count_and_log("handover_unusable", why=why)
         self.discovery.inherit(hosts, here)
         for host_id in out:
             self.operators.apply(host_id, True)
-        self.stats.log("taken_over", workers=len(hosts.hosts), out=len(out))
+        self.metrics.log("taken_over", workers=len(hosts.hosts), out=len(out))
 
     async def serving(self) -> None:
         """This process serves. Once the other has let go of the addresses, it says so to whoever asks."""
@@ -208,7 +208,7 @@
             self.before.start(self._from_before, self._before_ended)
             self.before.send(handover.SERVING)
             with contextlib.suppress(TimeoutError):
-                async with self.wheel.timeout(ANSWER):
+                async with self.timers.timeout(ANSWER):
                     await self._parted.wait()
         self._leave_word()
 
@@ -220,7 +220,7 @@
         elif kind == handover.SLOTS:
             number, slots = _SLOTS.unpack(payload)
             self._inherited[number] += slots
-            self.core.feed(interface.SiblingLoad(number, slots))
+            self.policy_runner.feed(interface.SiblingLoad(number, slots))
         else:
             self._either(kind, payload, self.before)
 
@@ -229,10 +229,10 @@
         self.before = None
         for number, slots in self._inherited.items():
             if slots > 0:
-                self.core.feed(interface.SiblingLoad(number, -slots))
+                self.policy_runner.feed(interface.SiblingLoad(number, -slots))
         self._inherited.clear()
         self.budget.set_share(SHARE if self.after is not None else 1.0)
-        self.stats.log("other_process_ended")
+        self.metrics.log("other_process_ended")
 
     # ---- the old process -----------------------------------------------------------------------------------
 
@@ -240,27 +240,27 @@
         """A new process is there. Why it may not take over, or nothing: then the socket is kept."""
         if not secrets.compare_digest(token.encode(), self.token.encode()):
             return "not the word that this process has left"
-        if self.after is not None or self.frontend.ending:
+        if self.after is not None or self.listener.ending:
             return "another has taken over" if self.after is not None else "this process is ending"
         form = handover.seal(
             {
-                "module": handover.take(self.core.dispatcher),
+                "module": handover.take(self.policy_runner.dispatcher),
                 "out": sorted(self.operators.out),
                 "list": self.discovery.inventory.write(self.discovery.version or 0, self.workers.hosts()),
                 "discovery": self.discovery.address,
                 **{name: give() for name, (give, _) in self.parts.items()},
             }
         )
-        link = self.after = Link(sock, self.stats)
+        link = self.after = Link(sock, self.metrics)
         link.start(self._from_after, self._after_ended)
         self._told = self._out()
         link.send(handover.STATE, form)
-        self.wheel.after(TELL_SLOTS, self._tell_slots)
+        self.timers.after(TELL_SLOTS, self._tell_slots)
         return ""
 
     def _from_after(self, kind: int, payload: bytes) -> None:
         if kind == handover.SERVING and self.after is not None:
-            self.stats.spawn(self._let_go(self.after), "let go")
+            self.metrics.spawn(self._let_go(self.after), "let go")
         else:
             self._either(kind, payload, self.after)
 
@@ -272,22 +272,24 @@
             return
         self.peers.let_go()
         self.budget.set_share(SHARE)
-        await self.frontend.let_go()
+        await self.listener.let_go()
         if self.after is link:
-            self.stats.log("handed_over", owed=self.frontend.owing)
+            self.metrics.log("handed_over", owed=self.listener.owing)
             link.send(handover.PARTED)
-        while self.after is link and self.frontend.owing:
+        while self.after is link and self.listener.owing:
             await asyncio.sleep(LOOK)
         if self.after is link:
             link.send(handover.DONE)
 
     def _after_ended(self) -> None:
         self.after = None
-        if self.frontend.handed and not self.frontend.ending:
-            self.stats.count_and_log("taken_back")  # the new process died: this one goes on
-            self.core.dispatcher.fleet.incarnation = (self.core.dispatcher.fleet.incarnation + 1) & 0xFF
+        if self.listener.handed and not self.listener.ending:
+            self.metrics.count_and_log("taken_back")  # the new process died: this one goes on
+            self.policy_runner.dispatcher.fleet.incarnation = (
+                self.policy_runner.dispatcher.fleet.incarnation + 1
+            ) & 0xFF
             self.peers.listen()
-            self.frontend.take_back()
+            self.listener.take_back()
             self.budget.set_share(SHARE if self.before is not None else 1.0)
             self._leave_word()
         for _, take_back in self.parts.values():
@@ -296,7 +298,7 @@
     def _tell_slots(self) -> None:
         if self.after is None:
             return
-        self.wheel.after(TELL_SLOTS, self._tell_slots)
+        self.timers.after(TELL_SLOTS, self._tell_slots)
         out = self._out()
         for number in {*out, *self._told}:
             if out[number] != self._told[number]:
@@ -304,7 +306,7 @@
         self._told = out
 
     def _out(self) -> Counter[int]:
-        return Counter({w.id: round(w.out) for w in self.core.dispatcher.workers.values() if w.out})
+        return Counter({w.id: round(w.out) for w in self.policy_runner.dispatcher.workers.values() if w.out})
 
     # ---- both ----------------------------------------------------------------------------------------------
 
@@ -318,7 +320,7 @@
                 json.dump({"mgmt": f"{self.mgmt[0]}:{self.mgmt[1]}", "token": self.token}, file)
             new.replace(self.word)
         except OSError as error:  # the next process starts from nothing
-            self.stats.count_and_log("handover_word_not_left", why=error)
+            self.metrics.count_and_log("handover_word_not_left", why=error)
 
     def _links(self, but: Link | None) -> list[Link]:
         return [link for link in (self.before, self.after) if link is not None and link is not but]
@@ -327,9 +329,9 @@
         """A call-back for no job of this process may be for one of the other's."""
         for link in self._links(but):
             link.send(handover.CALL_BACK, body)
-            self.stats.count("callbacks_passed_on")
+            self.metrics.count("callbacks_passed_on")
             if link is self.before:  # the worker lives, though nothing is told here
-                self.core.feed(interface.SiblingLoad(worker, 0.0))
+                self.policy_runner.feed(interface.SiblingLoad(worker, 0.0))
 
     def _tell_operators(self, call: Call) -> None:
         """What an operator asks of one process holds for both; a drain is for the one that takes clients."""
--- a/beaconhinge/net/worker_pool.py
+++ b/beaconhinge/net/worker_pool.py
@@ -48,13 +48,18 @@
 
 class WorkerPool:
     def __init__(
-        self, config: Config, core: PolicyRunner, wheel: TimerWheel, budget: DescriptorBudget, stats: Metrics
+        self,
+        config: Config,
+        policy_runner: PolicyRunner,
+        timers: TimerWheel,
+        budget: DescriptorBudget,
+        metrics: Metrics,
     ) -> None:
         self.config = config
-        self.core = core
-        self.wheel = wheel
+        self.policy_runner = policy_runner
+        self.timers = timers
         self.budget = budget
-        self.stats = stats
+        self.metrics = metrics
         self.reuse_told = self.reuse_within = NEAR_CLOSE * config.settings.idle_timeout_s
         self.workers: dict[int, _Worker] = {}
         self.carried: dict[tuple[str, str], _Carried] = {}  # open attempts by request id and worker id
@@ -69,11 +74,13 @@
         self.list_usable_again: Callable[[], Awaitable[object]] = lambda: asyncio.sleep(0)
         self.out_by_hand: Callable[[str], bool] = lambda host_id: False
         budget.reclaimers.append(self.close_one_idle)
-        core.action_handlers[interface.ProbeWorker] = lambda action: stats.spawn(
+        policy_runner.action_handlers[interface.ProbeWorker] = lambda action: metrics.spawn(
             self._probe(action.worker), "probe"
         )
-        core.action_handlers[interface.CloseIdleConnections] = lambda action: self.disconnect(action.worker)
-        wheel.after(SWEEP, self._sweep)
+        policy_runner.action_handlers[interface.CloseIdleConnections] = lambda action: self.disconnect(
+            action.worker
+        )
+        timers.after(SWEEP, self._sweep)
 
     # ---- the list ------------------------------------------------------------------------------------------
 
@@ -138,8 +145,8 @@
         return True
 
     def _sweep(self) -> None:
-        self.wheel.after(SWEEP, self._sweep)
-        oldest = self.wheel.now() - self.reuse_within
+        self.timers.after(SWEEP, self._sweep)
+        oldest = self.timers.now() - self.reuse_within
         for worker in self.workers.values():
             while worker.idle and worker.idle[0].used_at < oldest:
                 worker.idle.pop(0).close()
@@ -149,7 +156,7 @@
         worker = self.workers.get(host.member.worker)
         while worker is not None and worker.idle:
             connection = worker.idle.pop()
-            if self.wheel.now() - connection.used_at < self.reuse_within and connection.silent():
+            if self.timers.now() - connection.used_at < self.reuse_within and connection.silent():
                 return connection
             connection.close()
         return None
@@ -159,15 +166,15 @@
         if connection is not None:
             return connection
         if not self.budget.acquire():
-            self.stats.count_and_log("sockets_short", worker=host.id)
+            self.metrics.count_and_log("sockets_short", worker=host.id)
             raise OSError("no socket is left")
         try:
-            async with self.wheel.timeout(self.config.settings.connect_timeout_s):
+            async with self.timers.timeout(self.config.settings.connect_timeout_s):
                 sock = await connect(host.address)
         except BaseException:
             self.budget.release()
             raise
-        self.stats.count("worker_connections")
+        self.metrics.count("worker_connections")
         return Connection(sock, requests=False, closed=self.budget.release)
 
     def _kept_well(self, idle_for: float, well: bool) -> None:
@@ -178,7 +185,7 @@
             self.reuse_within = min(self.reuse_within * TRUST, self.reuse_told)
         else:
             self.reuse_within = DISTRUST * min(self.reuse_within, idle_for)
-            self.stats.count_and_log("kept_connection_stale", idle=idle_for, reuse_within=self.reuse_within)
+            self.metrics.count_and_log("kept_connection_stale", idle=idle_for, reuse_within=self.reuse_within)
 
     def _keep(self, host: Host, connection: Connection, message: Message) -> None:
         if message.keep_alive:
@@ -189,7 +196,7 @@
     def _rest(self, host: Host, connection: Connection) -> None:
         worker = self.workers.get(host.member.worker)
         if worker is not None and worker.host.address == host.address:
-            connection.used_at = self.wheel.now()
+            connection.used_at = self.timers.now()
             worker.idle.append(connection)
         else:
             connection.close()
@@ -204,13 +211,13 @@
         carried = _Carried(attempt, worker.host)
         self.carried[attempt.job.id, worker.host.id] = carried
         attempt.released = lambda outcome: self._release(carried, outcome)
-        carried.task = self.stats.spawn(self._carry(carried), "attempt")
+        carried.task = self.metrics.spawn(self._carry(carried), "attempt")
 
     def _release(self, carried: _Carried, outcome: AttemptOutcome) -> None:
         """Given up before the 202, the connection closes, up or not; after it, the job is withdrawn."""
         self.carried.pop((carried.attempt.job.id, carried.host.id), None)
         unrun = outcome in PROVEN_UNRUN
-        self.core.monitor.ended(carried.attempt.job.id, carried.host.id, unrun)
+        self.policy_runner.monitor.ended(carried.attempt.job.id, carried.host.id, unrun)
         task = carried.task
         given_up = outcome in (AttemptOutcome.CANCELLED, AttemptOutcome.TIMEOUT)
         if task is not None and not carried.taken:
@@ -218,9 +225,9 @@
             if given_up or not carried.attempt.begun:
                 task.cancel()
             else:
-                self.wheel.after(LATE_REPLY, task.cancel)
+                self.timers.after(LATE_REPLY, task.cancel)
         elif given_up:
-            self.stats.spawn(self._withdraw(carried), "withdrawal")
+            self.metrics.spawn(self._withdraw(carried), "withdrawal")
 
     async def _carry(self, carried: _Carried) -> None:
         """Send the job and read the answer to that; its result comes later, by a call-back."""
@@ -238,8 +245,8 @@
                 self._rest(carried.host, connection)
                 return
             attempt.begun = True
-            idle_for = self.wheel.now() - connection.used_at if connection.used_at else 0.0
-            left = max(int((attempt.until - self.wheel.now()) * 1000), 1)
+            idle_for = self.timers.now() - connection.used_at if connection.used_at else 0.0
+            left = max(int((attempt.until - self.timers.now()) * 1000), 1)
             headers = {
                 "Host": SERVICE,
                 "X-Request-ID": job.id,
@@ -248,16 +255,16 @@
             }
             if job.dedup_key:
                 headers["Idempotency-Key"] = job.dedup_key
-            self.core.monitor.written(job.id, carried.host.id, self.wheel.now(), left)
+            self.policy_runner.monitor.written(job.id, carried.host.id, self.timers.now(), left)
             await connection.send(http1.request("POST", job.target, headers, carried.body))
             written = True
-            self.stats.count(BACKEND_CALLS)
+            self.metrics.count(BACKEND_CALLS)
             message = await connection.next()
         except (OSError, TimeoutError, Closed, BadMessage) as error:
             # Whether the last byte was written decides whether the job may have run. It is not sent again
             # from here, on a stale connection either: that is the module's choice.
             if isinstance(error, BadMessage):
-                self.stats.count_and_log("worker_answer_malformed", worker=carried.host.id, why=error)
+                self.metrics.count_and_log("worker_answer_malformed", worker=carried.host.id, why=error)
             attempt.end(AttemptOutcome.CONNECTION_LOST if written else AttemptOutcome.NO_CONNECTION)
             if connection is not None:
                 connection.close()
@@ -279,7 +286,7 @@
         """The guard's answer for the moment in which this returns, once the list may be acted on."""
         why = self._refusal(carried)
         if why is Refusal.LIST_UNKNOWN:
-            self.stats.count("sends_waited_for_list")
+            self.metrics.count("sends_waited_for_list")
         while why is Refusal.LIST_UNKNOWN:
             await self.list_usable_again()
             why = self._refusal(carried)
@@ -298,7 +305,7 @@
                 out_by_hand=self.out_by_hand(carried.host.id),
                 open=attempt.open,
                 wanted=attempt.wanted(),
-                time_left=attempt.until - self.wheel.now(),
+                time_left=attempt.until - self.timers.now(),
                 others_at_worker=others.at_worker,
                 others_out=others.out,
                 may_have_run=others.may_have_run,
@@ -307,8 +314,8 @@
         )
 
     def _refuse(self, carried: _Carried, why: Refusal) -> None:
-        self.stats.count(f"send_refused_{why.value}")
-        self.stats.trace(
+        self.metrics.count(f"send_refused_{why.value}")
+        self.metrics.trace(
             "attempts", "send_refused", request=carried.attempt.job.id, worker=carried.host.id, why=why.value
         )
         carried.attempt.end(AttemptOutcome.NOT_SENT)
@@ -319,7 +326,7 @@
         # Blamed on the worker, a faulty request went to three of them and had each of these left out.
         unusable = 400 <= status < 500 and status not in (408, 429)  # those two speak of the moment
         if not unrun and status != 500:
-            self.stats.count_and_log(
+            self.metrics.count_and_log(
                 "worker_answer_unexpected",
                 worker=attempt.worker,
                 status=status,
@@ -349,7 +356,7 @@
         """A short exchange beside the attempts: the answer, or why there is none."""
         connection, why = None, AttemptOutcome.NO_CONNECTION
         try:
-            async with self.wheel.timeout(ASIDE):
+            async with self.timers.timeout(ASIDE):
                 connection = await self._connection(host)
                 await connection.send(http1.request(method, target, {"Host": SERVICE}))
                 why = AttemptOutcome.CONNECTION_LOST
@@ -371,13 +378,13 @@
 
     def news(self, body: bytes, elsewhere: Callable[[bytes, int], None] | None = None) -> None:
         """What a worker tells of a job; it may come early, late, twice or for an earlier life of ours."""
-        self.stats.count("callbacks")
+        self.metrics.count("callbacks")
         try:
             content = json.loads(body)
             key, state = (content["id"], content["from"]), content["state"]
             carried = self.carried.get(key)
             if carried is None:
-                self.stats.count("callbacks_unmatched")
+                self.metrics.count("callbacks_unmatched")
                 if state == "done":
                     self.result_late(str(key[0]), str(content["result"]))
                 elif state in ("started", "running"):
@@ -386,7 +393,7 @@
                 return
             self._told(carried.attempt, state, content)
         except (ValueError, TypeError, KeyError, AttributeError, RecursionError) as error:
-            self.stats.count_and_log("callback_malformed", why=f"{type(error).__name__}: {error}")
+            self.metrics.count_and_log("callback_malformed", why=f"{type(error).__name__}: {error}")
 
     def _told(self, attempt: Attempt, state: str, content: Mapping[str, Any]) -> None:
         load = self._load(content.get("load"))
@@ -415,16 +422,16 @@
             load = {name.strip(): float(value) for name, value in pairs}
             if any(value - value != 0.0 for value in load.values()):
                 raise ValueError("a figure is not finite")
-            self.stats.count("load_reports")
+            self.metrics.count("load_reports")
             return load
         except (ValueError, TypeError, AttributeError, OverflowError) as error:
-            self.stats.count_and_log("load_malformed", why=error)
+            self.metrics.count_and_log("load_malformed", why=error)
             return None
 
     # ---- probes --------------------------------------------------------------------------------------------
 
     async def _probe(self, number: int) -> None:
-        worker, sent_at = self.workers.get(number), self.wheel.now()
+        worker, sent_at = self.workers.get(number), self.timers.now()
         outcome, load = AttemptOutcome.NO_CONNECTION, None
         if worker is not None:
             target = b"/metrics/load" if self.config.report_names else b"/alive"
@@ -434,5 +441,5 @@
             else:
                 outcome = AttemptOutcome.SERVED if answer.status == 200 else AttemptOutcome.SERVER_ERROR
                 load = self._load(answer.body.decode("latin-1") or None)
-        self.stats.count("probes")
-        self.core.feed(interface.ProbeResult(number, outcome, self.wheel.now() - sent_at, load))
+        self.metrics.count("probes")
+        self.policy_runner.feed(interface.ProbeResult(number, outcome, self.timers.now() - sent_at, load))
--- a/beaconhinge/progress/codec.py
+++ b/beaconhinge/progress/codec.py
@@ -50,7 +50,7 @@
     True when `text/event-stream` is named and its weight is above 0 and not under that of any other type.
     Without being named it is not asked for: `*/*` is what every client sends. Raises nothing.
     """
-    ours, best = 0.0, 0.0
+    local_config, best = 0.0, 0.0
     for part in header.split(","):
         kind, *parameters = (piece.strip().lower() for piece in part.split(";"))
         weight = 1.0
@@ -59,10 +59,10 @@
             if name.strip() == "q":
                 weight = _weight(value.strip())
         if kind == MEDIA_TYPE:
-            ours = max(ours, weight)
+            local_config = max(local_config, weight)
         elif kind and kind != "*/*":
             best = max(best, weight)
-    return ours > 0 and ours >= best
+    return local_config > 0 and local_config >= best
 
 
 def _weight(text: str) -> float:
--- a/beaconhinge/quota_snapshots/writer.py
+++ b/beaconhinge/quota_snapshots/writer.py
@@ -16,15 +16,15 @@
         self,
         store: Store,
         dispatcher: Dispatcher,
-        wheel: TimerWheel,
-        stats: Metrics,
+        timers: TimerWheel,
+        metrics: Metrics,
         interval_s: float,
         max_age_s: float,
     ) -> None:
         self.store = store
         self.dispatcher = dispatcher
-        self.wheel = wheel
-        self.stats = stats
+        self.timers = timers
+        self.metrics = metrics
         self.interval_s = interval_s
         self.max_age_s = max_age_s
 
@@ -34,20 +34,20 @@
             data = self.store.get(KEY)
             if data is None:
                 return False
-            now = self.wheel.now()
+            now = self.timers.now()
             found = record.decode(data)
             age = record.check(found, self.dispatcher.settings, now, self.max_age_s)
         except (record.Stale, StoreError) as why:
-            self.stats.count_and_log("books_dropped", why=why)
+            self.metrics.count_and_log("books_dropped", why=why)
             return False
         record.restore(self.dispatcher, found, now, age)
-        self.stats.count("books_restored")
-        self.stats.log("books_restored", age=age, tenants=len(found.quota), others=len(found.peers))
+        self.metrics.count("books_restored")
+        self.metrics.log("books_restored", age=age, tenants=len(found.quota), others=len(found.peers))
         return True
 
     def keep(self) -> None:
         """Write them from now on, at the interval."""
-        self.wheel.after(self.interval_s, lambda: self.stats.spawn(self._again(), "books"))
+        self.timers.after(self.interval_s, lambda: self.metrics.spawn(self._again(), "books"))
 
     async def _again(self) -> None:
         await self.write()
@@ -55,9 +55,9 @@
             self.keep()
 
     async def write(self) -> None:
-        taken = record.encode(record.take(self.dispatcher, self.wheel.now()))
+        taken = record.encode(record.take(self.dispatcher, self.timers.now()))
         try:
             await self.store.commit([Put(KEY, taken)])
-            self.stats.count("books_written")
+            self.metrics.count("books_written")
         except StoreError as error:
-            self.stats.count_and_log("books_not_written", why=error)
+            self.metrics.count_and_log("books_not_written", why=error)
--- a/beaconhinge/runtime/timer_wheel.py
+++ b/beaconhinge/runtime/timer_wheel.py
@@ -95,8 +95,8 @@
 class Timeout:
     """`async with wheel.limit(seconds)`: the body gets that long, then TimeoutError is raised."""
 
-    def __init__(self, wheel: TimerWheel, seconds: float) -> None:
-        self._wheel = wheel
+    def __init__(self, timers: TimerWheel, seconds: float) -> None:
+        self._wheel = timers
         self._seconds = seconds
         self._expired = False
 
--- a/beaconhinge/standin/harness.py
+++ b/beaconhinge/standin/harness.py
@@ -162,11 +162,11 @@
 
     def write_configuration(self) -> Path:
         (self.folder / "balancer.json").write_text(json.dumps(self.platform()))
-        ours = self.folder / "edge.toml"
-        ours.write_text(
+        local_config = self.folder / "edge.toml"
+        local_config.write_text(
             '[platform]\nconfig = "balancer.json"\n\n[log]\nformat = "json"\n\n[store]\nfolder = "store"\n'
         )
-        return ours
+        return local_config
 
     async def start(self) -> None:
         """Raises SceneError."""
--- a/beaconhinge/standin/rig/process.py
+++ b/beaconhinge/standin/rig/process.py
@@ -24,14 +24,14 @@
         port: int,
         folder: Path,
         platform: Mapping[str, object],
-        ours: str,
+        local_config: str,
         environment: Mapping[str, str] | None = None,
     ) -> None:
         self.number = number
         self.port = port
         self.folder = folder
         self.platform = platform
-        self.ours = ours
+        self.local_config = local_config
         self.environment = environment or {}
         self.lines: list[Mapping[str, Any]] = []
         self.stood: list[tuple[float, float]] = []
@@ -52,7 +52,7 @@
         """Raises SceneError when it is not up in time, unless the scenario has ended it meanwhile."""
         self.folder.mkdir(exist_ok=True)
         (self.folder / "balancer.json").write_text(json.dumps(self.platform))
-        (self.folder / "ours.toml").write_text(self.ours)
+        (self.folder / "ours.toml").write_text(self.local_config)
         own = {"BEACONHINGE_CONFIG": str(self.folder / "ours.toml")}
         self._process = await start({**own, **self.environment}, "-O")
         self._reader = asyncio.create_task(self._read(self._process))
--- a/beaconhinge/standin/rig/runner.py
+++ b/beaconhinge/standin/rig/runner.py
@@ -214,9 +214,9 @@
         assert self.resource.stdout is not None
         port = json.loads(await self.resource.stdout.readline())["port"]
         for process in self.processes:
-            process.ours += f"[leases]\nenabled = true\nspan_s = {self.scenario.span_s}\n"
+            process.local_config += f"[leases]\nenabled = true\nspan_s = {self.scenario.span_s}\n"
             for lease in self.leases:
-                process.ours += (
+                process.local_config += (
                     f'[[leases.calls]]\nname = "{lease}"\nto = "127.0.0.1:{port}"\n'
                     f"every_s = {self.scenario.act_s}\n"
                     f"longest_s = {0.4 * self.scenario.span_s}\n"
--- a/beaconhinge/store/store.py
+++ b/beaconhinge/store/store.py
@@ -297,7 +297,7 @@
     def __contains__(self, key: bytes) -> bool:
         return key in self.engine.index.places
 
-    def stats(self) -> dict[str, int | float | str]:
+    def metrics(self) -> dict[str, int | float | str]:
         """Figures of this moment, and the counters that are not zero."""
         engine = self.engine
         live = sum(engine.index.live.values())
--- a/benchmarks/leases.py
+++ b/benchmarks/leases.py
@@ -51,8 +51,8 @@
     made = []
     for number in range(count):
         clock = Clock()
-        stats = Metrics(clock.now, writer=lambda event, fields: None)
-        wheel = TimerWheel(clock.now, stats.log_exception)
+        metrics = Metrics(clock.now, writer=lambda event, fields: None)
+        timers = TimerWheel(clock.now, metrics.log_exception)
         settings = SimpleNamespace(own_number=number, group_size=count)
         config: Any = SimpleNamespace(
             name=f"n{number}",
@@ -62,11 +62,11 @@
             peers_all=addresses[number],
             mgmt=None,
         )
-        core: Any = SimpleNamespace(owners={}, feed=lambda event: None)
-        peers = PeerSocket(config, core, wheel, stats)
+        policy_runner: Any = SimpleNamespace(owners={}, feed=lambda event: None)
+        peers = PeerSocket(config, policy_runner, timers, metrics)
         peers.listen()
         store = None if folder is None else Store.open(folder / str(number))
-        leases = Leases(Settings(enabled=True, span_s=SPAN), config, store, peers, wheel, stats)
+        leases = Leases(Settings(enabled=True, span_s=SPAN), config, store, peers, timers, metrics)
         leases.open()
         made.append(leases)
     await asyncio.sleep(1.05 * SPAN)
--- a/benchmarks/loglines.py
+++ b/benchmarks/loglines.py
@@ -25,10 +25,10 @@
 """
 
 
-def line_cost(stats: Metrics) -> float:
+def line_cost(metrics: Metrics) -> float:
     begun = time.perf_counter()
     for number in range(LINES):
-        stats.log(
+        metrics.log(
             "worker_answer_unexpected",
             total=number,
             worker=17,
--- a/benchmarks/store.py
+++ b/benchmarks/store.py
@@ -259,7 +259,7 @@
             begun = time.perf_counter()
             await store.commit(changes)
             waits.append(time.perf_counter() - begun)
-        cleaned = int(store.stats().get("store_segments_cleaned", 0))
+        cleaned = int(store.metrics().get("store_segments_cleaned", 0))
         await store.close()
         return sorted(waits), cleaned
 
--- a/tests/books/test_books.py
+++ b/tests/books/test_books.py
@@ -136,25 +136,25 @@
 
 
 def test_the_keeper_writes_restores_and_says_what_it_dropped() -> None:
-    async def story() -> None:
+    async def scenario() -> None:
         now = [1000.0]
         disk, log = SimDisk(), io.StringIO()
-        stats = Metrics(lambda: now[0], log)
+        metrics = Metrics(lambda: now[0], log)
         store = Store.open("sim", disk=disk, new_id=lambda: b"S" * 16)
-        wheel = TimerWheel(lambda: now[0], stats.log_exception)
-        await SnapshotWriter(store, busy(), wheel, stats, 0.5, 30.0).write()
+        timers = TimerWheel(lambda: now[0], metrics.log_exception)
+        await SnapshotWriter(store, busy(), timers, metrics, 0.5, 30.0).write()
         now[0] += 1.0
         fresh = Dispatcher(settings(), 2)
         fresh.handle(now[0], interface.Start())
-        assert SnapshotWriter(store, fresh, wheel, stats, 0.5, 30.0).restore()
+        assert SnapshotWriter(store, fresh, timers, metrics, 0.5, 30.0).restore()
         assert fresh.rate == pytest.approx(55.0) and "books_restored age=1.000" in log.getvalue()
         await store.commit([Put(KEY, b"rubbish")])
-        assert not SnapshotWriter(store, fresh, wheel, stats, 0.5, 30.0).restore()
-        assert "books_dropped" in log.getvalue() and stats.counters["books_dropped"] == 1
+        assert not SnapshotWriter(store, fresh, timers, metrics, 0.5, 30.0).restore()
+        assert "books_dropped" in log.getvalue() and metrics.counters["books_dropped"] == 1
         disk.faults = failing("sync", 5)
-        keeper = SnapshotWriter(store, fresh, wheel, stats, 0.5, 30.0)
+        keeper = SnapshotWriter(store, fresh, timers, metrics, 0.5, 30.0)
         await keeper._again()  # a failed disk is told once, and nothing more is tried
-        assert stats.counters["books_not_written"] == 1 and "books_not_written" in log.getvalue()
+        assert metrics.counters["books_not_written"] == 1 and "books_not_written" in log.getvalue()
         await store.close()
 
-    asyncio.run(story())
+    asyncio.run(scenario())
--- a/tests/cli/test_cli.py
+++ b/tests/cli/test_cli.py
@@ -167,8 +167,11 @@
 def test_paths_count_from_the_files_folder(tmp_path: Path) -> None:
     file = tmp_path / "edge.toml"
     file.write_text('[store]\nfolder = "data"\n[platform]\nconfig = "/etc/balancer.json"\n')
-    ours = read(file)
-    assert ours.store.folder == str(tmp_path / "data") and ours.platform.config == "/etc/balancer.json"
+    local_config = read(file)
+    assert (
+        local_config.store.folder == str(tmp_path / "data")
+        and local_config.platform.config == "/etc/balancer.json"
+    )
     with pytest.raises(ConfigError, match="not there"):
         read(tmp_path / "not there")
     assert convert({}, "x").store.folder == ""
--- a/tests/cli/test_demo.py
+++ b/tests/cli/test_demo.py
@@ -28,7 +28,7 @@
 
 
 def test_a_killed_dispatcher_leaves_requests_unanswered_and_goes_on_with_its_books() -> None:
-    async def story() -> tuple[Figures, list[str]]:
+    async def scenario() -> tuple[Figures, list[str]]:
         async with scene(3, 40.0, 7) as made:
             asking = asyncio.create_task(made.clients.run(2.0))
             async with asyncio.timeout(10):
@@ -44,6 +44,6 @@
             names = [line["event"] for line in made.lines[seen:]]
             return made.figures(2.0, await made.stop()), names
 
-    figures, names = asyncio.run(story())
+    figures, names = asyncio.run(scenario())
     assert figures.missing > 0 and not figures.well
     assert "books_restored" in names and names.index("books_restored") < names.index("started")
--- a/tests/cli/test_logs_sum.py
+++ b/tests/cli/test_logs_sum.py
@@ -16,16 +16,16 @@
 def written(form: str, start: float) -> str:
     """Two lives of one process and some trouble, as its own `Stats` logs them."""
     sink, now = io.StringIO(), [start]
-    stats = Metrics(lambda: now[0], sink, None if form == "plain" else writer(form, sink, lambda: now[0]))
+    metrics = Metrics(lambda: now[0], sink, None if form == "plain" else writer(form, sink, lambda: now[0]))
     for life in (1, 2):
-        stats.counters.clear()
-        stats.log("started", name="n0", workers=9)
-        stats.count("requests_taken", 10)
-        stats.log_counters()
+        metrics.counters.clear()
+        metrics.log("started", name="n0", workers=9)
+        metrics.count("requests_taken", 10)
+        metrics.log_counters()
         now[0] += 1.0
-        stats.count_and_log("discovery_failed", why="status 503: a = 'b'")
-        stats.count("requests_taken", 5 * life)
-        stats.log_counters()
+        metrics.count_and_log("discovery_failed", why="status 503: a = 'b'")
+        metrics.count("requests_taken", 5 * life)
+        metrics.log_counters()
         now[0] += 1.5
     return sink.getvalue()
 
--- a/tests/stage.py
+++ b/tests/harness.py
@@ -70,22 +70,24 @@
 
 
 @dataclass
-class Seen:
+class ReceivedMessage:
     """One message as a peer or a client read it."""
 
-    start: str
+    start_line: str
     headers: dict[str, str] = field(default_factory=dict)
     body: bytes = b""
 
     @property
     def status(self) -> int:
-        return int(self.start.split()[1])
+        return int(self.start_line.split()[1])
 
 
-async def read_message(reader: asyncio.StreamReader) -> Seen:
+async def read_message(reader: asyncio.StreamReader) -> ReceivedMessage:
     head = (await reader.readuntil(b"\r\n\r\n")).decode("latin-1").split("\r\n")
     headers = {name.lower(): value.strip() for name, _, value in (line.partition(":") for line in head[1:-2])}
-    return Seen(head[0], headers, await reader.readexactly(int(headers.get("content-length", "0"))))
+    return ReceivedMessage(
+        head[0], headers, await reader.readexactly(int(headers.get("content-length", "0")))
+    )
 
 
 def reply(status: int, body: bytes = b"", **headers: str) -> bytes:
@@ -93,15 +95,15 @@
     return f"HTTP/1.1 {status} X\r\nContent-Length: {len(body)}\r\n{lines}\r\n".encode() + body
 
 
-Script = Callable[[Seen], Awaitable[bytes | None]]
+Script = Callable[[ReceivedMessage], Awaitable[bytes | None]]
 
 
-class Peer:
+class ScriptedServer:
     """A server that answers as its script says; None from the script ends the connection."""
 
     def __init__(self, script: Script) -> None:
         self.script = script
-        self.seen: asyncio.Queue[Seen] = asyncio.Queue()
+        self.seen: asyncio.Queue[ReceivedMessage] = asyncio.Queue()
         self.connections = 0
         self.ended: asyncio.Queue[bool] = asyncio.Queue()  # a connection closed by the dispatcher
         self.open: set[asyncio.StreamWriter] = set()
@@ -133,28 +135,28 @@
             writer.close()
 
 
-async def accept(_message: Seen) -> bytes | None:
+async def accept_job(_message: ReceivedMessage) -> bytes | None:
     return reply(202)
 
 
-class Stage:
+class Harness:
     def __init__(
-        self, worker: Script, workers: int, changes: dict[str, Any], ours: LocalConfig | None = None
+        self, worker: Script, workers: int, changes: dict[str, Any], local_config: LocalConfig | None = None
     ) -> None:
-        self.ours = ours
-        self.workers = [Peer(worker) for _ in range(workers)]
-        self.discovery = Peer(self.list)
+        self.local_config = local_config
+        self.workers = [ScriptedServer(worker) for _ in range(workers)]
+        self.discovery = ScriptedServer(self.list)
         self.lists: list[dict[str, Any] | bytes] = []  # what further watches answer; then they wait
         self.changes = changes
         self.running: asyncio.Task[None]
         self.port = free_port()
         self.peer_port, self.other_port = free_port(socket.SOCK_DGRAM), free_port(socket.SOCK_DGRAM)
 
-    async def list(self, message: Seen) -> bytes | None:
+    async def list(self, message: ReceivedMessage) -> bytes | None:
         if self.lists:
             told = self.lists.pop(0)
             return told if isinstance(told, bytes) else reply(200, json.dumps(told).encode())
-        if "wait=0" not in message.start:
+        if "wait=0" not in message.start_line:
             await asyncio.Event().wait()
         return reply(200, json.dumps({"version": 0, "full": False, "servers": []}).encode())
 
@@ -192,7 +194,7 @@
     async def open(self) -> tuple[asyncio.StreamReader, asyncio.StreamWriter]:
         return await asyncio.open_connection("127.0.0.1", self.port)
 
-    async def ask(self, data: bytes) -> Seen:
+    async def request(self, data: bytes) -> ReceivedMessage:
         reader, writer = await self.open()
         writer.write(data)
         try:
@@ -202,19 +204,21 @@
 
     async def post(
         self, path: str = "/render", body: bytes = b"work", method: str = "POST", **headers: str | None
-    ) -> Seen:
-        return await self.ask(job(path, body, method, **headers))
+    ) -> ReceivedMessage:
+        return await self.request(job_bytes(path, body, method, **headers))
 
-    async def news(self, number: int = 0, **content: Any) -> Seen:
+    async def callback(self, number: int = 0, **content: Any) -> ReceivedMessage:
         body = json.dumps({"id": "r1", "from": f"s-{number}", **content}).encode()
-        return await self.ask(b"POST /_jobs/news HTTP/1.1\r\nContent-Length: %d\r\n\r\n" % len(body) + body)
+        return await self.request(
+            b"POST /_jobs/news HTTP/1.1\r\nContent-Length: %d\r\n\r\n" % len(body) + body
+        )
 
     def reload(self, **changes: Any) -> None:
         """Replace the configuration, and say so as the platform does."""
         self.changes = {**self.changes, **changes}
         os.kill(os.getpid(), signal.SIGHUP)
 
-    def other_speaks(self) -> None:
+    def send_peer_datagram(self) -> None:
         """A datagram of the other dispatcher."""
         with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as peer:
             peer.bind(("127.0.0.1", self.other_port))
@@ -222,11 +226,13 @@
 
     async def stop(self, alone: bool = False) -> None:
         if not alone:
-            self.other_speaks()
+            self.send_peer_datagram()
         os.kill(os.getpid(), signal.SIGTERM)
 
 
-def job(path: str = "/render", body: bytes = b"work", method: str = "POST", **headers: str | None) -> bytes:
+def job_bytes(
+    path: str = "/render", body: bytes = b"work", method: str = "POST", **headers: str | None
+) -> bytes:
     fields: dict[str, str | None] = {
         "X_Request_ID": "r1",
         "X_Tenant_Id": "acme",
@@ -241,47 +247,50 @@
 
 
 @contextlib.asynccontextmanager
-async def stage(
+async def running_harness(
     worker: Script,
     workers: int,
     changes: dict[str, Any],
-    ours: LocalConfig | None = None,
+    local_config: LocalConfig | None = None,
     shared: Path | None = None,
     before: Callable[[int], object] = id,
-) -> AsyncIterator[Stage]:
+) -> AsyncIterator[Harness]:
     """`before` is called with the clients' port, before the dispatcher starts."""
-    scene = Stage(worker, workers, changes, ours)
-    before(scene.port)
-    for peer in (*scene.workers, scene.discovery):
+    harness = Harness(worker, workers, changes, local_config)
+    before(harness.port)
+    for peer in (*harness.workers, harness.discovery):
         await peer.start()
-    running = scene.running = asyncio.create_task(serve(scene.config, scene.ours, shared))
-    await scene.discovery.seen.get()  # its first call: the dispatcher is up
+    running = harness.running = asyncio.create_task(serve(harness.config, harness.local_config, shared))
+    await harness.discovery.seen.get()  # its first call: the dispatcher is up
     try:
-        yield scene
+        yield harness
     finally:
         running.cancel()
-        for peer in (*scene.workers, scene.discovery):
+        for peer in (*harness.workers, harness.discovery):
             peer.server.close()
 
 
-def play(
-    story: Callable[[Stage], Awaitable[None]],
-    worker: Script = accept,
+def run_scenario(
+    scenario: Callable[[Harness], Awaitable[None]],
+    worker: Script = accept_job,
     workers: int = 1,
-    ours: LocalConfig | None = None,
+    local_config: LocalConfig | None = None,
     shared: Path | None = None,
     **changes: Any,
 ) -> None:
     """Run a story; it may take ten seconds at most."""
 
     async def run() -> None:
-        async with asyncio.timeout(10), stage(worker, workers, changes, ours, shared) as scene:
-            await story(scene)
+        async with (
+            asyncio.timeout(10),
+            running_harness(worker, workers, changes, local_config, shared) as harness,
+        ):
+            await scenario(harness)
 
     uvloop.run(run())
 
 
-class Scripted:
+class ScriptedPolicy:
     """Stands in for the module: answers a job with the given actions, and keeps the events that it is fed."""
 
     def __init__(
@@ -298,15 +307,17 @@
         )
 
 
-def scripted(
+def use_scripted_policy(
     monkeypatch: pytest.MonkeyPatch, *on_job: interface.Action, **then: list[interface.Action]
-) -> Scripted:
-    module = Scripted(list(on_job), {getattr(interface, name): actions for name, actions in then.items()})
+) -> ScriptedPolicy:
+    module = ScriptedPolicy(
+        list(on_job), {getattr(interface, name): actions for name, actions in then.items()}
+    )
     monkeypatch.setattr("beaconhinge.__main__.Dispatcher", lambda settings, seed: module)
     return module
 
 
-async def event(module: Scripted, kind: type) -> Any:
+async def next_event(module: ScriptedPolicy, kind: type) -> Any:
     while not isinstance(found := await module.events.get(), kind):
         pass
     return found
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -188,7 +188,7 @@
 Policy = Callable[[float, interface.Event], list[interface.Action]]
 
 
-class Driver:
+class PolicyDriver:
     """Feeds events to a policy, keeps its timers and the checker; outcomes are chosen by the test."""
 
     def __init__(self, given: interface.Settings, policy: Policy, now: float = 100.0) -> None:
--- a/tests/leases/test_hold.py
+++ b/tests/leases/test_hold.py
@@ -22,12 +22,14 @@
     def __init__(self) -> None:
         self.now = 100.0
         self.logged: list[str] = []
-        self.stats = Metrics(lambda: self.now, writer=lambda event, fields: self.logged.append(event))
-        self.wheel = TimerWheel(lambda: self.now, self.stats.log_exception)
+        self.metrics = Metrics(lambda: self.now, writer=lambda event, fields: self.logged.append(event))
+        self.timers = TimerWheel(lambda: self.now, self.metrics.log_exception)
         settings = SimpleNamespace(own_number=0, group_size=1)
         config: Any = SimpleNamespace(name="n0", settings=settings, peer_listen=None)
         peers: Any = SimpleNamespace(talk={}, config=config, send=lambda number, payload: None)
-        self.leases = Leases(Settings(enabled=True, span_s=2.0), config, None, peers, self.wheel, self.stats)
+        self.leases = Leases(
+            Settings(enabled=True, span_s=2.0), config, None, peers, self.timers, self.metrics
+        )
 
     async def begin(self) -> None:
         self.leases.open()
@@ -36,7 +38,7 @@
 
     def pass_(self, seconds: float) -> None:
         self.now += seconds
-        self.wheel.fire_due()
+        self.timers.fire_due()
 
     def voted(self, name: str) -> bool:
         assert self.leases.node is not None
@@ -44,18 +46,18 @@
         return vote is not None and self.now < vote.until
 
 
-def played(story: Callable[[Alone], Awaitable[None]]) -> Alone:
+def played(scenario: Callable[[Alone], Awaitable[None]]) -> Alone:
     async def whole() -> Alone:
         alone = Alone()
         await alone.begin()
-        await story(alone)
+        await scenario(alone)
         return alone
 
     return asyncio.run(whole())
 
 
 def test_an_act_may_begin_with_its_longest_time_left_and_the_lease_is_kept_till_it_is_over() -> None:
-    async def story(alone: Alone) -> None:
+    async def scenario(alone: Alone) -> None:
         tenures = []
 
         async def body() -> None:
@@ -78,11 +80,11 @@
             again.done()
         assert not alone.voted("export")
 
-    played(story)
+    played(scenario)
 
 
 def test_who_was_stopped_finds_its_tenure_over_before_anything_else() -> None:
-    async def story(alone: Alone) -> None:
+    async def scenario(alone: Alone) -> None:
         with pytest.raises(LeaseLost):
             async with alone.leases.hold("export") as tenure:
                 alone.now += 10.0  # no timer has run yet
@@ -90,11 +92,11 @@
                 await asyncio.sleep(60)
         assert "lease_lost" in alone.logged
 
-    played(story)
+    played(scenario)
 
 
 def test_it_is_renewed_while_it_is_held_and_one_body_waits_for_the_other() -> None:
-    async def story(alone: Alone) -> None:
+    async def scenario(alone: Alone) -> None:
         order = []
 
         async def body(name: str) -> None:
@@ -109,11 +111,11 @@
         await asyncio.gather(body("a"), body("b"))
         assert order == ["a", "a", "b", "b"]
 
-    assert played(story).stats.counters["leases_held"] == 2
+    assert played(scenario).metrics.counters["leases_held"] == 2
 
 
 def test_a_cancel_from_elsewhere_stays_one_and_what_is_no_name_is_refused() -> None:
-    async def story(alone: Alone) -> None:
+    async def scenario(alone: Alone) -> None:
         async def body() -> None:
             async with alone.leases.hold("export"):
                 await asyncio.sleep(60)
@@ -128,4 +130,4 @@
             with pytest.raises(ValueError, match="name"):
                 alone.leases.hold(name)
 
-    played(story)
+    played(scenario)
--- a/tests/leases/test_process.py
+++ b/tests/leases/test_process.py
@@ -47,13 +47,13 @@
                 )
             )
         )
-        ours = self.folder / f"edge-{which}.toml"
-        ours.write_text(
+        local_config = self.folder / f"edge-{which}.toml"
+        local_config.write_text(
             f'[platform]\nconfig = "{file.name}"\n[log]\nformat = "json"\n[leases]\nenabled = true\n'
             f'number = {self.number}\nspan_s = {SPAN}\n[[leases.calls]]\nname = "export"\n'
             f'to = "127.0.0.1:{self.to}"\nevery_s = 0.05\nlongest_s = 0.2\n'
         )
-        return ours
+        return local_config
 
     async def begin(self) -> None:
         self.resource = await asyncio.create_subprocess_exec(
@@ -96,12 +96,12 @@
             await asyncio.sleep(0.02)
 
 
-def played(folder: Path, story: Callable[[Led], Awaitable[None]]) -> Led:
+def played(folder: Path, scenario: Callable[[Led], Awaitable[None]]) -> Led:
     async def whole() -> Led:
         led = Led(folder)
         await led.begin()
         try:
-            await story(led)
+            await scenario(led)
         finally:
             led.resource.kill()
             await led.resource.wait()
@@ -115,7 +115,7 @@
 
 
 def test_in_an_upgrade_the_lease_goes_over_and_both_never_act_at_once(tmp_path: Path) -> None:
-    async def story(led: Led) -> None:
+    async def scenario(led: Led) -> None:
         old, _ = await led.process(0, tmp_path)
         await until(lambda: len(led.acts) > 5)
         new, lines = await led.process(1, tmp_path)
@@ -128,13 +128,13 @@
         assert not any(line["event"] == "leases_twice" for line in lines)
         assert await end(new) == 0
 
-    led = played(tmp_path, story)
+    led = played(tmp_path, scenario)
     assert collisions(led.acts) == []
     assert len({act.number for act in led.acts}) >= 2
 
 
 def test_a_second_process_of_the_name_neither_votes_nor_holds_until_the_first_is_gone(tmp_path: Path) -> None:
-    async def story(led: Led) -> None:
+    async def scenario(led: Led) -> None:
         (tmp_path / "a").mkdir()
         (tmp_path / "b").mkdir()
         first, _ = await led.process(0, tmp_path / "a")
@@ -151,13 +151,13 @@
         await until(lambda: len(led.acts) > count + 5)
         assert await end(second) == 0
 
-    led = played(tmp_path, story)
+    led = played(tmp_path, scenario)
     assert collisions(led.acts) == []
     assert len({act.number for act in led.acts}) == 2
 
 
 def test_a_step_comes_by_sighup_and_one_without_its_number_is_refused(tmp_path: Path) -> None:
-    async def story(led: Led) -> None:
+    async def scenario(led: Led) -> None:
         process, lines = await led.process(0, tmp_path)
         file = led.write(0)
         good = file.read_text()
@@ -175,13 +175,13 @@
         await until(lambda: len(led.acts) > count + 5)
         assert await end(process) == 0
 
-    assert collisions(played(tmp_path, story).acts) == []
+    assert collisions(played(tmp_path, scenario).acts) == []
 
 
 def test_operators_list_run_under_and_hand_over_leases(
     tmp_path: Path, capfd: pytest.CaptureFixture[str]
 ) -> None:
-    async def story(led: Led) -> None:
+    async def scenario(led: Led) -> None:
         process, _ = await led.process(0, tmp_path)
         mgmt = f"127.0.0.1:{led.mgmt[0]}"
 
@@ -220,7 +220,7 @@
         assert (await led.call("lease-take Bad!")).startswith("FAILURE")
         assert await end(process) == 0
 
-    played(tmp_path, story)
+    played(tmp_path, scenario)
 
 
 @pytest.mark.parametrize(
@@ -243,7 +243,7 @@
 
 
 def test_leases_without_a_way_to_the_others_end_the_start_with_one_line(tmp_path: Path) -> None:
-    async def story(led: Led) -> None:
+    async def scenario(led: Led) -> None:
         file = led.write(0)
         platform = json.loads((tmp_path / "balancer-0.json").read_text())
         platform["settings"] |= {"groupSize": 3}
@@ -253,4 +253,4 @@
         assert process.stderr is not None
         assert b"leases.enabled" in await process.stderr.read() and await process.wait() == 2
 
-    played(tmp_path, story)
+    played(tmp_path, scenario)
--- a/tests/management/test_management.py
+++ b/tests/management/test_management.py
@@ -10,7 +10,16 @@
 from typing import Any
 
 import pytest
-from stage import Scripted, Seen, Stage, free_port, job, play, read_message, reply
+from harness import (
+    Harness,
+    ReceivedMessage,
+    ScriptedPolicy,
+    free_port,
+    job_bytes,
+    read_message,
+    reply,
+    run_scenario,
+)
 
 from beaconhinge.__main__ import run
 from beaconhinge.membership.inventory import worker_number
@@ -20,7 +29,7 @@
 from beaconhinge.policy.interface import AttemptOutcome, UpdateKind, WorkerState
 
 FIRST = worker_number("s-0")
-Story = Callable[[Stage, "Operator"], Awaitable[None]]
+Story = Callable[[Harness, "Operator"], Awaitable[None]]
 
 
 class Operator:
@@ -55,17 +64,19 @@
         return json.loads(shown)  # type: ignore[no-any-return]
 
 
-def operate(story: Story, *script: Callable[[Seen], Awaitable[bytes | None]], **more: Any) -> None:
+def operate(
+    scenario: Story, *script: Callable[[ReceivedMessage], Awaitable[bytes | None]], **more: Any
+) -> None:
     port = free_port()
 
-    async def told(scene: Stage) -> None:
-        await story(scene, Operator(port))
+    async def told(harness: Harness) -> None:
+        await scenario(harness, Operator(port))
 
-    play(told, *script, mgmt=f"127.0.0.1:{port}", **more)
+    run_scenario(told, *script, mgmt=f"127.0.0.1:{port}", **more)
 
 
 def test_lines_in_pieces_with_any_end_are_answered_and_faults_are_named() -> None:
-    async def story(scene: Stage, operator: Operator) -> None:
+    async def scenario(harness: Harness, operator: Operator) -> None:
         assert await operator.raw(*(bytes([byte]) for byte in b"ready\r\n")) == b"SUCCESS ready\n"
         assert await operator.raw(b"ready", end=True) == b"SUCCESS ready\n"
         assert await operator.raw(b"ready\ndrain\n") == b"SUCCESS ready\n"  # a connection carries one line
@@ -75,9 +86,9 @@
         assert await operator.raw(b"", end=True) == b""
         assert (await operator.call("disable-server s-9")).startswith("FAILURE s-9: no such worker")
         assert (await operator.call("enable-server s-9")).startswith("FAILURE s-9: no such worker")
-        assert (await scene.ask(b"GET /up HTTP/1.1\r\n\r\n")).status == 200
+        assert (await harness.request(b"GET /up HTTP/1.1\r\n\r\n")).status == 200
 
-    operate(story)
+    operate(scenario)
 
 
 def test_callers_that_say_nothing_delay_nobody_and_crowds_of_clients_take_no_descriptor_of_theirs(
@@ -85,8 +96,8 @@
 ) -> None:
     monkeypatch.setattr("beaconhinge.net.sockets.RESERVED_DESCRIPTORS", 40)
 
-    async def story(scene: Stage, operator: Operator) -> None:
-        clients = [await scene.open() for _ in range(64)]
+    async def scenario(harness: Harness, operator: Operator) -> None:
+        clients = [await harness.open() for _ in range(64)]
         mute = [
             await asyncio.open_connection("127.0.0.1", operator.port) for _ in range(2 * management.CALLERS)
         ]
@@ -95,7 +106,7 @@
         for _, writer in (*clients, *mute):
             writer.close()
 
-    operate(story, limits={"memory_mb": 192, "sockets": 64})
+    operate(scenario, limits={"memory_mb": 192, "sockets": 64})
 
 
 def test_figures_are_what_the_stand_ins_counted(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -110,8 +121,8 @@
         "gone": "held",
     }
 
-    async def script(message: Seen) -> bytes | None:
-        if not message.start.startswith("POST"):
+    async def script(message: ReceivedMessage) -> bytes | None:
+        if not message.start_line.startswith("POST"):
             return reply(200)
         name = message.headers["x-request-id"]
         sent.append(name)
@@ -126,26 +137,26 @@
 
     async def post(name: str, state: str) -> None:
         for worker in (0, 1):  # one of them has the job; the other's word is for nobody
-            assert (await scenes[0].news(worker, id=name, state=state, result=name)).status == 204
+            assert (await scenes[0].callback(worker, id=name, state=state, result=name)).status == 204
 
-    scenes: list[Stage] = []
+    scenes: list[Harness] = []
 
-    async def story(scene: Stage, operator: Operator) -> None:
-        scenes.append(scene)
+    async def scenario(harness: Harness, operator: Operator) -> None:
+        scenes.append(harness)
         empty = {"success": 0, "busy": 0, "failure": 0}
         shown = await operator.figures()
         assert (shown["calls"], shown["backend_calls"]) == ({"render": empty, "publish": empty}, 0)
         key = {"Idempotency_Key": "k"}
         for n in range(3):
-            assert (await scene.post(X_Request_ID=f"served-{n}")).status == 200
-        assert (await scene.post("/publish", X_Request_ID="served-p", **key)).status == 200
-        assert (await scene.post("/publish", X_Request_ID="failed-p", **key)).status == 502
-        assert (await scene.post(X_Request_ID="reset-1", X_Timeout_Ms="600")).status == 503
-        assert (await scene.post(X_Request_ID="away-1", X_Timeout_Ms="600")).status == 503
-        assert (await scene.post("/render", X_Timeout_Ms="none")).status == 400  # no job
-        held = asyncio.create_task(scene.post(X_Request_ID="held-1"))
-        _, writer = await scene.open()
-        writer.write(job(X_Request_ID="gone-1"))
+            assert (await harness.post(X_Request_ID=f"served-{n}")).status == 200
+        assert (await harness.post("/publish", X_Request_ID="served-p", **key)).status == 200
+        assert (await harness.post("/publish", X_Request_ID="failed-p", **key)).status == 502
+        assert (await harness.post(X_Request_ID="reset-1", X_Timeout_Ms="600")).status == 503
+        assert (await harness.post(X_Request_ID="away-1", X_Timeout_Ms="600")).status == 503
+        assert (await harness.post("/render", X_Timeout_Ms="none")).status == 400  # no job
+        held = asyncio.create_task(harness.post(X_Request_ID="held-1"))
+        _, writer = await harness.open()
+        writer.write(job_bytes(X_Request_ID="gone-1"))
         while not {"held-1", "gone-1"} <= set(sent):
             await asyncio.sleep(0.01)
         assert (await operator.figures())["inflight"] == 2
@@ -161,30 +172,32 @@
         await post("held-1", "done")
         assert (await held).status == 200
 
-    operate(story, script, workers=2)
+    operate(scenario, script, workers=2)
 
 
 def test_a_worker_out_by_hand_gets_nothing_whatever_the_list_says_until_one_call_back() -> None:
-    async def script(message: Seen) -> bytes | None:
-        return reply(202) if message.start.startswith("POST") else reply(200)
+    async def script(message: ReceivedMessage) -> bytes | None:
+        return reply(202) if message.start_line.startswith("POST") else reply(200)
 
-    async def story(scene: Stage, operator: Operator) -> None:
+    async def scenario(harness: Harness, operator: Operator) -> None:
         assert (await operator.call("disable-server s-0")).startswith("SUCCESS")
         assert (await operator.call("disable-server s-0")).startswith("SUCCESS")
-        asked = [asyncio.create_task(scene.post(X_Request_ID=f"r{n}", X_Timeout_Ms="400")) for n in range(6)]
+        asked = [
+            asyncio.create_task(harness.post(X_Request_ID=f"r{n}", X_Timeout_Ms="400")) for n in range(6)
+        ]
         await asyncio.gather(*asked)
-        assert scene.workers[0].seen.empty() and not scene.workers[1].seen.empty()
+        assert harness.workers[0].seen.empty() and not harness.workers[1].seen.empty()
         shown = await operator.figures()
         assert (shown["hosts_listed"], shown["hosts_down"] >= 1) == (2, True)
         assert (await operator.call("enable-server s-0")).startswith("SUCCESS")
         assert (await operator.call("enable-server s-0")).startswith("SUCCESS")  # it is in the list, and in
         for n in range(20):
-            if not scene.workers[0].seen.empty():
+            if not harness.workers[0].seen.empty():
                 return
-            await scene.post(X_Request_ID=f"b{n}", X_Timeout_Ms="400")
+            await harness.post(X_Request_ID=f"b{n}", X_Timeout_Ms="400")
         raise AssertionError("put back, it got no job")
 
-    operate(story, script, workers=2)
+    operate(scenario, script, workers=2)
 
 
 def test_the_module_keeps_a_worker_out_through_lists_and_takes_it_for_cold_when_it_is_back() -> None:
@@ -226,66 +239,66 @@
 
 def test_drain_sends_clients_away_and_resume_takes_them_back(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr("beaconhinge.net.listener.PART_AFTER", 0.05)
-    module = Scripted([interface.SendAttempt(1, FIRST)])
+    module = ScriptedPolicy([interface.SendAttempt(1, FIRST)])
     monkeypatch.setattr("beaconhinge.__main__.Dispatcher", lambda settings, seed: module)
 
-    async def story(scene: Stage, operator: Operator) -> None:
-        scene.other_speaks()
-        idle, _ = await scene.open()
-        used, used_writer = await scene.open()
+    async def scenario(harness: Harness, operator: Operator) -> None:
+        harness.send_peer_datagram()
+        idle, _ = await harness.open()
+        used, used_writer = await harness.open()
         used_writer.write(b"GET /up HTTP/1.1\r\n\r\n")
         assert (await read_message(used)).status == 200
-        reader, writer = await scene.open()
-        writer.write(job())
-        await scene.workers[0].seen.get()
+        reader, writer = await harness.open()
+        writer.write(job_bytes())
+        await harness.workers[0].seen.get()
         assert await operator.call("drain") == "SUCCESS drains\n"
         assert await operator.call("drain") == "SUCCESS drains\n"
-        assert (await scene.ask(b"GET /up HTTP/1.1\r\n\r\n")).status == 503
+        assert (await harness.request(b"GET /up HTTP/1.1\r\n\r\n")).status == 503
         assert await operator.call("ready") == "FAILURE drained\n"
         assert await idle.read() == b"" and await used.read() == b""
-        await scene.news(state="done", result="one")  # call-backs still come in
+        await harness.callback(state="done", result="one")  # call-backs still come in
         answer = await read_message(reader)
         assert (answer.status, answer.headers["connection"]) == (200, "close")
         assert await operator.call("resume") == "SUCCESS serves\n"
-        assert (await scene.ask(b"GET /up HTTP/1.1\r\n\r\n")).status == 200
-        reader, writer = await scene.open()
+        assert (await harness.request(b"GET /up HTTP/1.1\r\n\r\n")).status == 200
+        reader, writer = await harness.open()
         for _ in range(2):  # and connections are kept again
             writer.write(b"GET /up HTTP/1.1\r\n\r\n")
             assert "connection" not in (await read_message(reader)).headers
         assert await operator.call("resume") == "SUCCESS serves\n"
 
-    operate(story)
+    operate(scenario)
 
 
 def test_a_drained_dispatcher_holds_no_client_with_a_new_job(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr("beaconhinge.net.listener.PART_AFTER", 0.02)
     monkeypatch.setattr("beaconhinge.net.listener.REFUSE_DRAINED", 0.0)
 
-    async def story(scene: Stage, operator: Operator) -> None:
-        scene.other_speaks()
-        reader, writer = await scene.open()
-        writer.write(job()[:20])  # being written, so not idle
+    async def scenario(harness: Harness, operator: Operator) -> None:
+        harness.send_peer_datagram()
+        reader, writer = await harness.open()
+        writer.write(job_bytes()[:20])  # being written, so not idle
         await operator.call("drain")
         await asyncio.sleep(0.2)
-        writer.write(job()[20:])
+        writer.write(job_bytes()[20:])
         answer = await read_message(reader)
         assert (answer.status, answer.headers["connection"]) == (503, "close")
         assert float(answer.headers["retry-after"]) > 0
         assert (await operator.figures())["calls"]["render"]["busy"] == 1
 
-    operate(story)
+    operate(scenario)
 
 
 def test_sigterm_ends_a_drained_dispatcher(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr("beaconhinge.net.listener.PART_AFTER", 0.02)
 
-    async def story(scene: Stage, operator: Operator) -> None:
-        scene.other_speaks()
+    async def scenario(harness: Harness, operator: Operator) -> None:
+        harness.send_peer_datagram()
         await operator.call("drain")
-        await scene.stop()
-        await scene.running
+        await harness.stop()
+        await harness.running
 
-    operate(story)
+    operate(scenario)
 
 
 def test_a_management_address_in_use_or_malformed_ends_the_start_with_its_key(
@@ -307,6 +320,6 @@
 
 
 def _minimal() -> dict[str, Any]:
-    from stage import SETTINGS
+    from harness import SETTINGS
 
     return {"name": "n0", "listen": "127.0.0.1:1", "discovery": "127.0.0.1:2", "settings": SETTINGS}
--- a/tests/management/test_upgrade.py
+++ b/tests/management/test_upgrade.py
@@ -14,7 +14,7 @@
 
 import pytest
 import uvloop
-from stage import Scripted, Seen, Stage, free_port, job, play, read_message
+from harness import Harness, ReceivedMessage, ScriptedPolicy, free_port, job_bytes, read_message, run_scenario
 from test_management import FIRST, Operator
 
 from beaconhinge.management import handover
@@ -61,17 +61,17 @@
         self.writer.transport.abort()
 
 
-def upgrade(story: Any, tmp_path: Path, **more: Any) -> None:
+def upgrade(scenario: Any, tmp_path: Path, **more: Any) -> None:
     port = free_port()
 
-    async def told(scene: Stage) -> None:
-        await story(scene, Operator(port), tmp_path / f"beaconhinge-127.0.0.1-{scene.port}.json")
+    async def told(harness: Harness) -> None:
+        await scenario(harness, Operator(port), tmp_path / f"beaconhinge-127.0.0.1-{harness.port}.json")
 
-    play(told, mgmt=f"127.0.0.1:{port}", shared=tmp_path, **more)
+    run_scenario(told, mgmt=f"127.0.0.1:{port}", shared=tmp_path, **more)
 
 
 def test_a_new_process_that_dies_at_any_step_leaves_the_old_one_serving(tmp_path: Path) -> None:
-    async def story(scene: Stage, operator: Operator, word: Path) -> None:
+    async def scenario(harness: Harness, operator: Operator, word: Path) -> None:
         new = Successor()
         await new.take_over(word, "0" * 32)
         await new.reading
@@ -83,7 +83,7 @@
                 assert "module" in handover.unseal(await new.expect(handover.STATE))
             listener = None
             if step in ("serves", "has the door"):
-                listener = tcp_listener(("127.0.0.1", scene.port), "listen", shared=True)
+                listener = tcp_listener(("127.0.0.1", harness.port), "listen", shared=True)
                 new.say(handover.SERVING)
             if step == "has the door":
                 await new.expect(handover.PARTED)
@@ -94,38 +94,38 @@
             new.die()
             while await operator.call("ready") != "SUCCESS ready\n":
                 await asyncio.sleep(0.01)
-            assert (await scene.ask(UP)).status == 200
-            reader, writer = await scene.open()
+            assert (await harness.request(UP)).status == 200
+            reader, writer = await harness.open()
             for _ in range(2):  # connections are kept again
                 writer.write(UP)
                 assert "connection" not in (await read_message(reader)).headers
             writer.close()
 
-    upgrade(story, tmp_path)
+    upgrade(scenario, tmp_path)
 
 
 def test_jobs_of_the_old_process_end_there_and_call_backs_find_their_way(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    module = Scripted([interface.SendAttempt(1, FIRST)])
+    module = ScriptedPolicy([interface.SendAttempt(1, FIRST)])
     module.take = lambda: {}  # type: ignore[attr-defined]
     monkeypatch.setattr("beaconhinge.__main__.Dispatcher", lambda settings, seed: module)
     monkeypatch.setattr("beaconhinge.management.handover.take", lambda module: {})
     module.workers = {}  # type: ignore[attr-defined]
 
-    async def story(scene: Stage, operator: Operator, word: Path) -> None:
-        idle, idle_writer = await scene.open()
+    async def scenario(harness: Harness, operator: Operator, word: Path) -> None:
+        idle, idle_writer = await harness.open()
         idle_writer.write(UP)
         await read_message(idle)
-        reader, writer = await scene.open()
-        writer.write(job())
-        await scene.workers[0].seen.get()
+        reader, writer = await harness.open()
+        writer.write(job_bytes())
+        await harness.workers[0].seen.get()
         new = Successor()
         await new.take_over(word)
         await new.expect(handover.STATE)
-        await scene.news(state="done", id="r9", result="not known here")
+        await harness.callback(state="done", id="r9", result="not known here")
         assert json.loads(await new.expect(handover.CALL_BACK))["id"] == "r9"
-        listener = tcp_listener(("127.0.0.1", scene.port), "listen", shared=True)
+        listener = tcp_listener(("127.0.0.1", harness.port), "listen", shared=True)
         new.say(handover.SERVING)
         await new.expect(handover.PARTED)
         assert await idle.read() == b""  # between jobs: it comes again by the new process
@@ -133,23 +133,23 @@
         answer = await read_message(reader)
         assert (answer.status, answer.body, answer.headers["connection"]) == (200, b"one", "close")
         await new.expect(handover.DONE)
-        _, late = await scene.open()
+        _, late = await harness.open()
         accepted, _ = await asyncio.get_running_loop().sock_accept(listener)  # steered to the new one
         accepted.close()
         late.close()
         listener.close()
-        await scene.stop()
-        await scene.running
+        await harness.stop()
+        await harness.running
         new.die()
 
-    upgrade(story, tmp_path)
+    upgrade(scenario, tmp_path)
 
 
 def test_a_new_process_hears_that_nothing_is_owed_only_of_its_own_take_over(tmp_path: Path) -> None:
-    async def story(scene: Stage, operator: Operator, word: Path) -> None:
-        reader, writer = await scene.open()
-        writer.write(job())
-        await scene.workers[0].seen.get()
+    async def scenario(harness: Harness, operator: Operator, word: Path) -> None:
+        reader, writer = await harness.open()
+        writer.write(job_bytes())
+        await harness.workers[0].seen.get()
         for dies in (True, False):
             new = Successor()
             await new.take_over(word)
@@ -169,27 +169,27 @@
         await new.expect(handover.DONE)
         new.die()
 
-    upgrade(story, tmp_path)
+    upgrade(scenario, tmp_path)
 
 
 def test_a_call_back_to_work_does_not_undo_sigterm(tmp_path: Path) -> None:
-    async def story(scene: Stage, operator: Operator, word: Path) -> None:
-        _, writer = await scene.open()
-        writer.write(job())
-        await scene.workers[0].seen.get()
-        await scene.stop()
+    async def scenario(harness: Harness, operator: Operator, word: Path) -> None:
+        _, writer = await harness.open()
+        writer.write(job_bytes())
+        await harness.workers[0].seen.get()
+        await harness.stop()
         while await operator.call("ready") != "FAILURE drained\n":
             await asyncio.sleep(0.01)
         assert await operator.call("resume") == "FAILURE this process is ending\n"
         assert await operator.call("drain") == "FAILURE this process is ending\n"
-        await scene.news(state="done", result="one")
-        await scene.running
+        await harness.callback(state="done", result="one")
+        await harness.running
 
-    upgrade(story, tmp_path)
+    upgrade(scenario, tmp_path)
 
 
 def test_what_operators_ask_of_one_process_holds_for_both(tmp_path: Path) -> None:
-    async def story(scene: Stage, operator: Operator, word: Path) -> None:
+    async def scenario(harness: Harness, operator: Operator, word: Path) -> None:
         new = Successor()
         await new.take_over(word)
         await new.expect(handover.STATE)
@@ -203,7 +203,7 @@
         await new.expect(handover.DRAIN)
         new.die()
 
-    upgrade(story, tmp_path)
+    upgrade(scenario, tmp_path)
 
 
 @pytest.mark.parametrize(
@@ -241,22 +241,22 @@
         said = (
             b"{}" if fault == "no word" else json.dumps({"mgmt": f"127.0.0.1:{port}", "token": "t"}).encode()
         )
-        from stage import stage
+        from harness import running_harness
 
-        async def accept(_message: Seen) -> bytes | None:
+        async def accept(_message: ReceivedMessage) -> bytes | None:
             return None
 
         async with (
             asyncio.timeout(10),
-            stage(
+            running_harness(
                 accept,
                 1,
                 {"mgmt": f"127.0.0.1:{mgmt}"},
                 shared=tmp_path,
                 before=lambda listen: (tmp_path / f"beaconhinge-127.0.0.1-{listen}.json").write_bytes(said),
-            ) as scene,
+            ) as harness,
         ):
-            while (await scene.ask(UP)).status == 503:  # until discovery has answered
+            while (await harness.request(UP)).status == 503:  # until discovery has answered
                 await asyncio.sleep(0.01)
             await Operator(mgmt).ready()
             # What does not hang on settings holds all the same.
@@ -271,8 +271,8 @@
     """Real processes. Every job gets its one answer, none runs twice, and the figures of the three add up."""
 
     async def load() -> None:
-        scene = Scene(6, 60.0, 5, tmp_path)
-        for server in (scene.discovery.server, *(box.server for box in scene.boxes)):
+        harness = Scene(6, 60.0, 5, tmp_path)
+        for server in (harness.discovery.server, *(box.server for box in harness.boxes)):
             server.start()
         processes: list[subprocess.Popen[bytes]] = []
         operators: list[Operator] = []
@@ -280,7 +280,7 @@
         async def start() -> None:
             operators.append(Operator(free_port()))
             config = tmp_path / f"{len(processes)}.json"
-            config.write_text(json.dumps(scene.platform(mgmt=f"127.0.0.1:{operators[-1].port}")))
+            config.write_text(json.dumps(harness.platform(mgmt=f"127.0.0.1:{operators[-1].port}")))
             processes.append(
                 subprocess.Popen(
                     [sys.executable, "-O", "-m", "beaconhinge"],
@@ -291,9 +291,9 @@
             await operators[-1].ready()
 
         await start()
-        asking = asyncio.create_task(scene.clients.run(4.0))
+        asking = asyncio.create_task(harness.clients.run(4.0))
         await asyncio.sleep(0.5)
-        assert (await operators[0].call(f"disable-server {scene.boxes[0].name}")).startswith("SUCCESS")
+        assert (await operators[0].call(f"disable-server {harness.boxes[0].name}")).startswith("SUCCESS")
         for old in (0, 1):
             await start()
             processes[old].send_signal(signal.SIGTERM)
@@ -309,15 +309,15 @@
             assert process.stderr is not None
             logs.append(process.stderr.read().decode())
             process.stderr.close()
-        for server in (scene.discovery.server, *(box.server for box in scene.boxes)):
+        for server in (harness.discovery.server, *(box.server for box in harness.boxes)):
             await server.stop()
 
         assert [process.returncode for process in processes] == [0, 0, 0]
-        assert scene.clients.answers["200"] == scene.clients.asked > 100
-        assert max(max(box.runs.values(), default=0) for box in scene.boxes) == 1
-        assert sum(box.runs.total() for box in scene.boxes) == scene.clients.asked
+        assert harness.clients.answers["200"] == harness.clients.asked > 100
+        assert max(max(box.runs.values(), default=0) for box in harness.boxes) == 1
+        assert sum(box.runs.total() for box in harness.boxes) == harness.clients.asked
         served = re.findall(r" success_\w+=(\d+)", "".join(logs))
-        assert sum(map(int, served)) == scene.clients.asked
+        assert sum(map(int, served)) == harness.clients.asked
         assert shown["hosts_down"] == 1  # out by hand, over two upgrades
         assert all(" taken_over " in log for log in logs[1:])
         assert all(" handed_over " in log for log in logs[:2])
--- a/tests/recovery/test_keys.py
+++ b/tests/recovery/test_keys.py
@@ -323,8 +323,8 @@
         async def commit(self, changes: list[object]) -> None:
             self.changes += changes
 
-    async def story() -> list[object]:
-        disk, stats = Disk(), Metrics(lambda: 100.0, writer=lambda event, fields: None)
+    async def scenario() -> list[object]:
+        disk, metrics = Disk(), Metrics(lambda: 100.0, writer=lambda event, fields: None)
         settings = Settings.from_pairs(
             {
                 "requestClasses.count": "1",
@@ -341,8 +341,8 @@
             10,
             10,
             SimpleNamespace(talk={}),
-            TimerWheel(lambda: 100.0, stats.log_exception),
-            stats,
+            TimerWheel(lambda: 100.0, metrics.log_exception),
+            metrics,
         )  # type: ignore[arg-type]
         first, second = (Job(name, 0, 0, 9.0, 100.0, b"/", b"", dedup_key="k") for name in ("a", "b"))
         assert (await wired.enter(first)).entered
@@ -352,6 +352,6 @@
         await asyncio.sleep(0)
         return disk.changes
 
-    changes = asyncio.run(story())
+    changes = asyncio.run(scenario())
     records = [change for change in changes if change.key.startswith(b"key/")]  # type: ignore[attr-defined]
     assert len(records) == 2 and all(isinstance(change, Put) for change in records)
