--- a/tests/recovery/test_phases.py
+++ b/tests/recovery/test_phases.py
@@ -101,7 +101,7 @@
 
 
 def test_orphans_are_withdrawn_once_each_a_few_at_a_time_and_only_while_there_can_be_any() -> None:
-    async def story() -> tuple[list[tuple[str, int]], int]:
+    async def scenario() -> tuple[list[tuple[str, int]], int]:
         now, done, most, busy = [0.0], [], 0, 0
 
         async def withdraw(request: str, worker: int) -> None:
@@ -112,12 +112,12 @@
             busy -= 1
             done.append((request, worker))
 
-        stats = Metrics(lambda: now[0], writer=lambda event, fields: None)
+        metrics = Metrics(lambda: now[0], writer=lambda event, fields: None)
         workers: Any = SimpleNamespace(withdraw=withdraw)
         orphans = Orphans(
             workers,
-            TimerWheel(lambda: now[0], stats.log_exception),
-            stats,
+            TimerWheel(lambda: now[0], metrics.log_exception),
+            metrics,
             10.0,
             lambda request: request == "keyed",
         )
@@ -125,14 +125,14 @@
             for number in range(9):
                 orphans.told(f"r{number}", 7)
             orphans.told("keyed", 7)
-        while stats.tasks:
-            await asyncio.wait(stats.tasks)
+        while metrics.tasks:
+            await asyncio.wait(metrics.tasks)
         now[0] = 10.0
         orphans.told("late", 7)
-        assert not stats.tasks and stats.counters["orphans_withdrawn"] == 9
+        assert not metrics.tasks and metrics.counters["orphans_withdrawn"] == 9
         return done, most
 
-    done, most = asyncio.run(story())
+    done, most = asyncio.run(scenario())
     assert sorted(done) == [(f"r{n}", 7) for n in range(9)] and most == ORPHANS
 
 
@@ -147,9 +147,9 @@
         return super().platform(mgmt=f"127.0.0.1:{self.mgmt}", **more)
 
     def write_configuration(self) -> Path:
-        ours = super().write_configuration()
-        ours.write_text(ours.read_text() + "[recovery]\nenabled = true\n")
-        return ours
+        local_config = super().write_configuration()
+        local_config.write_text(local_config.read_text() + "[recovery]\nenabled = true\n")
+        return local_config
 
     async def call(self, line: str) -> str:
         reader, writer = await asyncio.open_connection("127.0.0.1", self.mgmt)
@@ -175,25 +175,25 @@
 ) -> None:
     monkeypatch.setenv("TMPDIR", str(tmp_path))
 
-    async def story() -> list[int]:
-        scene = Kept(tmp_path)
+    async def scenario() -> list[int]:
+        harness = Kept(tmp_path)
         try:
-            await scene.start()
-            name = scene.boxes[1].name
-            assert await scene.call(f"disable-server {name}") == f"SUCCESS {name} is out\n"
-            await scene.again()
-            down = [await scene.down()]
-            await scene.clients.run(1.0)
-            ran = [box.runs.total() for box in scene.boxes]
+            await harness.start()
+            name = harness.boxes[1].name
+            assert await harness.call(f"disable-server {name}") == f"SUCCESS {name} is out\n"
+            await harness.again()
+            down = [await harness.down()]
+            await harness.clients.run(1.0)
+            ran = [box.runs.total() for box in harness.boxes]
             assert ran[1] == 0 and ran[0] > 0 and ran[2] > 0
-            assert (await scene.call(f"enable-server {name}")).startswith("SUCCESS")
-            await scene.again()
-            down.append(await scene.down())
+            assert (await harness.call(f"enable-server {name}")).startswith("SUCCESS")
+            await harness.again()
+            down.append(await harness.down())
             return down
         finally:
-            assert await scene.stop() == 0
+            assert await harness.stop() == 0
 
-    assert asyncio.run(story()) == [1, 0]
+    assert asyncio.run(scenario()) == [1, 0]
 
 
 def test_a_word_of_the_operators_is_not_confirmed_before_it_is_on_the_disk() -> None:
@@ -216,15 +216,15 @@
                 (b"hand/s-2", incarnations.signed("n1", 1, b"")),
             ]
 
-    async def story() -> None:
+    async def scenario() -> None:
         clock, logged = Clock(), []
-        stats = Metrics(clock.now, writer=lambda event, fields: logged.append(event))
-        core: Any = SimpleNamespace(stats=stats, feed=lambda event: None)
+        metrics = Metrics(clock.now, writer=lambda event, fields: logged.append(event))
+        policy_runner: Any = SimpleNamespace(metrics=metrics, feed=lambda event: None)
         config: Any = SimpleNamespace(name="n0", settings=SimpleNamespace(own_number=0))
         workers: Any = SimpleNamespace(lists=lambda host: True)
         disk: Any = Disk()
-        hands = ByHand(config, disk, TimerWheel(clock.now, stats.log_exception), stats)
-        operators = OperatorCalls(config, core, workers, SimpleNamespace(), SimpleNamespace())  # type: ignore[arg-type]
+        hands = ByHand(config, disk, TimerWheel(clock.now, metrics.log_exception), metrics)
+        operators = OperatorCalls(config, policy_runner, workers, SimpleNamespace(), SimpleNamespace())  # type: ignore[arg-type]
         hands.restore(operators.apply)
         assert operators.out == {"s-1"} and "hands_foreign" in logged  # another dispatcher's stays out of it
         operators.keep = hands.keep
@@ -238,4 +238,4 @@
             and "s-4" in operators.out
         )
 
-    asyncio.run(story())
+    asyncio.run(scenario())
--- a/tests/recovery/test_requests.py
+++ b/tests/recovery/test_requests.py
@@ -43,15 +43,15 @@
 def taken(
     wait: Any, clock: list[float], remaining: float
 ) -> tuple[list[interface.JobArrived], list[bool], str]:
-    async def story() -> tuple[list[interface.JobArrived], list[bool], str]:
+    async def scenario() -> tuple[list[interface.JobArrived], list[bool], str]:
         module, told = Refusing(), []
-        stats = Metrics(lambda: clock[0], writer=lambda event, fields: told.append(event))
-        wheel = TimerWheel(lambda: clock[0], stats.log_exception)
+        metrics = Metrics(lambda: clock[0], writer=lambda event, fields: told.append(event))
+        timers = TimerWheel(lambda: clock[0], metrics.log_exception)
         requests = RequestTable(
-            PolicyRunner(module, wheel, stats),
+            PolicyRunner(module, timers, metrics),
             None,
-            wheel,
-            stats,
+            timers,
+            metrics,
             Settings.from_pairs(
                 {  # type: ignore[arg-type]
                     "requestClasses.count": "1",
@@ -67,7 +67,7 @@
         await asyncio.sleep(0)
         return [e for e in module.heard if isinstance(e, interface.JobArrived)], book.ended, answer.end
 
-    return asyncio.run(story())
+    return asyncio.run(scenario())
 
 
 @pytest.mark.parametrize(("passed", "left"), [(0.4, 0.6), (0.0, 1.0), (9.0, 0.0)])
--- a/tests/recovery/test_stall.py
+++ b/tests/recovery/test_stall.py
@@ -66,22 +66,22 @@
 
 
 def test_timers_wait_for_the_sockets_after_a_stall_and_no_new_one_shortens_that() -> None:
-    async def story() -> list[str]:
+    async def scenario() -> list[str]:
         loop, fired, failures = asyncio.get_running_loop(), [], []
-        wheel = TimerWheel(loop.time, lambda where, error: failures.append(where))
+        timers = TimerWheel(loop.time, lambda where, error: failures.append(where))
         held = [0.05, 0.0]
-        wheel.postponed_for = lambda: held.pop(0) if held else 0.0
+        timers.postponed_for = lambda: held.pop(0) if held else 0.0
         done = asyncio.Event()
-        wheel.after(0.0, lambda: fired.append("due"))
-        wheel.fire_due()  # after the stall: held
+        timers.after(0.0, lambda: fired.append("due"))
+        timers.fire_due()  # after the stall: held
         assert not fired
-        wheel.after(0.0, lambda: (fired.append("newer"), done.set()))
+        timers.after(0.0, lambda: (fired.append("newer"), done.set()))
         loop.call_soon(lambda: fired.append("socket"))
         await asyncio.wait_for(done.wait(), 5)
         assert not failures
         return fired
 
-    assert asyncio.run(story()) == ["socket", "due", "newer"]
+    assert asyncio.run(scenario()) == ["socket", "due", "newer"]
 
 
 def dispatcher(size: int) -> Dispatcher:
--- a/tests/store/test_store.py
+++ b/tests/store/test_store.py
@@ -34,10 +34,10 @@
     return Store.open("sim", options, disk=disk, new_id=lambda: b"S" * 16, **more)
 
 
-def play(story: Callable[[], Coroutine[Any, Any, None]]) -> None:
+def play(scenario: Callable[[], Coroutine[Any, Any, None]]) -> None:
     async def run() -> None:
         async with asyncio.timeout(20):
-            await story()
+            await scenario()
 
     asyncio.run(run())
 
@@ -59,7 +59,7 @@
 
 
 def test_committers_that_wait_at_once_share_one_sync_and_the_loop_goes_on() -> None:
-    async def story() -> None:
+    async def scenario() -> None:
         disk = Held()
         store = opened(disk)
         arrived = asyncio.Event()
@@ -76,14 +76,14 @@
         disk.go.release()
         await asyncio.gather(first, *others)
         syncs = sum(what == "sync" for what, _, _ in disk.log) - before
-        assert syncs == 2 and store.stats()["store_groups"] == 2 and store.stats()["store_batches"] == 9
+        assert syncs == 2 and store.metrics()["store_groups"] == 2 and store.metrics()["store_batches"] == 9
         await store.close()
 
-    play(story)
+    play(scenario)
 
 
 def test_a_store_serves_from_what_is_durable_alone() -> None:
-    async def story() -> None:
+    async def scenario() -> None:
         disk = SimDisk()
         store = opened(disk)
         await store.commit([Put(b"a", b"1")])
@@ -95,11 +95,11 @@
             await store.commit([Put(b"b", b"3")])
         await store.close()
 
-    play(story)
+    play(scenario)
 
 
 def test_scan_is_ordered_and_goes_on_while_keys_come_and_go() -> None:
-    async def story() -> None:
+    async def scenario() -> None:
         store = opened(SimDisk())
         await store.commit([Put(key, key) for key in (b"b2", b"a", b"b1", b"c", b"b3")])
         assert [key for key, _ in store.scan()] == [b"a", b"b1", b"b2", b"b3", b"c"]
@@ -113,11 +113,11 @@
         assert len(store) == 6 and b"b0" in store and b"b2" not in store
         await store.close()
 
-    play(story)
+    play(scenario)
 
 
 def test_cleaning_goes_on_beside_commits_and_reads() -> None:
-    async def story() -> None:
+    async def scenario() -> None:
         disk = SimDisk()
         store = opened(
             disk,
@@ -140,7 +140,7 @@
 
         await asyncio.gather(*(write(writer) for writer in range(4)))
         assert dict(store.scan()) == state
-        assert int(store.stats()["store_segments_cleaned"]) >= 1
+        assert int(store.metrics()["store_segments_cleaned"]) >= 1
         await store.compact()
         assert store.engine.disk_bytes < 3 * sum(store.engine.index.live.values()) + 200
         await store.close()
@@ -148,11 +148,11 @@
         assert dict(again.scan()) == state
         await again.close()
 
-    play(story)
+    play(scenario)
 
 
 def test_damage_met_while_cleaning_stops_the_cleaning_and_no_commit() -> None:
-    async def story() -> None:
+    async def scenario() -> None:
         disk = SimDisk()
         events: list[str] = []
         store = opened(disk, log=lambda event, **fields: events.append(event))
@@ -166,11 +166,11 @@
         assert store.get(b"later") == b"1" and store.get(b"k0") == b"new" and "store_corrupt" in events
         await store.close()
 
-    play(story)
+    play(scenario)
 
 
 def test_one_process_one_store_and_a_closed_one_says_so(tmp_path: Path) -> None:
-    async def story() -> None:
+    async def scenario() -> None:
         store = Store.open(tmp_path / "deep" / "folder")
         with pytest.raises(StoreLocked):
             Store.open(tmp_path / "deep" / "folder")
@@ -187,7 +187,7 @@
         assert again.get(b"a") == b"1"
         await again.close()
 
-    play(story)
+    play(scenario)
 
 
 def test_a_folder_that_cannot_be_used_is_one_clear_error(tmp_path: Path) -> None:
@@ -197,7 +197,7 @@
 
 
 def test_a_cancelled_commit_holds_up_nobody() -> None:
-    async def story() -> None:
+    async def scenario() -> None:
         store = opened(SimDisk())
         tasks = [asyncio.create_task(store.commit([Put(b"%d" % i, b"v")])) for i in range(5)]
         await asyncio.sleep(0)
@@ -208,7 +208,7 @@
         assert {b"1", b"3", b"last"} <= {key for key, _ in store.scan()}
         await store.close()
 
-    play(story)
+    play(scenario)
 
 
 def test_each_real_file_cut_at_each_byte(tmp_path: Path) -> None:
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -17,7 +17,18 @@
 from typing import Any
 
 import pytest
-from stage import SETTINGS, Seen, Stage, event, free_port, job, play, read_message, reply, scripted
+from harness import (
+    SETTINGS,
+    Harness,
+    ReceivedMessage,
+    free_port,
+    job_bytes,
+    next_event,
+    read_message,
+    reply,
+    run_scenario,
+    use_scripted_policy,
+)
 
 from beaconhinge.membership.inventory import worker_number
 from beaconhinge.net.http1 import Connection
@@ -30,9 +41,9 @@
 FIRST, SECOND = worker_number("s-0"), worker_number("s-1")
 
 
-def client(scene: Stage) -> socket.socket:
+def client(harness: Harness) -> socket.socket:
     """A client that acts in the very moment, without a turn of the loop."""
-    return socket.create_connection(("127.0.0.1", scene.port))
+    return socket.create_connection(("127.0.0.1", harness.port))
 
 
 async def answer_to(sock: socket.socket) -> bytes:
@@ -77,7 +88,7 @@
 ) -> None:
     """Its dial came up after the client had gone, and brought the whole job."""
     module, dialled, dropped = (
-        scripted(monkeypatch, interface.SendAttempt(1, FIRST)),
+        use_scripted_policy(monkeypatch, interface.SendAttempt(1, FIRST)),
         asyncio.Event(),
         asyncio.Event(),
     )
@@ -92,9 +103,9 @@
 
     monkeypatch.setattr("beaconhinge.net.worker_pool.connect", never)
 
-    async def story(scene: Stage) -> None:
-        sock = client(scene)
-        sock.sendall(job())
+    async def scenario(harness: Harness) -> None:
+        sock = client(harness)
+        sock.sendall(job_bytes())
         await dialled.wait()
         if how == "reset":
             sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, b"\1\0\0\0\0\0\0\0")
@@ -102,13 +113,13 @@
             sock.sendall(b"POST /render HT")
         sock.close()
         async with asyncio.timeout(0.1):
-            ended = await event(module, interface.AttemptEnded)
+            ended = await next_event(module, interface.AttemptEnded)
             await dropped.wait()
         assert (ended.outcome, ended.settled) == (AttemptOutcome.NOT_SENT, True)
-        assert scene.workers[0].connections == 0
+        assert harness.workers[0].connections == 0
 
     limits = {"connectTimeout": 5.0, "cancel": True, "idleClose": 5.0, "peers": True}
-    play(story, settings={**SETTINGS, "policyLimits": {**SETTINGS["policyLimits"], **limits}})
+    run_scenario(scenario, settings={**SETTINGS, "policyLimits": {**SETTINGS["policyLimits"], **limits}})
 
 
 @pytest.mark.parametrize("gone", [True, False])
@@ -116,7 +127,7 @@
     monkeypatch: pytest.MonkeyPatch, gone: bool
 ) -> None:
     """The client's end lies unread: the first byte would be written before the task that reads it has run."""
-    module, clients = scripted(monkeypatch, interface.SendAttempt(1, FIRST)), list[socket.socket]()
+    module, clients = use_scripted_policy(monkeypatch, interface.SendAttempt(1, FIRST)), list[socket.socket]()
 
     async def up(address: tuple[str, int]) -> socket.socket:
         sock = await connect(address)
@@ -126,55 +137,56 @@
 
     monkeypatch.setattr("beaconhinge.net.worker_pool.connect", up)
 
-    async def story(scene: Stage) -> None:
-        clients.append(client(scene))
-        clients[0].sendall(job())
+    async def scenario(harness: Harness) -> None:
+        clients.append(client(harness))
+        clients[0].sendall(job_bytes())
         if gone:
-            assert (await event(module, interface.AttemptEnded)).outcome == AttemptOutcome.NOT_SENT
-            assert scene.workers[0].seen.empty()
+            assert (await next_event(module, interface.AttemptEnded)).outcome == AttemptOutcome.NOT_SENT
+            assert harness.workers[0].seen.empty()
             module.on[interface.JobArrived] = [interface.SendAttempt(2, FIRST)]
-            asked = asyncio.create_task(scene.post(X_Request_ID="r2"))
-            assert (await scene.workers[0].seen.get()).headers["x-request-id"] == "r2"
+            asked = asyncio.create_task(harness.post(X_Request_ID="r2"))
+            assert (await harness.workers[0].seen.get()).headers["x-request-id"] == "r2"
             asked.cancel()
         else:
-            await scene.workers[0].seen.get()
+            await harness.workers[0].seen.get()
             clients[0].close()  # after its first byte: the attempt keeps its outcome
-            await event(module, interface.ClientDisconnected)
-            await scene.news(state="done", result="unread")
-            assert (await event(module, interface.AttemptEnded)).outcome == AttemptOutcome.SERVED
-        assert scene.workers[0].connections == 1
+            await next_event(module, interface.ClientDisconnected)
+            await harness.callback(state="done", result="unread")
+            assert (await next_event(module, interface.AttemptEnded)).outcome == AttemptOutcome.SERVED
+        assert harness.workers[0].connections == 1
 
-    play(story)
+    run_scenario(scenario)
 
 
 def test_an_answer_ends_the_attempts_that_still_wait_for_their_connections(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     module, dialled = (
-        scripted(monkeypatch, interface.SendAttempt(1, FIRST), interface.SendAttempt(1, SECOND)),
+        use_scripted_policy(monkeypatch, interface.SendAttempt(1, FIRST), interface.SendAttempt(1, SECOND)),
         asyncio.Event(),
     )
 
-    async def story(scene: Stage) -> None:
+    async def scenario(harness: Harness) -> None:
         async def one_only(address: tuple[str, int]) -> socket.socket:
-            if address[1] == scene.workers[1].port:
+            if address[1] == harness.workers[1].port:
                 dialled.set()
                 await asyncio.Event().wait()
             return await connect(address)
 
         monkeypatch.setattr("beaconhinge.net.worker_pool.connect", one_only)
-        asked = asyncio.create_task(scene.post())
-        await scene.workers[0].seen.get()
+        asked = asyncio.create_task(harness.post())
+        await harness.workers[0].seen.get()
         await dialled.wait()
-        await scene.news(state="done", result="first")
+        await harness.callback(state="done", result="first")
         assert (await asked).body == b"first"
         ended = {
-            (found := await event(module, interface.AttemptEnded)).worker: found.outcome for _ in range(2)
+            (found := await next_event(module, interface.AttemptEnded)).worker: found.outcome
+            for _ in range(2)
         }
         assert ended == {FIRST: AttemptOutcome.SERVED, SECOND: AttemptOutcome.NOT_SENT}
-        assert scene.workers[1].connections == 0
+        assert harness.workers[1].connections == 0
 
-    play(story, workers=2)
+    run_scenario(scenario, workers=2)
 
 
 # ---- bytes that come as a connection is shut or closed ----------------------------------------------------
@@ -186,9 +198,9 @@
     """
 
     async def run() -> None:
-        loop, (ours, theirs) = asyncio.get_running_loop(), socket.socketpair()
-        ours.setblocking(False)
-        connection = Connection(ours, True, lambda: None)
+        loop, (local_config, theirs) = asyncio.get_running_loop(), socket.socketpair()
+        local_config.setblocking(False)
+        connection = Connection(local_config, True, lambda: None)
         reading = asyncio.create_task(connection.next())
         await asyncio.sleep(0.01)  # it waits
         looks: list[bool] = []
@@ -201,7 +213,7 @@
         loop.call_soon(look)
         await asyncio.sleep(0)
         looks.clear()
-        theirs.sendall(job())
+        theirs.sendall(job_bytes())
         await reading
         assert looks and not any(looks)
         connection.close()
@@ -218,69 +230,69 @@
 ) -> None:
     """A client rests until the dispatcher parts with it, and sends in that very moment."""
 
-    async def story(scene: Stage) -> None:
-        sock = client(scene)
+    async def scenario(harness: Harness) -> None:
+        sock = client(harness)
         sock.sendall(b"GET /up HTTP/1.1\r\n\r\n")
         await asyncio.sleep(0.05)
         assert sock.recv(4096).startswith(b"HTTP/1.1 200")
         if first == "request":
-            before(monkeypatch, Listener, "_close_idle_clients", lambda: sock.sendall(job()))
+            before(monkeypatch, Listener, "_close_idle_clients", lambda: sock.sendall(job_bytes()))
         else:
-            after(monkeypatch, Connection, "end", lambda _: sock.sendall(job()))
-        await scene.stop()
+            after(monkeypatch, Connection, "end", lambda _: sock.sendall(job_bytes()))
+        await harness.stop()
         if first == "request":
-            await scene.workers[0].seen.get()
-            await scene.news(state="done", result="taken")
+            await harness.workers[0].seen.get()
+            await harness.callback(state="done", result="taken")
             got = await answer_to(sock)
             assert got.startswith(b"HTTP/1.1 200") and got.endswith(b"taken")
         else:
             assert await answer_to(sock) == b""  # an end, no reset: it sends that once more elsewhere
-            assert scene.workers[0].seen.empty()
+            assert harness.workers[0].seen.empty()
         sock.close()
-        await scene.running
-        assert scene.workers[0].seen.empty()
+        await harness.running
+        assert harness.workers[0].seen.empty()
 
-    play(story)
+    run_scenario(scenario)
 
 
 def test_what_a_resting_client_sends_at_the_very_end_is_not_sent_on(monkeypatch: pytest.MonkeyPatch) -> None:
     """It came after the last look, and was read, sent on and lost with the process."""
 
-    async def story(scene: Stage) -> None:
-        asked = asyncio.create_task(scene.post())
-        await scene.workers[0].seen.get()
-        await scene.stop()
+    async def scenario(harness: Harness) -> None:
+        asked = asyncio.create_task(harness.post())
+        await harness.workers[0].seen.get()
+        await harness.stop()
         await asyncio.sleep(0.7)  # clients are refused by now
-        sock = client(scene)
+        sock = client(harness)
         await asyncio.sleep(0.05)
-        after(monkeypatch, Listener, "_see_off", lambda _: sock.sendall(job(X_Request_ID="r2")))
-        await scene.news(state="done", result="kept")
+        after(monkeypatch, Listener, "_see_off", lambda _: sock.sendall(job_bytes(X_Request_ID="r2")))
+        await harness.callback(state="done", result="kept")
         assert (await asked).body == b"kept"
         assert await answer_to(sock) == b""
         sock.close()
-        await scene.running
-        assert scene.workers[0].seen.empty()
+        await harness.running
+        assert harness.workers[0].seen.empty()
 
-    play(story)
+    run_scenario(scenario)
 
 
 def test_who_comes_as_the_listener_closes_gets_an_answer(monkeypatch: pytest.MonkeyPatch) -> None:
     """Taken from the backlog, it had sent nothing yet, and the process ended over it."""
 
-    async def story(scene: Stage) -> None:
+    async def scenario(harness: Harness) -> None:
         late = list[socket.socket]()
-        before(monkeypatch, Listener, "_stop_listening", lambda: late.append(client(scene)))
-        await scene.stop()
+        before(monkeypatch, Listener, "_stop_listening", lambda: late.append(client(harness)))
+        await harness.stop()
         while not late:
             await asyncio.sleep(0.005)
         await asyncio.sleep(0.03)  # on its way
-        assert not scene.running.done()  # the end would close it unheard
-        late[0].sendall(job())
+        assert not harness.running.done()  # the end would close it unheard
+        late[0].sendall(job_bytes())
         assert (await answer_to(late[0])).startswith(b"HTTP/1.1 503")
         late[0].close()
-        await scene.running
+        await harness.running
 
-    play(story)
+    run_scenario(scenario)
 
 
 def test_the_end_waits_for_clients_that_never_close_no_longer_than_its_bound(
@@ -288,26 +300,26 @@
 ) -> None:
     monkeypatch.setattr("beaconhinge.net.listener.LINGER", 0.2)
 
-    async def story(scene: Stage) -> None:
-        sock = client(scene)
+    async def scenario(harness: Harness) -> None:
+        sock = client(harness)
         await asyncio.sleep(0.05)
-        await scene.stop()
+        await harness.stop()
         os.kill(os.getpid(), signal.SIGTERM)  # a second one changes nothing
         async with asyncio.timeout(0.45 + 0.15 + 0.2 + 0.5):
-            await scene.running
+            await harness.running
         sock.close()
 
-    play(story)
+    run_scenario(scenario)
 
 
 def test_for_room_nobody_is_closed_whose_request_lies_unread(monkeypatch: pytest.MonkeyPatch) -> None:
     """Who had sent no whole message yet, as far as was read, was closed over one that had come."""
 
-    async def story(scene: Stage) -> None:
-        crowd = [client(scene) for _ in range(29)]  # 64 descriptors leave 30 to clients
+    async def scenario(harness: Harness) -> None:
+        crowd = [client(harness) for _ in range(29)]  # 64 descriptors leave 30 to clients
         await asyncio.sleep(0.2)  # none of them is fresh any more
-        before(monkeypatch, Listener, "_close_one", lambda: crowd[0].sendall(job(X_Timeout_Ms="300")))
-        newcomer = asyncio.create_task(scene.post("/render", X_Request_ID="r2", X_Timeout_Ms="300"))
+        before(monkeypatch, Listener, "_close_one", lambda: crowd[0].sendall(job_bytes(X_Timeout_Ms="300")))
+        newcomer = asyncio.create_task(harness.post("/render", X_Request_ID="r2", X_Timeout_Ms="300"))
         got = await answer_to(crowd[1])  # the next one had to go
         assert got == b""
         assert (await newcomer).status == 503
@@ -317,7 +329,7 @@
         for sock in crowd:
             sock.close()
 
-    play(story, limits={"sockets": 64})
+    run_scenario(scenario, limits={"sockets": 64})
 
 
 def test_a_first_message_that_came_while_this_process_was_late_is_read(
@@ -326,8 +338,8 @@
     """The timer for it was due first, and the connection was closed over the unread request."""
     monkeypatch.setattr("beaconhinge.net.listener.FIRST_MESSAGE", 0.1)
 
-    async def story(scene: Stage) -> None:
-        sock = client(scene)
+    async def scenario(harness: Harness) -> None:
+        sock = client(harness)
         await asyncio.sleep(0.05)
         sock.sendall(b"GET /up HTTP/1.1\r\n\r\n")
         time.sleep(0.2)  # holds up the loop
@@ -336,24 +348,24 @@
         assert part.startswith(b"HTTP/1.1 200")
         sock.close()
 
-    play(story)
+    run_scenario(scenario)
 
 
 def test_a_worker_that_sends_half_a_line_on_a_resting_connection_gets_no_job_there() -> None:
-    async def story(scene: Stage) -> None:
-        asked = asyncio.create_task(scene.post())
-        await scene.workers[0].seen.get()
-        await scene.news(state="done", result="one")
+    async def scenario(harness: Harness) -> None:
+        asked = asyncio.create_task(harness.post())
+        await harness.workers[0].seen.get()
+        await harness.callback(state="done", result="one")
         assert (await asked).body == b"one"
-        for writer in scene.workers[0].open:
+        for writer in harness.workers[0].open:
             writer.write(b"HTTP/1.1 20")
-        asked = asyncio.create_task(scene.post(X_Request_ID="r2"))
-        await scene.workers[0].seen.get()
-        assert scene.workers[0].connections == 2
-        await scene.news(id="r2", state="done", result="two")
+        asked = asyncio.create_task(harness.post(X_Request_ID="r2"))
+        await harness.workers[0].seen.get()
+        assert harness.workers[0].connections == 2
+        await harness.callback(id="r2", state="done", result="two")
         assert (await asked).body == b"two"
 
-    play(story)
+    run_scenario(scenario)
 
 
 @pytest.mark.parametrize(
@@ -365,18 +377,18 @@
     ],
 )
 def test_a_workers_answer_without_end_costs_neither_its_result_nor_the_next_job(endless: bytes) -> None:
-    async def spoilt(message: Seen) -> bytes | None:
+    async def spoilt(message: ReceivedMessage) -> bytes | None:
         return endless if message.headers["x-request-id"] == "r1" else reply(202)
 
-    async def story(scene: Stage) -> None:
+    async def scenario(harness: Harness) -> None:
         for number, name in enumerate(("r1", "r2")):
-            asked = asyncio.create_task(scene.post(X_Request_ID=name))
-            assert (await scene.workers[0].seen.get()).headers["x-request-id"] == name
-            assert scene.workers[0].connections == number + 1  # the second comes on a connection of its own
-            await scene.news(id=name, state="done", result=name)
+            asked = asyncio.create_task(harness.post(X_Request_ID=name))
+            assert (await harness.workers[0].seen.get()).headers["x-request-id"] == name
+            assert harness.workers[0].connections == number + 1  # the second comes on a connection of its own
+            await harness.callback(id=name, state="done", result=name)
             assert (await asked).body == name.encode()
 
-    play(story, spoilt)
+    run_scenario(scenario, spoilt)
 
 
 @pytest.mark.parametrize("first", ["the result", "the withdrawal"])
@@ -389,32 +401,32 @@
     """Both are under way at once; the second comes to an attempt that has ended, and each is answered."""
     gate = asyncio.Event()
 
-    async def worker(message: Seen) -> bytes | None:
-        if message.start.startswith("DELETE"):
+    async def worker(message: ReceivedMessage) -> bytes | None:
+        if message.start_line.startswith("DELETE"):
             await gate.wait()
             return reply(404)
         return reply(202)
 
-    module = scripted(
+    module = use_scripted_policy(
         monkeypatch, interface.SendAttempt(1, FIRST), ClientDisconnected=[interface.CancelAttempt(1, 0)]
     )
 
-    async def story(scene: Stage) -> None:
-        sock = client(scene)
-        sock.sendall(job())
-        seen = scene.workers[0].seen
-        assert (await seen.get()).start.startswith("POST")
-        await scene.news(state="started")
-        await event(module, interface.ProgressNotice)
+    async def scenario(harness: Harness) -> None:
+        sock = client(harness)
+        sock.sendall(job_bytes())
+        seen = harness.workers[0].seen
+        assert (await seen.get()).start_line.startswith("POST")
+        await harness.callback(state="started")
+        await next_event(module, interface.ProgressNotice)
         if first == "the result":
-            assert (await scene.news(**told)).status == 204
+            assert (await harness.callback(**told)).status == 204
             sock.close()
         else:
             sock.close()
-            assert (await seen.get()).start == "DELETE /jobs/r1 HTTP/1.1"
-            assert (await scene.news(**told)).status == 204
+            assert (await seen.get()).start_line == "DELETE /jobs/r1 HTTP/1.1"
+            assert (await harness.callback(**told)).status == 204
             gate.set()
-        outcome = await event(module, interface.AttemptEnded)
+        outcome = await next_event(module, interface.AttemptEnded)
         given = {
             "done": AttemptOutcome.SERVED,
             "returned": AttemptOutcome.REJECTED,
@@ -424,86 +436,86 @@
         module.on[interface.JobArrived] = [
             interface.SendAttempt(2, FIRST)
         ]  # the next job of that name has nothing of the first
-        again = asyncio.create_task(scene.post())
-        assert (await seen.get()).start.startswith("POST")
-        await scene.news(state="done", result="new")
+        again = asyncio.create_task(harness.post())
+        assert (await seen.get()).start_line.startswith("POST")
+        await harness.callback(state="done", result="new")
         assert (await again).body == b"new"
         left = [module.events.get_nowait() for _ in range(module.events.qsize())]
         assert [e.request for e in left if isinstance(e, interface.AttemptEnded)] == [2]
 
-    play(story, worker)
+    run_scenario(scenario, worker)
 
 
 def test_a_reset_long_after_the_202_costs_the_job_nothing() -> None:
-    async def story(scene: Stage) -> None:
-        asked = asyncio.create_task(scene.post())
-        await scene.workers[0].seen.get()
-        await scene.news(state="started")
+    async def scenario(harness: Harness) -> None:
+        asked = asyncio.create_task(harness.post())
+        await harness.workers[0].seen.get()
+        await harness.callback(state="started")
         await asyncio.sleep(0.05)  # the 202 is read
-        scene.workers[0].cut()
+        harness.workers[0].cut()
         await asyncio.sleep(0.05)
-        await scene.news(state="done", result="kept")
+        await harness.callback(state="done", result="kept")
         assert (await asked).body == b"kept"
-        assert scene.workers[0].seen.empty()  # no second attempt
+        assert harness.workers[0].seen.empty()  # no second attempt
 
-    play(story)
+    run_scenario(scenario)
 
 
 def test_news_on_a_connection_that_rests_past_the_end_are_answered() -> None:
     """A worker's call-back comes on a connection that was there before SIGTERM."""
 
-    async def story(scene: Stage) -> None:
-        reader, writer = await scene.open()
+    async def scenario(harness: Harness) -> None:
+        reader, writer = await harness.open()
         body = b'{"id": "nobody", "from": "s-0", "state": "started"}'
         call = b"POST /_jobs/news HTTP/1.1\r\nContent-Length: %d\r\n\r\n" % len(body) + body
         writer.write(call)
         assert (await read_message(reader)).status == 204
-        asked = asyncio.create_task(scene.post())
-        await scene.workers[0].seen.get()
-        await scene.stop()
+        asked = asyncio.create_task(harness.post())
+        await harness.workers[0].seen.get()
+        await harness.stop()
         await asyncio.sleep(0.7)
         body = body.replace(b"nobody", b"r1").replace(b'"started"', b'"done", "result": "kept"')
         writer.write(b"POST /_jobs/news HTTP/1.1\r\nContent-Length: %d\r\n\r\n" % len(body) + body)
         assert (await read_message(reader)).status == 204
         assert (await asked).body == b"kept"
         writer.close()
-        await scene.running
+        await harness.running
 
-    play(story)
+    run_scenario(scenario)
 
 
 # ---- descriptors ------------------------------------------------------------------------------------------
 
 
 def test_idle_clients_that_take_all_descriptors_while_discovery_is_away_do_not_keep_its_news_out() -> None:
-    async def story(scene: Stage) -> None:
+    async def scenario(harness: Harness) -> None:
         away = asyncio.Event()
 
-        async def script(message: Seen) -> bytes | None:
+        async def script(message: ReceivedMessage) -> bytes | None:
             if not away.is_set():
                 return None
-            if "wait=0" not in message.start:
+            if "wait=0" not in message.start_line:
                 await asyncio.Event().wait()
-            told = {"version": 1, "full": False, "servers": [scene.host(0, state="Terminating")]}
+            told = {"version": 1, "full": False, "servers": [harness.host(0, state="Terminating")]}
             return reply(200, json.dumps(told).encode())
 
-        scene.discovery.script = script
-        scene.discovery.cut()
-        crowd = [client(scene) for _ in range(60)]  # of 64 descriptors
+        harness.discovery.script = script
+        harness.discovery.cut()
+        crowd = [client(harness) for _ in range(60)]  # of 64 descriptors
         await asyncio.sleep(0.3)
         away.set()
-        while "index=1" not in (await scene.discovery.seen.get()).start:
+        while "index=1" not in (await harness.discovery.seen.get()).start_line:
             pass
         for number in range(4):
-            asked = asyncio.create_task(scene.post(X_Request_ID=f"r{number}"))
-            await scene.workers[1].seen.get()
-            await scene.news(1, id=f"r{number}", state="done", result="x")
+            asked = asyncio.create_task(harness.post(X_Request_ID=f"r{number}"))
+            await harness.workers[1].seen.get()
+            await harness.callback(1, id=f"r{number}", state="done", result="x")
             assert (await asked).status == 200
-        assert scene.workers[0].seen.empty()
+        assert harness.workers[0].seen.empty()
         for sock in crowd:
             sock.close()
 
-    play(story, workers=2, limits={"sockets": 64})
+    run_scenario(scenario, workers=2, limits={"sockets": 64})
 
 
 class FailingListener(socket.socket):
@@ -539,19 +551,19 @@
     monkeypatch.setattr("beaconhinge.net.listener.tcp_listener", listening)
     after(monkeypatch, Listener, "listen", frontends.append)
 
-    async def story(scene: Stage) -> None:
-        waiting = [client(scene), client(scene)]
+    async def scenario(harness: Harness) -> None:
+        waiting = [client(harness), client(harness)]
         for number, sock in enumerate(waiting):
-            sock.sendall(job(X_Request_ID=f"r{number}", Connection="close"))
+            sock.sendall(job_bytes(X_Request_ID=f"r{number}", Connection="close"))
         listeners[0].failures = [code, code]
         frontends[0]._stop_listening()
         async with asyncio.timeout(2.0):
-            taken = [await scene.workers[0].seen.get() for _ in waiting]
+            taken = [await harness.workers[0].seen.get() for _ in waiting]
         assert {message.headers["x-request-id"] for message in taken} == {"r0", "r1"}
         for sock in waiting:
             sock.close()
 
-    play(story)
+    run_scenario(scenario)
 
 
 def test_descriptors_that_are_short_after_all_do_not_spin_and_come_back(tmp_path: Path) -> None:
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -10,7 +10,17 @@
 
 import pytest
 import uvloop
-from stage import SETTINGS, Seen, Stage, accept, event, play, reply, scripted, stage
+from harness import (
+    SETTINGS,
+    Harness,
+    ReceivedMessage,
+    accept_job,
+    next_event,
+    reply,
+    run_scenario,
+    running_harness,
+    use_scripted_policy,
+)
 
 from beaconhinge.membership.freshness import Freshness
 from beaconhinge.membership.inventory import Inventory, InventoryError, worker_number
@@ -21,27 +31,27 @@
 
 
 def test_a_list_of_version_0_is_watched_and_not_asked_for_again_and_again() -> None:
-    async def story(scene: Stage) -> None:
-        watch = await scene.discovery.seen.get()
-        assert watch.start == "GET /discovery/hosts?index=0&wait=4000 HTTP/1.1"
+    async def scenario(harness: Harness) -> None:
+        watch = await harness.discovery.seen.get()
+        assert watch.start_line == "GET /discovery/hosts?index=0&wait=4000 HTTP/1.1"
         await asyncio.sleep(0.3)
-        assert scene.discovery.seen.empty()
+        assert harness.discovery.seen.empty()
 
-    play(story)
+    run_scenario(scenario)
 
 
 def test_a_watch_that_answers_at_once_each_time_is_asked_at_a_bounded_rate() -> None:
-    async def story(scene: Stage) -> None:
-        scene.lists = [{"version": 1, "full": True, "servers": []}] * 1000
+    async def scenario(harness: Harness) -> None:
+        harness.lists = [{"version": 1, "full": True, "servers": []}] * 1000
         await asyncio.sleep(0.5)
-        assert 2 <= scene.discovery.seen.qsize() <= 12
+        assert 2 <= harness.discovery.seen.qsize() <= 12
 
-    play(story)
+    run_scenario(scenario)
 
 
-async def taker(scene: Stage) -> int:
+async def taker(harness: Harness) -> int:
     """The number of the worker that gets the next job."""
-    waits = [asyncio.create_task(worker.seen.get()) for worker in scene.workers]
+    waits = [asyncio.create_task(worker.seen.get()) for worker in harness.workers]
     await asyncio.wait(waits, return_when=asyncio.FIRST_COMPLETED)
     who = next(n for n, wait in enumerate(waits) if wait.done())
     for wait in waits:
@@ -50,26 +60,26 @@
 
 
 def test_a_worker_that_drains_gets_nothing_new_and_a_bad_entry_costs_itself_alone() -> None:
-    async def story(scene: Stage) -> None:
-        bad, leaving, third = {"id": 5}, scene.host(0, state="Terminating"), {"id": "s-2", "state": "Odd"}
-        scene.lists = [
+    async def scenario(harness: Harness) -> None:
+        bad, leaving, third = {"id": 5}, harness.host(0, state="Terminating"), {"id": "s-2", "state": "Odd"}
+        harness.lists = [
             {"version": 7, "full": False, "servers": [bad, leaving]},
-            {"version": 7, "full": True, "servers": [leaving, scene.host(1), third]},
+            {"version": 7, "full": True, "servers": [leaving, harness.host(1), third]},
         ]
-        while "wait" in (await scene.discovery.seen.get()).start:
+        while "wait" in (await harness.discovery.seen.get()).start_line:
             pass  # all is asked for once more, as an entry could not be read, and then no more
-        watch = (await scene.discovery.seen.get()).start
+        watch = (await harness.discovery.seen.get()).start_line
         assert "index=7&wait=" in watch and watched_ms(watch) >= 1500  # until the entry is looked at again
         taken = set()
         for number in range(8):
-            asked = asyncio.create_task(scene.post(X_Request_ID=f"r{number}"))
-            taken.add(who := await taker(scene))
-            await scene.news(who, id=f"r{number}", state="done", result="x")
+            asked = asyncio.create_task(harness.post(X_Request_ID=f"r{number}"))
+            taken.add(who := await taker(harness))
+            await harness.callback(who, id=f"r{number}", state="done", result="x")
             assert (await asked).status == 200
-        assert scene.discovery.seen.empty()
+        assert harness.discovery.seen.empty()
         assert taken == {1, 2}  # the third's entry could not be read either: it stays as it was
 
-    play(story, workers=3)
+    run_scenario(scenario, workers=3)
 
 
 def watched_ms(start: str) -> int:
@@ -141,19 +151,19 @@
 def test_a_failed_watch_keeps_the_old_list_and_is_made_again_when_the_module_says(
     answer: bytes | None,
 ) -> None:
-    async def script(_message: Seen) -> bytes | None:
+    async def script(_message: ReceivedMessage) -> bytes | None:
         return answer
 
-    async def story(scene: Stage) -> None:
-        scene.discovery.script = script
-        assert "wait=0" not in (await scene.discovery.seen.get()).start  # the watch, which fails
-        assert "wait=0" in (await scene.discovery.seen.get()).start  # asked anew, after a while
-        asked = asyncio.create_task(scene.post())
-        await scene.workers[0].seen.get()
-        await scene.news(state="done", result="from the old list")
+    async def scenario(harness: Harness) -> None:
+        harness.discovery.script = script
+        assert "wait=0" not in (await harness.discovery.seen.get()).start_line  # the watch, which fails
+        assert "wait=0" in (await harness.discovery.seen.get()).start_line  # asked anew, after a while
+        asked = asyncio.create_task(harness.post())
+        await harness.workers[0].seen.get()
+        await harness.callback(state="done", result="from the old list")
         assert (await asked).status == 200
 
-    play(story)
+    run_scenario(scenario)
 
 
 def test_a_discovery_that_says_nothing_holds_up_no_job_and_is_not_hammered(
@@ -162,41 +172,41 @@
     monkeypatch.setattr("beaconhinge.membership.discovery_watch.ANSWER", 0.1)
     calls = 0
 
-    async def script(_message: Seen) -> bytes | None:
+    async def script(_message: ReceivedMessage) -> bytes | None:
         nonlocal calls
         calls += 1
         await asyncio.Event().wait()
         return None
 
-    async def story(scene: Stage) -> None:
-        scene.discovery.script = script
-        scene.lists = [{"version": 1, "full": False, "servers": []}]
+    async def scenario(harness: Harness) -> None:
+        harness.discovery.script = script
+        harness.lists = [{"version": 1, "full": False, "servers": []}]
         for number in range(3):
-            asked = asyncio.create_task(scene.post(X_Request_ID=f"r{number}"))
-            await scene.workers[0].seen.get()
-            await scene.news(id=f"r{number}", state="done", result="from the remembered list")
+            asked = asyncio.create_task(harness.post(X_Request_ID=f"r{number}"))
+            await harness.workers[0].seen.get()
+            await harness.callback(id=f"r{number}", state="done", result="from the remembered list")
             assert (await asked).status == 200
-        assert (await scene.ask(b"GET /up HTTP/1.1\r\n\r\n")).status == 200
+        assert (await harness.request(b"GET /up HTTP/1.1\r\n\r\n")).status == 200
         assert calls <= 2  # a call is out, and nobody hammers
 
-    play(story)
+    run_scenario(scenario)
 
 
 # ---- what counts as told ----------------------------------------------------------------------------------
 
 
-async def next_call(scene: Stage, text: str) -> str:
-    while text not in (start := (await scene.discovery.seen.get()).start):
+async def next_call(harness: Harness, text: str) -> str:
+    while text not in (start := (await harness.discovery.seen.get()).start_line):
         pass
     return start
 
 
-async def serve_all(scene: Stage, worker: int) -> None:
+async def serve_all(harness: Harness, worker: int) -> None:
     """Some jobs, each of which this worker gets."""
     for number in range(4):
-        asked = asyncio.create_task(scene.post(X_Request_ID=f"r{number}"))
-        await scene.workers[worker].seen.get()
-        await scene.news(worker, id=f"r{number}", state="done", result="x")
+        asked = asyncio.create_task(harness.post(X_Request_ID=f"r{number}"))
+        await harness.workers[worker].seen.get()
+        await harness.callback(worker, id=f"r{number}", state="done", result="x")
         assert (await asked).status == 200
 
 
@@ -213,58 +223,58 @@
         "beaconhinge.membership.discovery_watch.WAIT", 0.5
     )  # the part beyond it stays as it is
 
-    async def story(scene: Stage) -> None:
+    async def scenario(harness: Harness) -> None:
         loop = asyncio.get_running_loop()
         opened = 0.0
 
-        async def script(message: Seen) -> bytes | None:
+        async def script(message: ReceivedMessage) -> bytes | None:
             nonlocal opened
-            if "wait=500" in message.start and not opened:
+            if "wait=500" in message.start_line and not opened:
                 opened = loop.time()
                 await asyncio.Event().wait()  # silent, while worker 0 begins to drain
-            return changes(1, scene.host(0, state="Terminating")) if opened else changes(0)
+            return changes(1, harness.host(0, state="Terminating")) if opened else changes(0)
 
-        scene.discovery.script = script
-        await next_call(scene, "wait=500")
-        start = await next_call(scene, "index=0&wait=0")
+        harness.discovery.script = script
+        await next_call(harness, "wait=500")
+        start = await next_call(harness, "index=0&wait=0")
         assert 0.5 <= loop.time() - opened < 0.5 + 2.0 - 0.5  # and time for a second try
         assert start
         await asyncio.sleep(0.1)
-        await serve_all(scene, 1)
-        assert scene.workers[0].seen.empty()
+        await serve_all(harness, 1)
+        assert harness.workers[0].seen.empty()
 
     settings = {**SETTINGS, "membershipMode": "pushed" if pushed else "on_request"}
-    play(story, workers=2, settings=settings)
+    run_scenario(scenario, workers=2, settings=settings)
 
 
 def test_where_lists_are_pushed_the_agent_is_asked_from_the_first_moment_and_at_its_return() -> None:
     """The module subscribes to nothing there, so that the program lived on its remembered list for ever."""
 
-    async def story(scene: Stage) -> None:
-        await next_call(scene, "wait=4000")
+    async def scenario(harness: Harness) -> None:
+        await next_call(harness, "wait=4000")
         out, served = asyncio.Event(), asyncio.Event()
 
-        async def script(message: Seen) -> bytes | None:
+        async def script(message: ReceivedMessage) -> bytes | None:
             if not out.is_set():
                 return None  # the agent is away
             if served.is_set():
                 await asyncio.Event().wait()
             served.set()
-            return changes(1, scene.host(0, state="Terminating"))
+            return changes(1, harness.host(0, state="Terminating"))
 
-        scene.discovery.script = script
-        scene.discovery.cut()
+        harness.discovery.script = script
+        harness.discovery.cut()
         for _ in range(3):  # again and again, and soon
             async with asyncio.timeout(0.4):
-                await scene.discovery.seen.get()
+                await harness.discovery.seen.get()
         out.set()
         async with asyncio.timeout(0.4):
             await served.wait()
-        await next_call(scene, "index=1")
-        await serve_all(scene, 1)
-        assert scene.workers[0].seen.empty()
+        await next_call(harness, "index=1")
+        await serve_all(harness, 1)
+        assert harness.workers[0].seen.empty()
 
-    play(story, workers=2, settings={**SETTINGS, "membershipMode": "pushed"})
+    run_scenario(scenario, workers=2, settings={**SETTINGS, "membershipMode": "pushed"})
 
 
 def test_an_answer_without_the_list_that_was_asked_for_makes_no_list_current(
@@ -273,23 +283,23 @@
     """It counted as discovery's word: /up said yes, and jobs went out by the configured list."""
     whole = asyncio.Event()
 
-    async def script(scene: Stage, message: Seen) -> bytes | None:
-        if "wait=4000" in message.start:
+    async def script(harness: Harness, message: ReceivedMessage) -> bytes | None:
+        if "wait=4000" in message.start_line:
             await asyncio.Event().wait()
         if whole.is_set():
-            return changes(9, scene.host(0), full=True)
+            return changes(9, harness.host(0), full=True)
         return changes(8)  # a newer version, and none of its entries; the same in place of the whole list
 
-    async def story(scene: Stage) -> None:
+    async def scenario(harness: Harness) -> None:
         for _ in range(3):
-            await scene.discovery.seen.get()
-        assert (await scene.ask(b"GET /up HTTP/1.1\r\n\r\n")).status == 503
+            await harness.discovery.seen.get()
+        assert (await harness.request(b"GET /up HTTP/1.1\r\n\r\n")).status == 503
         whole.set()
-        await next_call(scene, "wait=4000")
-        assert (await scene.ask(b"GET /up HTTP/1.1\r\n\r\n")).status == 200
+        await next_call(harness, "wait=4000")
+        assert (await harness.request(b"GET /up HTTP/1.1\r\n\r\n")).status == 200
 
-    monkeypatch.setattr(Stage, "list", script)
-    play(story)
+    monkeypatch.setattr(Harness, "list", script)
+    run_scenario(scenario)
 
 
 @pytest.mark.parametrize(
@@ -299,25 +309,28 @@
     news: dict[str, object], monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """A connection was made to where the configured list had the worker; where it failed the worker was blamed."""
-    told, module = asyncio.Event(), scripted(monkeypatch, interface.SendAttempt(1, worker_number("s-0")))
+    told, module = (
+        asyncio.Event(),
+        use_scripted_policy(monkeypatch, interface.SendAttempt(1, worker_number("s-0"))),
+    )
 
-    async def script(scene: Stage, message: Seen) -> bytes | None:
+    async def script(harness: Harness, message: ReceivedMessage) -> bytes | None:
         await told.wait()
-        if "wait=4000" in message.start:
+        if "wait=4000" in message.start_line:
             await asyncio.Event().wait()
-        return changes(1, scene.host(0, **news), scene.host(1), full="index" not in message.start)
+        return changes(1, harness.host(0, **news), harness.host(1), full="index" not in message.start_line)
 
-    async def story(scene: Stage) -> None:
-        asked = asyncio.create_task(scene.post())
-        await event(module, interface.JobArrived)
+    async def scenario(harness: Harness) -> None:
+        asked = asyncio.create_task(harness.post())
+        await next_event(module, interface.JobArrived)
         told.set()
-        outcome = await event(module, interface.AttemptEnded)
+        outcome = await next_event(module, interface.AttemptEnded)
         assert outcome.outcome == AttemptOutcome.NOT_SENT
-        assert scene.workers[0].connections == 0
+        assert harness.workers[0].connections == 0
         asked.cancel()
 
-    monkeypatch.setattr(Stage, "list", script)
-    play(story, workers=2)
+    monkeypatch.setattr(Harness, "list", script)
+    run_scenario(scenario, workers=2)
 
 
 @pytest.mark.parametrize(
@@ -361,7 +374,9 @@
         looks = list[asyncio.Task[bytes]]()
         async with (
             asyncio.timeout(10),
-            stage(accept, 1, {}, before=lambda port: looks.append(asyncio.create_task(look(port)))),
+            running_harness(
+                accept_job, 1, {}, before=lambda port: looks.append(asyncio.create_task(look(port)))
+            ),
         ):
             assert (b" 200 " in await looks[0]) is serves
 
@@ -377,25 +392,25 @@
     original = Discovery.remembered
     monkeypatch.setattr(Discovery, "remembered", lambda self: (discoveries.append(self), original(self)))
 
-    async def story(scene: Stage) -> None:
-        await next_call(scene, "wait=4000")
+    async def scenario(harness: Harness) -> None:
+        await next_call(harness, "wait=4000")
         discovery, loop = discoveries[0], asyncio.get_running_loop()
-        discovery.freshness = Freshness(False, discovery.wheel.now())  # nothing is known from now on
-        asked = asyncio.create_task(scene.post())
+        discovery.freshness = Freshness(False, discovery.timers.now())  # nothing is known from now on
+        asked = asyncio.create_task(harness.post())
         began = loop.time()
-        while not scene.running.done() and not discovery.stats.counters["sends_waited_for_list"]:
+        while not harness.running.done() and not discovery.metrics.counters["sends_waited_for_list"]:
             await asyncio.sleep(0)
         for _ in range(50):
             await asyncio.sleep(0)
         assert loop.time() - began < 1.0
-        assert scene.workers[0].seen.empty()
-        discovery.freshness.heard(discovery.wheel.now(), discovery.wheel.now())
+        assert harness.workers[0].seen.empty()
+        discovery.freshness.heard(discovery.timers.now(), discovery.timers.now())
         discovery._look()
-        await scene.workers[0].seen.get()
-        await scene.news(0, id="r1", state="done", result="x")
+        await harness.workers[0].seen.get()
+        await harness.callback(0, id="r1", state="done", result="x")
         assert (await asked).status == 200
 
-    play(story)
+    run_scenario(scenario)
 
 
 def test_where_lists_are_pushed_a_start_is_ready_with_the_agents_list_and_not_before(
@@ -403,38 +418,38 @@
 ) -> None:
     held = asyncio.Event()
 
-    async def script(scene: Stage, message: Seen) -> bytes | None:
+    async def script(harness: Harness, message: ReceivedMessage) -> bytes | None:
         await held.wait()
-        if "wait=4000" in message.start:
+        if "wait=4000" in message.start_line:
             await asyncio.Event().wait()
-        return changes(1, scene.host(1), full=True)
+        return changes(1, harness.host(1), full=True)
 
-    async def story(scene: Stage) -> None:
-        assert (await scene.ask(b"GET /up HTTP/1.1\r\n\r\n")).status == 503
+    async def scenario(harness: Harness) -> None:
+        assert (await harness.request(b"GET /up HTTP/1.1\r\n\r\n")).status == 503
         held.set()
-        await next_call(scene, "wait=4000")
-        assert (await scene.ask(b"GET /up HTTP/1.1\r\n\r\n")).status == 200
-        await serve_all(scene, 1)
-        assert scene.workers[0].seen.empty()
+        await next_call(harness, "wait=4000")
+        assert (await harness.request(b"GET /up HTTP/1.1\r\n\r\n")).status == 200
+        await serve_all(harness, 1)
+        assert harness.workers[0].seen.empty()
 
-    monkeypatch.setattr(Stage, "list", script)
-    play(story, workers=2, settings={**SETTINGS, "membershipMode": "pushed"})
+    monkeypatch.setattr(Harness, "list", script)
+    run_scenario(scenario, workers=2, settings={**SETTINGS, "membershipMode": "pushed"})
 
 
 def test_a_start_without_its_agent_is_ready_after_a_while_with_the_list_that_it_has(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    async def script(scene: Stage, message: Seen) -> bytes | None:
+    async def script(harness: Harness, message: ReceivedMessage) -> bytes | None:
         return None  # away, for longer than anybody waits
 
-    async def story(scene: Stage) -> None:
-        while (await scene.ask(b"GET /up HTTP/1.1\r\n\r\n")).status == 503:
+    async def scenario(harness: Harness) -> None:
+        while (await harness.request(b"GET /up HTTP/1.1\r\n\r\n")).status == 503:
             await asyncio.sleep(0.02)
-        await serve_all(scene, 0)
+        await serve_all(harness, 0)
 
-    monkeypatch.setattr(Stage, "list", script)
+    monkeypatch.setattr(Harness, "list", script)
     monkeypatch.setattr("beaconhinge.membership.freshness.UNKNOWN_MOST", 0.3)
-    play(story, settings={**SETTINGS, "membershipMode": "pushed"})
+    run_scenario(scenario, settings={**SETTINGS, "membershipMode": "pushed"})
 
 
 def test_a_connection_that_comes_up_late_brings_nothing_to_a_worker_that_drains_by_then(
@@ -449,49 +464,49 @@
         await up.wait()
         return await connect(address)
 
-    async def story(scene: Stage) -> None:
+    async def scenario(harness: Harness) -> None:
         monkeypatch.setattr("beaconhinge.net.worker_pool.connect", late)
-        asked = asyncio.create_task(scene.post())
-        leaving = [worker.port for worker in scene.workers].index(await begun.get())
-        scene.lists = [changes(3, scene.host(leaving, state="Terminating"))]
-        scene.discovery.cut()
-        await next_call(scene, "index=3")
+        asked = asyncio.create_task(harness.post())
+        leaving = [worker.port for worker in harness.workers].index(await begun.get())
+        harness.lists = [changes(3, harness.host(leaving, state="Terminating"))]
+        harness.discovery.cut()
+        await next_call(harness, "index=3")
         monkeypatch.setattr("beaconhinge.net.worker_pool.connect", connect)
         up.set()
-        await scene.workers[1 - leaving].seen.get()  # proven never to have run, so it goes on
-        await scene.news(1 - leaving, state="done", result="x")
+        await harness.workers[1 - leaving].seen.get()  # proven never to have run, so it goes on
+        await harness.callback(1 - leaving, state="done", result="x")
         assert (await asked).status == 200
-        assert scene.workers[leaving].seen.empty()
+        assert harness.workers[leaving].seen.empty()
 
     limits = {**SETTINGS["policyLimits"], "connectTimeout": 5.0}
-    play(story, workers=2, settings={**SETTINGS, "policyLimits": limits})
+    run_scenario(scenario, workers=2, settings={**SETTINGS, "policyLimits": limits})
 
 
 @pytest.mark.parametrize("wrong", ["again", "older"])
 def test_a_second_answer_puts_no_leaving_worker_back_and_is_taken_for_no_later_calls(wrong: str) -> None:
     """It came on the kept connection, and each answer from then on was read as that of the next call."""
 
-    async def story(scene: Stage) -> None:
-        ready, leaving = changes(1, scene.host(0)), changes(2, scene.host(0, state="Terminating"))
+    async def scenario(harness: Harness) -> None:
+        ready, leaving = changes(1, harness.host(0)), changes(2, harness.host(0, state="Terminating"))
         calls = 0
 
-        async def script(message: Seen) -> bytes | None:
+        async def script(message: ReceivedMessage) -> bytes | None:
             nonlocal calls
             calls += 1
             if calls == 1:
                 return leaving + (leaving if wrong == "again" else ready)
-            if "index=2&wait=" in message.start:
+            if "index=2&wait=" in message.start_line:
                 await asyncio.Event().wait()
-            return changes(2, scene.host(0, state="Terminating"), scene.host(1), full=True)
+            return changes(2, harness.host(0, state="Terminating"), harness.host(1), full=True)
 
-        scene.discovery.script = script
-        scene.discovery.cut()
-        await next_call(scene, "index=2&wait=")
-        await serve_all(scene, 1)
-        assert scene.workers[0].seen.empty()
+        harness.discovery.script = script
+        harness.discovery.cut()
+        await next_call(harness, "index=2&wait=")
+        await serve_all(harness, 1)
+        assert harness.workers[0].seen.empty()
         assert calls == 2  # the watch came on a new connection: nothing had to be asked for again
 
-    play(story, workers=2)
+    run_scenario(scenario, workers=2)
 
 
 @pytest.mark.parametrize(
@@ -507,27 +522,27 @@
 ) -> None:
     monkeypatch.setattr("beaconhinge.net.discovery.STALL", 0.1)
 
-    async def story(scene: Stage) -> None:
+    async def scenario(harness: Harness) -> None:
         calls = 0
 
-        async def script(message: Seen) -> bytes | None:
+        async def script(message: ReceivedMessage) -> bytes | None:
             nonlocal calls
             calls += 1
             if calls == 1:
                 return wrong
-            if "index=8&wait=" in message.start:
+            if "index=8&wait=" in message.start_line:
                 await asyncio.Event().wait()
-            return changes(8, scene.host(0, state="Terminating"))
+            return changes(8, harness.host(0, state="Terminating"))
 
-        scene.discovery.script = script
-        scene.discovery.cut()
-        asked = asyncio.create_task(scene.post(X_Request_ID="first"))  # served by the list in use meanwhile
-        await scene.news(await taker(scene), id="first", state="done", result="x")
+        harness.discovery.script = script
+        harness.discovery.cut()
+        asked = asyncio.create_task(harness.post(X_Request_ID="first"))  # served by the list in use meanwhile
+        await harness.callback(await taker(harness), id="first", state="done", result="x")
         assert (await asked).status == 200
-        await next_call(scene, "index=8")
-        await serve_all(scene, 1)
+        await next_call(harness, "index=8")
+        await serve_all(harness, 1)
 
-    play(story, workers=2)
+    run_scenario(scenario, workers=2)
 
 
 def test_the_order_of_a_list_means_nothing_and_an_older_whole_list_is_what_discovery_says() -> None:
--- a/tests/test_hints.py
+++ b/tests/test_hints.py
@@ -7,7 +7,7 @@
 from collections import Counter
 
 import pytest
-from stage import Stage, event, job, play, scripted
+from harness import Harness, job_bytes, next_event, run_scenario, use_scripted_policy
 
 from beaconhinge.dispatch.work_estimates import FEW, SPREAD, Hints
 from beaconhinge.policy import interface
@@ -65,23 +65,23 @@
 
 def test_the_module_has_the_clients_guess_and_a_bad_one_costs_no_job(monkeypatch: pytest.MonkeyPatch) -> None:
     """Without its reading `size_hint` stays 0, and every class is taken for one that costs the mean."""
-    module, counted, count = scripted(monkeypatch), Counter[str](), Metrics.count
+    module, counted, count = use_scripted_policy(monkeypatch), Counter[str](), Metrics.count
 
-    def counting(stats: Metrics, name: str, by: int = 1) -> None:
+    def counting(metrics: Metrics, name: str, by: int = 1) -> None:
         counted[name] += by
-        count(stats, name, by)
+        count(metrics, name, by)
 
     monkeypatch.setattr(Metrics, "count", counting)
 
-    async def story(scene: Stage) -> None:
+    async def scenario(harness: Harness) -> None:
         seen = []
         for number, cost in enumerate(("250000", "500000.5", None, "a lot", "-1", "nan", "9" * 32)):
-            _, client = await scene.open()
-            client.write(job(X_Request_ID=f"r{number}", X_Cost=cost))
-            seen.append((await event(module, interface.JobArrived)).size_hint)
+            _, client = await harness.open()
+            client.write(job_bytes(X_Request_ID=f"r{number}", X_Cost=cost))
+            seen.append((await next_event(module, interface.JobArrived)).size_hint)
         assert seen[:2] == [0.25, 0.5000005]
         assert all(0.25 <= work <= 0.51 for work in seen[2:6])  # the mean in place of what cannot be read
         assert seen[6] <= 5.0  # seconds that the client waits
         assert counted["hint_unread"] == 3 and counted["hints_bounded"] == 1
 
-    play(story)
+    run_scenario(scenario)
--- a/tests/test_lifecycle.py
+++ b/tests/test_lifecycle.py
@@ -6,7 +6,7 @@
 import time
 
 import pytest
-from stage import Seen, Stage, event, job, play, reply, scripted
+from harness import Harness, ReceivedMessage, job_bytes, next_event, reply, run_scenario, use_scripted_policy
 
 from beaconhinge.membership.inventory import worker_number
 from beaconhinge.policy import interface
@@ -15,13 +15,13 @@
 FIRST, SECOND = worker_number("s-0"), worker_number("s-1")
 
 
-async def silent(_message: Seen) -> bytes | None:
+async def silent(_message: ReceivedMessage) -> bytes | None:
     await asyncio.Event().wait()
     return None
 
 
 def test_a_cancel_before_the_202_closes_the_connection(monkeypatch: pytest.MonkeyPatch) -> None:
-    module = scripted(
+    module = use_scripted_policy(
         monkeypatch,
         interface.SendAttempt(1, FIRST),
         interface.SetTimer(9, 0.05),
@@ -29,39 +29,39 @@
         AttemptEnded=[interface.Fail(1)],
     )
 
-    async def script(_message: Seen) -> bytes | None:
+    async def script(_message: ReceivedMessage) -> bytes | None:
         await asyncio.sleep(0.3)
         return reply(202)
 
-    async def story(scene: Stage) -> None:
-        assert (await scene.post()).status == 502
-        ended = await event(module, interface.AttemptEnded)
+    async def scenario(harness: Harness) -> None:
+        assert (await harness.post()).status == 502
+        ended = await next_event(module, interface.AttemptEnded)
         assert (ended.outcome, ended.settled) == (AttemptOutcome.CANCELLED, False)
-        assert await scene.workers[0].ended.get()
-        assert scene.workers[0].seen.qsize() == 1  # the job, and no DELETE
+        assert await harness.workers[0].ended.get()
+        assert harness.workers[0].seen.qsize() == 1  # the job, and no DELETE
 
-    play(story, script)
+    run_scenario(scenario, script)
 
 
 def test_a_cancel_after_the_202_withdraws_the_job(monkeypatch: pytest.MonkeyPatch) -> None:
-    module = scripted(
+    module = use_scripted_policy(
         monkeypatch,
         interface.SendAttempt(1, FIRST),
         ProgressNotice=[interface.CancelAttempt(1, 0)],
         AttemptEnded=[interface.Fail(1)],
     )
 
-    async def story(scene: Stage) -> None:
-        asked = asyncio.create_task(scene.post())
-        await scene.workers[0].seen.get()
+    async def scenario(harness: Harness) -> None:
+        asked = asyncio.create_task(harness.post())
+        await harness.workers[0].seen.get()
         await asyncio.sleep(0.2)  # the 202 is read
-        await scene.news(state="started")
+        await harness.callback(state="started")
         assert (await asked).status == 502
-        assert (await event(module, interface.AttemptEnded)).outcome == AttemptOutcome.CANCELLED
-        assert (await scene.workers[0].seen.get()).start == "DELETE /jobs/r1 HTTP/1.1"
-        assert scene.workers[0].connections == 1
+        assert (await next_event(module, interface.AttemptEnded)).outcome == AttemptOutcome.CANCELLED
+        assert (await harness.workers[0].seen.get()).start_line == "DELETE /jobs/r1 HTTP/1.1"
+        assert harness.workers[0].connections == 1
 
-    play(story)
+    run_scenario(scenario)
 
 
 @pytest.mark.parametrize(
@@ -70,32 +70,34 @@
 def test_an_attempt_ends_at_its_time_out_or_the_deadline(
     monkeypatch: pytest.MonkeyPatch, timeout: float, wait: str, least: float
 ) -> None:
-    module = scripted(
+    module = use_scripted_policy(
         monkeypatch, interface.SendAttempt(1, FIRST, timeout), AttemptEnded=[interface.Reject(1, 1.5)]
     )
 
-    async def story(scene: Stage) -> None:
-        answer = await scene.post(X_Timeout_Ms=wait)
+    async def scenario(harness: Harness) -> None:
+        answer = await harness.post(X_Timeout_Ms=wait)
         assert (answer.status, answer.headers["retry-after"]) == (503, "1.500")
-        ended = await event(module, interface.AttemptEnded)
+        ended = await next_event(module, interface.AttemptEnded)
         assert (ended.outcome, ended.settled) == (AttemptOutcome.TIMEOUT, False)
         assert least <= ended.latency < least + 1.0
 
-    play(story)
+    run_scenario(scenario)
 
 
 def test_the_first_result_is_the_answer_and_the_second_copy_ends_settled(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    module = scripted(monkeypatch, interface.SendAttempt(1, FIRST), interface.SendAttempt(1, SECOND))
+    module = use_scripted_policy(
+        monkeypatch, interface.SendAttempt(1, FIRST), interface.SendAttempt(1, SECOND)
+    )
 
-    async def story(scene: Stage) -> None:
-        asked = asyncio.create_task(scene.post())
-        for worker in scene.workers:
+    async def scenario(harness: Harness) -> None:
+        asked = asyncio.create_task(harness.post())
+        for worker in harness.workers:
             await worker.seen.get()
-        await scene.news(1, state="done", result="second", load={"x0": 2.5})
+        await harness.callback(1, state="done", result="second", load={"x0": 2.5})
         assert (await asked).body == b"second"
-        ended = await event(module, interface.AttemptEnded)
+        ended = await next_event(module, interface.AttemptEnded)
         assert (ended.worker, ended.attempt, ended.outcome, ended.settled) == (
             SECOND,
             1,
@@ -103,75 +105,79 @@
             True,
         )
         assert ended.load == {"x0": 2.5}
-        await scene.news(0, state="lost")
-        ended = await event(module, interface.AttemptEnded)
+        await harness.callback(0, state="lost")
+        ended = await next_event(module, interface.AttemptEnded)
         assert (ended.worker, ended.outcome, ended.settled) == (
             FIRST,
             AttemptOutcome.CONNECTION_LOST,
             True,
         )
 
-    play(story, workers=2)
+    run_scenario(scenario, workers=2)
 
 
 def test_a_client_that_leaves_is_told_and_outcomes_are_still_read(monkeypatch: pytest.MonkeyPatch) -> None:
-    module = scripted(
+    module = use_scripted_policy(
         monkeypatch, interface.SendAttempt(1, FIRST), ClientDisconnected=[interface.SendAttempt(1, SECOND)]
     )
 
-    async def story(scene: Stage) -> None:
-        _, writer = await scene.open()
-        writer.write(job())
-        await scene.workers[0].seen.get()
+    async def scenario(harness: Harness) -> None:
+        _, writer = await harness.open()
+        writer.write(job_bytes())
+        await harness.workers[0].seen.get()
         writer.close()
-        assert (await event(module, interface.ClientDisconnected)).request == 1
-        late = await event(module, interface.AttemptEnded)  # nothing is sent for a request that is over
+        assert (await next_event(module, interface.ClientDisconnected)).request == 1
+        late = await next_event(module, interface.AttemptEnded)  # nothing is sent for a request that is over
         assert (late.worker, late.outcome, late.settled) == (SECOND, AttemptOutcome.NOT_SENT, True)
-        await scene.news(state="done", result="unread")
-        ended = await event(module, interface.AttemptEnded)
+        await harness.callback(state="done", result="unread")
+        ended = await next_event(module, interface.AttemptEnded)
         assert (ended.worker, ended.outcome, ended.settled) == (FIRST, AttemptOutcome.SERVED, True)
 
-    play(story, workers=2)
+    run_scenario(scenario, workers=2)
 
 
 @pytest.mark.parametrize("where", ["dead", "unreachable"])
 def test_a_connection_that_does_not_come_up_has_run_nothing(
     monkeypatch: pytest.MonkeyPatch, where: str
 ) -> None:
-    module = scripted(monkeypatch, interface.SendAttempt(1, FIRST), AttemptEnded=[interface.Reject(1)])
+    module = use_scripted_policy(
+        monkeypatch, interface.SendAttempt(1, FIRST), AttemptEnded=[interface.Reject(1)]
+    )
 
-    async def story(scene: Stage) -> None:
-        scene.workers[0].server.close()
+    async def scenario(harness: Harness) -> None:
+        harness.workers[0].server.close()
         if where == "unreachable":  # its machine takes no more connections: they never come up
 
             async def never(address: tuple[str, int]) -> None:
                 await asyncio.Event().wait()
 
             monkeypatch.setattr("beaconhinge.net.worker_pool.connect", never)
-        assert (await scene.post()).status == 503
-        assert (await event(module, interface.AttemptEnded)).outcome == AttemptOutcome.NO_CONNECTION
+        assert (await harness.post()).status == 503
+        assert (await next_event(module, interface.AttemptEnded)).outcome == AttemptOutcome.NO_CONNECTION
 
-    play(story)
+    run_scenario(scenario)
 
 
 def test_one_worker_has_one_attempt_of_a_request_at_a_time(monkeypatch: pytest.MonkeyPatch) -> None:
-    module = scripted(monkeypatch, interface.SendAttempt(1, FIRST), interface.SendAttempt(1, FIRST))
+    module = use_scripted_policy(
+        monkeypatch, interface.SendAttempt(1, FIRST), interface.SendAttempt(1, FIRST)
+    )
     monkeypatch.setattr(
         "beaconhinge.runtime.metrics.Metrics.check", lambda self, condition, name: condition
     )  # as under -O
 
-    async def story(scene: Stage) -> None:
-        asked = asyncio.create_task(scene.post())
-        ended = await event(module, interface.AttemptEnded)
+    async def scenario(harness: Harness) -> None:
+        asked = asyncio.create_task(harness.post())
+        ended = await next_event(module, interface.AttemptEnded)
         assert (ended.attempt, ended.outcome) == (1, AttemptOutcome.NOT_SENT)
-        await scene.news(state="done", result="one")
+        await harness.callback(state="done", result="one")
         assert (await asked).body == b"one"
 
-    play(story)
+    run_scenario(scenario)
 
 
 def test_a_failing_module_still_gets_the_client_an_answer(monkeypatch: pytest.MonkeyPatch) -> None:
-    module = scripted(monkeypatch)
+    module = use_scripted_policy(monkeypatch)
 
     def fail(_now: float, event: interface.Event) -> list[interface.Action]:
         if isinstance(event, interface.JobArrived):
@@ -180,23 +186,23 @@
 
     module.handle = fail  # type: ignore[method-assign]
 
-    async def story(scene: Stage) -> None:
-        assert (await scene.post()).status == 502
-        assert (await scene.post(X_Request_ID="r2")).status == 502
+    async def scenario(harness: Harness) -> None:
+        assert (await harness.post()).status == 502
+        assert (await harness.post(X_Request_ID="r2")).status == 502
 
-    play(story)
+    run_scenario(scenario)
 
 
 def test_a_module_that_forgets_a_request_does_not_leave_its_client_without_answer(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    scripted(monkeypatch)
+    use_scripted_policy(monkeypatch)
     monkeypatch.setattr("beaconhinge.runtime.metrics.Metrics.check", lambda self, condition, name: condition)
 
-    async def story(scene: Stage) -> None:
-        assert (await scene.post(X_Timeout_Ms="100")).status == 502
+    async def scenario(harness: Harness) -> None:
+        assert (await harness.post(X_Timeout_Ms="100")).status == 502
 
-    play(story)
+    run_scenario(scenario)
 
 
 @pytest.mark.parametrize(
@@ -209,30 +215,33 @@
 def test_other_actions_reach_their_owner(
     monkeypatch: pytest.MonkeyPatch, action: interface.Action, start: str
 ) -> None:
-    module = scripted(monkeypatch, action, interface.Reject(1))
+    module = use_scripted_policy(monkeypatch, action, interface.Reject(1))
 
-    async def script(_message: Seen) -> bytes | None:
+    async def script(_message: ReceivedMessage) -> bytes | None:
         return reply(200, b"err_ps=0.5,x0=3")
 
-    async def story(scene: Stage) -> None:
-        await scene.post()
-        peer = scene.workers[0] if isinstance(action, interface.ProbeWorker) else scene.discovery
-        while (await peer.seen.get()).start != start:
+    async def scenario(harness: Harness) -> None:
+        await harness.post()
+        peer = harness.workers[0] if isinstance(action, interface.ProbeWorker) else harness.discovery
+        while (await peer.seen.get()).start_line != start:
             pass
         if isinstance(action, interface.ProbeWorker):
-            result = await event(module, interface.ProbeResult)
+            result = await next_event(module, interface.ProbeResult)
             assert (result.worker, result.outcome, result.load) == (
                 FIRST,
                 AttemptOutcome.SERVED,
                 {"err_ps": 0.5, "x0": 3.0},
             )
 
-    play(story, script)
+    run_scenario(scenario, script)
 
 
 def test_a_timer_on_which_the_module_fails_is_fed_again(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr("beaconhinge.dispatch.policy_runner.FAILED_TIMER_RETRY_S", 0.05)
-    module, failures = scripted(monkeypatch, interface.SetTimer(9, 0.01)), [ZeroDivisionError("once")]
+    module, failures = (
+        use_scripted_policy(monkeypatch, interface.SetTimer(9, 0.01)),
+        [ZeroDivisionError("once")],
+    )
     answer = module.handle
 
     def fail_once(now: float, event: interface.Event) -> list[interface.Action]:
@@ -242,39 +251,39 @@
 
     module.handle = fail_once  # type: ignore[method-assign]
 
-    async def story(scene: Stage) -> None:
-        _, writer = await scene.open()
-        writer.write(job())
-        assert (await event(module, interface.TimerFired)).token == 9
+    async def scenario(harness: Harness) -> None:
+        _, writer = await harness.open()
+        writer.write(job_bytes())
+        assert (await next_event(module, interface.TimerFired)).token == 9
         writer.close()
 
-    play(story)
+    run_scenario(scenario)
 
 
 def test_an_answer_at_the_deadline_is_the_modules_own_though_the_loop_is_late(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    scripted(monkeypatch, interface.SendAttempt(1, FIRST), AttemptEnded=[interface.Reject(1, 1.0)])
+    use_scripted_policy(monkeypatch, interface.SendAttempt(1, FIRST), AttemptEnded=[interface.Reject(1, 1.0)])
 
-    async def story(scene: Stage) -> None:
-        asked = asyncio.create_task(scene.post(X_Timeout_Ms="150"))
-        await scene.workers[0].seen.get()
+    async def scenario(harness: Harness) -> None:
+        asked = asyncio.create_task(harness.post(X_Timeout_Ms="150"))
+        await harness.workers[0].seen.get()
         time.sleep(0.3)  # holds up the loop, over the deadline and the last moment after it
         assert (await asked).status == 503
 
-    play(story)
+    run_scenario(scenario)
 
 
 def test_a_send_for_a_request_that_is_over_has_its_outcome_too(monkeypatch: pytest.MonkeyPatch) -> None:
-    module = scripted(monkeypatch, ClientDisconnected=[interface.SendAttempt(1, FIRST)])
+    module = use_scripted_policy(monkeypatch, ClientDisconnected=[interface.SendAttempt(1, FIRST)])
 
-    async def story(scene: Stage) -> None:
-        _, writer = await scene.open()
-        writer.write(job())
-        await event(module, interface.JobArrived)
+    async def scenario(harness: Harness) -> None:
+        _, writer = await harness.open()
+        writer.write(job_bytes())
+        await next_event(module, interface.JobArrived)
         writer.close()
-        ended = await event(module, interface.AttemptEnded)
+        ended = await next_event(module, interface.AttemptEnded)
         assert (ended.outcome, ended.settled) == (AttemptOutcome.NOT_SENT, True)
-        assert scene.workers[0].seen.empty()
+        assert harness.workers[0].seen.empty()
 
-    play(story)
+    run_scenario(scenario)
--- a/tests/test_logs.py
+++ b/tests/test_logs.py
@@ -48,9 +48,9 @@
 
 @pytest.mark.parametrize("form", ["logfmt", "json"])
 def test_complaints_are_limited_and_counted_in_each_form(form: Literal["logfmt", "json"]) -> None:
-    def act(stats: Metrics) -> None:
+    def act(metrics: Metrics) -> None:
         for _ in range(5):
-            stats.count_and_log("sockets_short", worker="w")
+            metrics.count_and_log("sockets_short", worker="w")
 
     assert len(lines(form, act)) == 1
 
@@ -60,6 +60,6 @@
         def write(self, text: str) -> int:
             raise BrokenPipeError
 
-    stats = Metrics(lambda: 1.0, writer=writer("json", Broken(), lambda: 1.0))
-    stats.log("started")
-    assert stats.counters["log_lost"] == 1
+    metrics = Metrics(lambda: 1.0, writer=writer("json", Broken(), lambda: 1.0))
+    metrics.log("started")
+    assert metrics.counters["log_lost"] == 1
--- a/tests/test_parts.py
+++ b/tests/test_parts.py
@@ -16,7 +16,7 @@
 from typing import Any
 
 import pytest
-from stage import SETTINGS, free_port
+from harness import SETTINGS, free_port
 
 from beaconhinge.config import ConfigError, flatten, load, parse
 from beaconhinge.net.sockets import RESERVED_DESCRIPTORS, DescriptorBudget
@@ -147,13 +147,13 @@
 def test_a_timer_fires_once_and_never_early(seconds: float) -> None:
     async def run() -> None:
         clock, failures = Clock(), []
-        wheel = TimerWheel(clock.now, lambda where, error: failures.append(error))
+        timers = TimerWheel(clock.now, lambda where, error: failures.append(error))
         fired: asyncio.Queue[float] = asyncio.Queue()
         start = clock.now()
-        wheel.after(1.0, lambda: fired.put_nowait(0.0))  # a far one must not hold up a near one
-        wheel.after(seconds, lambda: 1 / 0)  # nor a broken one the others
-        wheel.after(seconds, lambda: fired.put_nowait(0.0)).cancel()
-        wheel.after(seconds, lambda: fired.put_nowait(clock.now() - start))
+        timers.after(1.0, lambda: fired.put_nowait(0.0))  # a far one must not hold up a near one
+        timers.after(seconds, lambda: 1 / 0)  # nor a broken one the others
+        timers.after(seconds, lambda: fired.put_nowait(0.0)).cancel()
+        timers.after(seconds, lambda: fired.put_nowait(clock.now() - start))
         assert seconds - 1e-4 <= await asyncio.wait_for(fired.get(), 0.9) < seconds + 0.5
         assert fired.empty()
         assert len(failures) == 1
@@ -164,14 +164,14 @@
 def test_the_wheel_keeps_timers_beyond_a_turn_and_catches_up_when_late() -> None:
     async def run() -> None:
         now, fired = [0.0], []
-        wheel = TimerWheel(lambda: now[0], lambda where, error: None)
+        timers = TimerWheel(lambda: now[0], lambda where, error: None)
         for ticks in (1, SLOTS - 1, SLOTS, SLOTS + 1, 3 * SLOTS + 5):
-            wheel.after(ticks * TICK_S, lambda ticks=ticks: fired.append(ticks))
+            timers.after(ticks * TICK_S, lambda ticks=ticks: fired.append(ticks))
         now[0] += SLOTS * TICK_S
-        wheel.fire_due()
+        timers.fire_due()
         assert fired == [1, SLOTS - 1, SLOTS]
         now[0] += 10 * SLOTS * TICK_S
-        wheel.fire_due()
+        timers.fire_due()
         assert fired == [1, SLOTS - 1, SLOTS, SLOTS + 1, 3 * SLOTS + 5]
 
     asyncio.run(run())
@@ -179,10 +179,10 @@
 
 def test_a_limit_ends_its_body_with_a_time_out_and_passes_on_a_cancel() -> None:
     async def run() -> None:
-        wheel = TimerWheel(Clock().now, lambda where, error: None)
+        timers = TimerWheel(Clock().now, lambda where, error: None)
 
         async def body(seconds: float) -> None:
-            async with wheel.timeout(seconds):
+            async with timers.timeout(seconds):
                 await asyncio.Event().wait()
 
         with pytest.raises(TimeoutError):
@@ -198,26 +198,26 @@
 
 def test_complaints_are_all_counted_and_logged_at_a_limited_rate_on_one_line() -> None:
     now, sink = [10.0], io.StringIO()
-    stats = Metrics(lambda: now[0], sink)
+    metrics = Metrics(lambda: now[0], sink)
     for _ in range(1000):
-        stats.count_and_log("callback_malformed", why="a\nforged line x=1 \x1b[31m \u2028")
-    assert stats.counters["callback_malformed"] == 1000
+        metrics.count_and_log("callback_malformed", why="a\nforged line x=1 \x1b[31m \u2028")
+    assert metrics.counters["callback_malformed"] == 1000
     assert len(sink.getvalue().splitlines()) == 1
     now[0] += 6.0
-    stats.count_and_log("callback_malformed", why="again")
+    metrics.count_and_log("callback_malformed", why="again")
     assert sink.getvalue().splitlines()[1] == "16.000 callback_malformed total=1001 why=again"
 
 
 def test_a_failed_task_is_logged_and_counted() -> None:
     async def run() -> None:
-        stats = Metrics(lambda: 1.0, sink := io.StringIO())
+        metrics = Metrics(lambda: 1.0, sink := io.StringIO())
 
         async def broken() -> None:
             raise KeyError("x")
 
-        await asyncio.wait([stats.spawn(broken(), "story")])
+        await asyncio.wait([metrics.spawn(broken(), "story")])
         await asyncio.sleep(0)
-        assert stats.counters["task_failed"] == 1
+        assert metrics.counters["task_failed"] == 1
         assert "task=story" in sink.getvalue()
 
     asyncio.run(run())
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -8,7 +8,7 @@
 import socket
 
 import pytest
-from stage import Scripted, Stage, play
+from harness import Harness, ScriptedPolicy, run_scenario
 
 from beaconhinge.policy import interface
 
@@ -17,17 +17,17 @@
 def test_datagrams_go_to_all_or_one_and_come_from_known_peers(
     monkeypatch: pytest.MonkeyPatch, target: int, arrives: bool
 ) -> None:
-    module = Scripted([interface.SendToPeer(b"hello", target), interface.Reject(1)])
+    module = ScriptedPolicy([interface.SendToPeer(b"hello", target), interface.Reject(1)])
     monkeypatch.setattr("beaconhinge.__main__.Dispatcher", lambda settings, seed: module)
 
-    async def story(scene: Stage) -> None:
+    async def scenario(harness: Harness) -> None:
         with (
             socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as peer,
             socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as stranger,
         ):
-            peer.bind(("127.0.0.1", scene.other_port))
+            peer.bind(("127.0.0.1", harness.other_port))
             peer.settimeout(0.2)
-            await scene.post()
+            await harness.post()
             if arrives:
                 assert peer.recv(300) == b"hello"
             else:
@@ -39,7 +39,7 @@
                 (peer, b""),
                 (peer, b"known"),
             ):
-                sender.sendto(payload, ("127.0.0.1", scene.peer_port))
+                sender.sendto(payload, ("127.0.0.1", harness.peer_port))
             told = [
                 e
                 for e in [await module.events.get() for _ in range(3)]
@@ -47,38 +47,38 @@
             ]
             assert told == [interface.PeerMessage(1, b""), interface.PeerMessage(1, b"known")]
 
-    play(story)
+    run_scenario(scenario)
 
 
 def test_a_dispatcher_that_stops_tells_nothing_more(monkeypatch: pytest.MonkeyPatch) -> None:
-    module = Scripted([interface.SendToPeer(b"before", 1), interface.Reject(1)])
+    module = ScriptedPolicy([interface.SendToPeer(b"before", 1), interface.Reject(1)])
     monkeypatch.setattr("beaconhinge.__main__.Dispatcher", lambda settings, seed: module)
 
-    async def story(scene: Stage) -> None:
+    async def scenario(harness: Harness) -> None:
         with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as peer:
-            peer.bind(("127.0.0.1", scene.other_port))
+            peer.bind(("127.0.0.1", harness.other_port))
             peer.settimeout(0.2)
-            await scene.post()
+            await harness.post()
             assert peer.recv(300) == b"before"
             os.kill(os.getpid(), signal.SIGTERM)
             await asyncio.sleep(0.05)
             module.on[interface.JobArrived] = [interface.SendToPeer(b"after", 1), interface.Reject(1)]
-            await scene.post(X_Request_ID="r2")
+            await harness.post(X_Request_ID="r2")
             with pytest.raises(TimeoutError):
                 peer.recv(300)
 
-    play(story)
+    run_scenario(scenario)
 
 
 def test_the_module_passes_over_bytes_that_are_no_report() -> None:
-    async def story(scene: Stage) -> None:
+    async def scenario(harness: Harness) -> None:
         with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as peer:
-            peer.bind(("127.0.0.1", scene.other_port))
+            peer.bind(("127.0.0.1", harness.other_port))
             for size in (0, 1, 16, 17, 256):
-                peer.sendto(b"\x6f\x73" + b"\xff" * size, ("127.0.0.1", scene.peer_port))
-        asked = asyncio.create_task(scene.post())
-        await scene.workers[0].seen.get()
-        await scene.news(state="done", result="fine")
+                peer.sendto(b"\x6f\x73" + b"\xff" * size, ("127.0.0.1", harness.peer_port))
+        asked = asyncio.create_task(harness.post())
+        await harness.workers[0].seen.get()
+        await harness.callback(state="done", result="fine")
         assert (await asked).status == 200
 
-    play(story)
+    run_scenario(scenario)
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 import pytest
-from helpers import Driver, job, members, settings
+from helpers import PolicyDriver, job, members, settings
 from hypothesis import given
 from hypothesis import settings as hypothesis_settings
 from hypothesis import strategies as st
@@ -25,7 +25,7 @@
 )
 
 
-def play(driver: Driver, steps: list[tuple]) -> None:
+def play(driver: PolicyDriver, steps: list[tuple]) -> None:
     driver.feed(interface.Start())
     driver.feed(interface.MembershipUpdate(UpdateKind.BOOTSTRAP, 1, members(4)))
     number = 0
@@ -75,7 +75,7 @@
         rules__drainRelease="0.8",
     )
     dispatcher = Dispatcher(chosen, 7)
-    driver = Driver(chosen, dispatcher.handle)
+    driver = PolicyDriver(chosen, dispatcher.handle)
     play(driver, steps)
     assert driver.checker.broken == []
     assert not [r for r in dispatcher.requests.values() if r.pending == 0 and not r.held]
@@ -87,17 +87,17 @@
     logs = []
     for _ in range(2):
         chosen = settings()
-        driver = Driver(chosen, Dispatcher(chosen, 5).handle)
+        driver = PolicyDriver(chosen, Dispatcher(chosen, 5).handle)
         play(driver, steps)
         logs.append(driver.log)
     assert logs[0] == logs[1]
 
 
-def offender(answer: list[interface.Action], when: type) -> Driver:
+def offender(answer: list[interface.Action], when: type) -> PolicyDriver:
     def policy(now: float, event: interface.Event) -> list[interface.Action]:
         return list(answer) if isinstance(event, when) else []
 
-    driver = Driver(settings(), policy)
+    driver = PolicyDriver(settings(), policy)
     driver.feed(interface.MembershipUpdate(UpdateKind.SNAPSHOT, 1, members(2)))
     return driver
 
@@ -141,7 +141,7 @@
 def test_checker_sees_connections_kept_to_a_leaving_worker() -> None:
     chosen = settings(rules__drainRelease="0.8")
     for given_back in (False, True):
-        driver = Driver(
+        driver = PolicyDriver(
             chosen, lambda now, event, back=given_back: [interface.CloseIdleConnections(100)] if back else []
         )
         driver.feed(interface.MembershipUpdate(UpdateKind.SNAPSHOT, 1, members(2)))
--- a/tests/test_serving.py
+++ b/tests/test_serving.py
@@ -6,41 +6,41 @@
 import re
 
 import pytest
-from stage import Seen, Stage, accept, job, play, read_message, reply
+from harness import Harness, ReceivedMessage, accept_job, job_bytes, read_message, reply, run_scenario
 
 
 def test_a_job_is_passed_on_unchanged_and_its_result_is_the_answer() -> None:
-    async def story(scene: Stage) -> None:
-        asked = asyncio.create_task(scene.post("/publish/a?b=%20c", b"\x00work", Idempotency_Key="k1"))
-        sent = await scene.workers[0].seen.get()
-        assert sent.start == "POST /publish/a?b=%20c HTTP/1.1"
+    async def scenario(harness: Harness) -> None:
+        asked = asyncio.create_task(harness.post("/publish/a?b=%20c", b"\x00work", Idempotency_Key="k1"))
+        sent = await harness.workers[0].seen.get()
+        assert sent.start_line == "POST /publish/a?b=%20c HTTP/1.1"
         assert sent.body == b"\x00work"
         assert (sent.headers["x-request-id"], sent.headers["idempotency-key"]) == ("r1", "k1")
         assert 4000 < int(sent.headers["x-timeout-ms"]) <= 5000
-        assert (await scene.news(state="started")).status == 204
-        assert (await scene.news(state="done", result="made \u00e9")).status == 204
+        assert (await harness.callback(state="started")).status == 204
+        assert (await harness.callback(state="done", result="made \u00e9")).status == 204
         answer = await asked
         assert (answer.status, answer.body.decode()) == (200, "made \u00e9")
-        assert (await scene.news(state="done", result="made again")).status == 204
+        assert (await harness.callback(state="done", result="made again")).status == 204
 
-    play(story)
+    run_scenario(scenario)
 
 
 def test_a_result_that_comes_before_the_202_counts() -> None:
     told = asyncio.Event()
 
-    async def late(_message: Seen) -> bytes | None:
+    async def late(_message: ReceivedMessage) -> bytes | None:
         await told.wait()
         return reply(202)
 
-    async def story(scene: Stage) -> None:
-        asked = asyncio.create_task(scene.post())
-        await scene.workers[0].seen.get()
-        await scene.news(state="done", result="early")
+    async def scenario(harness: Harness) -> None:
+        asked = asyncio.create_task(harness.post())
+        await harness.workers[0].seen.get()
+        await harness.callback(state="done", result="early")
         assert (await asked).body == b"early"
         told.set()
 
-    play(story, late)
+    run_scenario(scenario, late)
 
 
 @pytest.mark.parametrize(
@@ -59,39 +59,39 @@
 def test_what_a_worker_answers_is_told_to_the_module(
     answer: bytes | None, outcome: str, capfd: pytest.CaptureFixture[str]
 ) -> None:
-    async def script(_message: Seen) -> bytes | None:
+    async def script(_message: ReceivedMessage) -> bytes | None:
         return answer
 
-    async def story(scene: Stage) -> None:
-        refused = await scene.post("/publish", Idempotency_Key="k", X_Timeout_Ms="300")
+    async def scenario(harness: Harness) -> None:
+        refused = await harness.post("/publish", Idempotency_Key="k", X_Timeout_Ms="300")
         assert refused.status == (503 if outcome == "turned_away" else 502)
         assert ("retry-after" in refused.headers) == (refused.status == 503)
-        await scene.stop()
-        await scene.running
+        await harness.stop()
+        await harness.running
 
-    play(story, script)
+    run_scenario(scenario, script)
     assert re.search(rf"outcome_{outcome}=\d", capfd.readouterr().err)
 
 
 @pytest.mark.parametrize(
     ("status", "why", "data"),
     [
-        (400, b"X-Request-ID", job(X_Request_ID=None)),
-        (400, b"X-Request-ID", job(X_Request_ID="a b")),
-        (400, b"X-Tenant-Id", job(X_Tenant_Id="nobody")),
-        (400, b"X-Tenant-Id", job(X_Tenant_Id=None)),
-        (400, b"X-Timeout-Ms", job(X_Timeout_Ms=None)),
-        (400, b"X-Timeout-Ms", job(X_Timeout_Ms="-5")),
-        (400, b"X-Timeout-Ms", job(X_Timeout_Ms="0")),
-        (400, b"X-Timeout-Ms", job(X_Timeout_Ms="9" * 400)),
-        (400, b"Idempotency-Key", job("/publish")),
-        (400, b"X-Attrs", job(X_Attrs="slots=nan")),
-        (404, b"class", job("/unknown")),
-        (404, b"no such path", job("/unknown", method="GET")),
-        (405, b"POST", job(method="GET")),
-        (405, b"GET", job("/up")),
-        (405, b"POST", job("/_jobs/news", method="PUT")),
-        (413, b"65536", job(body=b"x" * 65537)),
+        (400, b"X-Request-ID", job_bytes(X_Request_ID=None)),
+        (400, b"X-Request-ID", job_bytes(X_Request_ID="a b")),
+        (400, b"X-Tenant-Id", job_bytes(X_Tenant_Id="nobody")),
+        (400, b"X-Tenant-Id", job_bytes(X_Tenant_Id=None)),
+        (400, b"X-Timeout-Ms", job_bytes(X_Timeout_Ms=None)),
+        (400, b"X-Timeout-Ms", job_bytes(X_Timeout_Ms="-5")),
+        (400, b"X-Timeout-Ms", job_bytes(X_Timeout_Ms="0")),
+        (400, b"X-Timeout-Ms", job_bytes(X_Timeout_Ms="9" * 400)),
+        (400, b"Idempotency-Key", job_bytes("/publish")),
+        (400, b"X-Attrs", job_bytes(X_Attrs="slots=nan")),
+        (404, b"class", job_bytes("/unknown")),
+        (404, b"no such path", job_bytes("/unknown", method="GET")),
+        (405, b"POST", job_bytes(method="GET")),
+        (405, b"GET", job_bytes("/up")),
+        (405, b"POST", job_bytes("/_jobs/news", method="PUT")),
+        (413, b"65536", job_bytes(body=b"x" * 65537)),
         (
             413,
             b"65536",
@@ -107,35 +107,35 @@
     ],
 )
 def test_bad_input_is_answered_with_what_is_wrong(status: int, why: bytes, data: bytes) -> None:
-    async def story(scene: Stage) -> None:
-        answer = await scene.ask(data)
+    async def scenario(harness: Harness) -> None:
+        answer = await harness.request(data)
         assert answer.status == status
         assert why in answer.body
-        assert scene.workers[0].seen.empty()
-        assert (await scene.ask(b"GET /up HTTP/1.1\r\n\r\n")).status == 200
+        assert harness.workers[0].seen.empty()
+        assert (await harness.request(b"GET /up HTTP/1.1\r\n\r\n")).status == 200
 
-    play(story)
+    run_scenario(scenario)
 
 
-HIDDEN = job(X_Request_ID="hidden")
+HIDDEN = job_bytes(X_Request_ID="hidden")
 CHUNKED = b"%x\r\n%s\r\n0\r\n\r\n" % (len(HIDDEN), HIDDEN)
 
 
 @pytest.mark.parametrize(
     "data",
     [
-        job(body=b"0\r\n\r\n" + HIDDEN, Transfer_Encoding="chunked"),
-        job(body=HIDDEN, Transfer_Encoding="chunked, identity"),
-        job(body=CHUNKED, Transfer_Encoding="xchunked", Content_Length=None),
-        job(body=CHUNKED, Transfer_Encoding=" chunked", Content_Length="0"),
-        job(body=HIDDEN, Content_Length=f"0\r\nContent-Length: {len(HIDDEN)}"),
-        job(body=HIDDEN, Content_Length="4, 4"),
+        job_bytes(body=b"0\r\n\r\n" + HIDDEN, Transfer_Encoding="chunked"),
+        job_bytes(body=HIDDEN, Transfer_Encoding="chunked, identity"),
+        job_bytes(body=CHUNKED, Transfer_Encoding="xchunked", Content_Length=None),
+        job_bytes(body=CHUNKED, Transfer_Encoding=" chunked", Content_Length="0"),
+        job_bytes(body=HIDDEN, Content_Length=f"0\r\nContent-Length: {len(HIDDEN)}"),
+        job_bytes(body=HIDDEN, Content_Length="4, 4"),
         *(
-            job(body=HIDDEN, Content_Length=length)
+            job_bytes(body=HIDDEN, Content_Length=length)
             for length in ("-1", "+4", "4x", "0x4", "", "9" * 30, "18446744073709551620")
         ),
         *(
-            job(body=chunk + HIDDEN, Transfer_Encoding="chunked", Content_Length=None)
+            job_bytes(body=chunk + HIDDEN, Transfer_Encoding="chunked", Content_Length=None)
             for chunk in (
                 b"-1\r\n",
                 b"+1\r\nx\r\n",
@@ -145,21 +145,21 @@
                 b"\n4\r\n",
             )
         ),
-        job(body=HIDDEN, Bad_Header="a\x00b"),
-        job(body=HIDDEN, method="PO ST"),
-        job().replace(b"\r\n\r\n", b"\r\nno colon\r\n\r\n", 1),
+        job_bytes(body=HIDDEN, Bad_Header="a\x00b"),
+        job_bytes(body=HIDDEN, method="PO ST"),
+        job_bytes().replace(b"\r\n\r\n", b"\r\nno colon\r\n\r\n", 1),
     ],
 )
 def test_faulty_framing_is_refused_and_nothing_behind_it_is_passed_on(data: bytes) -> None:
-    async def story(scene: Stage) -> None:
-        reader, writer = await scene.open()
+    async def scenario(harness: Harness) -> None:
+        reader, writer = await harness.open()
         writer.write(data + HIDDEN)
         answer = await reader.read()  # to its end: the connection is closed
         assert re.match(rb"HTTP/1.1 (400|413) ", answer)
         assert answer.count(b"HTTP/1.1 ") == 1
-        assert scene.workers[0].seen.empty()
+        assert harness.workers[0].seen.empty()
 
-    play(story)
+    run_scenario(scenario)
 
 
 @pytest.mark.parametrize(
@@ -184,102 +184,102 @@
     ],
 )
 def test_a_bad_call_back_is_dropped_with_a_204(body: bytes) -> None:
-    async def story(scene: Stage) -> None:
-        asked = asyncio.create_task(scene.post())
-        await scene.workers[0].seen.get()
+    async def scenario(harness: Harness) -> None:
+        asked = asyncio.create_task(harness.post())
+        await harness.workers[0].seen.get()
         head = b"POST /_jobs/news HTTP/1.1\r\nContent-Length: %d\r\n\r\n" % len(body)
-        assert (await scene.ask(head + body)).status == 204
+        assert (await harness.request(head + body)).status == 204
         assert not asked.done()
-        await scene.news(state="done", result="good", load={"x0": "much"})
+        await harness.callback(state="done", result="good", load={"x0": "much"})
         assert (await asked).body == b"good"
 
-    play(story)
+    run_scenario(scenario)
 
 
 def test_an_id_in_work_is_not_taken_twice() -> None:
-    async def story(scene: Stage) -> None:
-        asked = asyncio.create_task(scene.post())
-        await scene.workers[0].seen.get()
-        assert (await scene.post()).status == 409
-        await scene.news(state="done", result="once")
+    async def scenario(harness: Harness) -> None:
+        asked = asyncio.create_task(harness.post())
+        await harness.workers[0].seen.get()
+        assert (await harness.post()).status == 409
+        await harness.callback(state="done", result="once")
         assert (await asked).body == b"once"
 
-    play(story)
+    run_scenario(scenario)
 
 
 def test_connections_are_reused_but_not_near_the_idle_limit() -> None:
-    async def story(scene: Stage) -> None:
-        worker = scene.workers[0]
+    async def scenario(harness: Harness) -> None:
+        worker = harness.workers[0]
         for name, pause in (("r1", 0.0), ("r2", 0.0), ("r3", 0.6)):
-            asked = asyncio.create_task(scene.post(X_Request_ID=name))
+            asked = asyncio.create_task(harness.post(X_Request_ID=name))
             await worker.seen.get()
-            await scene.news(id=name, state="done", result=name)
+            await harness.callback(id=name, state="done", result=name)
             assert (await asked).status == 200
             if pause:
                 await worker.ended.get()  # closed by the dispatcher within the worker's limit
             assert worker.connections == 1
 
-    play(story)
+    run_scenario(scenario)
 
 
 def test_connections_that_break_when_used_again_are_kept_for_less_long() -> None:
-    async def script(message: Seen) -> bytes | None:
+    async def script(message: ReceivedMessage) -> bytes | None:
         if message.headers["x-request-id"] == "r2":
             return None
         return reply(202)
 
-    async def served(scene: Stage, name: str) -> None:
-        asked = asyncio.create_task(scene.post(X_Request_ID=name))
-        await scene.workers[0].seen.get()
-        await scene.news(id=name, state="done", result=name)
+    async def served(harness: Harness, name: str) -> None:
+        asked = asyncio.create_task(harness.post(X_Request_ID=name))
+        await harness.workers[0].seen.get()
+        await harness.callback(id=name, state="done", result=name)
         assert (await asked).status == 200
 
-    async def story(scene: Stage) -> None:
-        worker = scene.workers[0]
-        await served(scene, "r1")
+    async def scenario(harness: Harness) -> None:
+        worker = harness.workers[0]
+        await served(harness, "r1")
         await asyncio.sleep(0.1)  # well within the 0.4 s of the settings
-        assert (await scene.post(X_Request_ID="r2")).status == 503
+        assert (await harness.post(X_Request_ID="r2")).status == 503
         assert (await worker.seen.get()).headers["x-request-id"] == "r2"
-        await served(scene, "r4")
+        await served(harness, "r4")
         before = worker.connections
         await asyncio.sleep(0.1)
-        await served(scene, "r5")
+        await served(harness, "r5")
         assert worker.connections == before + 1  # not used again after 0.1 s
 
-    play(story, script)
+    run_scenario(scenario, script)
 
 
 def test_a_pipelined_request_waits_its_turn() -> None:
-    async def story(scene: Stage) -> None:
-        reader, writer = await scene.open()
-        writer.write(job(X_Request_ID="r1") + job(X_Request_ID="r2"))
+    async def scenario(harness: Harness) -> None:
+        reader, writer = await harness.open()
+        writer.write(job_bytes(X_Request_ID="r1") + job_bytes(X_Request_ID="r2"))
         for name in ("r1", "r2"):
-            assert (await scene.workers[0].seen.get()).headers["x-request-id"] == name
-            await scene.news(id=name, state="done", result=name)
+            assert (await harness.workers[0].seen.get()).headers["x-request-id"] == name
+            await harness.callback(id=name, state="done", result=name)
             assert (await read_message(reader)).body == name.encode()
         writer.close()
 
-    play(story)
+    run_scenario(scenario)
 
 
 def test_after_sigterm_what_is_in_work_gets_its_result_and_the_rest_a_refusal() -> None:
-    async def story(scene: Stage) -> None:
-        reader, writer = await scene.open()  # an idle client
-        asked = asyncio.create_task(scene.post())
-        await scene.workers[0].seen.get()
-        await scene.stop()
+    async def scenario(harness: Harness) -> None:
+        reader, writer = await harness.open()  # an idle client
+        asked = asyncio.create_task(harness.post())
+        await harness.workers[0].seen.get()
+        await harness.stop()
         assert await reader.read() == b""  # the idle client is parted with
         await asyncio.sleep(0.3)  # from 0.45 to beyond 0.6 s after the signal
-        late = await scene.post(X_Request_ID="r2")
+        late = await harness.post(X_Request_ID="r2")
         assert (late.status, late.headers["connection"]) == (503, "close")
-        await scene.news(state="done", result="kept")  # on a connection of its own, as each call-back
+        await harness.callback(state="done", result="kept")  # on a connection of its own, as each call-back
         answer = await asked
         assert (answer.body, answer.headers["connection"]) == (b"kept", "close")
-        await scene.running
+        await harness.running
         with pytest.raises(OSError):
-            await scene.open()
+            await harness.open()
 
-    play(story, accept)
+    run_scenario(scenario, accept_job)
 
 
 @pytest.mark.parametrize("before", [False, True])
@@ -289,72 +289,72 @@
     """Once a job had come with all its time, the less of a process that ends was taken for a repeat, and refused."""
     monkeypatch.setattr("beaconhinge.net.listener.LONGEST", 1.5)
 
-    async def story(scene: Stage) -> None:
-        (reader, writer), (slow_reader, slow_writer) = await scene.open(), await scene.open()
+    async def scenario(harness: Harness) -> None:
+        (reader, writer), (slow_reader, slow_writer) = await harness.open(), await harness.open()
         if before:
-            writer.write(job(X_Request_ID="r0"))
-            await scene.workers[0].seen.get()
-            await scene.news(id="r0", state="done", result="r0")
+            writer.write(job_bytes(X_Request_ID="r0"))
+            await harness.workers[0].seen.get()
+            await harness.callback(id="r0", state="done", result="r0")
             assert (await read_message(reader)).body == b"r0"
-        await scene.stop(alone=True)
+        await harness.stop(alone=True)
         await asyncio.sleep(0.7)  # with others about it would have parted with both
         for name in ("r1", "r2"):
-            writer.write(job(X_Request_ID=name))
-            assert (await scene.workers[0].seen.get()).headers["x-request-id"] == name
-            await scene.news(id=name, state="done", result=name)
+            writer.write(job_bytes(X_Request_ID=name))
+            assert (await harness.workers[0].seen.get()).headers["x-request-id"] == name
+            await harness.callback(id=name, state="done", result=name)
             answer = await read_message(reader)
             assert (answer.body, answer.headers.get("connection")) == (name.encode(), None)
-        slow_writer.write(job(X_Request_ID="r3"))
+        slow_writer.write(job_bytes(X_Request_ID="r3"))
         assert (
-            int((await scene.workers[0].seen.get()).headers["x-timeout-ms"]) < 1400
+            int((await harness.workers[0].seen.get()).headers["x-timeout-ms"]) < 1400
         )  # not the 5000 asked for
-        scene.other_speaks()
+        harness.send_peer_datagram()
         assert await reader.read() == b""  # parted with: it has somewhere to go
         answer = await read_message(slow_reader)  # before the program may be killed
         assert (answer.status, answer.headers["connection"]) == (503, "close")
-        await scene.running
+        await harness.running
 
-    play(story)
+    run_scenario(scenario)
 
 
-@pytest.mark.parametrize(("sent", "answer"), [(job()[:-2], 408), (job()[:30], 408), (b"", None)])
+@pytest.mark.parametrize(("sent", "answer"), [(job_bytes()[:-2], 408), (job_bytes()[:30], 408), (b"", None)])
 def test_half_a_message_or_none_does_not_hold_a_socket_for_long(
     monkeypatch: pytest.MonkeyPatch, sent: bytes, answer: int | None
 ) -> None:
     monkeypatch.setattr("beaconhinge.net.listener.FIRST_MESSAGE", 0.1)
 
-    async def story(scene: Stage) -> None:
-        reader, writer = await scene.open()
+    async def scenario(harness: Harness) -> None:
+        reader, writer = await harness.open()
         writer.write(sent)
         if answer is not None:
             assert (await read_message(reader)).status == answer
         assert await reader.read() == b""
 
-    play(story)
+    run_scenario(scenario)
 
 
-@pytest.mark.parametrize("sent", [b"", job()[:-2], b"GET /up HTTP/1.1\r\n\r\n"])
+@pytest.mark.parametrize("sent", [b"", job_bytes()[:-2], b"GET /up HTTP/1.1\r\n\r\n"])
 def test_a_crowd_that_stays_does_not_keep_out_clients_nor_news(sent: bytes) -> None:
-    async def story(scene: Stage) -> None:
+    async def scenario(harness: Harness) -> None:
         crowd = []
         for _ in range(70):  # 64 descriptors leave 30 to clients
-            crowd.append(await scene.open())
+            crowd.append(await harness.open())
             crowd[-1][1].write(sent)
         async with asyncio.timeout(2):
-            asked = asyncio.create_task(scene.post())
-            await scene.workers[0].seen.get()
-            await scene.news(state="done", result="in time")
+            asked = asyncio.create_task(harness.post())
+            await harness.workers[0].seen.get()
+            await harness.callback(state="done", result="in time")
             assert (await asked).body == b"in time"
         for _, writer in crowd:
             writer.close()
 
-    play(story, limits={"sockets": 64})
+    run_scenario(scenario, limits={"sockets": 64})
 
 
 def test_unfinished_bodies_are_bounded_by_the_memory() -> None:
-    async def story(scene: Stage) -> None:
-        half = job(body=b"x" * 60000)[:-1]
-        crowd = [await scene.open() for _ in range(45)]  # 32 MB leave room for 41 of them
+    async def scenario(harness: Harness) -> None:
+        half = job_bytes(body=b"x" * 60000)[:-1]
+        crowd = [await harness.open() for _ in range(45)]  # 32 MB leave room for 41 of them
         for _, writer in crowd:
             writer.write(half)
         answers = [asyncio.create_task(read_message(reader)) for reader, _ in crowd]
@@ -365,41 +365,41 @@
         await asyncio.wait(rest)  # each ends with its connection, and what it held is given back
         for answer in rest:
             assert isinstance(answer.exception(), asyncio.IncompleteReadError)
-        assert (await scene.post(body=b"x" * 60000, X_Timeout_Ms="100")).status == 503
+        assert (await harness.post(body=b"x" * 60000, X_Timeout_Ms="100")).status == 503
 
-    play(story, limits={"sockets": 256, "memory_mb": 32})
+    run_scenario(scenario, limits={"sockets": 256, "memory_mb": 32})
 
 
 def test_a_defect_in_the_frontend_is_answered_with_a_500(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr("beaconhinge.net.listener._extras", lambda text: 1 / 0)
 
-    async def story(scene: Stage) -> None:
-        assert (await scene.post()).status == 500
+    async def scenario(harness: Harness) -> None:
+        assert (await harness.post()).status == 500
 
-    play(story)
+    run_scenario(scenario)
 
 
 def test_short_of_sockets_new_connections_wait_and_none_is_closed_on_its_request() -> None:
-    async def slow(scene: Stage, name: str) -> int:
-        reader, writer = await scene.open()
+    async def slow(harness: Harness, name: str) -> int:
+        reader, writer = await harness.open()
         await asyncio.sleep(0.05)
-        writer.write(job(X_Request_ID=name, X_Timeout_Ms="200", body=b"x" * 20000))
+        writer.write(job_bytes(X_Request_ID=name, X_Timeout_Ms="200", body=b"x" * 20000))
         status = (await read_message(reader)).status
         writer.close()
         return status
 
-    async def story(scene: Stage) -> None:  # 64 descriptors leave 30 to clients
-        assert await asyncio.gather(*(slow(scene, f"r{i}") for i in range(50))) == [503] * 50
+    async def scenario(harness: Harness) -> None:  # 64 descriptors leave 30 to clients
+        assert await asyncio.gather(*(slow(harness, f"r{i}") for i in range(50))) == [503] * 50
 
-    play(story, limits={"sockets": 64})
+    run_scenario(scenario, limits={"sockets": 64})
 
 
 def test_short_of_sockets_long_idle_clients_make_room() -> None:
-    async def story(scene: Stage) -> None:
-        idle = [await scene.open() for _ in range(30)]
-        assert (await scene.post(X_Timeout_Ms="200")).status == 503
+    async def scenario(harness: Harness) -> None:
+        idle = [await harness.open() for _ in range(30)]
+        assert (await harness.post(X_Timeout_Ms="200")).status == 503
         assert await idle[0][0].read() == b""
         for _, writer in idle:
             writer.close()
 
-    play(story, limits={"sockets": 64})
+    run_scenario(scenario, limits={"sockets": 64})
--- a/tests/test_wall_clock.py
+++ b/tests/test_wall_clock.py
@@ -8,7 +8,7 @@
 from typing import Any
 
 import pytest
-from stage import SETTINGS, Seen, Stage, play, reply
+from harness import SETTINGS, Harness, ReceivedMessage, reply, run_scenario
 
 from beaconhinge.membership.inventory import worker_number
 from beaconhinge.policy.dispatcher import Dispatcher
@@ -45,10 +45,10 @@
 
     monkeypatch.setattr("beaconhinge.__main__.Dispatcher", made)
 
-    async def story(scene: Stage) -> None:
+    async def scenario(harness: Harness) -> None:
         answered = asyncio.Event()
 
-        async def script(message: Seen) -> bytes | None:
+        async def script(message: ReceivedMessage) -> bytes | None:
             if answered.is_set():
                 await asyncio.Event().wait()
             answered.set()
@@ -56,14 +56,14 @@
             changes = {
                 "version": 1,
                 "full": False,
-                "servers": [scene.host(0, started_ms=round(started * 1000))],
+                "servers": [harness.host(0, started_ms=round(started * 1000))],
             }
             return reply(200, json.dumps(changes).encode())
 
-        await scene.discovery.seen.get()
+        await harness.discovery.seen.get()
         wall.step = process_step
-        scene.discovery.script = script
-        scene.discovery.cut()
+        harness.discovery.script = script
+        harness.discovery.cut()
         await answered.wait()
         module, number = modules[0], worker_number("s-0")
         while not module.workers[number].started_at:
@@ -73,4 +73,4 @@
         module.now += WARM_WITHIN + 1.0
         assert not module.cold(worker)
 
-    play(story, settings={**SETTINGS, "rules": {**SETTINGS["rules"], **SLOW_START}})
+    run_scenario(scenario, settings={**SETTINGS, "rules": {**SETTINGS["rules"], **SLOW_START}})
