--- a/tests/recovery/test_stall.py
+++ b/tests/recovery/test_stall.py
@@ -124,10 +124,10 @@
     fleet = Fleet(40, 0, 1, 0.5)
     fleet.start(100.0)
     fleet.turn(101.0)
-    assert fleet.leads
+    assert fleet.is_aggregator
     fleet.woke(110.0)
     fleet.turn(110.0)
-    assert not fleet.leads and not fleet.outbox[1:]
+    assert not fleet.is_aggregator and not fleet.outbox[1:]
     board = codec.encode_board(codec.Board(2, 1, 0, [(9, 3, 0, False)]))
     assert len(list(fleet.hear(110.1, 7, board))) == 1
     assert fleet.hub == 7 and fleet.others(9, 0.0) == 3
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -9,7 +9,13 @@
 from hypothesis import strategies as st
 
 from beaconhinge.gossip import codec
-from beaconhinge.gossip.aggregation import ALIVE, NO_BOARD, STAGGER, Fleet, Word
+from beaconhinge.gossip.aggregation import (
+    AGGREGATOR_TIMEOUT_S,
+    ELECTION_STAGGER_S,
+    HEARTBEAT_S,
+    Fleet,
+    WorkerObservation,
+)
 
 TICK = 0.05
 
@@ -24,7 +30,7 @@
         self.dead: set[int] = set()
         self.fleets = [self.fresh(number, size) for number in range(size)]
         self.out = [dict[int, int]() for _ in range(size)]  # by member and key of a worker
-        self.words: list[list[Word]] = [[] for _ in range(size)]
+        self.words: list[list[WorkerObservation]] = [[] for _ in range(size)]
         self.delivered = 0
 
     def fresh(self, number: int, size: int) -> Fleet:
@@ -63,7 +69,7 @@
                 if other not in (number, *self.dead) and self.random.random() >= self.loss:
                     self.delivered += 1
                     heard = list(self.fleets[other].hear(self.now, number, payload))
-                    self.words[other] += [word for word in heard if isinstance(word, Word)]
+                    self.words[other] += [word for word in heard if isinstance(word, WorkerObservation)]
 
     def seen(self, number: int, key: int) -> float:
         """Slots out on a worker, as a member sees it."""
@@ -80,7 +86,7 @@
 
 def test_the_lowest_number_becomes_the_hub_and_all_hear_of_each_send() -> None:
     circle = Circle()
-    circle.run(NO_BOARD + 0.3)
+    circle.run(AGGREGATOR_TIMEOUT_S + 0.3)
     assert circle.hubs == {0}
     for number in range(20):
         circle.send(number, number % 7)
@@ -102,7 +108,7 @@
         circle.send(number, 3)
     circle.run(0.3)
     circle.dead = set(range(14))  # most at once, the hub among them
-    circle.run(NO_BOARD + 14 * STAGGER + 0.5)
+    circle.run(AGGREGATOR_TIMEOUT_S + 14 * ELECTION_STAGGER_S + 0.5)
     assert circle.hubs == {14} and {circle.seen(n, 3) for n in range(14, 20)} == {6}
     for number in range(14):
         circle.restart(number)
@@ -150,7 +156,7 @@
     circle.run(4.0)  # neither has anything to tell, for longer than the hub waits for a word
     assert circle.seen(1, 2) == 2
     circle.dead = {8}
-    circle.run(2.0 + ALIVE + 0.5)
+    circle.run(2.0 + HEARTBEAT_S + 0.5)
     assert circle.seen(1, 2) == 1
 
 
--- a/tests/test_large_fleet.py
+++ b/tests/test_large_fleet.py
@@ -27,9 +27,9 @@
     assert ended.count("served") >= served * len(ended) > 600
     if not loss:  # each circle has its one hub again, which works
         fleets = [node.module.fleet for node in world.nodes]
-        hubs = {(fleet.own_number * fleet.circles // 200, fleet.hub) for fleet in fleets}
-        assert len(hubs) == fleets[0].circles == 5
-        assert all(hub is not None and fleets[hub].leads for _, hub in hubs)
+        hubs = {(fleet.own_number * fleet.group_count // 200, fleet.hub) for fleet in fleets}
+        assert len(hubs) == fleets[0].group_count == 5
+        assert all(hub is not None and fleets[hub].is_aggregator for _, hub in hubs)
 
 
 def test_a_fleet_of_two_hundred_finds_its_way_back_from_a_slow_down() -> None:
@@ -146,7 +146,7 @@
     fleet = Fleet(200, number, number + 1, 0.5)
     fleet.start(100.0)
     fleet.turn(now)
-    assert fleet.leads
+    assert fleet.is_aggregator
     fleet.outbox.clear()
     return fleet
 
@@ -175,26 +175,28 @@
     assert far.others(7, 0.0) == mate.others(7, 0.0) == 16.0
     assert near.others(7, 4.0) == 0.0
     mate.turn(now + 1.1)
-    assert not mate.sees_far and mate.others(7, 0.0) == 0.0  # old news are no news: its circle stands for all
+    assert (
+        not mate.hears_remote_groups and mate.others(7, 0.0) == 0.0
+    )  # old news are no news: its circle stands for all
 
 
 def test_a_hub_that_is_no_more_is_looked_for_from_the_first_member_on_and_the_lower_one_counts() -> None:
     fleet = led(0)
     board = {n: codec.encode_board(codec.Board(n, 1, 0, [(7, n - 40, 0, False)])) for n in (41, 42, 43)}
-    circle = fleet.far[1]
+    circle = fleet.remote_groups[1]
     assert list(circle.members) == list(range(40, 80))
     assert [circle.contact(101.0) for _ in range(3)] == [40, 41, 42]
     list(fleet.hear(101.0, 42, board[42]))
-    assert circle.contact(101.1) == 42 and circle.out[7] == 2
+    assert circle.contact(101.1) == 42 and circle.in_flight[7] == 2
     list(fleet.hear(101.1, 43, board[43]))  # it will give way
-    assert circle.hub == 42
+    assert circle.aggregator == 42
     list(fleet.hear(101.1, 41, board[41]))
-    assert circle.hub == 41 and circle.out[7] == 1
+    assert circle.aggregator == 41 and circle.in_flight[7] == 1
     list(fleet.hear(101.2, 41, board[41]))  # repeated
-    assert circle.heard == 101.1
+    assert circle.heard_at == 101.1
     assert [circle.contact(102.0) for _ in range(2)] == [40, 41]
     list(fleet.hear(102.0, 43, board[43]))  # the only one that is left
-    assert circle.hub == 43 and circle.out[7] == 3
+    assert circle.aggregator == 43 and circle.in_flight[7] == 3
 
 
 def test_a_far_board_that_was_lost_is_mended_though_nothing_changes() -> None:
@@ -225,6 +227,8 @@
     hub = led(0)
     for payload, fleet in ((plain, member), (whole, hub)):
         list(fleet.hear(101.0, 45, payload))
-        assert not fleet.sees_far and not any(circle.out for circle in fleet.far.values())
+        assert not fleet.hears_remote_groups and not any(
+            circle.in_flight for circle in fleet.remote_groups.values()
+        )
     for cut in range(len(whole)):
         list(hub.hear(101.0, 45, whole[:cut]))
