--- a/beaconhinge/gossip/codec.py
+++ b/beaconhinge/gossip/codec.py
@@ -1,155 +1,271 @@
-"""Bytes of what dispatchers tell each other: versioned, 256 bytes at most, big-endian.
-
-News are short and frequent: what was sent to which worker, and how it ended. A board is a hub's sum of them:
-slots out by worker, and how each has done. A far board tells a circle what all others have out. A report is
-rarer: the work admitted and denied in each bucket since the sender's last report, what a worker of each kind
-was found to hold, and the sender's slots out on each worker, which mends what lost news left wrong. Workers
-are named by a key of 14 bits; two workers with one key count for each other, which is harmless while it is
-rare.
-`decode` answers None to whatever is foreign, truncated or of another version; whether it is stale is for its
-receiver, which compares incarnation and sequence.
+"""Datagrams between dispatchers: typed messages and their bytes, 256 at most, versioned, big-endian.
+
+Deltas are short and frequent: what was sent to which worker, and how it ended. An aggregate is their sum by
+an aggregator: slots in flight by worker, and how each has done. A remote aggregate tells a group what all
+others have in flight. A report is rarer: the work admitted and denied in each bucket since the sender's last
+report, what a worker of each kind was found to hold, and the sender's slots in flight on each worker, which
+corrects what lost deltas left wrong. Workers are named by a key of 14 bits; two workers with one key count for
+each other, which is harmless while it is rare.
+
+`decode` answers None to whatever is foreign, truncated or of another version; whether a message is stale is
+for its receiver, which compares incarnation and sequence.
 """
 
 from __future__ import annotations
 
 import math
 import struct
+from collections.abc import Sequence
 from dataclasses import dataclass, field
+from enum import IntEnum
+from typing import NamedTuple, TypeAlias
 
 MAX_BYTES = 256
-NEWS, REPORT, BOARD, FAR = 0x73, 0x74, 0x75, 0x76  # magic and version in one
-# What news tell: a send, its good end, an end by the worker's fault, any other end.
-SENT, SERVED, FAILED, ENDED = range(4)
 KEYS = 1 << 14
-_NEWS = struct.Struct(">BBB")
-_REPORT = struct.Struct(">BBHHBBB")
-_KIND = struct.Struct(">BB")
-_BOARD = struct.Struct(">BBBB")
-_ENTRY = struct.Struct(">HB")  # key, then slots out, failures and served in 5, 2 and 1 bits
-BOARD_MOST = (MAX_BYTES - _BOARD.size) // _ENTRY.size
-_BUCKET = struct.Struct(">BBBB")
-_WORKER = struct.Struct(">HB")
-_STEP = math.log(1.1)  # a count of work takes one byte: from 0.05 s on in steps of a tenth, to 1.6e9 s
-_LEAST = 0.05
+SEQUENCE_MASK = 0xFF
+REPORT_SEQUENCE_MASK = 0xFFFF
+
+
+class MessageType(IntEnum):
+    """First byte of a datagram: type and version in one."""
+
+    DELTAS = 0x73
+    REPORT = 0x74
+    AGGREGATE = 0x75
+    REMOTE_AGGREGATE = 0x76
+
+
+class DeltaKind(IntEnum):
+    """What a delta says of a worker."""
+
+    SENT = 0
+    SERVED = 1
+    FAILED = 2  # ended by the worker's fault
+    ENDED = 3  # any other end
+
+
+SENT, SERVED, FAILED, ENDED = DeltaKind
+NEWS, REPORT, BOARD, FAR = MessageType
+
+_DELTAS_HEAD = struct.Struct(">BBB")  # type, incarnation, sequence
+_REPORT_HEAD = struct.Struct(">BBHHBBB")  # type, incarnation, sequence, span in ms, counts of each list
+_AGGREGATE_HEAD = struct.Struct(">BBBB")  # type, incarnation, sequence, sends
+_KIND_LIMIT = struct.Struct(">BB")  # kind of worker, slots in eighths
+_WORKER_LOAD = struct.Struct(">HB")  # key, then slots in flight, failures and served in 5, 2 and 1 bits
+_BUCKET = struct.Struct(">BBBB")  # tenant, class, work allowed, work denied
+_WORKER_SLOTS = struct.Struct(">HB")  # key, slots in flight
+BOARD_MOST = (MAX_BYTES - _AGGREGATE_HEAD.size) // _WORKER_LOAD.size
+_MAX_DELTAS = (MAX_BYTES - _DELTAS_HEAD.size) // 2
+_MAX_KIND_LIMITS = 16
+_SLOTS_PER_LIMIT_UNIT = 8
+_MAX_LOAD_SLOTS = 31
+_MAX_LOAD_FAILURES = 3
+_MAX_BYTE = 0xFF
+_MAX_SPAN_MS = 0xFFFF
+
+# A count of work takes one byte: from 0.05 s on in steps of a tenth, up to 1.6e9 s.
+_WORK_STEP = math.log(1.1)
+_LEAST_WORK_S = 0.05
+
+
+class Delta(NamedTuple):
+    """One attempt, or its end, on a worker."""
+
+    key: int
+    kind: int
+
+
+class WorkerLoad(NamedTuple):
+    """A worker in an aggregate: slots in flight (31 at most), failures (3 at most), whether it has served."""
+
+    key: int
+    in_flight: int
+    failures: int
+    served: bool
+
+
+class BucketUsage(NamedTuple):
+    """Work of a tenant in a class since the last report, in seconds."""
+
+    tenant: int
+    cls: int
+    allowed: float
+    denied: float
 
 
 @dataclass(slots=True)
 class News:
+    """Deltas of one dispatcher, for its aggregator or, in a small group, for all."""
+
     incarnation: int
     sequence: int  # of 8 bits
-    entries: list[tuple[int, int]] = field(default_factory=list)  # key of a worker, and what
+    entries: list[Delta] = field(default_factory=list)
 
 
 @dataclass(slots=True)
 class Board:
+    """An aggregate of a group.
+
+    Attributes:
+        sends: Attempts of the whole group since the last aggregate, 255 at most.
+        far: The slots in flight are those of all other groups, not of the own one.
+    """
+
     incarnation: int
     sequence: int  # of 8 bits
-    sends: int  # of the whole circle since the last board, 255 at most
-    # Key of a worker, slots out on it (31 at most), its failures (3 at most), whether it served since then.
-    entries: list[tuple[int, int, int, bool]] = field(default_factory=list)
-    far: bool = False  # slots that all other circles have out, in place of the own one's
+    sends: int
+    entries: list[WorkerLoad] = field(default_factory=list)
+    far: bool = False
 
 
 @dataclass(slots=True)
 class Report:
+    """Demand, learned limits and attempts in flight of one dispatcher.
+
+    Attributes:
+        sequence: Of 16 bits; its lower half orders it among deltas and aggregates.
+        span: Seconds that the counts cover.
+        limits: Kinds of workers, each with the slots that one holds.
+        slots_out: Keys of workers, each with the sender's slots in flight.
+    """
+
     incarnation: int
-    sequence: int  # of 16 bits; its lower half orders it among news and boards
-    span: float  # seconds that the counts cover
-    # tenant, class, work allowed, work denied
-    buckets: list[tuple[int, int, float, float]] = field(default_factory=list)
-    limits: list[tuple[int, float]] = field(default_factory=list)  # kind of worker, slots that one holds
-    slots_out: list[tuple[int, int]] = field(default_factory=list)  # key of a worker, slots
+    sequence: int
+    span: float
+    buckets: Sequence[tuple[int, int, float, float]] = field(default_factory=list)
+    limits: list[tuple[int, float]] = field(default_factory=list)
+    slots_out: list[tuple[int, int]] = field(default_factory=list)
+
+
+Message: TypeAlias = News | Board | Report
 
 
 def key(worker: int) -> int:
-    """The same at every dispatcher; scatters ids that may run on."""
+    """The worker's name in messages, the same at every dispatcher; scatters ids that may run on."""
     return mix(worker) % KEYS
 
 
 def mix(number: int) -> int:
+    """A hash of 32 bits that every dispatcher computes alike."""
     number = (number ^ number >> 16) * 0x45D9F3B & 0xFFFFFFFF
     return (number ^ number >> 16) * 0x45D9F3B & 0xFFFFFFFF
 
 
 def encode_news(news: News) -> bytes:
-    words = [k << 2 | what for k, what in news.entries[: (MAX_BYTES - _NEWS.size) // 2]]
-    head = _NEWS.pack(NEWS, news.incarnation & 0xFF, news.sequence & 0xFF)
+    """Bytes of a message of deltas; those that do not fit are left out."""
+    words = [worker << 2 | kind for worker, kind in news.entries[:_MAX_DELTAS]]
+    head = _DELTAS_HEAD.pack(MessageType.DELTAS, news.incarnation & _MAX_BYTE, news.sequence & SEQUENCE_MASK)
     return head + struct.pack(f">{len(words)}H", *words)
 
 
 def encode_board(board: Board) -> bytes:
-    head = _BOARD.pack(
-        FAR if board.far else BOARD, board.incarnation & 0xFF, board.sequence & 0xFF, min(255, board.sends)
-    )
-    return head + b"".join(
-        _ENTRY.pack(k, min(31, max(0, slots)) << 3 | min(3, failures) << 1 | served)
-        for k, slots, failures, served in board.entries[:BOARD_MOST]
+    """Bytes of an aggregate; entries that do not fit are left out."""
+    head = _AGGREGATE_HEAD.pack(
+        MessageType.REMOTE_AGGREGATE if board.far else MessageType.AGGREGATE,
+        board.incarnation & _MAX_BYTE,
+        board.sequence & SEQUENCE_MASK,
+        min(_MAX_BYTE, board.sends),
     )
+    return head + b"".join(_encode_load(entry) for entry in board.entries[:BOARD_MOST])
+
+
+def _encode_load(entry: WorkerLoad) -> bytes:
+    worker, slots, failures, served = entry
+    bits = min(_MAX_LOAD_SLOTS, max(0, slots)) << 3 | min(_MAX_LOAD_FAILURES, failures) << 1 | served
+    return _WORKER_LOAD.pack(worker, bits)
 
 
 def encode(report: Report) -> bytes:
-    limits = report.limits[:16]
-    room = MAX_BYTES - _REPORT.size - len(limits) * _KIND.size
+    """Bytes of a report; buckets, then workers that do not fit are left out."""
+    limits = report.limits[:_MAX_KIND_LIMITS]
+    room = MAX_BYTES - _REPORT_HEAD.size - len(limits) * _KIND_LIMIT.size
     buckets = report.buckets[: room // _BUCKET.size]
     room -= len(buckets) * _BUCKET.size
-    workers = report.slots_out[: room // _WORKER.size]
-    span = min(65535, max(1, round(report.span * 1000)))
-    parts = [
-        _REPORT.pack(
-            REPORT,
-            report.incarnation & 0xFF,
-            report.sequence & 0xFFFF,
-            span,
-            len(limits),
-            len(buckets),
-            len(workers),
-        )
+    workers = report.slots_out[: room // _WORKER_SLOTS.size]
+    head = _REPORT_HEAD.pack(
+        MessageType.REPORT,
+        report.incarnation & _MAX_BYTE,
+        report.sequence & REPORT_SEQUENCE_MASK,
+        min(_MAX_SPAN_MS, max(1, round(report.span * 1000))),
+        len(limits),
+        len(buckets),
+        len(workers),
+    )
+    parts = [head]
+    parts += [
+        _KIND_LIMIT.pack(kind & _MAX_BYTE, min(_MAX_BYTE, round(limit * _SLOTS_PER_LIMIT_UNIT)))
+        for kind, limit in limits
     ]
-    parts += [_KIND.pack(kind & 255, min(255, round(limit * 8))) for kind, limit in limits]
     parts += [
-        _BUCKET.pack(tenant & 255, cls & 255, _to_byte(allowed), _to_byte(denied))
+        _BUCKET.pack(tenant & _MAX_BYTE, cls & _MAX_BYTE, _work_to_byte(allowed), _work_to_byte(denied))
         for tenant, cls, allowed, denied in buckets
     ]
-    parts += [_WORKER.pack(worker, min(255, slots)) for worker, slots in workers]
+    parts += [_WORKER_SLOTS.pack(worker, min(_MAX_BYTE, slots)) for worker, slots in workers]
     return b"".join(parts)
 
 
-def decode(payload: bytes) -> News | Board | Report | None:
-    if len(payload) > MAX_BYTES or len(payload) < _NEWS.size:
+def decode(payload: bytes) -> Message | None:
+    """The message in a datagram; None if it is foreign, truncated or of another version."""
+    if not _DELTAS_HEAD.size <= len(payload) <= MAX_BYTES:
         return None
-    if payload[0] == NEWS and len(payload) % 2:
-        _, incarnation, sequence = _NEWS.unpack_from(payload)
-        words = struct.unpack(f">{len(payload) // 2 - 1}H", payload[_NEWS.size :])
-        return News(incarnation, sequence, [(word >> 2, word & 3) for word in words])
-    if payload[0] in (BOARD, FAR) and len(payload) % _ENTRY.size == _BOARD.size % _ENTRY.size:
-        what, incarnation, sequence, sends = _BOARD.unpack_from(payload)
-        entries = [
-            (k, b >> 3, b >> 1 & 3, bool(b & 1)) for k, b in _ENTRY.iter_unpack(payload[_BOARD.size :])
-        ]
-        return Board(incarnation, sequence, sends, entries, what == FAR)
-    if payload[0] != REPORT or len(payload) < _REPORT.size:
+    message_type = payload[0]
+    if message_type == MessageType.DELTAS:
+        return _decode_deltas(payload)
+    if message_type in (MessageType.AGGREGATE, MessageType.REMOTE_AGGREGATE):
+        return _decode_aggregate(payload)
+    if message_type == MessageType.REPORT:
+        return _decode_report(payload)
+    return None
+
+
+def _decode_deltas(payload: bytes) -> News | None:
+    if len(payload) % 2 == 0:
         return None
-    _, incarnation, sequence, span, kinds, buckets, workers = _REPORT.unpack_from(payload)
-    middle = _REPORT.size + kinds * _KIND.size
-    at = middle + buckets * _BUCKET.size
-    if span == 0 or len(payload) != at + workers * _WORKER.size:
+    _, incarnation, sequence = _DELTAS_HEAD.unpack_from(payload)
+    words = struct.unpack(f">{len(payload) // 2 - 1}H", payload[_DELTAS_HEAD.size :])
+    return News(incarnation, sequence, [Delta(word >> 2, word & 3) for word in words])
+
+
+def _decode_aggregate(payload: bytes) -> Board | None:
+    if len(payload) % _WORKER_LOAD.size != _AGGREGATE_HEAD.size % _WORKER_LOAD.size:
+        return None
+    message_type, incarnation, sequence, sends = _AGGREGATE_HEAD.unpack_from(payload)
+    entries = [
+        WorkerLoad(worker, bits >> 3, bits >> 1 & 3, bool(bits & 1))
+        for worker, bits in _WORKER_LOAD.iter_unpack(payload[_AGGREGATE_HEAD.size :])
+    ]
+    return Board(incarnation, sequence, sends, entries, message_type == MessageType.REMOTE_AGGREGATE)
+
+
+def _decode_report(payload: bytes) -> Report | None:
+    if len(payload) < _REPORT_HEAD.size:
+        return None
+    _, incarnation, sequence, span_ms, kinds, buckets, workers = _REPORT_HEAD.unpack_from(payload)
+    buckets_at = _REPORT_HEAD.size + kinds * _KIND_LIMIT.size
+    workers_at = buckets_at + buckets * _BUCKET.size
+    if span_ms == 0 or len(payload) != workers_at + workers * _WORKER_SLOTS.size:
         return None
     return Report(
         incarnation,
         sequence,
-        span / 1000,
+        span_ms / 1000,
+        [
+            BucketUsage(tenant, cls, _work_from_byte(allowed), _work_from_byte(denied))
+            for tenant, cls, allowed, denied in _BUCKET.iter_unpack(payload[buckets_at:workers_at])
+        ],
         [
-            (tenant, cls, _from_byte(allowed), _from_byte(denied))
-            for tenant, cls, allowed, denied in _BUCKET.iter_unpack(payload[middle:at])
+            (kind, limit / _SLOTS_PER_LIMIT_UNIT)
+            for kind, limit in _KIND_LIMIT.iter_unpack(payload[_REPORT_HEAD.size : buckets_at])
         ],
-        [(kind, limit / 8) for kind, limit in _KIND.iter_unpack(payload[_REPORT.size : middle])],
-        list(_WORKER.iter_unpack(payload[at:])),
+        list(_WORKER_SLOTS.iter_unpack(payload[workers_at:])),
     )
 
 
-def _to_byte(work: float) -> int:
-    return 0 if work < _LEAST / 2 else min(255, max(1, 1 + round(math.log(work / _LEAST) / _STEP)))
+def _work_to_byte(work: float) -> int:
+    if work < _LEAST_WORK_S / 2:
+        return 0
+    return min(_MAX_BYTE, max(1, 1 + round(math.log(work / _LEAST_WORK_S) / _WORK_STEP)))
 
 
-def _from_byte(count: int) -> float:
-    return _LEAST * math.exp(_STEP * (count - 1)) if count else 0.0
+def _work_from_byte(count: int) -> float:
+    return _LEAST_WORK_S * math.exp(_WORK_STEP * (count - 1)) if count else 0.0
