--- a/beaconhinge/cli/demo.py
+++ b/beaconhinge/cli/demo.py
@@ -10,7 +10,7 @@
 import typer
 
 if TYPE_CHECKING:
-    from ..standin.harness import Figures, Scene
+    from ..standin.harness import DemoFleet, Figures
 
 LOOK = 0.5  # seconds between two pictures
 
@@ -43,9 +43,9 @@
 
 
 async def _play(seconds: float, boxes: int, rate: float, seed: int, live: bool) -> Figures:
-    from ..standin.harness import scene
+    from ..standin.harness import running_demo_fleet
 
-    async with scene(boxes, rate, seed) as made:
+    async with running_demo_fleet(boxes, rate, seed) as made:
         asking = asyncio.create_task(made.clients.run(seconds))
         if live and sys.stdout.isatty():
             await _show(made, asking)
@@ -53,7 +53,7 @@
         return made.figures(seconds, await made.stop())
 
 
-async def _show(made: Scene, asking: asyncio.Task[None]) -> None:
+async def _show(made: DemoFleet, asking: asyncio.Task[None]) -> None:
     from rich.live import Live
 
     with Live(_picture(made), refresh_per_second=4, transient=True) as live:
@@ -63,7 +63,7 @@
             live.update(_picture(made))
 
 
-def _picture(made: Scene) -> Any:
+def _picture(made: DemoFleet) -> Any:
     from rich.console import Group
     from rich.table import Table
 
--- a/beaconhinge/gossip/aggregation.py
+++ b/beaconhinge/gossip/aggregation.py
@@ -69,7 +69,7 @@
 
 
 class Spent:
-    """Work lately served: its division among classes, and how long a job of a class takes on a kind of worker."""
+    """Work lately served: its division among classes, and the time a job takes on a kind of worker."""
 
     def __init__(self) -> None:
         self._by_class: defaultdict[Hashable, float] = defaultdict(float)
--- a/beaconhinge/gossip/codec.py
+++ b/beaconhinge/gossip/codec.py
@@ -4,8 +4,8 @@
 an aggregator: slots in flight by worker, and how each has done. A remote aggregate tells a group what all
 others have in flight. A report is rarer: the work admitted and denied in each bucket since the sender's last
 report, what a worker of each kind was found to hold, and the sender's slots in flight on each worker, which
-corrects what lost deltas left wrong. Workers are named by a key of 14 bits; two workers with one key count for
-each other, which is harmless while it is rare.
+corrects what lost deltas left wrong. Workers are named by a key of 14 bits; two workers with one key count
+for each other, which is harmless while it is rare.
 
 `decode` answers None to whatever is foreign, truncated or of another version; whether a message is stale is
 for its receiver, which compares incarnation and sequence.
--- a/beaconhinge/simulator.py
+++ b/beaconhinge/simulator.py
@@ -1,4 +1,4 @@
-"""The adapter: text batches on standard input, one reply each on standard output. It decides nothing."""
+"""The adapter for the simulator: batches of events as text on standard input, actions on standard output."""
 
 from __future__ import annotations
 
@@ -19,29 +19,29 @@
 class _Line:
     """The values of one line, read by name so that a complaint can say which field is wrong."""
 
-    __slots__ = ("where", "parts")
+    __slots__ = ("location", "parts")
 
-    def __init__(self, where: str, parts: list[str]) -> None:
-        self.where = where
+    def __init__(self, location: str, parts: list[str]) -> None:
+        self.location = location
         self.parts = parts
 
-    def fail(self, name: str, what: str) -> WireError:
-        return WireError(f"{self.where}: {self.parts[0]}: field {name}: {what}")
+    def error(self, name: str, problem: str) -> WireError:
+        return WireError(f"{self.location}: {self.parts[0]}: field {name}: {problem}")
 
     def text(self, at: int, name: str) -> str:
         if at >= len(self.parts):
-            raise self.fail(name, "missing")
+            raise self.error(name, "missing")
         value = self.parts[at]
         return "" if value == "-" else value
 
-    def whole(self, at: int, name: str, default: int | None = None) -> int:
+    def integer(self, at: int, name: str, default: int | None = None) -> int:
         value = self.text(at, name)
         if value == "" and default is not None:
             return default
         try:
             return int(value)
         except ValueError:
-            raise self.fail(name, f"{value!r} is not a whole number") from None
+            raise self.error(name, f"{value!r} is not a whole number") from None
 
     def number(self, at: int, name: str, default: float | None = None) -> float:
         value = self.text(at, name)
@@ -50,16 +50,16 @@
         try:
             result = float(value)
         except ValueError:
-            raise self.fail(name, f"{value!r} is not a number") from None
+            raise self.error(name, f"{value!r} is not a number") from None
         if result - result != 0.0:
-            raise self.fail(name, f"{value!r} is not a finite number")
+            raise self.error(name, f"{value!r} is not a finite number")
         return result
 
-    def raw(self, at: int, name: str) -> bytes:
+    def hex_bytes(self, at: int, name: str) -> bytes:
         try:
             return bytes.fromhex(self.text(at, name))
         except ValueError:
-            raise self.fail(name, "not hex digits") from None
+            raise self.error(name, "not hex digits") from None
 
     def load(self, at: int, name: str) -> dict[str, float] | None:
         value = self.parts[at] if at < len(self.parts) else "-"
@@ -68,65 +68,68 @@
         try:
             return {key: float(number) for key, _, number in (p.partition(":") for p in value.split(","))}
         except ValueError:
-            raise self.fail(name, f"{value!r} is not a load report") from None
+            raise self.error(name, f"{value!r} is not a load report") from None
 
     def outcome(self, at: int, name: str) -> AttemptOutcome:
         value = self.text(at, name)
         if value not in WIRE_OUTCOMES:
-            raise self.fail(name, f"{value!r} is no outcome")
+            raise self.error(name, f"{value!r} is no outcome")
         return AttemptOutcome(value)
 
 
 def _job(line: _Line) -> interface.JobArrived:
     return interface.JobArrived(
-        line.whole(2, "call"),
-        line.whole(3, "cls"),
-        line.whole(4, "clientGroup", 0),
+        line.integer(2, "call"),
+        line.integer(3, "cls"),
+        line.integer(4, "clientGroup", 0),
         line.number(6, "remaining"),
         line.text(5, "routeKey"),
         line.number(7, "sizeHint", 0.0),
         line.number(8, "width", 1.0),
         line.number(9, "memory", 0.0),
-        line.whole(10, "flags", 0),
+        line.integer(10, "flags", 0),
     )
 
 
 def _resolved(line: _Line) -> interface.AttemptEnded:
     return interface.AttemptEnded(
-        line.whole(2, "call"),
-        line.whole(3, "worker"),
-        line.whole(7, "seqNo"),
+        line.integer(2, "call"),
+        line.integer(3, "worker"),
+        line.integer(7, "seqNo"),
         line.outcome(5, "outcome"),
         line.text(6, "settled") == "1",
         line.number(8, "latency", 0.0),
         line.load(9, "pressure"),
-        line.whole(4, "detail", 0),
+        line.integer(4, "detail", 0),
     )
 
 
 def _notice(line: _Line) -> interface.ProgressNotice:
     return interface.ProgressNotice(
-        line.whole(2, "call"),
-        line.whole(3, "worker"),
-        line.whole(4, "seqNo"),
-        line.whole(5, "what"),
+        line.integer(2, "call"),
+        line.integer(3, "worker"),
+        line.integer(4, "seqNo"),
+        line.integer(5, "what"),
         line.number(6, "x", 0.0),
     )
 
 
 def _head(line: _Line) -> interface.StreamStarted:
     return interface.StreamStarted(
-        line.whole(2, "call"), line.whole(3, "worker"), line.whole(5, "seqNo"), line.number(4, "latency", 0.0)
+        line.integer(2, "call"),
+        line.integer(3, "worker"),
+        line.integer(5, "seqNo"),
+        line.number(4, "latency", 0.0),
     )
 
 
 def _peer(line: _Line) -> interface.PeerMessage:
-    return interface.PeerMessage(line.whole(2, "originPeer"), line.raw(3, "contents"))
+    return interface.PeerMessage(line.integer(2, "originPeer"), line.hex_bytes(3, "contents"))
 
 
 def _probe(line: _Line) -> interface.ProbeResult:
     return interface.ProbeResult(
-        line.whole(2, "worker"),
+        line.integer(2, "worker"),
         line.outcome(3, "outcome"),
         line.number(4, "latency", 0.0),
         line.load(5, "pressure"),
@@ -140,8 +143,8 @@
     "HEAD_RECEIVED": _head,
     "NEIGHBOUR_SAYS": _peer,
     "CHECK_RESULT": _probe,
-    "REMINDER": lambda line: interface.TimerFired(line.whole(2, "tag")),
-    "VANISHED": lambda line: interface.ClientDisconnected(line.whole(2, "call")),
+    "REMINDER": lambda line: interface.TimerFired(line.integer(2, "tag")),
+    "VANISHED": lambda line: interface.ClientDisconnected(line.integer(2, "call")),
 }
 
 
@@ -156,7 +159,7 @@
     interface.CancelAttempt: lambda i, a: f"DROP_ATTEMPT\t{i}\t{a.request}\t{a.attempt}\n",
     interface.SetTimer: lambda i, a: f"NOTIFY_ME\t{i}\t{a.token}\t{_decimal(a.after)}\n",
     interface.SubscribeMembership: lambda i, a: f"STREAM_CHANGES\t{i}\t{int(a.enabled)}\n",
-    interface.FetchMembership: lambda i, a: f"LOOKUP\t{i}\n",
+    interface.FetchMembership: lambda i, _: f"LOOKUP\t{i}\n",
     interface.ProbeWorker: lambda i, a: f"INSPECT\t{i}\t{a.worker}\n",
     interface.CloseIdleConnections: lambda i, a: f"LET_GO\t{i}\t{a.worker}\n",
     interface.SendToPeer: lambda i, a: f"BROADCAST_TO\t{i}\t{a.peer}\t{a.payload.hex() or '-'}\n",
@@ -164,17 +167,22 @@
 }
 
 
-class Link:
-    """All instances of one process, each a Dispatcher of its own."""
+class SimulatorAdapter:
+    """Runs all instances of one simulator process, each a `Dispatcher` of its own."""
 
-    def __init__(self, source: TextIO, sink: TextIO, complaints: TextIO) -> None:
+    def __init__(self, source: TextIO, sink: TextIO, errors: TextIO) -> None:
         self.source = source
         self.sink = sink
-        self.complaints = complaints
+        self.errors = errors
         self.instances: dict[int, Dispatcher] = {}
-        self.unknown: set[str] = set()
+        self._unknown_events: set[str] = set()
 
     def run(self) -> int:
+        """Answer batches until the input ends.
+
+        Returns:
+            The exit status: 0 at the end of the input, 2 if it is malformed.
+        """
         number = 0
         try:
             while True:
@@ -182,12 +190,12 @@
                 if not line:
                     return 0
                 number += 1
-                number = self.batch(line.rstrip("\n").split("\t"), number)
+                number = self._answer_batch(line.rstrip("\n").split("\t"), number)
         except WireError as error:
-            print(error, file=self.complaints)
+            print(error, file=self.errors)
             return 2
 
-    def batch(self, head: list[str], number: int) -> int:
+    def _answer_batch(self, head: list[str], number: int) -> int:
         opening = _Line(f"line {number}", head)
         if head[0] != "BATCH":
             raise WireError(f"line {number}: expected BATCH, not {head[0]!r}")
@@ -208,85 +216,86 @@
             line = _Line(f"batch {index}, line {number}", parts)
             parser = parsers.get(name)
             if parser is not None:
-                self.handle(now, line.whole(1, "dispatcher"), parser(line), reply)
+                self._handle(now, line.integer(1, "dispatcher"), parser(line), reply)
             elif name == "DIRECTORY_UPDATE":
-                number = self.membership(now, line, index, number, reply)
+                number = self._update_membership(now, line, index, number, reply)
             elif name == "POWER_ON":
-                self.power_on(now, line, reply)
+                self._power_on(now, line, reply)
             elif name == "RETIRE":
-                self.instances.pop(line.whole(1, "dispatcher"), None)
-            elif name not in self.unknown:
-                self.unknown.add(name)
-                print(f"{line.where}: {name!r} is not a known event, skipped", file=self.complaints)
+                self.instances.pop(line.integer(1, "dispatcher"), None)
+            elif name not in self._unknown_events:
+                self._unknown_events.add(name)
+                print(f"{line.location}: {name!r} is not a known event, skipped", file=self.errors)
         reply.append(f"OK\t{index}\n")
         self.sink.write("".join(reply))
         self.sink.flush()
         return number
 
-    def handle(self, now: float, instance: int, event: interface.Event, reply: list[str]) -> None:
+    def _handle(self, now: float, instance: int, event: interface.Event, reply: list[str]) -> None:
         dispatcher = self.instances.get(instance)
         if dispatcher is None:
             return
         try:
             for action in dispatcher.handle(now, event):
                 reply.append(FORMATS[type(action)](instance, action))
-        except Exception as error:
-            self.crash(instance, error, reply)
+        except Exception as error:  # noqa: BLE001 - one instance that fails must not end the others
+            self._report_crash(instance, error, reply)
 
-    def crash(self, instance: int, error: Exception, reply: list[str]) -> None:
-        traceback.print_exc(file=self.complaints)
+    def _report_crash(self, instance: int, error: Exception, reply: list[str]) -> None:
+        traceback.print_exc(file=self.errors)
         self.instances.pop(instance, None)
         reply.append(f"CRASH\t{instance}\t{' '.join(f'{type(error).__name__}: {error}'.split())}\n")
 
-    def power_on(self, now: float, line: _Line, reply: list[str]) -> None:
-        instance = line.whole(1, "dispatcher")
-        seed = line.whole(2, "entropy")
+    def _power_on(self, now: float, line: _Line, reply: list[str]) -> None:
+        instance = line.integer(1, "dispatcher")
+        seed = line.integer(2, "entropy")
         pairs = {}
         for part in line.parts[3:]:
             key, equals, value = part.partition("=")
             if not equals:
-                raise line.fail("profileData", f"{part!r} is not a path=value pair")
+                raise line.error("profileData", f"{part!r} is not a path=value pair")
             pairs[key] = value
         try:
             self.instances[instance] = Dispatcher(interface.Settings.from_pairs(pairs), seed)
         except ValueError as error:
-            self.crash(instance, error, reply)
+            self._report_crash(instance, error, reply)
             return
-        self.handle(now, instance, interface.Start(), reply)
+        self._handle(now, instance, interface.Start(), reply)
 
-    def membership(self, now: float, line: _Line, index: str, number: int, reply: list[str]) -> int:
+    def _update_membership(self, now: float, line: _Line, index: str, number: int, reply: list[str]) -> int:
         how = line.text(2, "how")
         if how not in frozenset(UpdateKind):
-            raise line.fail("how", f"{how!r} is not known")
+            raise line.error("how", f"{how!r} is not known")
         members = []
-        for _ in range(line.whole(4, "rows", 0)):
+        for _ in range(line.integer(4, "rows", 0)):
             text = self.source.readline()
             number += 1
             parts = text.rstrip("\n").split("\t")
             item = _Line(f"batch {index}, line {number}", parts)
             if parts[0] != "ITEM":
-                raise item.fail("rows", "the count of entries is wrong")
+                raise item.error("rows", "the count of entries is wrong")
             status = item.text(3, "health")
             if status not in frozenset(WorkerState):
-                raise item.fail("health", f"{status!r} is not known")
+                raise item.error("health", f"{status!r} is not known")
             members.append(
                 interface.MemberEntry(
-                    item.whole(4, "worker"),
+                    item.integer(4, "worker"),
                     WorkerState(status),
-                    item.whole(1, "classOfHost", 0),
-                    item.whole(2, "cluster", 0),
-                    item.whole(7, "dc", 0),
+                    item.integer(1, "classOfHost", 0),
+                    item.integer(2, "cluster", 0),
+                    item.integer(7, "dc", 0),
                     item.number(5, "scale", 1.0),
                     item.number(6, "onlineSince", 0.0),
                 )
             )
-        event = interface.MembershipUpdate(UpdateKind(how), line.whole(3, "version", 0), members)
-        self.handle(now, line.whole(1, "dispatcher"), event, reply)
+        event = interface.MembershipUpdate(UpdateKind(how), line.integer(3, "version", 0), members)
+        self._handle(now, line.integer(1, "dispatcher"), event, reply)
         return number
 
 
 def main() -> int:
-    return Link(sys.stdin, sys.stdout, sys.stderr).run()
+    """Serve the simulator on the standard streams."""
+    return SimulatorAdapter(sys.stdin, sys.stdout, sys.stderr).run()
 
 
 if __name__ == "__main__":
--- a/beaconhinge/standin/fleet/__init__.py
+++ b/beaconhinge/standin/fleet/__init__.py
@@ -6,6 +6,6 @@
 
 from .plan import Kind, Plan
 from .result import Result, result
-from .world import World
+from .world import SimulatedFleet
 
-__all__ = ["Kind", "Plan", "Result", "World", "result"]
+__all__ = ["Kind", "Plan", "Result", "SimulatedFleet", "result"]
--- a/beaconhinge/standin/fleet/result.py
+++ b/beaconhinge/standin/fleet/result.py
@@ -5,7 +5,7 @@
 from dataclasses import asdict, dataclass
 
 from ...policy.interface import AttemptOutcome
-from .world import Wish, World
+from .world import SimulatedFleet, Wish
 
 WINDOW = 10  # seconds
 PEER_PRICE, CROSS_PRICE, WASTE_PRICE = 0.01, 0.03, 0.04
@@ -39,7 +39,7 @@
         return asdict(self)
 
 
-def result(world: World) -> Result:
+def result(world: SimulatedFleet) -> Result:
     wishes, count = world.wishes, world.count
     windows = [
         [w for w in wishes if start <= w.at < start + WINDOW]
@@ -81,7 +81,7 @@
     )
 
 
-def classes(world: World) -> dict[str, float]:
+def classes(world: SimulatedFleet) -> dict[str, float]:
     """The part of each class that was served in time."""
     return {sort.name: _worth([w for w in world.wishes if w.sort is sort]) for sort in world.plan.site.sorts}
 
--- a/beaconhinge/standin/fleet/workers.py
+++ b/beaconhinge/standin/fleet/workers.py
@@ -25,7 +25,7 @@
 
     owner: object
     number: int
-    box: Box
+    box: FakeWorker
     sent_at: float
     work: float
     expected: float  # as nobody is told the true one
@@ -45,7 +45,7 @@
 
 
 @dataclass(eq=False)
-class Box:
+class FakeWorker:
     clock: Clock
     random: random.Random
     tell: Reports
--- a/beaconhinge/standin/fleet/world.py
+++ b/beaconhinge/standin/fleet/world.py
@@ -23,7 +23,7 @@
 from .clock import Clock
 from .discovery import Discovery
 from .plan import Plan, Sort, settings
-from .workers import Attempt, Box, Reports
+from .workers import Attempt, FakeWorker, Reports
 
 EPOCH = 1e6  # the modules' clock does not begin at nought
 LEAST_DATAGRAM = 16  # bytes that a datagram is charged with at least, as the operators' price shows
@@ -105,7 +105,7 @@
     drained: dict[int, float] = field(default_factory=dict)  # boxes that it knows to have left: since when
 
 
-class World:
+class SimulatedFleet:
     def __init__(self, plan: Plan, modules: Modules = Dispatcher) -> None:
         self.plan = plan
         self.modules = modules
@@ -118,7 +118,7 @@
         # What cold boxes were sent by those that knew of their start: when, and work, by box and start.
         self.cold: defaultdict[tuple[int, float], deque[tuple[float, float]]] = defaultdict(deque)
         self.reports = Reports(self._started, self._progress, self._ended)
-        self.boxes: dict[int, Box] = {}
+        self.boxes: dict[int, FakeWorker] = {}
         self._make_boxes()
         self.capacity = sum(b.of.cores * b.speed for b in self.boxes.values())  # cores of standard speed
         self.jobs_a_second = self.capacity / plan.site.mean_work
@@ -149,11 +149,11 @@
             if plan.pause > 0:
                 self.clock.after(self.random.uniform(0, 8), partial(self._stall, box))
 
-    def _new_box(self, kind: int, zone: int) -> Box:
+    def _new_box(self, kind: int, zone: int) -> FakeWorker:
         of, rng = self.plan.site.kinds[kind], self.random
         speed = of.speed * max(0.5, rng.gauss(1, self.plan.speed_cv))
         cell = 2 * rng.randrange(3) + zone
-        box = Box(
+        box = FakeWorker(
             self.clock,
             rng,
             self.reports,
@@ -168,15 +168,15 @@
         self.boxes[box.id] = box
         return box
 
-    def _stall(self, box: Box) -> None:
+    def _stall(self, box: FakeWorker) -> None:
         box.stall(self.random.uniform(0.0, self.plan.pause))
         self.clock.after(self.random.uniform(4, 11), partial(self._stall, box))
 
-    def _member(self, box: Box, state: WorkerState | None = None) -> interface.MemberEntry:
+    def _member(self, box: FakeWorker, state: WorkerState | None = None) -> interface.MemberEntry:
         started = EPOCH + box.started_at if box.started_at else 0.0
         return interface.MemberEntry(box.id, state or box.state, box.kind, box.cell, box.zone, 1.0, started)
 
-    def _publish(self, boxes: list[Box], state: WorkerState) -> None:
+    def _publish(self, boxes: list[FakeWorker], state: WorkerState) -> None:
         self.discovery.publish([self._member(box, state) for box in boxes])
 
     # ---- dispatchers ---------------------------------------------------------------------------------------
@@ -266,12 +266,12 @@
                     message = interface.PeerMessage(node.number, action.payload)
                     self.clock.after(self.random.uniform(*PEER_HOP), partial(self.feed, other, message))
 
-    def _probe(self, node: Node, box: Box) -> None:
+    def _probe(self, node: Node, box: FakeWorker) -> None:
         if box.reachable and not box.hung and not self._apart(node, box):
             told = interface.ProbeResult(box.id, AttemptOutcome.SERVED, 0.001, box.load)
             self.clock.after(2 * self._hop(), partial(self.feed, node, told))
 
-    def _apart(self, node: Node, box: Box) -> bool:
+    def _apart(self, node: Node, box: FakeWorker) -> bool:
         return box.silent or node.zone != box.zone and self.clock.now < self.split_until
 
     # ---- attempts ------------------------------------------------------------------------------------------
@@ -279,7 +279,7 @@
     def _hop(self) -> float:
         return self.random.uniform(*HOP)
 
-    def _send(self, request: Request, box: Box) -> None:
+    def _send(self, request: Request, box: FakeWorker) -> None:
         node, wish, now = request.node, request.wish, self.clock.now
         self._check_send(request, box)
         work = wish.work * max(0.3, self.random.gauss(1, 0.15))
@@ -297,7 +297,7 @@
             self.clock.after(self._hop(), partial(box.arrive, attempt))
         self.clock.after(request.deadline - now, partial(self._ended, attempt, AttemptOutcome.TIMEOUT, None))
 
-    def _check_send(self, request: Request, box: Box) -> None:
+    def _check_send(self, request: Request, box: FakeWorker) -> None:
         gone = request.node.drained.get(box.id)
         if gone is not None and self.clock.now > gone + 0.4 + GRACE:
             self.broken.append(f"a send to a box known to drain for {self.clock.now - gone:.2f} s")
@@ -316,7 +316,7 @@
             self.broken.append("two attempts of one request at one box")
         self._check_cold(request, box)
 
-    def _check_cold(self, request: Request, box: Box) -> None:
+    def _check_cold(self, request: Request, box: FakeWorker) -> None:
         """The sum of all dispatchers: beyond the N jobs of mean work that the settings allow in the time that
         they name, twice the root of N and 2 are chance.
         """
@@ -514,12 +514,12 @@
             self.clock.after(3.0 + 0.4 * wave, partial(self._publish, part, WorkerState.GONE))
             self.clock.after(self.plan.lost_for + 0.35 * wave, partial(self._come_back, part))
 
-    def _come_back(self, boxes: list[Box]) -> None:
+    def _come_back(self, boxes: list[FakeWorker]) -> None:
         for box in boxes:
             box.start(self.random.uniform(*COLD))
         self.clock.after(self.random.uniform(0.2, 0.5), partial(self._publish, boxes, WorkerState.READY))
 
-    def _swap(self, old: list[Box]) -> None:
+    def _swap(self, old: list[FakeWorker]) -> None:
         """Drain some boxes, and start as many new ones."""
         for box in old:
             box.drain()
@@ -530,7 +530,7 @@
             box.state = WorkerState.GONE
         self.clock.after(1.5, partial(self._come_up, fresh))
 
-    def _come_up(self, boxes: list[Box]) -> None:
+    def _come_up(self, boxes: list[FakeWorker]) -> None:
         for box in boxes:
             box.start(self.random.uniform(*COLD))
         self.clock.after(0.7, partial(self._publish, boxes, WorkerState.READY))
@@ -542,7 +542,7 @@
             box.drain()
         self.clock.after(0.45, partial(self._publish, leaving, WorkerState.DRAINING))
 
-    def _end_box(self, box: Box) -> None:
+    def _end_box(self, box: FakeWorker) -> None:
         if box.running:
             self.clock.after(0.5, partial(self._end_box, box))
         else:
--- a/beaconhinge/standin/harness.py
+++ b/beaconhinge/standin/harness.py
@@ -22,7 +22,7 @@
 from .discovery import Discovery
 from .http import Caller
 from .ports import free_port
-from .workers import Box
+from .workers import FakeWorker
 
 KINDS = (Kind("render", 0.9, 7500), Kind("publish", 0.1, 25000, keyed=True))
 MEANS = {"render": 0.15, "publish": 1.5}
@@ -135,12 +135,12 @@
             yield {"event": "unread", "text": line.decode("utf-8", "replace").strip()}
 
 
-class Scene:
+class DemoFleet:
     def __init__(self, boxes: int, rate: float, seed: int, folder: Path) -> None:
         self.port = free_port()
         self.folder = folder
         names = [f"s-{seed:04x}{number:04x}" for number in range(boxes)]
-        self.boxes = [Box(name, self.port, MEANS, seed=seed) for name in names]
+        self.boxes = [FakeWorker(name, self.port, MEANS, seed=seed) for name in names]
         entries = [box.entry("ab"[i % 2], "plain", i % 3) for i, box in enumerate(self.boxes)]
         self.discovery = Discovery(entries)
         self.clients = Clients(self.port, KINDS, TENANTS, rate, seed)
@@ -214,10 +214,10 @@
 
 
 @contextlib.asynccontextmanager
-async def scene(boxes: int, rate: float, seed: int) -> AsyncIterator[Scene]:
+async def running_demo_fleet(boxes: int, rate: float, seed: int) -> AsyncIterator[DemoFleet]:
     """A scene that is up. Its folder goes with it."""
     with tempfile.TemporaryDirectory(prefix="beaconhinge-") as folder:
-        made = Scene(boxes, rate, seed, Path(folder))
+        made = DemoFleet(boxes, rate, seed, Path(folder))
         try:
             await made.start()
             yield made
--- a/beaconhinge/standin/rig/runner.py
+++ b/beaconhinge/standin/rig/runner.py
@@ -23,7 +23,7 @@
 from ..harness import SETTINGS
 from ..http import Server
 from ..ports import free_ports
-from ..workers import Box, Rack
+from ..workers import DeduplicationGroup, FakeWorker
 from . import shim
 from .clients import Clients
 from .judge import judged
@@ -50,7 +50,7 @@
         self.events: list[str] = []
         self.hits: Counter[str] = Counter()
         self.statuses: list[int] = []
-        self.drains: list[tuple[Box, float, float]] = []  # from when to when
+        self.drains: list[tuple[FakeWorker, float, float]] = []  # from when to when
         self.silent: dict[int, float] = {}  # when the watch of a dispatcher fell silent
         self.away: dict[int, list[tuple[float, float]]] = {}  # spans in which its discovery was out
         self.shim_counts: list[Path] = []
@@ -67,10 +67,10 @@
         ports = free_ports(count)
         real = [("127.0.0.1", port) for port in free_ports(count, socket.SOCK_DGRAM)]
         self.links = Links(real, scenario.seed)
-        racks = [Rack(WINDOW) for _ in range(scenario.racks)]
+        racks = [DeduplicationGroup(WINDOW) for _ in range(scenario.racks)]
         means = {"render": scenario.render_s, "publish": scenario.publish_s, "transfer": scenario.publish_s}
         self.boxes = [
-            Box(
+            FakeWorker(
                 f"s-{scenario.seed:04x}{n:04x}",
                 ports[0],
                 means,
@@ -307,7 +307,7 @@
             self._counting.append(asyncio.create_task(self._count(old)))
         return len(hit)
 
-    async def _count(self, old: list[tuple[Box, tuple[int, str]]]) -> None:
+    async def _count(self, old: list[tuple[FakeWorker, tuple[int, str]]]) -> None:
         await asyncio.sleep(ORPHANED)
         self.orphans += sum(job in box.held for box, job in old)
 
--- a/beaconhinge/standin/rig/scenario.py
+++ b/beaconhinge/standin/rig/scenario.py
@@ -12,7 +12,7 @@
 
 from ...errors import Error
 from ..discovery import Spoil
-from ..workers import Trouble
+from ..workers import WorkerFault
 
 Drawn = Literal["stop", "kill", "term", "cut", "lossy"]
 FAULTS: tuple[Drawn, ...] = ("stop", "stop", "kill", "term", "cut", "lossy")
@@ -42,7 +42,7 @@
     part: float = 0.5  # for `lossy`
     boxes: int = 1  # for `drain`
     how: Spoil = Spoil.NO_ENTRIES  # for `spoil`
-    trouble: Trouble = Trouble.HANG  # for `workers`
+    trouble: WorkerFault = WorkerFault.HANG  # for `workers`
     folder: Literal["same", "empty", "other", "old"] = "same"  # `other`: a copy; `old`: as before
 
 
--- a/beaconhinge/standin/rig/soak.py
+++ b/beaconhinge/standin/rig/soak.py
@@ -10,7 +10,7 @@
 import msgspec
 
 from ..discovery import Spoil
-from ..workers import Trouble
+from ..workers import WorkerFault
 from .scenario import Fault, Scenario
 
 SECONDS = 17.0
@@ -96,7 +96,9 @@
         return Fault(at, "mute", 0.2, who)
     if what == "spoil":
         return Fault(at, "spoil", rng.uniform(0.5, 3.0), who, how=rng.choice(list(Spoil)))
-    return Fault(at, "workers", rng.uniform(0.5, 2.0), boxes=draining + 1, trouble=rng.choice(list(Trouble)))
+    return Fault(
+        at, "workers", rng.uniform(0.5, 2.0), boxes=draining + 1, trouble=rng.choice(list(WorkerFault))
+    )
 
 
 def shrink(scenario: Scenario, fails: Callable[[Scenario], bool]) -> Scenario:
--- a/beaconhinge/standin/rig/verdict.py
+++ b/beaconhinge/standin/rig/verdict.py
@@ -8,7 +8,7 @@
 
 import msgspec
 
-from ..workers import Deadline
+from ..workers import ReceivedDeadline
 
 Span = tuple[float, float]
 
@@ -108,7 +108,7 @@
     return found
 
 
-def overstated(asked: Iterable[Asked], deadlines: Iterable[Deadline], slack: float) -> list[str]:
+def overstated(asked: Iterable[Asked], deadlines: Iterable[ReceivedDeadline], slack: float) -> list[str]:
     """Attempts that gave a worker more time than their client had left, with so many seconds of slack."""
     ends = {try_.request: try_.at + try_.patience_s for try_ in asked}
     over = [
@@ -123,7 +123,9 @@
     ]
 
 
-def begun_for_nobody(asked: Iterable[Asked], deadlines: Iterable[Deadline], grace: float) -> list[str]:
+def begun_for_nobody(
+    asked: Iterable[Asked], deadlines: Iterable[ReceivedDeadline], grace: float
+) -> list[str]:
     """Attempts that came to a worker more than so many seconds after their client had left."""
     left = {try_.request: try_.left_at for try_ in asked if try_.left_at}
     late = [
--- a/beaconhinge/standin/workers.py
+++ b/beaconhinge/standin/workers.py
@@ -16,18 +16,18 @@
 from ..net.http1 import BadMessage, Closed, Message
 from .http import Caller, Server
 
-TELLS = 10  # times that a call-back is tried
-PROGRESS = 1.0  # seconds between reports of a running job
+CALLBACK_ATTEMPTS = 10  # times that a call-back is tried
+PROGRESS_INTERVAL_S = 1.0  # seconds between reports of a running job
 
 
-class Rack:
+class DeduplicationGroup:
     """Boxes that share what keys they have seen: a repeat within `window` seconds is dropped unsaid."""
 
     def __init__(self, window: float) -> None:
         self.window = window
         self._seen: dict[str, float] = {}
 
-    def drops(self, key: str, now: float) -> bool:
+    def is_duplicate(self, key: str, now: float) -> bool:
         seen = self._seen.get(key)
         if seen is not None and now - seen < self.window:
             return True
@@ -35,17 +35,17 @@
         return False
 
 
-class Trouble(enum.Enum):
+class WorkerFault(enum.Enum):
     """How a worker treats the jobs that come."""
 
     HANG = "hang"  # it reads them and says nothing
     RESET = "reset"  # it reads them and closes the connection
-    FULL = "full"  # it turns each away
-    TWICE = "twice"  # it answers each twice
+    REJECT = "full"  # it turns each away
+    DUPLICATE = "twice"  # it answers each twice
 
 
 @dataclass(frozen=True, slots=True)
-class Deadline:
+class ReceivedDeadline:
     """What an attempt says of its time. Seconds, by the stand-ins' clock."""
 
     request: str
@@ -53,7 +53,7 @@
     time_left: float
 
 
-class Box:
+class FakeWorker:
     """One worker. `means` gives each class's mean run time in seconds; runs are drawn from the seed."""
 
     def __init__(
@@ -64,7 +64,7 @@
         slots: int = 4,
         queue: int = 4,
         seed: int = 0,
-        rack: Rack | None = None,
+        rack: DeduplicationGroup | None = None,
     ) -> None:
         self.name = name
         self.means = means
@@ -79,9 +79,9 @@
         self.runs: Counter[str] = Counter()  # by idempotency key, or by request where it has none
         self.counters: Counter[str] = Counter()
         self.taken: list[tuple[float, int]] = []  # when each job came, and the port of its dispatcher
-        self.deadlines: list[Deadline] = []  # that it was given
+        self.deadlines: list[ReceivedDeadline] = []  # that it was given
         self._free = asyncio.Semaphore(slots)
-        self.trouble: Trouble | None = None
+        self.trouble: WorkerFault | None = None
         self.troubled = 0  # jobs that met it
 
     def door(self, dispatcher: int) -> Server:
@@ -122,27 +122,27 @@
         if not number:
             return http1.response(404)
         time_left = int(message.headers.get("x-timeout-ms", "0")) / 1000
-        self.deadlines.append(Deadline(number, time.monotonic(), time_left))
+        self.deadlines.append(ReceivedDeadline(number, time.monotonic(), time_left))
         if self.trouble is not None:
             self.troubled += 1
-        if self.trouble in (Trouble.HANG, Trouble.RESET):
+        if self.trouble in (WorkerFault.HANG, WorkerFault.RESET):
             self.taken.append((time.monotonic(), back.port))
-            if self.trouble is Trouble.HANG:
+            if self.trouble is WorkerFault.HANG:
                 await asyncio.Event().wait()
             return None
-        full = self.trouble is Trouble.FULL or len(self.held) >= self.slots + self.queue
+        full = self.trouble is WorkerFault.REJECT or len(self.held) >= self.slots + self.queue
         if full or (back.port, number) in self.held:
             self.counters["turned_away"] += 1
             return http1.response(503, headers={"X-Not-Processed": "1"})
         self.counters["taken"] += 1
         self.taken.append((time.monotonic(), back.port))
         key = message.headers.get("idempotency-key", "")
-        if key and self.rack is not None and self.rack.drops(key, asyncio.get_running_loop().time()):
+        if key and self.rack is not None and self.rack.is_duplicate(key, asyncio.get_running_loop().time()):
             self.counters["dropped"] += 1
             return http1.response(202)
         cls = path.strip("/").partition("/")[0]
         self.held[back.port, number] = self.server.spawn(self._run(back, number, key or number, cls))
-        return http1.response(202) * (2 if self.trouble is Trouble.TWICE else 1)
+        return http1.response(202) * (2 if self.trouble is WorkerFault.DUPLICATE else 1)
 
     async def _run(self, back: Caller, number: str, key: str, cls: str) -> None:
         length = self.random.expovariate(1 / self.means.get(cls, 0.1))
@@ -151,9 +151,9 @@
                 self.runs[key] += 1
                 await self._tell(back, number, "started")
                 done = 0.0
-                while length - done > PROGRESS:
-                    await asyncio.sleep(PROGRESS)
-                    done += PROGRESS
+                while length - done > PROGRESS_INTERVAL_S:
+                    await asyncio.sleep(PROGRESS_INTERVAL_S)
+                    done += PROGRESS_INTERVAL_S
                     await self._tell(back, number, "running", share=done / length)
                 await asyncio.sleep(length - done)
             self.counters["done"] += 1
@@ -164,7 +164,7 @@
     async def _tell(self, back: Caller, number: str, state: str, **more: object) -> None:
         body = json.dumps({"id": number, "from": self.name, "state": state, **more}).encode()
         head = {"Host": "dispatcher", "Content-Length": str(len(body))}
-        for _ in range(TELLS):
+        for _ in range(CALLBACK_ATTEMPTS):
             try:
                 answer = await back.call(http1.request("POST", b"/_jobs/news", head, body))
                 if answer.status in (200, 204):
--- a/benchmarks/lean.py
+++ b/benchmarks/lean.py
@@ -17,7 +17,7 @@
 from pathlib import Path
 from statistics import median
 
-from beaconhinge.standin.harness import Scene
+from beaconhinge.standin.harness import DemoFleet
 
 HERE = Path(__file__).resolve().parents[1]
 RATE, SECONDS = 60.0, 6.0
@@ -34,7 +34,7 @@
 
 async def play(checkout: Path, seed: int, seconds: float = SECONDS) -> dict[str, float]:
     with tempfile.TemporaryDirectory() as folder:
-        made = Scene(6, RATE, seed, Path(folder))
+        made = DemoFleet(6, RATE, seed, Path(folder))
         made.write_configuration()
         for server in (made.discovery.server, *(box.server for box in made.boxes)):
             server.start()
--- a/benchmarks/operations.py
+++ b/benchmarks/operations.py
@@ -16,7 +16,7 @@
 from pathlib import Path
 from statistics import median
 
-from beaconhinge.standin.harness import Scene
+from beaconhinge.standin.harness import DemoFleet
 from beaconhinge.standin.ports import free_port
 
 RATE, CROWD, CALLS, UPGRADES = 60.0, 250, 200, 5
@@ -25,7 +25,7 @@
 class Dispatcher:
     """One process, and where it is called."""
 
-    def __init__(self, scene: Scene) -> None:
+    def __init__(self, scene: DemoFleet) -> None:
         self.scene = scene
         self.mgmt = free_port()
 
@@ -82,7 +82,7 @@
 
 
 async def play(folder: str) -> dict[str, float]:
-    scene = Scene(6, RATE, 1, Path(folder))
+    scene = DemoFleet(6, RATE, 1, Path(folder))
     for server in (scene.discovery.server, *(box.server for box in scene.boxes)):
         server.start()
     now = Dispatcher(scene)
--- a/tests/cli/test_demo.py
+++ b/tests/cli/test_demo.py
@@ -9,7 +9,7 @@
 import pytest
 
 from beaconhinge.cli import main
-from beaconhinge.standin.harness import Figures, Scene, scene
+from beaconhinge.standin.harness import DemoFleet, Figures, running_demo_fleet
 
 
 def test_the_demo_ends_well_and_says_so_in_json(capsys: pytest.CaptureFixture[str]) -> None:
@@ -19,7 +19,7 @@
     assert figures["asked"] == figures["served"] + figures["refused"] + figures["failed"] > 10
 
 
-async def event(made: Scene, name: str, after: int = 0) -> int:
+async def event(made: DemoFleet, name: str, after: int = 0) -> int:
     """Wait for a line of the dispatcher's log; the number of the one behind it."""
     async with asyncio.timeout(10):
         while name not in [line["event"] for line in made.lines[after:]]:
@@ -29,7 +29,7 @@
 
 def test_a_killed_dispatcher_leaves_requests_unanswered_and_goes_on_with_its_books() -> None:
     async def scenario() -> tuple[Figures, list[str]]:
-        async with scene(3, 40.0, 7) as made:
+        async with running_demo_fleet(3, 40.0, 7) as made:
             asking = asyncio.create_task(made.clients.run(2.0))
             async with asyncio.timeout(10):
                 while not made.counters.get("books_written") or not made.clients.open:
--- a/tests/cli/test_soak.py
+++ b/tests/cli/test_soak.py
@@ -14,7 +14,7 @@
 from beaconhinge.standin.discovery import Spoil
 from beaconhinge.standin.rig import shim
 from beaconhinge.standin.rig.soak import LAST, SECONDS, draw_soak, shrink
-from beaconhinge.standin.workers import Trouble
+from beaconhinge.standin.workers import WorkerFault
 
 KINDS = {"drain", "stop", "kill", "term", "reload", "cut", "lossy", "discovery", "mute", "spoil", "workers"}
 
@@ -25,7 +25,7 @@
     faults = [fault for scenario in scenarios for fault in scenario.faults]
     assert {fault.what for fault in faults} == KINDS
     assert {fault.how for fault in faults if fault.what == "spoil"} == set(Spoil)
-    assert {fault.trouble for fault in faults if fault.what == "workers"} == set(Trouble)
+    assert {fault.trouble for fault in faults if fault.what == "workers"} == set(WorkerFault)
     assert all(scenario.problem() is None for scenario in scenarios)
     assert all(fault.at_s <= LAST < SECONDS - 6.0 for fault in faults)
     overlapping = [
--- a/tests/leases/test_process.py
+++ b/tests/leases/test_process.py
@@ -16,14 +16,14 @@
 from beaconhinge.cli import main
 from beaconhinge.config import ConfigError
 from beaconhinge.config.local import convert
-from beaconhinge.standin.harness import Scene, end, log_lines, start, until_up
+from beaconhinge.standin.harness import DemoFleet, end, log_lines, start, until_up
 from beaconhinge.standin.ports import free_port
 from beaconhinge.standin.rig.verdict import Act, collisions
 
 SPAN = 0.6
 
 
-class Led(Scene):
+class Led(DemoFleet):
     """A scene whose dispatcher is the only member, calls a resource, and has a place for operators."""
 
     def __init__(self, folder: Path) -> None:
--- a/tests/management/test_upgrade.py
+++ b/tests/management/test_upgrade.py
@@ -21,7 +21,7 @@
 from beaconhinge.management.handover import Frames
 from beaconhinge.net.sockets import tcp_listener
 from beaconhinge.policy import interface
-from beaconhinge.standin.harness import Scene
+from beaconhinge.standin.harness import DemoFleet
 
 UP = b"GET /up HTTP/1.1\r\n\r\n"
 LIST = {"version": 3, "full": True, "servers": [{"id": "s-0", "addr": "127.0.0.1:9", "state": "Ready"}]}
@@ -271,7 +271,7 @@
     """Real processes. Every job gets its one answer, none runs twice, and the figures of the three add up."""
 
     async def load() -> None:
-        harness = Scene(6, 60.0, 5, tmp_path)
+        harness = DemoFleet(6, 60.0, 5, tmp_path)
         for server in (harness.discovery.server, *(box.server for box in harness.boxes)):
             server.start()
         processes: list[subprocess.Popen[bytes]] = []
--- a/tests/recovery/test_clients_that_leave.py
+++ b/tests/recovery/test_clients_that_leave.py
@@ -6,7 +6,7 @@
 
 from beaconhinge.standin.rig import Fault, Scenario, run_scenario
 from beaconhinge.standin.rig.verdict import Asked, begun_for_nobody
-from beaconhinge.standin.workers import Deadline, Trouble
+from beaconhinge.standin.workers import ReceivedDeadline, WorkerFault
 
 SMALL = {
     "processes": 4,
@@ -30,9 +30,9 @@
         Fault(1.0, "kill", 0.3, [0]),
         Fault(1.2, "stop", 1.5, [1]),
         Fault(2.0, "term", 0.3, [2]),
-        Fault(1.5, "workers", 1.0, trouble=Trouble.HANG),
-        Fault(3.0, "workers", 1.0, trouble=Trouble.RESET),
-        Fault(4.2, "workers", 0.8, trouble=Trouble.FULL),
+        Fault(1.5, "workers", 1.0, trouble=WorkerFault.HANG),
+        Fault(3.0, "workers", 1.0, trouble=WorkerFault.RESET),
+        Fault(4.2, "workers", 0.8, trouble=WorkerFault.REJECT),
     ]
     scenario = Scenario("leaving", seed=71, faults=faults, unsafe=0.4, leaving=0.4, **SMALL)
     verdict = asyncio.run(run_scenario(scenario))
@@ -45,5 +45,8 @@
         Asked("", "render", 0, 10.0, request="r1", patience_s=3.0, left_at=11.0),
         Asked("", "render", 0, 10.0, request="r2", patience_s=3.0),
     ]
-    assert begun_for_nobody(asked, [Deadline("r1", 11.05, 1.0), Deadline("r2", 12.9, 0.1)], 0.1) == []
-    assert len(begun_for_nobody(asked, [Deadline("r1", 11.2, 1.0)], 0.1)) == 1
+    assert (
+        begun_for_nobody(asked, [ReceivedDeadline("r1", 11.05, 1.0), ReceivedDeadline("r2", 12.9, 0.1)], 0.1)
+        == []
+    )
+    assert len(begun_for_nobody(asked, [ReceivedDeadline("r1", 11.2, 1.0)], 0.1)) == 1
--- a/tests/recovery/test_deadlines.py
+++ b/tests/recovery/test_deadlines.py
@@ -8,7 +8,7 @@
 
 from beaconhinge.standin.rig import Fault, Scenario, run_scenario
 from beaconhinge.standin.rig.verdict import Asked, overstated
-from beaconhinge.standin.workers import Deadline
+from beaconhinge.standin.workers import ReceivedDeadline
 
 SMALL = {
     "processes": 4,
@@ -38,5 +38,7 @@
 
 def test_the_judge_sees_a_worker_that_is_given_too_much_time() -> None:
     asked = [Asked("", "render", 0, 10.0, request="r1", patience_s=3.0)]
-    assert overstated(asked, [Deadline("r1", 12.0, 1.1), Deadline("r2", 12.0, 9.0)], 0.4) == []
-    assert len(overstated(asked, [Deadline("r1", 12.0, 2.0)], 0.4)) == 1
+    assert (
+        overstated(asked, [ReceivedDeadline("r1", 12.0, 1.1), ReceivedDeadline("r2", 12.0, 9.0)], 0.4) == []
+    )
+    assert len(overstated(asked, [ReceivedDeadline("r1", 12.0, 2.0)], 0.4)) == 1
--- a/tests/recovery/test_phases.py
+++ b/tests/recovery/test_phases.py
@@ -20,7 +20,7 @@
 from beaconhinge.runtime.clock import Clock
 from beaconhinge.runtime.metrics import Metrics
 from beaconhinge.runtime.timer_wheel import TimerWheel
-from beaconhinge.standin.harness import Scene
+from beaconhinge.standin.harness import DemoFleet
 from beaconhinge.standin.ports import free_port
 
 OTHERS = frozenset(range(1, 4))
@@ -136,7 +136,7 @@
     assert sorted(done) == [(f"r{n}", 7) for n in range(9)] and most == ORPHANS
 
 
-class Kept(Scene):
+class Kept(DemoFleet):
     """A scene with operators' calls and recovery, whose dispatcher is killed and started again."""
 
     def __init__(self, folder: Path) -> None:
--- a/tests/test_benchlink.py
+++ b/tests/simulator/test_adapter.py
@@ -11,9 +11,9 @@
 import pytest
 from helpers import PAIRS
 
-from beaconhinge.simulator import Link
+from beaconhinge.simulator import SimulatorAdapter
 
-ROOT = Path(__file__).resolve().parent.parent
+ROOT = Path(__file__).resolve().parents[2]
 SETTINGS = "\t".join(f"{k}={v}" for k, v in PAIRS.items())
 
 
@@ -30,7 +30,7 @@
 
 def run(text: str) -> tuple[int, list[str], str]:
     sink, complaints = io.StringIO(), io.StringIO()
-    code = Link(io.StringIO(text), sink, complaints).run()
+    code = SimulatorAdapter(io.StringIO(text), sink, complaints).run()
     return code, sink.getvalue().splitlines(), complaints.getvalue()
 
 
--- a/tests/test_large_fleet.py
+++ b/tests/test_large_fleet.py
@@ -10,7 +10,7 @@
 from beaconhinge.policy.interface import UpdateKind
 from beaconhinge.standin.fleet.plan import LONG_JOBS, SCRIPTS, Plan, Site
 from beaconhinge.standin.fleet.result import result
-from beaconhinge.standin.fleet.world import World
+from beaconhinge.standin.fleet.world import SimulatedFleet
 
 SIZE = {"dispatchers": 200, "boxes": 200, "seconds": 2.5, "at": 1.0, "load": 0.6}
 UNTIL = 5.5  # seconds: hubs have been followed, restarted dispatchers are back
@@ -20,7 +20,7 @@
     ("trouble", "loss", "served"), [("hub", 0.0, 0.9), ("cut", 0.0, 0.9), ("roll", 0.0, 0.8), ("", 1.0, 0.9)]
 )
 def test_the_rules_hold_at_full_size(trouble: str, loss: float, served: float) -> None:
-    world = World(Plan(trouble=trouble, loss=loss, **SIZE))  # type: ignore[arg-type]
+    world = SimulatedFleet(Plan(trouble=trouble, loss=loss, **SIZE))  # type: ignore[arg-type]
     world.clock.run(UNTIL)
     assert world.broken == []
     ended = [wish.end for wish in world.wishes if wish.end]  # some are longer, or asked for once more
@@ -45,7 +45,7 @@
         calls_a_second=30.0,
         seed=2,
     )
-    world = World(plan)
+    world = SimulatedFleet(plan)
     world.clock.run(12.0)
     assert world.broken == []
     last = [wish for wish in world.wishes if 8.0 <= wish.at < 11.0]
@@ -56,7 +56,9 @@
 
 @pytest.mark.parametrize(("trouble", "loss"), [("herd", 0.0), ("join", 0.3)])
 def test_the_rules_hold_with_forty_through_a_release_and_a_replacement(trouble: str, loss: float) -> None:
-    world = World(Plan(trouble=trouble, loss=loss, dispatchers=40, boxes=60, seconds=9.0, at=1.0, seed=3))
+    world = SimulatedFleet(
+        Plan(trouble=trouble, loss=loss, dispatchers=40, boxes=60, seconds=9.0, at=1.0, seed=3)
+    )
     world.run()
     assert world.broken == []
     assert result(world).refused < 0.3
@@ -92,14 +94,14 @@
         at=1.0,
         seed=seed,
     )
-    world = World(plan)
+    world = SimulatedFleet(plan)
     world.clock.run(12.0 if dispatchers < 100 else 8.0)
     assert world.broken == []
     assert world.count["cold_sends"] > 20  # they were used
 
 
 def test_calls_to_discovery_after_a_common_start_are_spread_and_all_get_a_list() -> None:
-    world = World(Plan(trouble="herd", dispatchers=40, boxes=60, seconds=8.0, at=0.5, seed=2))
+    world = SimulatedFleet(Plan(trouble="herd", dispatchers=40, boxes=60, seconds=8.0, at=0.5, seed=2))
     world.run()
     assert world.discovery.calls < 5 * len(world.nodes)
     assert all(node.version > 0 for node in world.nodes)
@@ -107,7 +109,7 @@
 
 def test_the_same_events_give_the_same_day() -> None:
     plan = Plan(trouble="join", dispatchers=12, boxes=12, seconds=4.0, at=0.5, seed=5)
-    first, second = World(plan), World(plan)
+    first, second = SimulatedFleet(plan), SimulatedFleet(plan)
     first.run()
     second.run()
     assert result(first) == result(second)
--- a/tests/test_sites.py
+++ b/tests/test_sites.py
@@ -9,7 +9,7 @@
 from beaconhinge.policy.interface import Semantics, WorkerState
 from beaconhinge.standin.fleet.plan import LONG_JOBS, SCRIPTS, Plan, Site
 from beaconhinge.standin.fleet.result import classes
-from beaconhinge.standin.fleet.world import World
+from beaconhinge.standin.fleet.world import SimulatedFleet
 
 
 def with_semantics(site: Site, semantics: str, group: str = "all", only: int | None = None) -> Site:
@@ -44,13 +44,13 @@
 }
 
 
-def played(**plan: object) -> World:
-    world = World(Plan(**{"seconds": 9.0, "at": 2.0, "load": 0.6, **plan}))  # type: ignore[arg-type]
+def played(**plan: object) -> SimulatedFleet:
+    world = SimulatedFleet(Plan(**{"seconds": 9.0, "at": 2.0, "load": 0.6, **plan}))  # type: ignore[arg-type]
     world.run()
     return world
 
 
-def hit(world: World) -> bool:
+def hit(world: SimulatedFleet) -> bool:
     """Whether the day's trouble touched anything: a box drained or gone, or jobs taken for ever."""
     return any(box.hung or box.state != WorkerState.READY for box in world.boxes.values())
 
@@ -83,7 +83,7 @@
 @pytest.mark.parametrize(("dispatchers", "boxes", "until"), [(230, 500, 2.0), (1024, 1024, 1.1)])
 def test_hundreds_and_a_thousand_of_each_begin_their_day(dispatchers: int, boxes: int, until: float) -> None:
     """Lists and groups of that size: drains are kept, and what ends by then is served."""
-    world = World(
+    world = SimulatedFleet(
         Plan(
             site=LONG_JOBS,
             peers=dispatchers > 1000,
