--- a/beaconhinge/__main__.py
+++ b/beaconhinge/__main__.py
@@ -131,9 +131,9 @@
     )
     returning = None
     if local_config and local_config.recovery.enabled:
-        from .net.recovery import recover
+        from .net.recovery import wire_recovery
 
-        returning = recover(
+        returning = wire_recovery(
             local_config.recovery,
             config,
             keeper.store if keeper else None,
--- a/beaconhinge/net/keys.py
+++ b/beaconhinge/net/keys.py
@@ -15,29 +15,37 @@
     KEPT,
     NOT_HERE,
     UNKNOWN,
-    Assembly,
-    Fetch,
-    Inquiry,
-    KeyBook,
-    Part,
-    Question,
-    Reply,
+    FetchResultPart,
+    KeyAnswer,
+    KeyInquiry,
+    KeyQuery,
+    KeyRegistry,
+    ResultAssembly,
+    ResultPart,
 )
 from ..runtime.metrics import Metrics
 from ..runtime.timer_wheel import TimerWheel
 from ..store import Change, Delete, Put, Store, StoreError
 from .peers import PeerSocket
 
-ASKED, BETWEEN = 3, 0.04  # times that the silent ones are asked, and seconds from each to the next
-FETCHED = 6  # times that the missing parts of a result are asked for
-DISK_WITHIN = 1.0  # seconds after which a record that is not on the disk counts as not written
-SWEEP = 1.0  # seconds between looks for keys that are too old to matter
-OWNER, PREFIX = b"keys/owner", b"key/"
+MAX_QUERIES, QUERY_INTERVAL_S = (
+    3,
+    0.04,
+)  # times that the silent ones are asked, and seconds from each to the next
+MAX_FETCHES = 6  # times that the missing parts of a result are asked for
+DISK_TIMEOUT_S = 1.0  # seconds after which a record that is not on the disk counts as not written
+EXPIRY_INTERVAL_S = 1.0  # seconds between looks for keys that are too old to matter
+OWNER_KEY, RECORD_PREFIX = b"keys/owner", b"key/"
 # What others say of a repeat, as it is counted.
-ASKED_FOR = {NOT_HERE: "keys_free", HERE: "keys_elsewhere", KEPT: "keys_elsewhere", UNKNOWN: "keys_unknown"}
+COUNTER_BY_STATE = {
+    NOT_HERE: "keys_free",
+    HERE: "keys_elsewhere",
+    KEPT: "keys_elsewhere",
+    UNKNOWN: "keys_unknown",
+}
 
 
-class Keys:
+class IdempotencyKeyService:
     def __init__(
         self,
         config: Config,
@@ -55,72 +63,76 @@
         self.metrics = metrics
         classes = [cls for number, cls in enumerate(config.settings.classes) if config.keyed(number)]
         window = max((cls.dedup_window_s + cls.deadline_s for cls in classes), default=0.0)
-        self.book = KeyBook(window, self._unsure_until(window), max_keys, max_bytes)
-        self._inquiries: dict[int, tuple[Inquiry, asyncio.Event]] = {}
-        self._fetches: dict[int, tuple[int, Assembly, asyncio.Event]] = {}
-        self.settled: Callable[[], bool] = lambda: True  # whether the journal's age has been asked about
-        peers.talk |= dict.fromkeys((keys.ASK, keys.ANSWER, keys.FETCH, keys.PART), self._heard)
+        self.registry = KeyRegistry(window, self._unsure_until(window), max_keys, max_bytes)
+        self._inquiries: dict[int, tuple[KeyInquiry, asyncio.Event]] = {}
+        self._fetches: dict[int, tuple[int, ResultAssembly, asyncio.Event]] = {}
+        self.own_state_known: Callable[[], bool] = lambda: (
+            True
+        )  # whether the journal's age has been asked about
+        peers.talk |= dict.fromkeys((keys.ASK, keys.ANSWER, keys.FETCH, keys.PART), self._receive)
         if store is not None:
             self._restore(store)
-        timers.after(SWEEP, self._sweep)
+        timers.after(EXPIRY_INTERVAL_S, self._expire)
 
     # ---- the journal ---------------------------------------------------------------------------------------
 
     def _owner(self) -> Put:
         number = self.config.settings.own_number
-        return Put(OWNER, keys.owner(self.config.name, number, self.book.unsure_until))
+        return Put(OWNER_KEY, keys.encode_owner(self.config.name, number, self.registry.unsure_until))
 
     def _unsure_until(self, window: float) -> float:
         found = None
         if self.store is not None:
             try:
-                found = self.store.get(OWNER)
+                found = self.store.get(OWNER_KEY)
             except StoreError:
                 pass  # as good as none
         number = self.config.settings.own_number
-        return keys.unsure_until(found, self.config.name, number, self.timers.now(), window)
+        return keys.uncertain_until(found, self.config.name, number, self.timers.now(), window)
 
     def _restore(self, store: Store) -> None:
         now, damaged = self.timers.now(), 0
         try:
-            for place, data in store.scan(PREFIX):
+            for place, data in store.scan(RECORD_PREFIX):
                 try:
-                    taken_at, request = keys.read_record(data)
-                    self.book.restore(now, int.from_bytes(place[len(PREFIX) :], "big"), taken_at, request)
+                    taken_at, request = keys.decode_record(data)
+                    self.registry.restore(
+                        now, int.from_bytes(place[len(RECORD_PREFIX) :], "big"), taken_at, request
+                    )
                 except ValueError:
                     damaged += 1
         except StoreError:
             damaged += 1
         if damaged:  # what it does not tell is not known
-            self.book.unsure_until = now + self.book.window
-        self.metrics.spawn(self._sign(), "keys")
+            self.registry.unsure_until = now + self.registry.window
+        self.metrics.spawn(self._write_owner(), "keys")
         self.metrics.log(
             "keys_restored",
-            keys=len(self.book),
+            keys=len(self.registry),
             damaged=damaged,
-            unsure_for=max(0.0, self.book.unsure_until - now),
+            unsure_for=max(0.0, self.registry.unsure_until - now),
         )
 
-    async def _sign(self) -> None:
+    async def _write_owner(self) -> None:
         await self._commit([self._owner()])
 
-    async def _write(self, name: int, job: Job) -> bool:
+    async def _write_record(self, name: int, job: Job) -> bool:
         """Whether it is on the disk that this dispatcher has the key."""
         if self.store is None:
             return True
-        put = Put(PREFIX + name.to_bytes(8, "big"), keys.record(self.timers.now(), job.id))
+        put = Put(RECORD_PREFIX + name.to_bytes(8, "big"), keys.encode_record(self.timers.now(), job.id))
         return await self._commit([self._owner(), put])
 
-    async def _forget(self, names: list[int]) -> None:
+    async def _delete_records(self, names: list[int]) -> None:
         """Where that fails, they are too old at the next start as well. One that has been taken again has a
         newer record, which stays.
         """
-        gone = [name for name in names if name not in self.book]
-        await self._commit([Delete(PREFIX + name.to_bytes(8, "big")) for name in gone])
+        gone = [name for name in names if name not in self.registry]
+        await self._commit([Delete(RECORD_PREFIX + name.to_bytes(8, "big")) for name in gone])
 
     async def _commit(self, changes: list[Change]) -> bool:
         try:
-            async with self.timers.timeout(DISK_WITHIN):
+            async with self.timers.timeout(DISK_TIMEOUT_S):
                 if self.store is not None:
                     await self.store.commit(changes)
             return True
@@ -128,82 +140,84 @@
             self.metrics.count_and_log("keys_not_written", why=f"{type(error).__name__}: {error}")
             return False
 
-    def _sweep(self) -> None:
-        self.timers.after(SWEEP, self._sweep)
-        old = self.book.sweep(self.timers.now())
-        forgotten, dropped = self.book.limits_hit()
+    def _expire(self) -> None:
+        self.timers.after(EXPIRY_INTERVAL_S, self._expire)
+        old = self.registry.expire(self.timers.now())
+        forgotten, dropped = self.registry.take_limit_counts()
         self.metrics.count("keys_forgotten", forgotten)
         self.metrics.count("keys_results_dropped", dropped)
         if old and self.store is not None:
-            self.metrics.spawn(self._forget(old), "keys")
+            self.metrics.spawn(self._delete_records(old), "keys")
 
     # ---- a request -----------------------------------------------------------------------------------------
 
     async def enter(self, job: Job) -> Known:
         """Before the module hears of a job with a key: whether it may have run elsewhere, or its result."""
-        now, name = self.timers.now(), keys.name(job.cls, job.tenant, job.dedup_key)
-        result = self.book.result(now, name)
+        now, name = self.timers.now(), keys.key_name(job.cls, job.tenant, job.dedup_key)
+        result = self.registry.result(now, name)
         if result is not None:
             self.metrics.count("keys_answered")
             return Known(result=result)
-        if self.book.word(now, name) == HERE:
+        if self.registry.state(now, name) == HERE:
             self.metrics.count("keys_here")
             return Known(doubted=True)
-        ask = job.repeat or not self.config.settings.clients_mark_retries or self.book.claimed(now, name)
-        self.book.take(now, name, job.id)
+        ask = (
+            job.repeat or not self.config.settings.clients_mark_retries or self.registry.is_claimed(now, name)
+        )
+        self.registry.begin(now, name, job.id)
         entered = False
         try:
             verdict = NOT_HERE
             if ask:
                 inquiry = await self._inquire(name)
                 verdict = inquiry.verdict
-                if verdict == NOT_HERE and (now < self.book.unsure_until or not self.settled()):
+                if verdict == NOT_HERE and (now < self.registry.unsure_until or not self.own_state_known()):
                     verdict = UNKNOWN
-                self.metrics.count(ASKED_FOR[verdict])
+                self.metrics.count(COUNTER_BY_STATE[verdict])
                 if verdict == KEPT:
-                    return Known(doubted=True, result=await self._fetch(inquiry.keeper, name))
-            entered = verdict == NOT_HERE and await self._write(name, job)
+                    return Known(doubted=True, result=await self._fetch(inquiry.result_holder, name))
+            entered = verdict == NOT_HERE and await self._write_record(name, job)
         finally:  # it may be given up for want of time
             if not entered:
-                self.book.leave(self.timers.now(), name, False, None)
+                self.registry.end(self.timers.now(), name, False, None)
         return Known(doubted=not entered, entered=entered)
 
     def left(self, job: Job, may_have_run: bool, result: bytes | None) -> None:
         """The request that `enter` let in has ended."""
-        name = keys.name(job.cls, job.tenant, job.dedup_key)
-        self.book.leave(self.timers.now(), name, may_have_run, result)
+        name = keys.key_name(job.cls, job.tenant, job.dedup_key)
+        self.registry.end(self.timers.now(), name, may_have_run, result)
         if not may_have_run and self.store is not None:
-            self.metrics.spawn(self._forget([name]), "keys")
+            self.metrics.spawn(self._delete_records([name]), "keys")
 
     def may_have(self, request: str) -> bool:
         """Whether a job that this life has not sent may be one with a key, whose client comes again."""
-        return self.timers.now() < self.book.unsure_until or self.book.has(request)
+        return self.timers.now() < self.registry.unsure_until or self.registry.has_request(request)
 
-    def doubt(self) -> None:
+    def mark_journal_stale(self) -> None:
         """The journal is older than what this dispatcher has done since: what it lacks is unknown."""
-        self.book.unsure_until = self.timers.now() + self.book.window
-        self.metrics.spawn(self._sign(), "keys")
+        self.registry.unsure_until = self.timers.now() + self.registry.window
+        self.metrics.spawn(self._write_owner(), "keys")
 
-    def told(self, request: str, result: str) -> None:
+    def record_late_result(self, request: str, result: str) -> None:
         """A worker's result for which no attempt is open."""
-        if self.book.told(self.timers.now(), request, result.encode()):
+        if self.registry.record_late_result(self.timers.now(), request, result.encode()):
             self.metrics.count("keys_results_late")
 
     # ---- the others ----------------------------------------------------------------------------------------
 
-    async def _inquire(self, name: int) -> Inquiry:
+    async def _inquire(self, name: int) -> KeyInquiry:
         own = self.config.settings.own_number
-        inquiry = Inquiry(frozenset(n for n in range(self.config.settings.group_size) if n != own))
+        inquiry = KeyInquiry(frozenset(n for n in range(self.config.settings.group_size) if n != own))
         settled, number = asyncio.Event(), random.getrandbits(32)
         self._inquiries[number] = inquiry, settled
         try:
-            for _ in range(ASKED):
-                if inquiry.settled:
+            for _ in range(MAX_QUERIES):
+                if inquiry.decided:
                     break
-                for other in inquiry.silent:
-                    self.peers.send(other, keys.encode(Question(number, name)))
+                for other in inquiry.unanswered:
+                    self.peers.send(other, keys.encode(KeyQuery(number, name)))
                 with contextlib.suppress(TimeoutError):
-                    async with self.timers.timeout(BETWEEN):
+                    async with self.timers.timeout(QUERY_INTERVAL_S):
                         await settled.wait()
         finally:
             del self._inquiries[number]
@@ -211,15 +225,15 @@
 
     async def _fetch(self, keeper: int, name: int) -> bytes | None:
         """The result that another dispatcher keeps; None where it does not come: the client is refused."""
-        assembly, news, number = Assembly(), asyncio.Event(), random.getrandbits(32)
+        assembly, news, number = ResultAssembly(), asyncio.Event(), random.getrandbits(32)
         self._fetches[number] = keeper, assembly, news
         try:
-            for _ in range(FETCHED):
+            for _ in range(MAX_FETCHES):
                 news.clear()
                 for part in assembly.missing:
-                    self.peers.send(keeper, keys.encode(Fetch(number, name, part)))
+                    self.peers.send(keeper, keys.encode(FetchResultPart(number, name, part)))
                 with contextlib.suppress(TimeoutError):
-                    async with self.timers.timeout(BETWEEN):
+                    async with self.timers.timeout(QUERY_INTERVAL_S):
                         await news.wait()
                 if not assembly.missing:
                     break
@@ -228,29 +242,29 @@
         self.metrics.count("keys_fetched", assembly.result is not None)
         return assembly.result
 
-    def _heard(self, number: int, payload: bytes) -> None:
+    def _receive(self, number: int, payload: bytes) -> None:
         message = keys.decode(payload)
-        if isinstance(message, Question):
-            if not self.settled():
+        if isinstance(message, KeyQuery):
+            if not self.own_state_known():
                 return  # it may be about to learn that it does not know
-            word = self.book.asked(self.timers.now(), message.name)
-            self.peers.send(number, keys.encode(Reply(message.number, word)))
-        elif isinstance(message, Reply):
-            inquiry, settled = self._inquiries.get(message.number, (None, None))
+            word = self.registry.claim_for_peer(self.timers.now(), message.key)
+            self.peers.send(number, keys.encode(KeyAnswer(message.query_id, word)))
+        elif isinstance(message, KeyAnswer):
+            inquiry, settled = self._inquiries.get(message.query_id, (None, None))
             if inquiry is not None and settled is not None:
-                inquiry.hear(number, message.word)
-                if inquiry.settled:
+                inquiry.record(number, message.state)
+                if inquiry.decided:
                     settled.set()
-        elif isinstance(message, Fetch):
-            result = self.book.result(self.timers.now(), message.name)
-            part = None if result is None else keys.part_of(result, message)
+        elif isinstance(message, FetchResultPart):
+            result = self.registry.result(self.timers.now(), message.key)
+            part = None if result is None else keys.result_part(result, message)
             if part is not None:
                 self.peers.send(number, keys.encode(part))
-        elif isinstance(message, Part):
-            keeper, assembly, news = self._fetches.get(message.number, (None, None, None))
+        elif isinstance(message, ResultPart):
+            keeper, assembly, news = self._fetches.get(message.query_id, (None, None, None))
             if keeper == number and assembly is not None and news is not None:
                 few = not assembly.parts  # the first part tells how many there are
-                assembly.hear(message)
+                assembly.add(message)
                 if few or not assembly.missing:
                     news.set()
         else:
--- a/beaconhinge/net/leases.py
+++ b/beaconhinge/net/leases.py
@@ -232,7 +232,7 @@
         name, number = self.config.name, self.config.settings.own_number
         try:
             for place, data in self.store.scan(PREFIX):
-                body = incarnations.read_signed(data, name, number)
+                body = incarnations.read_signed_record(data, name, number)
                 if body is not None and len(body) == _NUMBER.size:
                     yield int.from_bytes(place[len(PREFIX) :], "big"), _NUMBER.unpack(body)[0]
         except StoreError as error:  # wall time stands above them
@@ -413,7 +413,7 @@
 
     async def _write(self, write: Write) -> None:
         own, well = self.node, False
-        record = incarnations.signed(
+        record = incarnations.sign_record(
             self.config.name, self.config.settings.own_number, _NUMBER.pack(write.number)
         )
         try:
--- a/beaconhinge/net/restart.py
+++ b/beaconhinge/net/restart.py
@@ -8,23 +8,23 @@
 from ..config import Config
 from ..policy.interface import UpdateKind
 from ..recovery import incarnations, stages
-from ..recovery.incarnations import Hello, Lives
-from ..recovery.stages import NAMES, NORMAL, READING, Return
+from ..recovery.incarnations import Hello, PeerIncarnations
+from ..recovery.stages import NAMES, NORMAL, READING, RecoveryStages
 from ..runtime.metrics import Metrics
 from ..runtime.timer_wheel import TimerWheel
 from ..store import Delete, Put, Store, StoreError
 from .peers import PeerSocket
 from .worker_pool import WorkerPool
 
-LOOK = 0.05  # seconds between turns of the phases
-ASKED = 8  # others that are asked: a return of many must not drown itself
-DISK_WITHIN = 1.0  # seconds after which a record that is not on the disk counts as not written
-ORPHANS = 4  # withdrawn at a time
-MOST_ORPHANS = 10_000  # remembered, so that each is withdrawn once
-LIFE, HAND = b"life", b"hand/"
+STAGE_INTERVAL_S = 0.05  # seconds between turns of the phases
+MAX_QUERIED_PEERS = 8  # others that are asked: a return of many must not drown itself
+DISK_TIMEOUT_S = 1.0  # seconds after which a record that is not on the disk counts as not written
+MAX_CONCURRENT_WITHDRAWALS = 4  # withdrawn at a time
+MAX_ORPHANS = 10_000  # remembered, so that each is withdrawn once
+INCARNATION_KEY, MAINTENANCE_PREFIX = b"life", b"hand/"
 
 
-class Returning:
+class RestartCoordinator:
     def __init__(
         self,
         config: Config,
@@ -32,128 +32,136 @@
         timers: TimerWheel,
         peers: PeerSocket,
         metrics: Metrics,
-        hold: Callable[[bool], None],
+        delay_jobs: Callable[[bool], None],
     ) -> None:
         self.config = config
         self.store = store
         self.timers = timers
         self.peers = peers
         self.metrics = metrics
-        self.hold = hold  # keeps new jobs waiting, or lets them go
+        self.hold = delay_jobs  # keeps new jobs waiting, or lets them go
         # Called when others have heard of this life, or a later one, from another start.
-        self.stale: Callable[[], None] = lambda: None
-        self.lives = Lives()
-        self.life = 0
-        self.start = random.getrandbits(32)
-        self.machine = Return(timers.now())
-        peers.talk[incarnations.HELLO] = self._heard
-        self._entered([READING])
+        self.on_stale_incarnation: Callable[[], None] = lambda: None
+        self.peer_incarnations = PeerIncarnations()
+        self.incarnation = 0
+        self.start_id = random.getrandbits(32)
+        self.stages = RecoveryStages(timers.now())
+        peers.talk[incarnations.HELLO] = self._receive_hello
+        self._report_stages([READING])
 
     @property
-    def phase(self) -> str:
-        return NAMES[self.machine.phase]
+    def stage_name(self) -> str:
+        return NAMES[self.stages.stage]
 
     @property
     def serving(self) -> bool:
         """The list is as good as it gets, and others have been asked about this life."""
-        return self.machine.phase == NORMAL
+        return self.stages.stage == NORMAL
 
     def open(self, taken_over: bool) -> None:
         """The door is open. A process that took over from another of this dispatcher serves on as before."""
         if taken_over:
-            self.machine.phase = NORMAL
-            self._entered([NORMAL])
+            self.stages.stage = NORMAL
+            self._report_stages([NORMAL])
         else:
-            self._feed(stages.Opened())
-            self._look()
-        self.metrics.spawn(self._begin(), "life")
+            self._feed(stages.ListenerOpened())
+            self._advance()
+        self.metrics.spawn(self._announce(), "life")
 
-    def woke(self) -> None:
-        self._feed(stages.Woke(self._others()))
+    def process_resumed(self) -> None:
+        self._feed(stages.ProcessResumed(self._queried_peers()))
         if not self.serving:
-            self._ask()
+            self._query_unanswered()
 
-    def listed(self, how: str) -> None:
+    def list_received(self, how: str) -> None:
         if how in (UpdateKind.SNAPSHOT, UpdateKind.CHANGES):
-            self._feed(stages.Listed())
+            self._feed(stages.ListReceived())
 
     def _feed(self, event: stages.Event) -> None:
-        self._entered(self.machine.feed(self.timers.now(), event))
+        self._report_stages(self.stages.feed(self.timers.now(), event))
 
-    def _entered(self, entered: list[int]) -> None:
+    def _report_stages(self, entered: list[int]) -> None:
         for phase in entered:
             self.metrics.count(f"phase_{NAMES[phase]}")
             self.metrics.log(
                 "phase",
                 name=NAMES[phase],
-                listed=self.machine.listed,
-                silent=len(self.machine.silent),
-                serving=len(self.machine.serving),
+                listed=self.stages.list_received,
+                silent=len(self.stages.unanswered),
+                serving=len(self.stages.peers_serving),
             )
         if entered:
             self.hold(not self.serving)
 
-    def _look(self) -> None:
-        if self.machine.phase == NORMAL:
+    def _advance(self) -> None:
+        if self.stages.stage == NORMAL:
             return
-        self.timers.after(LOOK, self._look)
-        self._feed(stages.Turn())
-        self._ask()
+        self.timers.after(STAGE_INTERVAL_S, self._advance)
+        self._feed(stages.TimePassed())
+        self._query_unanswered()
 
-    def _ask(self) -> None:
-        for number in self.machine.silent:
-            self._tell(number, asks=True)
+    def _query_unanswered(self) -> None:
+        for number in self.stages.unanswered:
+            self._send_hello(number, asks=True)
 
     # ---- the others ----------------------------------------------------------------------------------------
 
-    def _others(self) -> frozenset[int]:
+    def _queried_peers(self) -> frozenset[int]:
         """The same at each start: they are the ones that have heard of the lives before."""
         settings = self.config.settings
         size, own = settings.group_size, settings.own_number
-        most = min(ASKED, size - 1) if settings.peer_messages else 0
+        most = min(MAX_QUERIED_PEERS, size - 1) if settings.peer_messages else 0
         return frozenset((own + n) % size for n in range(1, most + 1))
 
-    def _tell(self, number: int, asks: bool = False, stale: bool = False) -> None:
+    def _send_hello(self, number: int, asks: bool = False, stale: bool = False) -> None:
         self.peers.send(
-            number, incarnations.encode(Hello(self.machine.phase, self.life, self.start, asks, stale))
+            number,
+            incarnations.encode(Hello(self.stages.stage, self.incarnation, self.start_id, asks, stale)),
         )
 
-    def _heard(self, number: int, payload: bytes) -> None:
+    def _receive_hello(self, number: int, payload: bytes) -> None:
         hello = incarnations.decode(payload)
         if hello is None:
             self.metrics.count_and_log("datagram_malformed", sender=number, bytes=len(payload))
             return
-        stale = self.lives.hear(number, hello)
-        if hello.asks:
-            self._tell(number, stale=stale)
-        if hello.stale and self.life:
-            self.life = 0  # told once, and it claims no life any more
+        stale = self.peer_incarnations.observe(number, hello)
+        if hello.expects_reply:
+            self._send_hello(number, stale=stale)
+        if hello.stale and self.incarnation:
+            self.incarnation = 0  # told once, and it claims no life any more
             self.metrics.count_and_log("folder_stale", told_by=number)
-            self.stale()
-        self._feed(stages.Heard(number, hello.phase))
+            self.on_stale_incarnation()
+        self._feed(stages.PeerAnswered(number, hello.stage))
 
-    async def _begin(self) -> None:
+    async def _announce(self) -> None:
         if self.store is not None:
-            await self._count_life(self.store)
-        self._feed(stages.Asked(self._others()))
-        for number in self._others():  # also where the phases have gone on without the disk
-            self._tell(number, asks=True)
+            await self._advance_incarnation(self.store)
+        self._feed(stages.PeersQueried(self._queried_peers()))
+        for number in self._queried_peers():  # also where the phases have gone on without the disk
+            self._send_hello(number, asks=True)
 
-    async def _count_life(self, store: Store) -> None:
+    async def _advance_incarnation(self, store: Store) -> None:
         """On the disk before it is told, so that the next start never tells it again."""
         name, number = self.config.name, self.config.settings.own_number
         try:
-            life = incarnations.next_life(incarnations.read_signed(store.get(LIFE), name, number))
-            async with self.timers.timeout(DISK_WITHIN):
+            life = incarnations.next_incarnation(
+                incarnations.read_signed_record(store.get(INCARNATION_KEY), name, number)
+            )
+            async with self.timers.timeout(DISK_TIMEOUT_S):
                 await store.commit(
-                    [Put(LIFE, incarnations.signed(name, number, incarnations.life_record(life)))]
+                    [
+                        Put(
+                            INCARNATION_KEY,
+                            incarnations.sign_record(name, number, incarnations.incarnation_record(life)),
+                        )
+                    ]
                 )
-            self.life = life
+            self.incarnation = life
         except (StoreError, TimeoutError) as error:
             self.metrics.count_and_log("life_not_counted", why=f"{type(error).__name__}: {error}")
 
 
-class Orphans:
+class OrphanedJobs:
     """Jobs of the old life that boxes still run for nobody: withdrawn, each once, while there can be any.
     `left_to_finish` says of a request whether somebody may come for its result.
     """
@@ -164,28 +172,28 @@
         timers: TimerWheel,
         metrics: Metrics,
         until: float,
-        left_to_finish: Callable[[str], bool],
+        may_be_awaited: Callable[[str], bool],
     ) -> None:
         self.workers = workers
         self.timers = timers
         self.metrics = metrics
         self.until = until
-        self.left_to_finish = left_to_finish
+        self.left_to_finish = may_be_awaited
         self._seen: set[tuple[str, int]] = set()
         self._waiting: list[tuple[str, int]] = []
-        self._busy = 0
+        self._withdrawals = 0
 
-    def told(self, request: str, worker: int) -> None:
+    def observe(self, request: str, worker: int) -> None:
         """A worker tells of a job that no attempt is open for, and that it has not ended."""
         job = request, worker
-        if self.timers.now() >= self.until or job in self._seen or len(self._seen) >= MOST_ORPHANS:
+        if self.timers.now() >= self.until or job in self._seen or len(self._seen) >= MAX_ORPHANS:
             return
         if self.left_to_finish(request):
             return
         self._seen.add(job)
         self._waiting.append(job)
-        if self._busy < ORPHANS:
-            self._busy += 1
+        if self._withdrawals < MAX_CONCURRENT_WITHDRAWALS:
+            self._withdrawals += 1
             self.metrics.spawn(self._withdraw(), "orphans")
 
     async def _withdraw(self) -> None:
@@ -195,24 +203,24 @@
                 self.metrics.count("orphans_withdrawn")
                 await self.workers.withdraw(request, worker)
         finally:
-            self._busy -= 1
+            self._withdrawals -= 1
 
 
-class ByHand:
+class MaintenanceStore:
     """Workers that operators have taken out, on the disk under this dispatcher's name."""
 
     def __init__(self, config: Config, store: Store, timers: TimerWheel, metrics: Metrics) -> None:
         self.store = store
         self.timers = timers
         self.metrics = metrics
-        self._sign = incarnations.signed(config.name, config.settings.own_number, b"")
+        self._signature = incarnations.sign_record(config.name, config.settings.own_number, b"")
 
     def restore(self, apply: Callable[[str, bool], None]) -> None:
         foreign = 0
         try:
-            for place, data in self.store.scan(HAND):
-                if data == self._sign:
-                    apply(place[len(HAND) :].decode(), True)
+            for place, data in self.store.scan(MAINTENANCE_PREFIX):
+                if data == self._signature:
+                    apply(place[len(MAINTENANCE_PREFIX) :].decode(), True)
                 else:
                     foreign += 1
         except (StoreError, ValueError) as error:
@@ -220,12 +228,12 @@
         if foreign:
             self.metrics.count_and_log("hands_foreign", records=foreign)
 
-    async def keep(self, worker: str, out: bool) -> str:
+    async def write(self, worker: str, out: bool) -> str:
         """Why it is not on the disk, if so."""
-        place = HAND + worker.encode()
+        place = MAINTENANCE_PREFIX + worker.encode()
         try:
-            async with self.timers.timeout(DISK_WITHIN):
-                await self.store.commit([Put(place, self._sign) if out else Delete(place)])
+            async with self.timers.timeout(DISK_TIMEOUT_S):
+                await self.store.commit([Put(place, self._signature) if out else Delete(place)])
             return ""
         except (StoreError, TimeoutError) as error:
             self.metrics.count_and_log("hand_not_written", why=f"{type(error).__name__}: {error}")
--- a/beaconhinge/recovery/stages.py
+++ b/beaconhinge/recovery/stages.py
@@ -14,86 +14,88 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Opened:
+class ListenerOpened:
     """The door is open."""
 
 
 @dataclass(frozen=True, slots=True)
-class Asked:
+class PeersQueried:
     """These of the others are asked how they are, and discovery for its list."""
 
-    others: frozenset[int]
+    peers: frozenset[int]
 
 
 @dataclass(frozen=True, slots=True)
-class Listed:
+class ListReceived:
     """Discovery has told its list."""
 
 
 @dataclass(frozen=True, slots=True)
-class Heard:
+class PeerAnswered:
     number: int
-    phase: int
+    stage: int
 
 
 @dataclass(frozen=True, slots=True)
-class Woke:
+class ProcessResumed:
     """The process stood still until now; these are asked anew."""
 
-    others: frozenset[int]
+    peers: frozenset[int]
 
 
 @dataclass(frozen=True, slots=True)
-class Turn:
+class TimePassed:
     """Time has passed."""
 
 
-Event: TypeAlias = Opened | Asked | Listed | Heard | Woke | Turn
+Event: TypeAlias = ListenerOpened | PeersQueried | ListReceived | PeerAnswered | ProcessResumed | TimePassed
 
 
 @dataclass(slots=True)
-class Return:
+class RecoveryStages:
     """`began`: when the present phase was entered."""
 
-    began: float
-    phase: int = READING
-    listed: bool = False
-    silent: set[int] = field(default_factory=set)  # asked, and not heard yet
-    serving: set[int] = field(default_factory=set)  # heard to be in `normal`: this one has restarted alone
+    entered_at: float
+    stage: int = READING
+    list_received: bool = False
+    unanswered: set[int] = field(default_factory=set)  # asked, and not heard yet
+    peers_serving: set[int] = field(
+        default_factory=set
+    )  # heard to be in `normal`: this one has restarted alone
 
     def feed(self, now: float, event: Event) -> list[int]:
         match event:
-            case Opened() if self.phase == READING:
+            case ListenerOpened() if self.stage == READING:
                 return self._enter(now, LISTENING)
-            case Asked() if self.phase in (LISTENING, ASKING):  # the disk may have been slow
-                self.silent = set(event.others)
-                if self.phase == LISTENING:
+            case PeersQueried() if self.stage in (LISTENING, ASKING):  # the disk may have been slow
+                self.unanswered = set(event.peers)
+                if self.stage == LISTENING:
                     return self._enter(now, ASKING)
-            case Woke() if LISTENING < self.phase < NORMAL:
+            case ProcessResumed() if LISTENING < self.stage < NORMAL:
                 # What was heard before may be of a fleet that has lost its power since.
-                self.listed, self.silent, self.serving = False, set(event.others), set()
-                self.began = now
-            case Listed():
-                self.listed = True
-            case Heard():
-                self.silent.discard(event.number)
-                if event.phase == NORMAL:
-                    self.serving.add(event.number)
-        return self._turn(now)
+                self.list_received, self.unanswered, self.peers_serving = False, set(event.peers), set()
+                self.entered_at = now
+            case ListReceived():
+                self.list_received = True
+            case PeerAnswered():
+                self.unanswered.discard(event.number)
+                if event.stage == NORMAL:
+                    self.peers_serving.add(event.number)
+        return self._advance(now)
 
     @property
     def ends_at(self) -> float:
         """When the phase ends by its bound alone."""
-        return self.began + MOST.get(self.phase, float("inf"))
+        return self.entered_at + MOST.get(self.stage, float("inf"))
 
     def _enter(self, now: float, phase: int) -> list[int]:
-        self.began, self.phase = now, phase
-        return [phase, *self._turn(now)]
+        self.entered_at, self.stage = now, phase
+        return [phase, *self._advance(now)]
 
-    def _turn(self, now: float) -> list[int]:
+    def _advance(self, now: float) -> list[int]:
         over = now >= self.ends_at
-        if self.phase == LISTENING and over:
+        if self.stage == LISTENING and over:
             return self._enter(now, ASKING)
-        if self.phase == ASKING and (over or self.listed and not self.silent):
+        if self.stage == ASKING and (over or self.list_received and not self.unanswered):
             return self._enter(now, NORMAL)
         return []
--- a/beaconhinge/recovery/stall.py
+++ b/beaconhinge/recovery/stall.py
@@ -10,10 +10,10 @@
 
 from ..policy.interface import AttemptOutcome
 
-KEPT = 8  # stalls remembered; an attempt that outlasts more of them is judged by the last ones
+MAX_STALLS = 8  # stalls remembered; an attempt that outlasts more of them is judged by the last ones
 
 # What an attempt that a stall may have ended is told as: ended by us, and whether it can have run.
-EXCUSED = {
+EXCUSED_OUTCOMES = {
     AttemptOutcome.TIMEOUT: AttemptOutcome.CANCELLED,
     AttemptOutcome.CONNECTION_LOST: AttemptOutcome.CANCELLED,
     AttemptOutcome.NO_CONNECTION: AttemptOutcome.NOT_SENT,
@@ -32,17 +32,17 @@
         return self.ended - self.began
 
 
-class StallWatch:
+class StallDetector:
     """`feed` it at every turn: whoever wakes the process first. Something has to wake it well within `after`
     seconds while it is healthy.
     """
 
-    def __init__(self, after: float) -> None:
-        self.after = after
-        self.stalls: deque[Stall] = deque(maxlen=KEPT)
+    def __init__(self, threshold_s: float) -> None:
+        self.after = threshold_s
+        self.stalls: deque[Stall] = deque(maxlen=MAX_STALLS)
         self._last: float | None = None
 
-    def feed(self, now: float) -> Stall | None:
+    def observe(self, now: float) -> Stall | None:
         """The stall that has just ended, once."""
         last, self._last = self._last, now
         if last is None or now - last <= self.after:
@@ -51,13 +51,13 @@
         self.stalls.append(stall)
         return stall
 
-    def outcome(self, sent_at: float, outcome: AttemptOutcome) -> AttemptOutcome:
+    def excused_outcome(self, sent_at: float, outcome: AttemptOutcome) -> AttemptOutcome:
         """What an attempt's end is to be told as. A word from the worker itself stands."""
         if self.stalls and sent_at < self.stalls[-1].ended:
-            return EXCUSED.get(outcome, outcome)
+            return EXCUSED_OUTCOMES.get(outcome, outcome)
         return outcome
 
-    def own_seconds(self, since: float, now: float) -> float:
+    def running_seconds(self, since: float, now: float) -> float:
         """The part of that span in which this process ran."""
         stood = sum(max(0.0, min(s.ended, now) - max(s.began, since)) for s in self.stalls)
         return max(0.0, now - since - stood)
--- a/tests/recovery/test_phases.py
+++ b/tests/recovery/test_phases.py
@@ -13,10 +13,10 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from beaconhinge.net.restart import ORPHANS, Orphans
+from beaconhinge.net.restart import MAX_CONCURRENT_WITHDRAWALS, OrphanedJobs
 from beaconhinge.recovery import incarnations, stages
-from beaconhinge.recovery.incarnations import Hello, Lives
-from beaconhinge.recovery.stages import ASKING, LISTENING, MOST, NORMAL, READING, Return
+from beaconhinge.recovery.incarnations import Hello, PeerIncarnations
+from beaconhinge.recovery.stages import ASKING, LISTENING, MOST, NORMAL, READING, RecoveryStages
 from beaconhinge.runtime.clock import Clock
 from beaconhinge.runtime.metrics import Metrics
 from beaconhinge.runtime.timer_wheel import TimerWheel
@@ -25,12 +25,12 @@
 
 OTHERS = frozenset(range(1, 4))
 EVENTS = st.one_of(
-    st.just(stages.Opened()),
-    st.builds(stages.Asked, st.frozensets(st.integers(1, 3))),
-    st.just(stages.Listed()),
-    st.builds(stages.Heard, st.integers(1, 3), st.integers(READING, NORMAL)),
-    st.builds(stages.Woke, st.just(OTHERS)),
-    st.just(stages.Turn()),
+    st.just(stages.ListenerOpened()),
+    st.builds(stages.PeersQueried, st.frozensets(st.integers(1, 3))),
+    st.just(stages.ListReceived()),
+    st.builds(stages.PeerAnswered, st.integers(1, 3), st.integers(READING, NORMAL)),
+    st.builds(stages.ProcessResumed, st.just(OTHERS)),
+    st.just(stages.TimePassed()),
 )
 
 
@@ -38,50 +38,62 @@
 def test_phases_come_as_drawn_within_their_bounds_whatever_is_heard(
     events: list[tuple[float, stages.Event]],
 ) -> None:
-    machine, now, entered = Return(100.0), 100.0, [READING]
+    machine, now, entered = RecoveryStages(100.0), 100.0, [READING]
     for passed, event in events:
         now += passed
-        before, ends_at = machine.phase, machine.ends_at
+        before, ends_at = machine.stage, machine.ends_at
         entered += machine.feed(now, event)
-        assert machine.phase == entered[-1] >= before
-        if before in MOST and now >= ends_at and not isinstance(event, stages.Woke):
-            assert machine.phase > before  # a phase that is over ends with the next turn
-        if before == ASKING and machine.phase == NORMAL and now < ends_at:
-            assert machine.listed and not machine.silent
+        assert machine.stage == entered[-1] >= before
+        if before in MOST and now >= ends_at and not isinstance(event, stages.ProcessResumed):
+            assert machine.stage > before  # a phase that is over ends with the next turn
+        if before == ASKING and machine.stage == NORMAL and now < ends_at:
+            assert machine.list_received and not machine.unanswered
     assert entered == sorted(set(entered))
 
 
 def test_nobody_waits_for_others_or_discovery_beyond_the_bound_and_who_woke_asks_anew() -> None:
-    machine = Return(100.0)
-    assert machine.feed(100.0, stages.Opened()) == [LISTENING]
-    assert machine.feed(100.0, stages.Asked(OTHERS)) == [ASKING]
-    assert machine.feed(100.1, stages.Listed()) == [] and machine.feed(100.1, stages.Heard(1, NORMAL)) == []
-    assert machine.feed(110.2, stages.Woke(OTHERS)) == []  # not over by the time in which it stood still
-    assert (machine.listed, machine.silent, machine.serving) == (False, set(OTHERS), set())
-    assert machine.feed(110.6, stages.Turn()) == [] and machine.feed(110.8, stages.Turn()) == [NORMAL]
-    alone = Return(0.0)
-    alone.feed(0.0, stages.Opened())
-    assert alone.feed(0.0, stages.Asked(frozenset())) == [ASKING] and alone.feed(0.01, stages.Listed()) == [
+    machine = RecoveryStages(100.0)
+    assert machine.feed(100.0, stages.ListenerOpened()) == [LISTENING]
+    assert machine.feed(100.0, stages.PeersQueried(OTHERS)) == [ASKING]
+    assert (
+        machine.feed(100.1, stages.ListReceived()) == []
+        and machine.feed(100.1, stages.PeerAnswered(1, NORMAL)) == []
+    )
+    assert (
+        machine.feed(110.2, stages.ProcessResumed(OTHERS)) == []
+    )  # not over by the time in which it stood still
+    assert (machine.list_received, machine.unanswered, machine.peers_serving) == (False, set(OTHERS), set())
+    assert machine.feed(110.6, stages.TimePassed()) == [] and machine.feed(110.8, stages.TimePassed()) == [
         NORMAL
     ]
-    slow_disk = Return(0.0)
-    slow_disk.feed(0.0, stages.Opened())
-    assert slow_disk.feed(1.0, stages.Turn()) == [ASKING] and slow_disk.feed(1.1, stages.Asked(OTHERS)) == []
-    assert slow_disk.silent == OTHERS and slow_disk.feed(1.5, stages.Turn()) == [NORMAL]
+    alone = RecoveryStages(0.0)
+    alone.feed(0.0, stages.ListenerOpened())
+    assert alone.feed(0.0, stages.PeersQueried(frozenset())) == [ASKING] and alone.feed(
+        0.01, stages.ListReceived()
+    ) == [NORMAL]
+    slow_disk = RecoveryStages(0.0)
+    slow_disk.feed(0.0, stages.ListenerOpened())
+    assert (
+        slow_disk.feed(1.0, stages.TimePassed()) == [ASKING]
+        and slow_disk.feed(1.1, stages.PeersQueried(OTHERS)) == []
+    )
+    assert slow_disk.unanswered == OTHERS and slow_disk.feed(1.5, stages.TimePassed()) == [NORMAL]
 
 
 def test_a_life_told_by_two_starts_is_stale_and_the_same_word_twice_is_not() -> None:
-    heard = Lives()
+    heard = PeerIncarnations()
     first = Hello(ASKING, 5, 111)
-    assert not heard.hear(1, first) and not heard.hear(1, first)  # repeated on the way
-    assert not heard.hear(1, Hello(ASKING, 6, 222)) and not heard.hear(2, Hello(ASKING, 6, 333))
-    assert heard.hear(1, Hello(ASKING, 6, 444)) and heard.hear(1, Hello(ASKING, 2, 444))  # a backup put back
-    assert not heard.hear(1, Hello(ASKING, 0, 555)) and not heard.hear(1, Hello(ASKING, 7, 666))
+    assert not heard.observe(1, first) and not heard.observe(1, first)  # repeated on the way
+    assert not heard.observe(1, Hello(ASKING, 6, 222)) and not heard.observe(2, Hello(ASKING, 6, 333))
+    assert heard.observe(1, Hello(ASKING, 6, 444)) and heard.observe(
+        1, Hello(ASKING, 2, 444)
+    )  # a backup put back
+    assert not heard.observe(1, Hello(ASKING, 0, 555)) and not heard.observe(1, Hello(ASKING, 7, 666))
 
 
 def test_records_count_for_their_own_dispatcher_and_words_survive_the_wire() -> None:
-    record = incarnations.signed("n1", 1, incarnations.life_record(7))
-    assert incarnations.next_life(incarnations.read_signed(record, "n1", 1)) == 8
+    record = incarnations.sign_record("n1", 1, incarnations.incarnation_record(7))
+    assert incarnations.next_incarnation(incarnations.read_signed_record(record, "n1", 1)) == 8
     for name, number, data in (
         ("n1", 2, record),
         ("n", 1, record),
@@ -89,7 +101,7 @@
         ("n1", 1, record[:-1]),
         ("n1", 1, b""),
     ):
-        assert incarnations.next_life(incarnations.read_signed(data, name, number)) == 1
+        assert incarnations.next_incarnation(incarnations.read_signed_record(data, name, number)) == 1
     for hello in (Hello(NORMAL, 2**32 - 1, 2**32 - 1, True, True), Hello(0, 0, 0)):
         wire = incarnations.encode(hello)
         assert incarnations.decode(wire) == hello and len(wire) == 11
@@ -114,7 +126,7 @@
 
         metrics = Metrics(lambda: now[0], writer=lambda event, fields: None)
         workers: Any = SimpleNamespace(withdraw=withdraw)
-        orphans = Orphans(
+        orphans = OrphanedJobs(
             workers,
             TimerWheel(lambda: now[0], metrics.log_exception),
             metrics,
@@ -123,17 +135,17 @@
         )
         for _ in range(2):
             for number in range(9):
-                orphans.told(f"r{number}", 7)
-            orphans.told("keyed", 7)
+                orphans.observe(f"r{number}", 7)
+            orphans.observe("keyed", 7)
         while metrics.tasks:
             await asyncio.wait(metrics.tasks)
         now[0] = 10.0
-        orphans.told("late", 7)
+        orphans.observe("late", 7)
         assert not metrics.tasks and metrics.counters["orphans_withdrawn"] == 9
         return done, most
 
     done, most = asyncio.run(scenario())
-    assert sorted(done) == [(f"r{n}", 7) for n in range(9)] and most == ORPHANS
+    assert sorted(done) == [(f"r{n}", 7) for n in range(9)] and most == MAX_CONCURRENT_WITHDRAWALS
 
 
 class Kept(DemoFleet):
@@ -198,7 +210,7 @@
 
 def test_a_word_of_the_operators_is_not_confirmed_before_it_is_on_the_disk() -> None:
     from beaconhinge.net.operator_calls import OperatorCalls
-    from beaconhinge.net.restart import ByHand
+    from beaconhinge.net.restart import MaintenanceStore
     from beaconhinge.store import Put, StoreError
 
     class Disk:
@@ -212,8 +224,8 @@
 
         def scan(self, prefix: bytes) -> list[tuple[bytes, bytes]]:
             return [
-                (b"hand/s-1", incarnations.signed("n0", 0, b"")),
-                (b"hand/s-2", incarnations.signed("n1", 1, b"")),
+                (b"hand/s-1", incarnations.sign_record("n0", 0, b"")),
+                (b"hand/s-2", incarnations.sign_record("n1", 1, b"")),
             ]
 
     async def scenario() -> None:
@@ -223,14 +235,14 @@
         config: Any = SimpleNamespace(name="n0", settings=SimpleNamespace(own_number=0))
         workers: Any = SimpleNamespace(lists=lambda host: True)
         disk: Any = Disk()
-        hands = ByHand(config, disk, TimerWheel(clock.now, metrics.log_exception), metrics)
+        hands = MaintenanceStore(config, disk, TimerWheel(clock.now, metrics.log_exception), metrics)
         operators = OperatorCalls(config, policy_runner, workers, SimpleNamespace(), SimpleNamespace())  # type: ignore[arg-type]
         hands.restore(operators.apply)
         assert operators.out == {"s-1"} and "hands_foreign" in logged  # another dispatcher's stays out of it
-        operators.keep = hands.keep
+        operators.keep = hands.write
         call: Any = SimpleNamespace(name="disable-server", word="s-3")
         assert await operators.acts["disable-server"](call) == b"SUCCESS s-3 is out\n"  # type: ignore[misc]
-        assert disk.changes == [Put(b"hand/s-3", incarnations.signed("n0", 0, b""))]
+        assert disk.changes == [Put(b"hand/s-3", incarnations.sign_record("n0", 0, b""))]
         disk.full, call.word = True, "s-4"
         answer = await operators.acts["disable-server"](call)  # type: ignore[misc]
         assert (
--- a/tests/recovery/test_stall.py
+++ b/tests/recovery/test_stall.py
@@ -12,7 +12,7 @@
 from beaconhinge.gossip.aggregation import Fleet
 from beaconhinge.policy import Dispatcher, Settings, interface
 from beaconhinge.policy.interface import AttemptOutcome, UpdateKind
-from beaconhinge.recovery.stall import EXCUSED, StallWatch
+from beaconhinge.recovery.stall import EXCUSED_OUTCOMES, StallDetector
 from beaconhinge.runtime.timer_wheel import TimerWheel
 
 SPANS = st.lists(st.floats(0.0, 30.0, allow_nan=False), min_size=1, max_size=8)
@@ -22,15 +22,15 @@
 def test_a_stall_is_noticed_once_exactly_where_two_turns_lie_too_far_apart(
     spans: list[float], after: float
 ) -> None:
-    watch, now = StallWatch(after), 100.0
-    assert watch.feed(now) is None
+    watch, now = StallDetector(after), 100.0
+    assert watch.observe(now) is None
     for span in spans:
         before, now = now, now + span
-        stall = watch.feed(now)
+        stall = watch.observe(now)
         assert (stall is not None) == (now - before > after)
         if stall is not None:
             assert (stall.began, stall.ended) == (before, now)
-        assert watch.feed(now) is None
+        assert watch.observe(now) is None
 
 
 @given(
@@ -40,7 +40,7 @@
     st.sampled_from(
         sorted(
             {
-                *EXCUSED,
+                *EXCUSED_OUTCOMES,
                 AttemptOutcome.SERVED,
                 AttemptOutcome.SERVER_ERROR,
                 AttemptOutcome.REJECTED,
@@ -51,18 +51,20 @@
 def test_own_time_and_blame_leave_out_what_the_process_slept_through(
     spans: list[float], after: float, since: int, outcome: str
 ) -> None:
-    watch, turns = StallWatch(after), [100.0]
-    watch.feed(100.0)
+    watch, turns = StallDetector(after), [100.0]
+    watch.observe(100.0)
     for span in spans:
         turns.append(turns[-1] + span)
-        watch.feed(turns[-1])
+        watch.observe(turns[-1])
     sent = turns[min(since, len(turns) - 1)]
     stood = [(a, b) for a, b in zip(turns, turns[1:], strict=False) if b - a > after]
     ran = sum(b - a for a, b in zip(turns, turns[1:], strict=False) if a >= sent and b - a <= after)
-    assert math.isclose(watch.own_seconds(sent, turns[-1]), ran, abs_tol=1e-6)
+    assert math.isclose(watch.running_seconds(sent, turns[-1]), ran, abs_tol=1e-6)
     excused = any(sent < ended for _, ended in stood)
-    assert watch.outcome(sent, outcome) == (EXCUSED.get(outcome, outcome) if excused else outcome)
-    assert watch.outcome(turns[-1] + 1, outcome) == outcome
+    assert watch.excused_outcome(sent, outcome) == (
+        EXCUSED_OUTCOMES.get(outcome, outcome) if excused else outcome
+    )
+    assert watch.excused_outcome(turns[-1] + 1, outcome) == outcome
 
 
 def test_timers_wait_for_the_sockets_after_a_stall_and_no_new_one_shortens_that() -> None:
