--- a/beaconhinge/net/keys.py
+++ b/beaconhinge/net/keys.py
@@ -9,20 +9,10 @@
 
 from ..config import Config
 from ..dispatch.request import Job, Known
-from ..recovery import keys
-from ..recovery.keys import (
-    HERE,
-    KEPT,
-    NOT_HERE,
-    UNKNOWN,
-    FetchResultPart,
-    KeyAnswer,
-    KeyInquiry,
-    KeyQuery,
-    KeyRegistry,
-    ResultAssembly,
-    ResultPart,
-)
+from ..recovery import key_messages, key_records
+from ..recovery.key_inquiry import KeyInquiry, ResultAssembly
+from ..recovery.key_messages import FetchResultPart, KeyAnswer, KeyQuery, KeyState, ResultPart
+from ..recovery.key_registry import KeyRegistry
 from ..runtime.metrics import Metrics
 from ..runtime.timer_wheel import TimerWheel
 from ..store import Change, Delete, Put, Store, StoreError
@@ -38,10 +28,10 @@
 OWNER_KEY, RECORD_PREFIX = b"keys/owner", b"key/"
 # What others say of a repeat, as it is counted.
 COUNTER_BY_STATE = {
-    NOT_HERE: "keys_free",
-    HERE: "keys_elsewhere",
-    KEPT: "keys_elsewhere",
-    UNKNOWN: "keys_unknown",
+    KeyState.ABSENT: "keys_free",
+    KeyState.PRESENT: "keys_elsewhere",
+    KeyState.RESULT_CACHED: "keys_elsewhere",
+    KeyState.UNKNOWN: "keys_unknown",
 }
 
 
@@ -69,7 +59,7 @@
         self.own_state_known: Callable[[], bool] = lambda: (
             True
         )  # whether the journal's age has been asked about
-        peers.talk |= dict.fromkeys((keys.ASK, keys.ANSWER, keys.FETCH, keys.PART), self._receive)
+        peers.talk |= dict.fromkeys(key_messages.MessageType, self._receive)
         if store is not None:
             self._restore(store)
         timers.after(EXPIRY_INTERVAL_S, self._expire)
@@ -78,7 +68,9 @@
 
     def _owner(self) -> Put:
         number = self.config.settings.own_number
-        return Put(OWNER_KEY, keys.encode_owner(self.config.name, number, self.registry.unsure_until))
+        return Put(
+            OWNER_KEY, key_records.encode_owner(self.config.name, number, self.registry.uncertain_until)
+        )
 
     def _unsure_until(self, window: float) -> float:
         found = None
@@ -88,14 +80,14 @@
             except StoreError:
                 pass  # as good as none
         number = self.config.settings.own_number
-        return keys.uncertain_until(found, self.config.name, number, self.timers.now(), window)
+        return key_records.uncertain_until(found, self.config.name, number, self.timers.now(), window)
 
     def _restore(self, store: Store) -> None:
         now, damaged = self.timers.now(), 0
         try:
             for place, data in store.scan(RECORD_PREFIX):
                 try:
-                    taken_at, request = keys.decode_record(data)
+                    taken_at, request = key_records.decode_record(data)
                     self.registry.restore(
                         now, int.from_bytes(place[len(RECORD_PREFIX) :], "big"), taken_at, request
                     )
@@ -104,13 +96,13 @@
         except StoreError:
             damaged += 1
         if damaged:  # what it does not tell is not known
-            self.registry.unsure_until = now + self.registry.window
+            self.registry.uncertain_until = now + self.registry.window
         self.metrics.spawn(self._write_owner(), "keys")
         self.metrics.log(
             "keys_restored",
             keys=len(self.registry),
             damaged=damaged,
-            unsure_for=max(0.0, self.registry.unsure_until - now),
+            unsure_for=max(0.0, self.registry.uncertain_until - now),
         )
 
     async def _write_owner(self) -> None:
@@ -120,7 +112,9 @@
         """Whether it is on the disk that this dispatcher has the key."""
         if self.store is None:
             return True
-        put = Put(RECORD_PREFIX + name.to_bytes(8, "big"), keys.encode_record(self.timers.now(), job.id))
+        put = Put(
+            RECORD_PREFIX + name.to_bytes(8, "big"), key_records.encode_record(self.timers.now(), job.id)
+        )
         return await self._commit([self._owner(), put])
 
     async def _delete_records(self, names: list[int]) -> None:
@@ -153,12 +147,12 @@
 
     async def enter(self, job: Job) -> Known:
         """Before the module hears of a job with a key: whether it may have run elsewhere, or its result."""
-        now, name = self.timers.now(), keys.key_name(job.cls, job.tenant, job.dedup_key)
+        now, name = self.timers.now(), key_messages.key_name(job.cls, job.tenant, job.dedup_key)
         result = self.registry.result(now, name)
         if result is not None:
             self.metrics.count("keys_answered")
             return Known(result=result)
-        if self.registry.state(now, name) == HERE:
+        if self.registry.state(now, name) == KeyState.PRESENT:
             self.metrics.count("keys_here")
             return Known(doubted=True)
         ask = (
@@ -167,16 +161,18 @@
         self.registry.begin(now, name, job.id)
         entered = False
         try:
-            verdict = NOT_HERE
+            verdict = KeyState.ABSENT
             if ask:
                 inquiry = await self._inquire(name)
                 verdict = inquiry.verdict
-                if verdict == NOT_HERE and (now < self.registry.unsure_until or not self.own_state_known()):
-                    verdict = UNKNOWN
+                if verdict == KeyState.ABSENT and (
+                    now < self.registry.uncertain_until or not self.own_state_known()
+                ):
+                    verdict = KeyState.UNKNOWN
                 self.metrics.count(COUNTER_BY_STATE[verdict])
-                if verdict == KEPT:
+                if verdict == KeyState.RESULT_CACHED:
                     return Known(doubted=True, result=await self._fetch(inquiry.result_holder, name))
-            entered = verdict == NOT_HERE and await self._write_record(name, job)
+            entered = verdict == KeyState.ABSENT and await self._write_record(name, job)
         finally:  # it may be given up for want of time
             if not entered:
                 self.registry.end(self.timers.now(), name, False, None)
@@ -184,18 +180,18 @@
 
     def left(self, job: Job, may_have_run: bool, result: bytes | None) -> None:
         """The request that `enter` let in has ended."""
-        name = keys.key_name(job.cls, job.tenant, job.dedup_key)
+        name = key_messages.key_name(job.cls, job.tenant, job.dedup_key)
         self.registry.end(self.timers.now(), name, may_have_run, result)
         if not may_have_run and self.store is not None:
             self.metrics.spawn(self._delete_records([name]), "keys")
 
     def may_have(self, request: str) -> bool:
         """Whether a job that this life has not sent may be one with a key, whose client comes again."""
-        return self.timers.now() < self.registry.unsure_until or self.registry.has_request(request)
+        return self.timers.now() < self.registry.uncertain_until or self.registry.has_request(request)
 
     def mark_journal_stale(self) -> None:
         """The journal is older than what this dispatcher has done since: what it lacks is unknown."""
-        self.registry.unsure_until = self.timers.now() + self.registry.window
+        self.registry.uncertain_until = self.timers.now() + self.registry.window
         self.metrics.spawn(self._write_owner(), "keys")
 
     def record_late_result(self, request: str, result: str) -> None:
@@ -215,7 +211,7 @@
                 if inquiry.decided:
                     break
                 for other in inquiry.unanswered:
-                    self.peers.send(other, keys.encode(KeyQuery(number, name)))
+                    self.peers.send(other, key_messages.encode(KeyQuery(number, name)))
                 with contextlib.suppress(TimeoutError):
                     async with self.timers.timeout(QUERY_INTERVAL_S):
                         await settled.wait()
@@ -231,7 +227,7 @@
             for _ in range(MAX_FETCHES):
                 news.clear()
                 for part in assembly.missing:
-                    self.peers.send(keeper, keys.encode(FetchResultPart(number, name, part)))
+                    self.peers.send(keeper, key_messages.encode(FetchResultPart(number, name, part)))
                 with contextlib.suppress(TimeoutError):
                     async with self.timers.timeout(QUERY_INTERVAL_S):
                         await news.wait()
@@ -243,12 +239,12 @@
         return assembly.result
 
     def _receive(self, number: int, payload: bytes) -> None:
-        message = keys.decode(payload)
+        message = key_messages.decode(payload)
         if isinstance(message, KeyQuery):
             if not self.own_state_known():
                 return  # it may be about to learn that it does not know
             word = self.registry.claim_for_peer(self.timers.now(), message.key)
-            self.peers.send(number, keys.encode(KeyAnswer(message.query_id, word)))
+            self.peers.send(number, key_messages.encode(KeyAnswer(message.query_id, word)))
         elif isinstance(message, KeyAnswer):
             inquiry, settled = self._inquiries.get(message.query_id, (None, None))
             if inquiry is not None and settled is not None:
@@ -257,9 +253,9 @@
                     settled.set()
         elif isinstance(message, FetchResultPart):
             result = self.registry.result(self.timers.now(), message.key)
-            part = None if result is None else keys.result_part(result, message)
+            part = None if result is None else key_messages.result_part(result, message)
             if part is not None:
-                self.peers.send(number, keys.encode(part))
+                self.peers.send(number, key_messages.encode(part))
         elif isinstance(message, ResultPart):
             keeper, assembly, news = self._fetches.get(message.query_id, (None, None, None))
             if keeper == number and assembly is not None and news is not None:
--- a/beaconhinge/recovery/incarnations.py
+++ b/beaconhinge/recovery/incarnations.py
@@ -1,4 +1,4 @@
-"""The lives of one dispatcher: records signed with its name, the word by which others know a life. Pure."""
+"""Incarnations of one dispatcher: records signed with its name, and the datagram that tells others of one."""
 
 from __future__ import annotations
 
@@ -24,32 +24,42 @@
 
 
 def next_incarnation(body: bytes | None) -> int:
-    """After the one in the record; 1 without one that can be read."""
+    """The incarnation after the one in the record; 1 without a record that can be read."""
     return _LIFE.unpack(body)[0] % 0xFFFFFFFF + 1 if body is not None and len(body) == _LIFE.size else 1
 
 
 def incarnation_record(life: int) -> bytes:
+    """The record of an incarnation, to be signed."""
     return _LIFE.pack(life)
 
 
 @dataclass(frozen=True, slots=True)
 class Hello:
-    """`start` is drawn anew at each start. `stale`: the receiver's life has been heard of from another."""
+    """What a dispatcher says of its start.
+
+    Attributes:
+        stage: Its recovery stage.
+        incarnation: Its incarnation; 0 if none is counted.
+        start_id: Drawn at random at each start.
+        expects_reply: The receiver is asked for a hello of its own.
+        stale: The receiver's incarnation has been heard of from another start.
+    """
 
     stage: int
-    incarnation: int  # 0: none is counted
+    incarnation: int
     start_id: int
     expects_reply: bool = False
     stale: bool = False
 
 
 def encode(hello: Hello) -> bytes:
+    """Bytes of a hello."""
     flags = _ASKS * hello.expects_reply | _STALE * hello.stale
     return _HELLO.pack(HELLO, flags, hello.stage, hello.incarnation, hello.start_id)
 
 
 def decode(payload: bytes) -> Hello | None:
-    """None for whatever is foreign, truncated or of another version."""
+    """The hello in a datagram; None if it is foreign, truncated or of another version."""
     if len(payload) != _HELLO.size or payload[0] != HELLO or payload[1] > _ASKS | _STALE:
         return None
     _, flags, phase, life, start = _HELLO.unpack(payload)
@@ -57,13 +67,13 @@
 
 
 class PeerIncarnations:
-    """What this process has heard of the others' lives."""
+    """What this process has heard of the incarnations of other dispatchers."""
 
     def __init__(self) -> None:
         self._known: dict[int, tuple[int, int]] = {}  # by number: life and start
 
     def observe(self, number: int, hello: Hello) -> bool:
-        """Whether that life is stale: as old as one that another start has told, or older."""
+        """Whether that incarnation is stale: as old as one that another start has announced, or older."""
         known = self._known.get(number)
         if hello.incarnation == 0:
             return False
--- a/beaconhinge/recovery/stages.py
+++ b/beaconhinge/recovery/stages.py
@@ -1,6 +1,6 @@
-"""In which order service returns after a start. Pure: `feed(now, event)` tells the phases entered.
+"""The stages of a start, up to full service: a state machine fed with events.
 
-Times are seconds of one forward-only clock. `docs/design/recovery.md` says why.
+Times are seconds of one monotonic clock. `docs/design/recovery.md` says why the stages are as they are.
 """
 
 from __future__ import annotations
@@ -15,30 +15,32 @@
 
 @dataclass(frozen=True, slots=True)
 class ListenerOpened:
-    """The door is open."""
+    """The listener accepts connections."""
 
 
 @dataclass(frozen=True, slots=True)
 class PeersQueried:
-    """These of the others are asked how they are, and discovery for its list."""
+    """These dispatchers have been asked for their stage, and discovery for its list."""
 
     peers: frozenset[int]
 
 
 @dataclass(frozen=True, slots=True)
 class ListReceived:
-    """Discovery has told its list."""
+    """Discovery has sent its list."""
 
 
 @dataclass(frozen=True, slots=True)
 class PeerAnswered:
+    """Another dispatcher has said in which stage it is."""
+
     number: int
     stage: int
 
 
 @dataclass(frozen=True, slots=True)
 class ProcessResumed:
-    """The process stood still until now; these are asked anew."""
+    """The process stood still until now; these dispatchers are asked anew."""
 
     peers: frozenset[int]
 
@@ -53,7 +55,13 @@
 
 @dataclass(slots=True)
 class RecoveryStages:
-    """`began`: when the present phase was entered."""
+    """The state machine of a start.
+
+    Attributes:
+        entered_at: When the present stage was entered.
+        unanswered: Dispatchers that were asked and have not answered.
+        peers_serving: Dispatchers known to be in normal service: this one has restarted alone.
+    """
 
     entered_at: float
     stage: int = READING
@@ -64,6 +72,7 @@
     )  # heard to be in `normal`: this one has restarted alone
 
     def feed(self, now: float, event: Event) -> list[int]:
+        """Take in an event; the stages entered by it, in order."""
         match event:
             case ListenerOpened() if self.stage == READING:
                 return self._enter(now, LISTENING)
@@ -85,7 +94,7 @@
 
     @property
     def ends_at(self) -> float:
-        """When the phase ends by its bound alone."""
+        """When the stage ends by its time limit alone."""
         return self.entered_at + MOST.get(self.stage, float("inf"))
 
     def _enter(self, now: float, phase: int) -> list[int]:
--- a/beaconhinge/recovery/stall.py
+++ b/beaconhinge/recovery/stall.py
@@ -1,4 +1,4 @@
-"""Notices by the process's own clock that it stood still, and says whom not to blame for that time.
+"""Detects by the process's own clock that it stood still, and excuses workers for that time.
 
 Pure: times are arguments, in seconds of one forward-only clock.
 """
@@ -29,12 +29,15 @@
 
     @property
     def seconds(self) -> float:
+        """How long the process stood still."""
         return self.ended - self.began
 
 
 class StallDetector:
-    """`feed` it at every turn: whoever wakes the process first. Something has to wake it well within `after`
-    seconds while it is healthy.
+    """Detects stalls from the times at which the process runs.
+
+    `observe` is called by whatever wakes the process first; while it is healthy, something has to wake it
+    well within `threshold_s` seconds.
     """
 
     def __init__(self, threshold_s: float) -> None:
@@ -43,7 +46,7 @@
         self._last: float | None = None
 
     def observe(self, now: float) -> Stall | None:
-        """The stall that has just ended, once."""
+        """The stall that has just ended, reported once."""
         last, self._last = self._last, now
         if last is None or now - last <= self.after:
             return None
@@ -52,7 +55,7 @@
         return stall
 
     def excused_outcome(self, sent_at: float, outcome: AttemptOutcome) -> AttemptOutcome:
-        """What an attempt's end is to be told as. A word from the worker itself stands."""
+        """The outcome to report for an attempt; what the worker itself answered stands."""
         if self.stalls and sent_at < self.stalls[-1].ended:
             return EXCUSED_OUTCOMES.get(outcome, outcome)
         return outcome
--- a/beaconhinge/standin/rig/runner.py
+++ b/beaconhinge/standin/rig/runner.py
@@ -17,7 +17,7 @@
 import msgspec
 
 from ...net.keys import OWNER_KEY
-from ...recovery import keys
+from ...recovery import key_records
 from ...store import Put, Store
 from ..discovery import Discovery
 from ..harness import SETTINGS
@@ -234,7 +234,9 @@
         """Its folder is that of a dispatcher which has run for long: its journal of keys is whole."""
         process.folder.mkdir()
         store = Store.open(process.folder / "store")
-        await store.commit([Put(OWNER_KEY, keys.encode_owner(f"n{process.number}", process.number, 0.0))])
+        await store.commit(
+            [Put(OWNER_KEY, key_records.encode_owner(f"n{process.number}", process.number, 0.0))]
+        )
         await store.close()
         shutil.copytree(process.folder / "store", self.old / str(process.number))
 
--- a/tests/recovery/test_keys.py
+++ b/tests/recovery/test_keys.py
@@ -13,21 +13,17 @@
 from beaconhinge.dispatch.request import Job
 from beaconhinge.net.keys import IdempotencyKeyService
 from beaconhinge.policy import Settings
-from beaconhinge.recovery import keys
-from beaconhinge.recovery.keys import (
-    HERE,
-    KEPT,
+from beaconhinge.recovery import key_messages, key_records
+from beaconhinge.recovery.key_inquiry import KeyInquiry, ResultAssembly
+from beaconhinge.recovery.key_messages import (
     MAX_PART_BYTES,
-    NOT_HERE,
-    UNKNOWN,
     FetchResultPart,
     KeyAnswer,
-    KeyInquiry,
     KeyQuery,
-    KeyRegistry,
-    ResultAssembly,
+    KeyState,
     ResultPart,
 )
+from beaconhinge.recovery.key_registry import KeyRegistry
 from beaconhinge.runtime.metrics import Metrics
 from beaconhinge.runtime.timer_wheel import TimerWheel
 from beaconhinge.store import Put
@@ -41,46 +37,56 @@
 
 def test_a_key_is_here_from_its_taking_on_until_the_window_after_its_end() -> None:
     made = book()
-    assert made.state(100.0, 7) == NOT_HERE
+    assert made.state(100.0, 7) == KeyState.ABSENT
     made.begin(100.0, 7, "r1")
-    assert made.state(100.0 + 2 * WINDOW, 7) == HERE  # a process that stood still has it in hand all the same
+    assert (
+        made.state(100.0 + 2 * WINDOW, 7) == KeyState.PRESENT
+    )  # a process that stood still has it in hand all the same
     made.end(300.0, 7, True, None)
-    assert made.state(300.0 + WINDOW - 0.1, 7) == HERE and made.state(300.0 + WINDOW, 7) == NOT_HERE
+    assert (
+        made.state(300.0 + WINDOW - 0.1, 7) == KeyState.PRESENT
+        and made.state(300.0 + WINDOW, 7) == KeyState.ABSENT
+    )
     made.begin(400.0, 8, "r2")
     made.end(401.0, 8, False, None)  # proven never to have run
-    assert made.state(401.0, 8) == NOT_HERE and len(made) == 1
+    assert made.state(401.0, 8) == KeyState.ABSENT and len(made) == 1
 
 
 def test_what_an_earlier_life_had_is_not_known_without_its_journal() -> None:
     blank, whole = book(complete=False), book()
-    assert (blank.state(100.0, 7), whole.state(100.0, 7)) == (UNKNOWN, NOT_HERE)
-    assert blank.state(100.0 + WINDOW, 7) == NOT_HERE
+    assert (blank.state(100.0, 7), whole.state(100.0, 7)) == (KeyState.UNKNOWN, KeyState.ABSENT)
+    assert blank.state(100.0 + WINDOW, 7) == KeyState.ABSENT
     assert (
         whole.restore(100.0, 7, 90.0, "r1")
-        and whole.state(149.9, 7) == HERE
-        and whole.state(150.0, 7) == NOT_HERE
+        and whole.state(149.9, 7) == KeyState.PRESENT
+        and whole.state(150.0, 7) == KeyState.ABSENT
     )
     assert not whole.restore(100.0, 8, 40.0, "r2")  # too old to matter
     assert whole.restore(100.0, 9, 5000.0, "r3")  # the clock has stepped back
-    assert whole.state(100.0 + WINDOW - 0.1, 9) == HERE and whole.state(100.0 + WINDOW, 9) == NOT_HERE
+    assert (
+        whole.state(100.0 + WINDOW - 0.1, 9) == KeyState.PRESENT
+        and whole.state(100.0 + WINDOW, 9) == KeyState.ABSENT
+    )
 
 
 def test_a_journal_tells_only_its_own_dispatcher_and_says_what_it_does_not_know() -> None:
-    assert keys.uncertain_until(None, "n", 1, 100.0, WINDOW) == 160.0  # an empty folder
-    assert keys.uncertain_until(keys.encode_owner("n", 1, 0.0), "n", 1, 100.0, WINDOW) == 0.0
+    assert key_records.uncertain_until(None, "n", 1, 100.0, WINDOW) == 160.0  # an empty folder
+    assert key_records.uncertain_until(key_records.encode_owner("n", 1, 0.0), "n", 1, 100.0, WINDOW) == 0.0
     # Empty a moment ago and killed again: what the life before that had is still not known.
-    assert keys.uncertain_until(keys.encode_owner("n", 1, 150.0), "n", 1, 100.0, WINDOW) == 150.0
     assert (
-        keys.uncertain_until(keys.encode_owner("n", 1, 1e9), "n", 1, 100.0, WINDOW) == 160.0
+        key_records.uncertain_until(key_records.encode_owner("n", 1, 150.0), "n", 1, 100.0, WINDOW) == 150.0
+    )
+    assert (
+        key_records.uncertain_until(key_records.encode_owner("n", 1, 1e9), "n", 1, 100.0, WINDOW) == 160.0
     )  # the clock stepped back
     for other in (
-        keys.encode_owner("m", 1, 0.0),
-        keys.encode_owner("n", 2, 0.0),
+        key_records.encode_owner("m", 1, 0.0),
+        key_records.encode_owner("n", 2, 0.0),
         b"",
         b"1234",
-        keys.encode_owner("n", 1, float("nan")),
+        key_records.encode_owner("n", 1, float("nan")),
     ):
-        assert keys.uncertain_until(other, "n", 1, 100.0, WINDOW) == 160.0
+        assert key_records.uncertain_until(other, "n", 1, 100.0, WINDOW) == 160.0
 
 
 def test_results_are_kept_for_who_comes_again_and_dropped_before_the_memory_that_it_ran() -> None:
@@ -89,7 +95,7 @@
         made.begin(100.0, key, request)
         made.end(101.0, key, True, result)
     assert made.result(102.0, 1) == b"12345678" and made.result(102.0, 2) is None
-    assert made.state(102.0, 2) == HERE and made.results_dropped == 1
+    assert made.state(102.0, 2) == KeyState.PRESENT and made.results_dropped == 1
     made.restore(102.0, 3, 101.0, "c")
     assert (
         made.record_late_result(103.0, "c", b"x") and made.result(103.0, 3) == b"x"
@@ -134,14 +140,21 @@
         made.end(100.0, key, True, None)
     assert made.take_limit_counts() == (1, 0) and made.take_limit_counts() == (0, 0) and len(made) == 3
     assert (
-        made.state(101.0, 0) == UNKNOWN and made.state(101.0, 3) == HERE and made.state(101.0, 99) == UNKNOWN
+        made.state(101.0, 0) == KeyState.UNKNOWN
+        and made.state(101.0, 3) == KeyState.PRESENT
+        and made.state(101.0, 99) == KeyState.UNKNOWN
     )
-    assert made.state(100.0 + WINDOW, 99) == NOT_HERE
+    assert made.state(100.0 + WINDOW, 99) == KeyState.ABSENT
 
 
 @given(
     st.dictionaries(
-        st.integers(0, 6), st.lists(st.sampled_from((NOT_HERE, HERE, UNKNOWN, KEPT)), min_size=1, max_size=3)
+        st.integers(0, 6),
+        st.lists(
+            st.sampled_from((KeyState.ABSENT, KeyState.PRESENT, KeyState.UNKNOWN, KeyState.RESULT_CACHED)),
+            min_size=1,
+            max_size=3,
+        ),
     )
 )
 def test_only_the_no_of_every_other_is_a_no(said: dict[int, list[int]]) -> None:
@@ -150,10 +163,18 @@
         for word in words:
             inquiry.record(number, word)
     of_others = [words for number, words in said.items() if number < 5]
-    kept = [number for number, words in said.items() if number < 5 and KEPT in words]
-    here = any(HERE in words for words in of_others)
-    no = len(of_others) == 5 and all(set(words) == {NOT_HERE} for words in of_others)
-    assert inquiry.verdict == (KEPT if kept else HERE if here else NOT_HERE if no else UNKNOWN)
+    kept = [number for number, words in said.items() if number < 5 and KeyState.RESULT_CACHED in words]
+    here = any(KeyState.PRESENT in words for words in of_others)
+    no = len(of_others) == 5 and all(set(words) == {KeyState.ABSENT} for words in of_others)
+    assert inquiry.verdict == (
+        KeyState.RESULT_CACHED
+        if kept
+        else KeyState.PRESENT
+        if here
+        else KeyState.ABSENT
+        if no
+        else KeyState.UNKNOWN
+    )
     assert inquiry.decided == (bool(kept) or here or len(of_others) == 5)
     assert not kept or inquiry.result_holder in kept
 
@@ -164,13 +185,13 @@
     def __init__(self) -> None:
         self.disk: dict[int, tuple[float, str]] = {}
         self.up = True
-        self.unsure_until = 0.0
+        self.uncertain_until = 0.0
         self.start(100.0, True)
 
     def start(self, now: float, complete: bool) -> None:
-        known = keys.encode_owner("n", 1, self.unsure_until) if complete else None
-        self.unsure_until = keys.uncertain_until(known, "n", 1, now, WINDOW)
-        self.book = KeyRegistry(WINDOW, self.unsure_until, 1000, 10_000)
+        known = key_records.encode_owner("n", 1, self.uncertain_until) if complete else None
+        self.uncertain_until = key_records.uncertain_until(known, "n", 1, now, WINDOW)
+        self.book = KeyRegistry(WINDOW, self.uncertain_until, 1000, 10_000)
         for key, (at, request) in self.disk.items():
             self.book.restore(now, key, at, request)
 
@@ -202,11 +223,11 @@
             repeat = first.get(key) != at or rng.random() < 0.8
             if not repeat:
                 del first[key]
-            if node.book.state(now, key) == HERE:
+            if node.book.state(now, key) == KeyState.PRESENT:
                 refused += 1
                 continue
             ask = repeat or node.book.is_claimed(now, key) and mistake != "no claim"
-            if ask and now < node.book.unsure_until:
+            if ask and now < node.book.uncertain_until:
                 refused += 1
                 continue
             if mistake != "from its send":
@@ -225,8 +246,10 @@
                 continue
             del open_[index]
             heard = list(inquiry.answers.values())
-            most = mistake == "majority" and HERE not in heard and heard.count(NOT_HERE) >= 2
-            if inquiry.verdict == NOT_HERE or most:
+            most = (
+                mistake == "majority" and KeyState.PRESENT not in heard and heard.count(KeyState.ABSENT) >= 2
+            )
+            if inquiry.verdict == KeyState.ABSENT or most:
                 nodes[asker].book.begin(now, key, f"{asker}-{key}")
                 if journal:
                     nodes[asker].disk[key] = now, f"{asker}-{key}"
@@ -265,16 +288,16 @@
         if not assembly.missing:
             break
         for number in assembly.missing:
-            part = keys.result_part(result, FetchResultPart(7, 1, number))
-            other = keys.result_part(result[::-1] + b"!", FetchResultPart(7, 1, number))
+            part = key_messages.result_part(result, FetchResultPart(7, 1, number))
+            other = key_messages.result_part(result[::-1] + b"!", FetchResultPart(7, 1, number))
             if part is not None and rng.random() < 0.6:
                 assembly.add(part)
                 if other is not None:  # of a later run, after the first has come
                     assembly.add(other)
     assert assembly.result == result
     assert (
-        keys.result_part(result, FetchResultPart(7, 1, 16)) is None
-        and keys.result_part(bytes(17 * MAX_PART_BYTES), FetchResultPart(7, 1, 0)) is None
+        key_messages.result_part(result, FetchResultPart(7, 1, 16)) is None
+        and key_messages.result_part(bytes(17 * MAX_PART_BYTES), FetchResultPart(7, 1, 0)) is None
     )
     forged = ResultAssembly()
     forged.add(ResultPart(7, 0, 1, 5, b"not that"))
@@ -286,36 +309,47 @@
     for key, size in ((1, 16 * MAX_PART_BYTES), (2, 16 * MAX_PART_BYTES + 1)):
         made.begin(100.0, key, f"r{key}")
         made.end(101.0, key, True, bytes(size))
-    assert [made.claim_for_peer(102.0, key) for key in (1, 2, 3)] == [KEPT, HERE, NOT_HERE]
+    assert [made.claim_for_peer(102.0, key) for key in (1, 2, 3)] == [
+        KeyState.RESULT_CACHED,
+        KeyState.PRESENT,
+        KeyState.ABSENT,
+    ]
 
 
 def test_words_survive_the_wire_and_foreign_ones_are_none() -> None:
     for message in (
         KeyQuery(2**32 - 1, 2**64 - 1),
-        KeyAnswer(5, HERE),
-        KeyAnswer(0, KEPT),
+        KeyAnswer(5, KeyState.PRESENT),
+        KeyAnswer(0, KeyState.RESULT_CACHED),
         FetchResultPart(1, 2**64 - 1, 15),
     ):
-        wire = keys.encode(message)
-        assert keys.decode(wire) == message and len(wire) <= 14
-        assert all(keys.decode(wire[:cut]) is None for cut in range(len(wire)))
-        assert keys.decode(wire + b"x") is None and keys.decode(b"\x00" + wire[1:]) is None
+        wire = key_messages.encode(message)
+        assert key_messages.decode(wire) == message and len(wire) <= 14
+        assert all(key_messages.decode(wire[:cut]) is None for cut in range(len(wire)))
+        assert key_messages.decode(wire + b"x") is None and key_messages.decode(b"\x00" + wire[1:]) is None
     part = ResultPart(9, 15, 16, 2**32 - 1, bytes(MAX_PART_BYTES))
-    assert keys.decode(keys.encode(part)) == part and len(keys.encode(part)) <= 256
+    assert key_messages.decode(key_messages.encode(part)) == part and len(key_messages.encode(part)) <= 256
     for bad in (
         ResultPart(9, 16, 16, 0, b""),
         ResultPart(9, 0, 0, 0, b""),
         ResultPart(9, 0, 17, 0, b""),
         ResultPart(9, 0, 1, 0, bytes(241)),
     ):
-        assert keys.decode(keys.encode(bad)) is None
-    assert keys.decode(keys.encode(FetchResultPart(1, 2, 16))) is None and keys.decode(b"") is None
-    assert keys.decode(keys.encode(KeyAnswer(5, HERE))[:-1] + b"\x09") is None
-    assert keys.decode_record(keys.encode_record(12.5, "r-1")) == (12.5, "r-1")
-    for bad in (b"", b"1234567", b"\xff" * 9, keys.encode_record(float("nan"), "r")):
+        assert key_messages.decode(key_messages.encode(bad)) is None
+    assert (
+        key_messages.decode(key_messages.encode(FetchResultPart(1, 2, 16))) is None
+        and key_messages.decode(b"") is None
+    )
+    assert key_messages.decode(key_messages.encode(KeyAnswer(5, KeyState.PRESENT))[:-1] + b"\x09") is None
+    assert key_records.decode_record(key_records.encode_record(12.5, "r-1")) == (12.5, "r-1")
+    for bad in (b"", b"1234567", b"\xff" * 9, key_records.encode_record(float("nan"), "r")):
         with pytest.raises(ValueError):
-            keys.decode_record(bad)
-    assert keys.key_name(1, 0, "k") != keys.key_name(0, 1, "k") != keys.key_name(1, 0, "l")
+            key_records.decode_record(bad)
+    assert (
+        key_messages.key_name(1, 0, "k")
+        != key_messages.key_name(0, 1, "k")
+        != key_messages.key_name(1, 0, "l")
+    )
 
 
 def test_a_key_that_is_taken_again_at_once_keeps_its_newer_record() -> None:
