--- a/beaconhinge/__main__.py
+++ b/beaconhinge/__main__.py
@@ -149,9 +149,9 @@
             metrics,
         )
     if local_config and local_config.leases.enabled:
-        from .net.lease_calls import lease
+        from .net.lease_calls import wire_leases
 
-        leases = lease(
+        leases = wire_leases(
             local_config.leases,
             config,
             keeper.store if keeper else None,
--- a/beaconhinge/config/local.py
+++ b/beaconhinge/config/local.py
@@ -14,7 +14,7 @@
 
 import msgspec
 
-from ..leases.terms import NAME, Council
+from ..leases.terms import LEASE_NAME, Council
 from ..store.options import Options
 from .platform import ConfigError, address
 
@@ -124,7 +124,7 @@
             if why is not None:
                 return "members_before", why
         for call in self.calls:
-            if not NAME.fullmatch(call.name):
+            if not LEASE_NAME.fullmatch(call.name):
                 return "calls", f"{call.name[:50]!r} is no name: letters, digits and dashes, 40 at most"
             if not (0.05 <= call.every_s < float("inf") and 0 < call.longest_s <= self.span_s / 2):
                 return "calls", f"{call.name}: every_s from 0.05, longest_s up to half of span_s"
--- a/beaconhinge/leases/holder.py
+++ b/beaconhinge/leases/holder.py
@@ -7,172 +7,187 @@
 from dataclasses import dataclass, field
 from typing import TypeAlias
 
-from .terms import Council, Terms
-from .votes import Say
-from .wire import ASK, GRANT, NO, RELEASE, RENEW, Message, milliseconds
+from .terms import Council, LeaseTerms
+from .votes import SendMessage
+from .wire import DENY, GRANT, RELEASE, RENEW, REQUEST, LeaseMessage, milliseconds
 
-REPEATS = 3  # times that a question is put to those who have not answered
-KEEP, AGAIN = 0.3, 0.1  # parts of the span from a question to the renewal, and to the next try of one
-BACK_OFF, BACK_OFF_MOST = 0.005, 0.25  # parts of the span, doubling, that contenders who met wait at most
+SENDS_PER_ROUND = 3  # times that a question is put to those who have not answered
+# Parts of the span from a question to the renewal, and to the next try of one.
+RENEW_AFTER_SPANS = 0.3
+RENEW_RETRY_SPANS = 0.1
+# Parts of the span, doubling, that contenders who met wait at most.
+BACKOFF_FIRST_SPANS = 0.005
+BACKOFF_MAX_SPANS = 0.25
 
 
 @dataclass(frozen=True, slots=True)
-class Held:
+class LeaseAcquired:
     lease: int
     number: int
 
 
 @dataclass(frozen=True, slots=True)
-class Lost:
+class LeaseEnded:
     """The tenure is over, and was before this was told: `ended` by its time, or `given up`."""
 
     lease: int
     number: int
-    why: str
+    reason: str
 
 
-Action: TypeAlias = Say | Held | Lost
+Action: TypeAlias = SendMessage | LeaseAcquired | LeaseEnded
 
 
 @dataclass(slots=True)
 class Tenure:
     number: int  # only grows from tenure to tenure, whoever holds it
     end: float
-    round: int  # in which it was asked for
+    round_id: int  # in which it was asked for
 
-    def guard(self, now: float, longest: float, drift: float) -> bool:
+    def covers(self, now: float, longest: float, drift: float) -> bool:
         """Whether an act that takes `longest` true seconds at most is over before the tenure is."""
         return now + longest * (1 + drift) <= self.end
 
 
 @dataclass(slots=True)
-class Round:
+class VotingRound:
     """A question to all members, and who has answered it."""
 
     id: int
     number: int
     asked_at: float  # for the first time
-    question: Message
-    again_at: float
+    question: LeaseMessage
+    resend_at: float
     granted: set[int] = field(default_factory=set)
-    refused: dict[int, float] = field(default_factory=dict)  # and for how long it is not worth asking
+    denied: dict[int, float] = field(default_factory=dict)  # and for how long it is not worth asking
 
 
 @dataclass(slots=True)
-class Holder:
+class LeaseHolder:
     """`random` yields numbers from 0 to 1. `next_at` is when `turn` has something to do, at the latest."""
 
-    own: int
+    own_number: int
     lease: int
     council: Council
-    terms: Terms
+    terms: LeaseTerms
     random: Callable[[], float]
     wanted: bool = False
     tenure: Tenure | None = None
-    round: Round | None = None
-    highest: int = 0  # that any member has told
-    ask_at: float = 0.0
-    failed: int = -1  # the round that failed last
+    voting_round: VotingRound | None = None
+    highest_seen: int = 0  # that any member has told
+    request_at: float = 0.0
+    failed_round_id: int = -1  # the round that failed last
     back_off: float = 0.0
 
     def want(self, now: float) -> list[Action]:
         if not self.wanted:
-            self.wanted, self.ask_at = True, max(self.ask_at, now)
-        return self.turn(now)
+            self.wanted, self.request_at = True, max(self.request_at, now)
+        return self.advance(now)
 
-    def give_up(self, now: float, stay_out: float = 0.0) -> list[Action]:
+    def release(self, now: float, stay_out: float = 0.0) -> list[Action]:
         """At once, for others to take; not asked for again before `stay_out` is over."""
         self.wanted = False
         # Of a tenure it is when it would have been renewed; of a contender, when it is worth asking again.
-        self.ask_at = now + stay_out if self.tenure is not None else max(self.ask_at, now + stay_out)
-        return self.turn(now)
+        self.request_at = now + stay_out if self.tenure is not None else max(self.request_at, now + stay_out)
+        return self.advance(now)
 
-    def adopt(self, council: Council, terms: Terms) -> None:
+    def adopt(self, council: Council, terms: LeaseTerms) -> None:
         """A question of the step before is over. The tenure stays, and is renewed by the new members."""
-        self.council, self.terms, self.round = council, terms, None
+        self.council, self.terms, self.voting_round = council, terms, None
 
-    def turn(self, now: float) -> list[Action]:
-        done = self._stand_down(now)
+    def advance(self, now: float) -> list[Action]:
+        done = self._expire(now)
         if not self.wanted:
-            return done + self._release("given up")
-        if self.round is not None and now >= self.round.asked_at + self.terms.round:
-            done += self._failed(now)
-        elif self.round is not None and now >= self.round.again_at:
-            self.round.again_at += self.terms.round / REPEATS
-            heard = self.round.granted | self.round.refused.keys()
-            done += [Say(member, self.round.question) for member in sorted(self.council.members - heard)]
-        if self.round is None and now >= self.ask_at:
-            done += self._ask(now)
+            return done + self._release_now("given up")
+        if self.voting_round is not None and now >= self.voting_round.asked_at + self.terms.round_timeout:
+            done += self._round_lost(now)
+        elif self.voting_round is not None and now >= self.voting_round.resend_at:
+            self.voting_round.resend_at += self.terms.round_timeout / SENDS_PER_ROUND
+            heard = self.voting_round.granted | self.voting_round.denied.keys()
+            done += [
+                SendMessage(member, self.voting_round.question)
+                for member in sorted(self.council.members - heard)
+            ]
+        if self.voting_round is None and now >= self.request_at:
+            done += self._request(now)
         return done
 
-    def hear(self, now: float, sender: int, message: Message) -> list[Action]:
-        done = self._stand_down(now)
-        if sender in self.council.members and message.kind in (GRANT, NO):
-            self.highest = max(self.highest, message.number)
-        asked = self.round
+    def receive(self, now: float, sender: int, message: LeaseMessage) -> list[Action]:
+        done = self._expire(now)
+        if sender in self.council.members and message.kind in (GRANT, DENY):
+            self.highest_seen = max(self.highest_seen, message.number)
+        asked = self.voting_round
         if (
             asked is None
-            or message.round != asked.id
+            or message.round_id != asked.id
             or message.council != self.council.number
             or sender not in self.council.members
             or not self.wanted
         ):
             # An answer to no question, or to an older one; but who refused may say that it is free by now.
-            free = message.kind == NO and message.round == self.failed and message.value == 0
+            free = message.kind == DENY and message.round_id == self.failed_round_id and message.value == 0
             if free and self.wanted and asked is None and self.tenure is None:
-                self.ask_at = min(self.ask_at, now + BACK_OFF * self.terms.span * self.random())
+                self.request_at = min(
+                    self.request_at, now + BACKOFF_FIRST_SPANS * self.terms.span * self.random()
+                )
             return done
         if message.kind == GRANT and message.number == asked.number:
             asked.granted.add(sender)
-            asked.refused.pop(sender, None)
-        elif message.kind == NO and sender not in asked.granted:
-            asked.refused[sender] = message.value / 1000
+            asked.denied.pop(sender, None)
+        elif message.kind == DENY and sender not in asked.granted:
+            asked.denied[sender] = message.value / 1000
         if len(asked.granted) >= self.council.majority:
-            return done + self._granted(now, asked)
-        if len(asked.refused) > len(self.council.members) - self.council.majority:
-            done += self._failed(now)
-            if now >= self.ask_at:  # only the number was too low
-                done += self._ask(now)
+            return done + self._round_won(now, asked)
+        if len(asked.denied) > len(self.council.members) - self.council.majority:
+            done += self._round_lost(now)
+            if now >= self.request_at:  # only the number was too low
+                done += self._request(now)
         return done
 
     @property
     def next_at(self) -> float:
         ends = [self.tenure.end] if self.tenure is not None else []
         if self.wanted:
-            asked = self.round
-            ends += [self.ask_at] if asked is None else [asked.again_at, asked.asked_at + self.terms.round]
+            asked = self.voting_round
+            ends += (
+                [self.request_at]
+                if asked is None
+                else [asked.resend_at, asked.asked_at + self.terms.round_timeout]
+            )
         return min(ends, default=math.inf)
 
-    def _stand_down(self, now: float) -> list[Action]:
+    def _expire(self, now: float) -> list[Action]:
         """Before anything else: a process that was stopped finds its tenure over."""
         if self.tenure is None or now < self.tenure.end:
             return []
         number, self.tenure = self.tenure.number, None
-        if self.round is not None and self.round.number == number:
-            self.round = None  # a tenure that is over is not renewed
-            self.ask_at = now
-        return [Lost(self.lease, number, "ended")]
+        if self.voting_round is not None and self.voting_round.number == number:
+            self.voting_round = None  # a tenure that is over is not renewed
+            self.request_at = now
+        return [LeaseEnded(self.lease, number, "ended")]
 
-    def _release(self, why: str) -> list[Action]:
+    def _release_now(self, why: str) -> list[Action]:
         """Tell all members, also those that may have granted an open question."""
         done: list[Action] = []
         if self.tenure is not None:
-            done.append(Lost(self.lease, self.tenure.number, why))
-            done += self._to_all(self._back(self.tenure.round, 1))
-        elif self.round is not None:
-            done += self._to_all(self._back(self.round.id))
-        self.tenure = self.round = None
+            done.append(LeaseEnded(self.lease, self.tenure.number, why))
+            done += self._broadcast(self._release_message(self.tenure.round_id, 1))
+        elif self.voting_round is not None:
+            done += self._broadcast(self._release_message(self.voting_round.id))
+        self.tenure = self.voting_round = None
         return done
 
-    def _back(self, round_: int, held: int = 0) -> Message:
-        return Message(RELEASE, self.council.number, round_, self.lease, value=held)
+    def _release_message(self, round_: int, held: int = 0) -> LeaseMessage:
+        return LeaseMessage(RELEASE, self.council.number, round_, self.lease, value=held)
 
-    def _to_all(self, message: Message) -> list[Action]:
-        return [Say(member, message) for member in sorted(self.council.members)]
+    def _broadcast(self, message: LeaseMessage) -> list[Action]:
+        return [SendMessage(member, message) for member in sorted(self.council.members)]
 
-    def _ask(self, now: float) -> list[Action]:
-        kind, number = (ASK, self.highest + 1) if self.tenure is None else (RENEW, self.tenure.number)
-        question = Message(
+    def _request(self, now: float) -> list[Action]:
+        kind, number = (
+            (REQUEST, self.highest_seen + 1) if self.tenure is None else (RENEW, self.tenure.number)
+        )
+        question = LeaseMessage(
             kind,
             self.council.number,
             int(self.random() * 0xFFFFFFFF),
@@ -180,38 +195,40 @@
             number,
             milliseconds(self.terms.span),
         )
-        self.round = Round(question.round, number, now, question, now + self.terms.round / REPEATS)
-        return self._to_all(question)
+        self.voting_round = VotingRound(
+            question.round_id, number, now, question, now + self.terms.round_timeout / SENDS_PER_ROUND
+        )
+        return self._broadcast(question)
 
-    def _granted(self, now: float, asked: Round) -> list[Action]:
-        self.round, self.back_off = None, 0.0
-        end = asked.asked_at + self.terms.held
-        self.ask_at = asked.asked_at + self.terms.span * KEEP * (0.8 + 0.4 * self.random())
+    def _round_won(self, now: float, asked: VotingRound) -> list[Action]:
+        self.voting_round, self.back_off = None, 0.0
+        end = asked.asked_at + self.terms.holder_span
+        self.request_at = asked.asked_at + self.terms.span * RENEW_AFTER_SPANS * (0.8 + 0.4 * self.random())
         if self.tenure is not None:
             self.tenure.end = max(self.tenure.end, end)
             return []
         if now >= end:  # granted too late to be of use
-            self.ask_at = now
+            self.request_at = now
             return []
         self.tenure = Tenure(asked.number, end, asked.id)
-        return [Held(self.lease, asked.number)]
+        return [LeaseAcquired(self.lease, asked.number)]
 
-    def _failed(self, now: float) -> list[Action]:
+    def _round_lost(self, now: float) -> list[Action]:
         """No majority. A renewal is tried again soon; a contender gives back what it got, and waits for as
         long as a majority will refuse it, and a little by chance, so that two do not meet without end.
         """
-        asked, self.round = self.round, None
+        asked, self.voting_round = self.voting_round, None
         assert asked is not None
-        self.failed = asked.id
+        self.failed_round_id = asked.id
         if self.tenure is not None:
-            self.ask_at = now + AGAIN * self.terms.span * self.random()
+            self.request_at = now + RENEW_RETRY_SPANS * self.terms.span * self.random()
             return []
-        if not any(asked.refused.values()) and asked.refused and self.highest >= asked.number:
-            self.ask_at = now  # nobody has it; the number was too low, and a higher one is known now
-            return self._to_all(self._back(asked.id))
-        self.back_off = min(max(2 * self.back_off, BACK_OFF), BACK_OFF_MOST)
-        waits = sorted([0.0] * len(asked.granted) + list(asked.refused.values()))
+        if not any(asked.denied.values()) and asked.denied and self.highest_seen >= asked.number:
+            self.request_at = now  # nobody has it; the number was too low, and a higher one is known now
+            return self._broadcast(self._release_message(asked.id))
+        self.back_off = min(max(2 * self.back_off, BACKOFF_FIRST_SPANS), BACKOFF_MAX_SPANS)
+        waits = sorted([0.0] * len(asked.granted) + list(asked.denied.values()))
         wait = waits[self.council.majority - 1] if len(waits) >= self.council.majority else 0.0
         spread = self.back_off + (self.terms.spread if wait > 0 else 0.0)
-        self.ask_at = max(self.ask_at, now + wait + self.terms.span * spread * self.random())
-        return self._to_all(self._back(asked.id))
+        self.request_at = max(self.request_at, now + wait + self.terms.span * spread * self.random())
+        return self._broadcast(self._release_message(asked.id))
--- a/beaconhinge/leases/node.py
+++ b/beaconhinge/leases/node.py
@@ -8,66 +8,68 @@
 from typing import Any, TypeAlias
 
 from . import holder
-from .holder import Held, Holder, Lost
-from .terms import Council, Terms
-from .votes import Member, Say, Vote, Write
-from .wire import GRANT, NO, Message
+from .holder import LeaseAcquired, LeaseEnded, LeaseHolder
+from .terms import Council, LeaseTerms
+from .votes import SendMessage, Vote, VotingMember, WriteNumber
+from .wire import DENY, GRANT, LeaseMessage
 
-Action: TypeAlias = Say | Write | Held | Lost
+Action: TypeAlias = SendMessage | WriteNumber | LeaseAcquired | LeaseEnded
 
 
 @dataclass(slots=True)
-class Node:
+class LeaseNode:
     """`out`: another process of this dispatcher has taken over; this one says nothing any more."""
 
-    member: Member
+    member: VotingMember
     random: Callable[[], float]
-    holders: dict[int, Holder] = field(default_factory=dict)
-    out: bool = False
+    holders: dict[int, LeaseHolder] = field(default_factory=dict)
+    handed_over: bool = False
 
     def want(self, now: float, lease: int) -> list[Action]:
-        if self.out:
+        if self.handed_over:
             return []
         if lease not in self.holders:
             member = self.member
-            self.holders[lease] = Holder(member.own, lease, member.council, member.terms, self.random)
+            self.holders[lease] = LeaseHolder(
+                member.own_number, lease, member.council, member.terms, self.random
+            )
         return self._route(now, self._holder(lease).want(now))
 
-    def give_up(self, now: float, lease: int, stay_out: float = 0.0) -> list[Action]:
+    def release(self, now: float, lease: int, stay_out: float = 0.0) -> list[Action]:
         held = self.holders.get(lease)
-        return [] if held is None or self.out else self._route(now, held.give_up(now, stay_out))
+        return [] if held is None or self.handed_over else self._route(now, held.release(now, stay_out))
 
-    def hear(self, now: float, sender: int, message: Message) -> list[Action]:
-        if self.out:
+    def receive(self, now: float, sender: int, message: LeaseMessage) -> list[Action]:
+        if self.handed_over:
             return []
         # Whatever it is that comes first after a stop: what is over has ended before it counts.
-        done = self.turn(now)
-        return done + self._route(now, self._hear(now, sender, message))
+        done = self.advance(now)
+        return done + self._route(now, self._receive(now, sender, message))
 
-    def written(self, now: float, write: Write, well: bool) -> list[Action]:
-        return [] if self.out else self._route(now, self.member.written(now, write, well))
+    def number_written(self, now: float, write: WriteNumber, well: bool) -> list[Action]:
+        return [] if self.handed_over else self._route(now, self.member.number_written(now, write, well))
 
-    def turn(self, now: float) -> list[Action]:
-        if self.out:
+    def advance(self, now: float) -> list[Action]:
+        if self.handed_over:
             return []
-        turns = (self._holder(lease).turn(now) for lease in self.holders)
+        turns = (self._holder(lease).advance(now) for lease in self.holders)
         return self._route(now, [action for done in turns for action in done])
 
-    def _holder(self, lease: int) -> Holder:
+    def _holder(self, lease: int) -> LeaseHolder:
         """It asks under a number above all that this process has granted itself."""
         held = self.holders[lease]
-        held.highest = max(held.highest, self.member.highest.get(lease, self.member.floor))
+        held.highest_seen = max(held.highest_seen, self.member.highest_granted.get(lease, self.member.floor))
         return held
 
     @property
     def next_at(self) -> float:
         return min((held.next_at for held in self.holders.values()), default=math.inf)
 
-    def adopt(self, now: float, council: Council, terms: Terms) -> list[Action]:
+    def adopt(self, now: float, council: Council, terms: LeaseTerms) -> list[Action]:
         self.member.adopt(now, council, terms)
         for held in self.holders.values():
             held.adopt(council, terms)
-        return self._route(now, self.member.steps())
+        return self._route(now, self.member.announce_council())
 
     # ---- an upgrade ----------------------------------------------------------------------------------------
 
@@ -78,24 +80,24 @@
         lost: list[Action] = []
         for held in self.holders.values():
             if held.lease not in busy:
-                lost += self._route(now, held.give_up(now))
+                lost += self._route(now, held.release(now))
             elif held.tenure is not None:
-                lost.append(Lost(held.lease, held.tenure.number, "handed over"))
+                lost.append(LeaseEnded(held.lease, held.tenure.number, "handed over"))
         member = self.member
         votes = [
-            [lease, vote.holder, vote.number, vote.round, vote.until - now]
+            [lease, vote.holder, vote.number, vote.round_id, vote.until - now]
             for lease, vote in member.votes.items()
         ]
         state = {
             "votes": votes,
-            "highest": list(member.highest.items()),
+            "highest": list(member.highest_granted.items()),
             "floor": member.floor,
             "silent": member.silent_until - now,
-            "moved": member.moved_at - now,
+            "moved": member.council_settled_at - now,
             "council": member.council.number,
-            "numbers": list(member.numbers.items()),
+            "numbers": list(member.council_numbers.items()),
         }
-        self.out = True
+        self.handed_over = True
         self.holders.clear()
         return lost, state
 
@@ -103,7 +105,7 @@
         """What the other process handed over `passed` seconds ago. A vote whose number was being written
         counts from now. Raises ValueError, KeyError or TypeError, and has changed nothing then.
         """
-        member, longest = self.member, self.member.terms.granted
+        member, longest = self.member, self.member.terms.grant_span
         if state["council"] != member.council.number:
             raise ValueError("of another step of the members")
         lefts = [math.inf if left == math.inf else float(left) - passed for *_, left in state["votes"]]
@@ -114,17 +116,21 @@
         highest = {int(lease): int(number) for lease, number in state["highest"]}
         numbers = {int(number): int(council) for number, council in state["numbers"]}
         moved, silent, floor = float(state["moved"]), float(state["silent"]), int(state["floor"])
-        member.votes, member.highest, member.floor = votes, {**member.highest, **highest}, floor
-        member.numbers, member.moved_at = numbers, now + moved - passed
+        member.votes, member.highest_granted, member.floor = (
+            votes,
+            {**member.highest_granted, **highest},
+            floor,
+        )
+        member.council_numbers, member.council_settled_at = numbers, now + moved - passed
         member.silent_until = now + silent - passed
 
     # ---- the word with itself ------------------------------------------------------------------------------
 
-    def _hear(self, now: float, sender: int, message: Message) -> Iterable[Action | holder.Action]:
-        if message.kind not in (GRANT, NO):
-            return self.member.hear(now, sender, message)
+    def _receive(self, now: float, sender: int, message: LeaseMessage) -> Iterable[Action | holder.Action]:
+        if message.kind not in (GRANT, DENY):
+            return self.member.receive(now, sender, message)
         known = message.lease in self.holders
-        return self._holder(message.lease).hear(now, sender, message) if known else []
+        return self._holder(message.lease).receive(now, sender, message) if known else []
 
     def _route(self, now: float, actions: Iterable[Action | holder.Action]) -> list[Action]:
         """What goes to others. What goes to this process itself is heard at once."""
@@ -132,24 +138,27 @@
         waiting = list(actions)
         while waiting:
             action = waiting.pop(0)
-            if isinstance(action, Say) and action.to == self.member.own:
-                waiting += self._hear(now, self.member.own, action.message)
+            if isinstance(action, SendMessage) and action.to == self.member.own_number:
+                waiting += self._receive(now, self.member.own_number, action.message)
             else:
                 done.append(action)
         return done
 
 
-def new(
+def new_node(
     own: int,
     council: Council,
-    terms: Terms,
+    terms: LeaseTerms,
     now: float,
     random: Callable[[], float],
     floor: int = 0,
     durable: bool = False,
     highest: dict[int, int] | None = None,
-) -> Node:
+) -> LeaseNode:
     """A process that has just started: whatever its last life granted is over once it speaks."""
-    return Node(
-        Member(own, council, terms, now + terms.silence, floor, durable, highest=dict(highest or {})), random
+    return LeaseNode(
+        VotingMember(
+            own, council, terms, now + terms.silence, floor, durable, highest_granted=dict(highest or {})
+        ),
+        random,
     )
--- a/beaconhinge/leases/votes.py
+++ b/beaconhinge/leases/votes.py
@@ -6,29 +6,30 @@
 from dataclasses import dataclass, field
 from typing import TypeAlias
 
-from .terms import MOST_LEASES, Council, Terms
-from .wire import ASK, GRANT, NO, RELEASE, RENEW, STEP, Message, milliseconds
+from .terms import MAX_LEASES, Council, LeaseTerms
+from .wire import COUNCIL_CHANGE, DENY, GRANT, RELEASE, RENEW, REQUEST, LeaseMessage, milliseconds
 
-WAITING = 16  # of those who were refused a lease, that are told when it is given up
-SOON = 0.1  # part of the span until it is worth asking again for what another has only just asked for
+MAX_WAITING = 16  # of those who were refused a lease, that are told when it is given up
+# Part of the span until it is worth asking again for what another has only just asked for.
+UNRENEWED_RETRY_SPANS = 0.1
 
 
 @dataclass(frozen=True, slots=True)
-class Say:
+class SendMessage:
     to: int
-    message: Message
+    message: LeaseMessage
 
 
 @dataclass(frozen=True, slots=True)
-class Write:
+class WriteNumber:
     """Have that number on the disk, then tell `Member.written`."""
 
     lease: int
     number: int
-    then: Say
+    then_send: SendMessage
 
 
-Action: TypeAlias = Say | Write
+Action: TypeAlias = SendMessage | WriteNumber
 
 
 @dataclass(slots=True)
@@ -36,101 +37,106 @@
     holder: int
     number: int
     until: float  # infinite while its number is being written
-    round: int  # in which it was asked for
-    kept: bool = False  # renewed: its holder has a majority, and does not give it back in a moment
+    round_id: int  # in which it was asked for
+    renewed: bool = False  # renewed: its holder has a majority, and does not give it back in a moment
 
 
 @dataclass(slots=True)
-class Member:
+class VotingMember:
     """One member's votes. It starts silent, since an earlier life of it may have voted; `floor` is above
     every number that an earlier life can have granted. `durable`: a number is written before it is granted.
     """
 
-    own: int
+    own_number: int
     council: Council
-    terms: Terms
+    terms: LeaseTerms
     silent_until: float
     floor: int = 0
     durable: bool = False
     votes: dict[int, Vote] = field(default_factory=dict)
-    highest: dict[int, int] = field(default_factory=dict)
-    refused: dict[int, dict[int, Message]] = field(default_factory=dict)  # by lease and asker: the question
-    numbers: dict[int, int] = field(default_factory=dict)  # of their councils, as members last told
-    moved_at: float = math.inf  # when the step before was seen to be over
+    highest_granted: dict[int, int] = field(default_factory=dict)
+    # By lease and asker: the question.
+    denied: dict[int, dict[int, LeaseMessage]] = field(default_factory=dict)
+    council_numbers: dict[int, int] = field(default_factory=dict)  # of their councils, as members last told
+    council_settled_at: float = math.inf  # when the step before was seen to be over
 
     def __post_init__(self) -> None:
-        self.numbers[self.own] = self.council.number
-        if not self.council.before:
-            self.moved_at = -math.inf
-
-    def hear(self, now: float, sender: int, message: Message) -> list[Action]:
-        if sender in self.council.members | self.council.before:
-            self.numbers[sender] = max(message.council, self.numbers.get(sender, 0))
-            self._look(now)
-        if message.kind in (ASK, RENEW):
-            return self._asked(now, sender, message)
+        self.council_numbers[self.own_number] = self.council.number
+        if not self.council.previous_members:
+            self.council_settled_at = -math.inf
+
+    def receive(self, now: float, sender: int, message: LeaseMessage) -> list[Action]:
+        if sender in self.council.members | self.council.previous_members:
+            self.council_numbers[sender] = max(message.council, self.council_numbers.get(sender, 0))
+            self._check_council(now)
+        if message.kind in (REQUEST, RENEW):
+            return self._receive_request(now, sender, message)
         if message.kind == RELEASE:
             vote = self.votes.get(message.lease)
             # By its round: one who failed under a number may have it by now, and its word come late.
-            if vote is not None and (vote.holder, vote.round) == (sender, message.round):
+            if vote is not None and (vote.holder, vote.round_id) == (sender, message.round_id):
                 del self.votes[message.lease]
                 # Not of a question that failed: more would follow at once, and meet without end.
-                waiting = self.refused.pop(message.lease, {}) if message.value else {}
+                waiting = self.denied.pop(message.lease, {}) if message.value else {}
                 return [
-                    Say(to, self._say(NO, asked, self.highest.get(asked.lease, self.floor)))
+                    SendMessage(
+                        to, self._answer(DENY, asked, self.highest_granted.get(asked.lease, self.floor))
+                    )
                     for to, asked in waiting.items()
                     if to != sender
                 ]
-        elif message.kind == STEP and message.round:
-            return [Say(sender, Message(STEP, self.council.number))]
+        elif message.kind == COUNCIL_CHANGE and message.round_id:
+            return [SendMessage(sender, LeaseMessage(COUNCIL_CHANGE, self.council.number))]
         return []
 
-    def adopt(self, now: float, council: Council, terms: Terms) -> None:
+    def adopt(self, now: float, council: Council, terms: LeaseTerms) -> None:
         """Another step. Votes stay in force, and may be renewed at once."""
         self.council, self.terms = council, terms
-        self.numbers[self.own] = council.number
-        self.moved_at = math.inf if council.before else -math.inf
-        self._look(now)
+        self.council_numbers[self.own_number] = council.number
+        self.council_settled_at = math.inf if council.previous_members else -math.inf
+        self._check_council(now)
 
-    def steps(self) -> list[Action]:
+    def announce_council(self) -> list[Action]:
         """Who has to hear of the step, until that before it is over."""
-        known = self.council.members | self.council.before
-        waits = self.moved_at == math.inf
+        known = self.council.members | self.council.previous_members
+        waits = self.council_settled_at == math.inf
         return [
-            Say(member, Message(STEP, self.council.number, 1))
-            for member in sorted(known - {self.own})
+            SendMessage(member, LeaseMessage(COUNCIL_CHANGE, self.council.number, 1))
+            for member in sorted(known - {self.own_number})
             if waits
         ]
 
-    def written(self, now: float, write: Write, well: bool) -> list[Action]:
+    def number_written(self, now: float, write: WriteNumber, well: bool) -> list[Action]:
         """Its span begins now. What is not on the disk is not granted, and counts as granted all the same."""
         vote = self.votes.get(write.lease)
         if vote is not None and vote.number == write.number and vote.until == math.inf:
-            vote.until = now + self.terms.granted
-            return [write.then] if well else []
+            vote.until = now + self.terms.grant_span
+            return [write.then_send] if well else []
         return []
 
     @property
     def voting_at(self) -> float:
         """From when on new tenures are granted; infinite while the step before is not over."""
-        return max(self.silent_until, self.moved_at + self.terms.silence)
+        return max(self.silent_until, self.council_settled_at + self.terms.silence)
 
-    def _look(self, now: float) -> None:
-        if self.moved_at == math.inf and self.council.moved(self.numbers):
-            self.moved_at = now
+    def _check_council(self, now: float) -> None:
+        if self.council_settled_at == math.inf and self.council.is_settled(self.council_numbers):
+            self.council_settled_at = now
 
-    def _say(self, kind: int, asked: Message, number: int, left: float = 0.0) -> Message:
-        return Message(kind, self.council.number, asked.round, asked.lease, number, milliseconds(left))
+    def _answer(self, kind: int, asked: LeaseMessage, number: int, left: float = 0.0) -> LeaseMessage:
+        return LeaseMessage(
+            kind, self.council.number, asked.round_id, asked.lease, number, milliseconds(left)
+        )
 
-    def _asked(self, now: float, sender: int, asked: Message) -> list[Action]:
-        highest = self.highest.get(asked.lease, self.floor)
+    def _receive_request(self, now: float, sender: int, asked: LeaseMessage) -> list[Action]:
+        highest = self.highest_granted.get(asked.lease, self.floor)
         vote = self.votes.get(asked.lease)
         if vote is not None and now >= vote.until:
             del self.votes[asked.lease]
             vote = None
 
         def no(left: float) -> list[Action]:
-            return [Say(sender, self._say(NO, asked, highest, left))]
+            return [SendMessage(sender, self._answer(DENY, asked, highest, left))]
 
         if asked.council != self.council.number or asked.value != milliseconds(self.terms.span):
             return no(self.terms.span)
@@ -138,25 +144,25 @@
             # Who starts again under the same name does not have the tenure that its last life had: an act of
             # that one may be under way.
             same = (vote.holder, vote.number) == (sender, asked.number)
-            if not same or asked.kind == ASK and vote.round != asked.round:
-                waiting = self.refused.setdefault(asked.lease, {})
-                if asked.kind == ASK and (sender in waiting or len(waiting) < WAITING):
+            if not same or asked.kind == REQUEST and vote.round_id != asked.round_id:
+                waiting = self.denied.setdefault(asked.lease, {})
+                if asked.kind == REQUEST and (sender in waiting or len(waiting) < MAX_WAITING):
                     waiting[sender] = asked
-                left = vote.until - now if vote.kept else SOON * self.terms.span
-                return no(min(left, vote.until - now, self.terms.granted))
+                left = vote.until - now if vote.renewed else UNRENEWED_RETRY_SPANS * self.terms.span
+                return no(min(left, vote.until - now, self.terms.grant_span))
             if vote.until == math.inf:
                 return []  # asked again while its number is being written
-            vote.until, vote.kept = now + self.terms.granted, asked.kind == RENEW
-            return [Say(sender, self._say(GRANT, asked, asked.number))]
+            vote.until, vote.renewed = now + self.terms.grant_span, asked.kind == RENEW
+            return [SendMessage(sender, self._answer(GRANT, asked, asked.number))]
         if now < self.voting_at:
             return no(min(self.voting_at - now, self.terms.span))
         # A number is granted once: a higher one came later. But who has missed some renewals, and granted
         # nothing since, votes for the tenure again; else it would wear off.
-        known = asked.lease in self.highest or len(self.highest) < MOST_LEASES
-        if asked.number < highest or asked.number == highest and asked.kind == ASK or not known:
+        known = asked.lease in self.highest_granted or len(self.highest_granted) < MAX_LEASES
+        if asked.number < highest or asked.number == highest and asked.kind == REQUEST or not known:
             return no(0.0)
-        self.highest[asked.lease] = asked.number
-        until = math.inf if self.durable else now + self.terms.granted
-        self.votes[asked.lease] = Vote(sender, asked.number, until, asked.round)
-        grant = Say(sender, self._say(GRANT, asked, asked.number))
-        return [Write(asked.lease, asked.number, grant)] if self.durable else [grant]
+        self.highest_granted[asked.lease] = asked.number
+        until = math.inf if self.durable else now + self.terms.grant_span
+        self.votes[asked.lease] = Vote(sender, asked.number, until, asked.round_id)
+        grant = SendMessage(sender, self._answer(GRANT, asked, asked.number))
+        return [WriteNumber(asked.lease, asked.number, grant)] if self.durable else [grant]
--- a/beaconhinge/net/lease_calls.py
+++ b/beaconhinge/net/lease_calls.py
@@ -18,20 +18,20 @@
 from ..store import Store
 from . import http1
 from .http1 import BadMessage, Closed, Connection
-from .leases import LeaseLost, Leases, Tenure
+from .leases import LeaseLost, LeaseService, Tenure
 from .operator_calls import OperatorCalls
 from .peers import PeerSocket
 from .sockets import connect
 from .upgrade import Upgrade
 
-CONNECT = 0.25  # seconds for a connection, which costs nothing of an act's longest time
-REFUSED = (409, 412)  # answers of who has seen a greater number
-TAKEN = 3.0  # seconds for which one call takes a lease: whoever uses it calls again
-LOOK = 0.05  # seconds between looks whether it is still taken
+CONNECT_TIMEOUT_S = 0.25  # seconds for a connection, which costs nothing of an act's longest time
+STALE_TENURE_STATUSES = (409, 412)  # answers of who has seen a greater number
+COMMAND_LEASE_S = 3.0  # seconds for which one call takes a lease: whoever uses it calls again
+CHECK_INTERVAL_S = 0.05  # seconds between looks whether it is still taken
 
 
-def lease(
-    local_config: Settings,
+def wire_leases(
+    options: Settings,
     config: Config,
     store: Store | None,
     operators: OperatorCalls,
@@ -40,23 +40,23 @@
     timers: TimerWheel,
     metrics: Metrics,
     inherited: dict[str, Any] | None,
-) -> Leases:
+) -> LeaseService:
     """Raises ConfigError where the others cannot be heard."""
     if config.peer_listen is None and config.settings.group_size > 1:
         raise ConfigError("leases.enabled: needs peer_listen and peers, by which dispatchers hear each other")
-    leases = Leases(local_config, config, store, peers, timers, metrics)
+    leases = LeaseService(options, config, store, peers, timers, metrics)
     if upgrade is not None:
-        upgrade.parts["leases"] = leases.handed_over, leases.taken_back
-    operators.acts |= Taken(leases, timers, metrics).acts
+        upgrade.parts["leases"] = leases.hand_over_state, leases.take_back
+    operators.acts |= CommandLeases(leases, timers, metrics).acts
     leases.open((inherited or {}).get("leases"))
-    Calls(leases, timers, metrics).start(local_config.calls)
+    ScheduledCalls(leases, timers, metrics).start(options.calls)
     return leases
 
 
-class Calls:
+class ScheduledCalls:
     """POST to an address at each whole multiple of `every_s` in Unix time, by whoever has the lease then."""
 
-    def __init__(self, leases: Leases, timers: TimerWheel, metrics: Metrics) -> None:
+    def __init__(self, leases: LeaseService, timers: TimerWheel, metrics: Metrics) -> None:
         self.leases = leases
         self.timers = timers
         self.metrics = metrics
@@ -82,7 +82,7 @@
         await asyncio.sleep(due - now)
         connection = None
         try:
-            async with self.timers.timeout(CONNECT):
+            async with self.timers.timeout(CONNECT_TIMEOUT_S):
                 connection = Connection(await connect(address(call.to, call.name)), False, lambda: None)
             head = {
                 "Host": call.to,
@@ -92,13 +92,13 @@
             }
             data = http1.request("POST", call.path.encode(), head)
             # From here to the kernel nothing else runs: what comes late is told by its number.
-            if not tenure.guard(call.longest_s):
+            if not tenure.may_act(call.longest_s):
                 self.metrics.count("lease_acts_put_off")
-                return tenure.left > 0
+                return tenure.seconds_left > 0
             async with self.timers.timeout(call.longest_s):
                 await connection.send(data)
                 answer = await connection.next()
-            tenure.done()
+            tenure.act_done()
         except (OSError, Closed, BadMessage) as error:  # a time-out is an OSError too
             self.metrics.count_and_log(
                 "lease_act_failed", lease=call.name, why=f"{type(error).__name__}: {error}"
@@ -108,16 +108,16 @@
             if connection is not None:
                 connection.close()
         self.metrics.count("lease_acts")
-        if answer.status in REFUSED:
+        if answer.status in STALE_TENURE_STATUSES:
             self.metrics.count_and_log("lease_number_refused", lease=call.name, number=tenure.number)
             return False
         return True
 
 
-class Taken:
+class CommandLeases:
     """Leases that operators take by calls, for commands of theirs."""
 
-    def __init__(self, leases: Leases, timers: TimerWheel, metrics: Metrics) -> None:
+    def __init__(self, leases: LeaseService, timers: TimerWheel, metrics: Metrics) -> None:
         self.leases = leases
         self.timers = timers
         self.metrics = metrics
@@ -129,17 +129,17 @@
         }
 
     def _list(self, _call: Call) -> bytes:
-        return calls.shown(self.leases.show())
+        return calls.shown(self.leases.status_json())
 
     def _take(self, call: Call) -> bytes:
         try:
             lease = self.leases.lease(call.word)
         except ValueError as why:
             return calls.failure(str(why))
-        lease.taken_until = self.timers.now() + TAKEN
-        if lease.taker is None or lease.taker.done():
-            lease.taker = self.metrics.spawn(self._keep(call.word), f"lease {call.word}")
-        held = self.leases.now_held(lease)
+        lease.command_until = self.timers.now() + COMMAND_LEASE_S
+        if lease.command_task is None or lease.command_task.done():
+            lease.command_task = self.metrics.spawn(self._keep(call.word), f"lease {call.word}")
+        held = self.leases.current_tenure(lease)
         if held is None:
             return calls.success("waiting")
         return calls.success(f"held {held.number} {max(0, int(1000 * (held.end - self.timers.now())))}")
@@ -147,7 +147,7 @@
     def _give(self, call: Call) -> bytes:
         """The command has ended."""
         try:
-            self.leases.lease(call.word).taken_until = 0.0
+            self.leases.lease(call.word).command_until = 0.0
         except ValueError as why:
             return calls.failure(str(why))
         return calls.success(f"{call.word} is given up")
@@ -163,14 +163,14 @@
 
     async def _keep(self, name: str) -> None:
         lease = self.leases.lease(name)
-        while self.timers.now() < lease.taken_until:
+        while self.timers.now() < lease.command_until:
             try:
                 async with (
-                    asyncio.timeout(max(0.0, lease.taken_until - self.timers.now())) as wait,
+                    asyncio.timeout(max(0.0, lease.command_until - self.timers.now())) as wait,
                     self.leases.hold(name),
                 ):
                     wait.reschedule(None)
-                    while self.timers.now() < lease.taken_until:
-                        await asyncio.sleep(LOOK)
+                    while self.timers.now() < lease.command_until:
+                        await asyncio.sleep(CHECK_INTERVAL_S)
             except (LeaseLost, TimeoutError):
                 pass
--- a/beaconhinge/net/leases.py
+++ b/beaconhinge/net/leases.py
@@ -17,21 +17,21 @@
 from ..config.local import Leases as Settings
 from ..errors import Error
 from ..leases import holder, node, terms, wire
-from ..leases.holder import Held, Lost
-from ..leases.node import Action, Node
-from ..leases.terms import Council, Terms
-from ..leases.votes import Say, Write
+from ..leases.holder import LeaseAcquired, LeaseEnded
+from ..leases.node import Action, LeaseNode
+from ..leases.terms import Council, LeaseTerms
+from ..leases.votes import SendMessage, WriteNumber
 from ..recovery import incarnations
 from ..runtime.metrics import Metrics
 from ..runtime.timer_wheel import Timer, TimerWheel
 from ..store import Put, Store, StoreError
 from .peers import PeerSocket
 
-LOCK_AGAIN = 0.1  # seconds between tries for the port
-DISK_WITHIN = 1.0  # seconds after which a number that is not on the disk counts as not written
-STEP_AGAIN = 0.2  # seconds between words of a step to those who have not told theirs
-CROWD = 25  # contenders for each span over which they spread their tries
-PREFIX = b"lease/"
+LOCK_RETRY_S = 0.1  # seconds between tries for the port
+DISK_TIMEOUT_S = 1.0  # seconds after which a number that is not on the disk counts as not written
+COUNCIL_INTERVAL_S = 0.2  # seconds between words of a step to those who have not told theirs
+CONTENDERS_PER_SPAN = 25  # contenders for each span over which they spread their tries
+RECORD_PREFIX = b"lease/"
 _NUMBER = struct.Struct(">Q")
 
 
@@ -42,57 +42,57 @@
 class Tenure:
     """One holding of a lease, from its grant to its end."""
 
-    def __init__(self, leases: Leases, lease: _Lease, number: int) -> None:
+    def __init__(self, leases: LeaseService, lease: _LocalLease, number: int) -> None:
         self.number = number  # greater than that of every tenure before; goes with each act
         self._leases = leases
         self._lease = lease
 
     @property
-    def left(self) -> float:
+    def seconds_left(self) -> float:
         """Seconds for which it holds without a renewal; 0 once it is over."""
-        held = self._leases.now_held(self._lease)
+        held = self._leases.current_tenure(self._lease)
         mine = held is not None and held.number == self.number
         return max(0.0, held.end - self._leases.timers.now()) if held is not None and mine else 0.0
 
-    def guard(self, longest: float) -> bool:
+    def may_act(self, longest: float) -> bool:
         """Whether an act of `longest` seconds at most may begin, in this very step of the event loop. Until
         then, or `done`, the lease is not given up, whatever ends the body.
         """
-        held = self._leases.now_held(self._lease)
+        held = self._leases.current_tenure(self._lease)
         if held is None or held.number != self.number:
             return False
         now = self._leases.timers.now()
-        if not held.guard(now, longest, self._leases.terms.drift):
+        if not held.covers(now, longest, self._leases.terms.drift):
             return False
         self._lease.busy_until = now + longest
         return True
 
-    def done(self) -> None:
+    def act_done(self) -> None:
         """The act has ended, and is known to have."""
         self._lease.busy_until = 0.0
 
 
-class _Lease:
+class _LocalLease:
     """What this process wants of one lease."""
 
     def __init__(self, name: str) -> None:
         self.name = name
-        self.key = terms.key(name)
-        self.turn = asyncio.Lock()  # one body at a time
+        self.key = terms.lease_key(name)
+        self.body_lock = asyncio.Lock()  # one body at a time
         self.changed = asyncio.Event()
-        self.lost: Callable[[], None] | None = None  # tells the body
+        self.on_lost: Callable[[], None] | None = None  # tells the body
         self.busy_until = 0.0  # an act may be under way
         self.stay_out = 0.0  # seconds, once it is given up, before it is asked for again
-        self.taken_until = 0.0  # by an operator's command
-        self.taker: asyncio.Task[None] | None = None
+        self.command_until = 0.0  # by an operator's command
+        self.command_task: asyncio.Task[None] | None = None
 
 
-class Hold:
+class LeaseContext:
     """`async with leases.hold(name) as tenure`: waits for the lease, without bound. The body is cancelled
     when the tenure ends early, and LeaseLost raised; when the body ends, the lease is given up.
     """
 
-    def __init__(self, leases: Leases, lease: _Lease) -> None:
+    def __init__(self, leases: LeaseService, lease: _LocalLease) -> None:
         self._leases = leases
         self._lease = lease
         self._task: asyncio.Task[Any] | None = None
@@ -100,18 +100,18 @@
 
     async def __aenter__(self) -> Tenure:
         lease = self._lease
-        await lease.turn.acquire()
+        await lease.body_lock.acquire()
         try:
             self._leases.want(lease)
-            while (held := self._leases.now_held(lease)) is None:
+            while (held := self._leases.current_tenure(lease)) is None:
                 lease.changed.clear()
                 await lease.changed.wait()
         except BaseException:
-            self._leases.give_up(lease)
-            lease.turn.release()
+            self._leases.release(lease)
+            lease.body_lock.release()
             raise
         self._task = asyncio.current_task()
-        lease.lost = self._lost
+        lease.on_lost = self._lost
         return Tenure(self._leases, lease, held.number)
 
     def _lost(self) -> None:
@@ -122,25 +122,25 @@
     async def __aexit__(
         self, kind: type[BaseException] | None, error: BaseException | None, trace: TracebackType | None
     ) -> None:
-        self._lease.lost = None
+        self._lease.on_lost = None
         try:
-            await self._leases.settled(self._lease)
-            self._leases.give_up(self._lease)
+            await self._leases.wait_for_acts(self._lease)
+            self._leases.release(self._lease)
         except asyncio.CancelledError:  # once more, while an act may be under way
-            self._leases.give_up_later(self._lease)
+            self._leases.release_later(self._lease)
             raise
         finally:
-            self._lease.turn.release()
+            self._lease.body_lock.release()
         # A cancellation from elsewhere at the same moment goes on as what it is.
         if self._expired and self._task is not None and self._task.uncancel() == 0:
             if kind is asyncio.CancelledError:
                 raise LeaseLost(f"lease {self._lease.name} was lost") from error
 
 
-class Leases:
+class LeaseService:
     def __init__(
         self,
-        local_config: Settings,
+        options: Settings,
         config: Config,
         store: Store | None,
         peers: PeerSocket,
@@ -154,38 +154,38 @@
         self.timers = timers
         self.metrics = metrics
         self.random = rng
-        self.council, self.terms = self._read(local_config)
-        self.node: Node | None = None  # until this process is the one of its name
-        self._leases: dict[int, _Lease] = {}
-        self._lock: socket.socket | None = None
+        self.council, self.terms = self._read(options)
+        self.node: LeaseNode | None = None  # until this process is the one of its name
+        self._leases: dict[int, _LocalLease] = {}
+        self._port_lock: socket.socket | None = None
         self._timer: Timer | None = None
         self._timer_at = math.inf
         self._leaving = False
-        peers.talk[wire.LEASE] = self._heard
+        peers.talk[wire.DATAGRAM_TYPE] = self._receive
 
-    def _read(self, local_config: Settings) -> tuple[Council, Terms]:
-        members = frozenset(local_config.members or range(self.config.settings.group_size))
+    def _read(self, options: Settings) -> tuple[Council, LeaseTerms]:
+        members = frozenset(options.members or range(self.config.settings.group_size))
         return (
-            Council(local_config.number, members, frozenset(local_config.members_before)),
-            Terms(
-                local_config.span_s,
-                local_config.span_before_s,
-                spread=self.config.settings.group_size // CROWD,
+            Council(options.number, members, frozenset(options.members_before)),
+            LeaseTerms(
+                options.span_s,
+                options.span_before_s,
+                spread=self.config.settings.group_size // CONTENDERS_PER_SPAN,
             ),
         )
 
     def open(self, inherited: dict[str, Any] | None = None) -> None:
         """`inherited`: what the other process of this dispatcher has handed over."""
-        self.metrics.spawn(self._begin(inherited), "leases")
+        self.metrics.spawn(self._start_node(inherited), "leases")
 
-    async def _begin(self, inherited: dict[str, Any] | None) -> None:
-        while not self._alone():
+    async def _start_node(self, inherited: dict[str, Any] | None) -> None:
+        while not self._acquire_port():
             self.metrics.count_and_log("leases_twice", port=self.peers.config.peer_listen)
-            await asyncio.sleep(LOCK_AGAIN)
+            await asyncio.sleep(LOCK_RETRY_S)
         now = self.timers.now()
         floor = round(now * 1000)  # wall time, above every number of an earlier life that a folder has lost
-        numbers = {lease: max(number, floor) for lease, number in self._numbers()}
-        made = node.new(
+        numbers = {lease: max(number, floor) for lease, number in self._stored_numbers()}
+        made = node.new_node(
             self.config.settings.own_number,
             self.council,
             self.terms,
@@ -207,12 +207,12 @@
             number=self.council.number,
             silent_for=max(0.0, made.member.silent_until - now),
         )
-        self._steps()
+        self._announce_council()
         for lease in self._leases.values():
-            if lease.turn.locked():
+            if lease.body_lock.locked():
                 self.want(lease)
 
-    def _alone(self) -> bool:
+    def _acquire_port(self) -> bool:
         """Bind what the kernel gives to one process: the TCP port of the number that datagrams come to."""
         address = self.peers.config.peer_listen
         if address is None:
@@ -223,82 +223,82 @@
         except OSError:
             sock.close()
             return False
-        self._lock = sock
+        self._port_lock = sock
         return True
 
-    def _numbers(self) -> Iterable[tuple[int, int]]:
+    def _stored_numbers(self) -> Iterable[tuple[int, int]]:
         if self.store is None:
             return
         name, number = self.config.name, self.config.settings.own_number
         try:
-            for place, data in self.store.scan(PREFIX):
+            for place, data in self.store.scan(RECORD_PREFIX):
                 body = incarnations.read_signed_record(data, name, number)
                 if body is not None and len(body) == _NUMBER.size:
-                    yield int.from_bytes(place[len(PREFIX) :], "big"), _NUMBER.unpack(body)[0]
+                    yield int.from_bytes(place[len(RECORD_PREFIX) :], "big"), _NUMBER.unpack(body)[0]
         except StoreError as error:  # wall time stands above them
             self.metrics.count_and_log("leases_not_read", why=f"{type(error).__name__}: {error}")
 
     # ---- what the parts here ask for -----------------------------------------------------------------------
 
-    def hold(self, name: str) -> Hold:
+    def hold(self, name: str) -> LeaseContext:
         """Raises ValueError for what is no name of a lease."""
-        return Hold(self, self.lease(name))
+        return LeaseContext(self, self.lease(name))
 
-    def lease(self, name: str) -> _Lease:
-        if not terms.NAME.fullmatch(name):
+    def lease(self, name: str) -> _LocalLease:
+        if not terms.LEASE_NAME.fullmatch(name):
             raise ValueError(f"{name[:50]}: a lease's name has letters, digits and dashes, 40 at most")
-        key = terms.key(name)
+        key = terms.lease_key(name)
         if key not in self._leases:
-            self._leases[key] = _Lease(name)
+            self._leases[key] = _LocalLease(name)
         return self._leases[key]
 
-    def want(self, lease: _Lease) -> None:
+    def want(self, lease: _LocalLease) -> None:
         if self.node is not None and not self._leaving:
             self._perform(self.node.want(self.timers.now(), lease.key))
 
-    async def settled(self, lease: _Lease) -> None:
+    async def wait_for_acts(self, lease: _LocalLease) -> None:
         """Wait until no act can be under way any more. Till then it is kept, and nobody else gets it."""
-        while self.now_held(lease) is not None and (left := lease.busy_until - self.timers.now()) > 0:
+        while self.current_tenure(lease) is not None and (left := lease.busy_until - self.timers.now()) > 0:
             over = asyncio.Event()
             self.timers.after(left, over.set)
             await over.wait()
 
-    def give_up_later(self, lease: _Lease) -> None:
-        self.timers.after(max(0.0, lease.busy_until - self.timers.now()), lambda: self.give_up(lease))
+    def release_later(self, lease: _LocalLease) -> None:
+        self.timers.after(max(0.0, lease.busy_until - self.timers.now()), lambda: self.release(lease))
 
-    def give_up(self, lease: _Lease) -> None:
+    def release(self, lease: _LocalLease) -> None:
         stay_out, lease.stay_out = lease.stay_out, 0.0
         if self.node is not None:
-            self._perform(self.node.give_up(self.timers.now(), lease.key, stay_out))
+            self._perform(self.node.release(self.timers.now(), lease.key, stay_out))
 
-    def now_held(self, lease: _Lease) -> holder.Tenure | None:
+    def current_tenure(self, lease: _LocalLease) -> holder.Tenure | None:
         """With a look at the clock first: a process that was stopped may hold it no longer."""
         if self.node is None:
             return None
-        self._perform(self.node.turn(self.timers.now()))
+        self._perform(self.node.advance(self.timers.now()))
         held = self.node.holders.get(lease.key)
         return held.tenure if held is not None else None
 
-    def hand_over(self, lease: _Lease) -> bool:
+    def hand_over(self, lease: _LocalLease) -> bool:
         """Have another take it: the body here is cancelled, and this process stays out for a span. Whether it
         was held here.
         """
-        if self.now_held(lease) is None:
+        if self.current_tenure(lease) is None:
             return False
         lease.stay_out = self.terms.span
-        if lease.lost is not None:  # its body gives it up, once its act is over
-            lease.lost()
+        if lease.on_lost is not None:  # its body gives it up, once its act is over
+            lease.on_lost()
         else:
-            self.give_up(lease)
+            self.release(lease)
         return True
 
-    def show(self) -> str:
+    def status_json(self) -> str:
         """One line of JSON."""
         now = self.timers.now()
         member = self.node.member if self.node is not None else None
         shown = {}
         for lease in sorted(self._leases.values(), key=lambda lease: lease.name):
-            held = self.now_held(lease)
+            held = self.current_tenure(lease)
             vote = member.votes.get(lease.key) if member is not None else None
             shown[lease.name] = {
                 "held": held is not None,
@@ -323,11 +323,11 @@
         now = self.timers.now()
         for lease in self._leases.values():
             if self.node is not None and now >= lease.busy_until:
-                self._perform(self.node.give_up(now, lease.key))
+                self._perform(self.node.release(now, lease.key))
 
     # ---- an upgrade, and steps -----------------------------------------------------------------------------
 
-    def handed_over(self) -> dict[str, Any] | None:
+    def hand_over_state(self) -> dict[str, Any] | None:
         """For the process that replaces this one, which is out from here on."""
         if self.node is None:
             return None
@@ -336,18 +336,18 @@
         actions, state = self.node.hand_over(now, busy)
         self._perform(actions)
         self.node = None
-        if self._lock is not None:
-            self._lock.close()
+        if self._port_lock is not None:
+            self._port_lock.close()
         return {"at": time.monotonic(), "node": state}
 
-    def taken_back(self) -> None:
+    def take_back(self) -> None:
         """The new process has died. What it granted or held is over after a span of silence."""
         if self.node is None:
             self.open()
 
-    def reload(self, local_config: Settings) -> str:
+    def reload(self, options: Settings) -> str:
         """Take a step, or say why not."""
-        council, span = self._read(local_config)
+        council, span = self._read(options)
         if (council, span) == (self.council, self.terms):
             return ""
         if council.number <= self.council.number:
@@ -355,47 +355,47 @@
         self.council, self.terms = council, span
         if self.node is not None:
             self._perform(self.node.adopt(self.timers.now(), council, span))
-            self._steps()
+            self._announce_council()
         self.metrics.log("leases_step", number=council.number, members=len(council.members))
         return ""
 
-    def _steps(self) -> None:
+    def _announce_council(self) -> None:
         if self.node is None:
             return
-        actions = self.node.member.steps()
+        actions = self.node.member.announce_council()
         self._perform(actions)
         if actions:
-            self.timers.after(STEP_AGAIN, self._steps)
+            self.timers.after(COUNCIL_INTERVAL_S, self._announce_council)
 
     # ---- the node ------------------------------------------------------------------------------------------
 
-    def _heard(self, number: int, payload: bytes) -> None:
+    def _receive(self, number: int, payload: bytes) -> None:
         message = wire.decode(payload)
         if message is None:
             self.metrics.count_and_log("datagram_malformed", sender=number, bytes=len(payload))
         elif self.node is not None:
-            self._perform(self.node.hear(self.timers.now(), number, message))
+            self._perform(self.node.receive(self.timers.now(), number, message))
 
     def _perform(self, actions: Iterable[Action]) -> None:
         for action in actions:
             match action:
-                case Say():
+                case SendMessage():
                     self.peers.send(action.to, wire.encode(action.message))
-                case Write():
-                    self.metrics.spawn(self._write(action), "lease number")
-                case Held():
-                    self._tell(action.lease, "lease_held", number=action.number)
-                case Lost():
-                    self._tell(action.lease, "lease_lost", number=action.number, why=action.why)
+                case WriteNumber():
+                    self.metrics.spawn(self._write_number(action), "lease number")
+                case LeaseAcquired():
+                    self._report(action.lease, "lease_held", number=action.number)
+                case LeaseEnded():
+                    self._report(action.lease, "lease_lost", number=action.number, why=action.reason)
         self._schedule()
 
-    def _tell(self, key: int, event: str, **fields: object) -> None:
+    def _report(self, key: int, event: str, **fields: object) -> None:
         lease = self._leases[key]
         self.metrics.count("leases_held" if event == "lease_held" else "leases_lost")
         self.metrics.log(event, lease=lease.name, **fields)
         lease.changed.set()
-        if event == "lease_lost" and lease.lost is not None:
-            lease.lost()
+        if event == "lease_lost" and lease.on_lost is not None:
+            lease.on_lost()
 
     def _schedule(self) -> None:
         at = self.node.next_at if self.node is not None else math.inf
@@ -404,24 +404,24 @@
         if self._timer is not None:
             self._timer.cancel()
         self._timer_at = at
-        self._timer = self.timers.after(max(0.0, at - self.timers.now()), self._turn)
+        self._timer = self.timers.after(max(0.0, at - self.timers.now()), self._advance)
 
-    def _turn(self) -> None:
+    def _advance(self) -> None:
         self._timer, self._timer_at = None, math.inf
         if self.node is not None:
-            self._perform(self.node.turn(self.timers.now()))
+            self._perform(self.node.advance(self.timers.now()))
 
-    async def _write(self, write: Write) -> None:
+    async def _write_number(self, write: WriteNumber) -> None:
         own, well = self.node, False
         record = incarnations.sign_record(
             self.config.name, self.config.settings.own_number, _NUMBER.pack(write.number)
         )
         try:
-            async with self.timers.timeout(DISK_WITHIN):
+            async with self.timers.timeout(DISK_TIMEOUT_S):
                 if self.store is not None:
-                    await self.store.commit([Put(PREFIX + write.lease.to_bytes(8, "big"), record)])
+                    await self.store.commit([Put(RECORD_PREFIX + write.lease.to_bytes(8, "big"), record)])
             well = True
         except (StoreError, TimeoutError) as error:
             self.metrics.count_and_log("lease_not_written", why=f"{type(error).__name__}: {error}")
         if own is not None and own is self.node:
-            self._perform(own.written(self.timers.now(), write, well))
+            self._perform(own.number_written(self.timers.now(), write, well))
--- a/beaconhinge/net/recovery.py
+++ b/beaconhinge/net/recovery.py
@@ -34,7 +34,7 @@
 
 
 def wire_recovery(
-    local_config: Settings,
+    options: Settings,
     config: Config,
     store: Store | None,
     policy_runner: PolicyRunner,
@@ -49,12 +49,12 @@
     metrics: Metrics,
 ) -> RestartCoordinator:
     """Before the door opens: from then on jobs and datagrams come."""
-    recovery = StallRecovery(local_config.stall_s, policy_runner, timers, requests, discovery, peers, metrics)
+    recovery = StallRecovery(options.stall_s, policy_runner, timers, requests, discovery, peers, metrics)
     returning = RestartCoordinator(config, store, timers, peers, metrics, recovery.delay_for_restart)
     keys = None
     if any(config.keyed(cls) for cls in range(len(config.settings.classes))):
         keys = IdempotencyKeyService(
-            config, store, local_config.max_keys, local_config.max_result_bytes, peers, timers, metrics
+            config, store, options.max_keys, options.max_result_bytes, peers, timers, metrics
         )
         requests.keys, workers.result_late = keys, keys.record_late_result
         keys.own_state_known, returning.on_stale_incarnation = (
--- a/beaconhinge/standin/fleet/workers.py
+++ b/beaconhinge/standin/fleet/workers.py
@@ -15,7 +15,9 @@
 QUEUE_PER_CORE = 12
 PROGRESS = 1.0  # seconds between notices of a running job
 STEP = 0.5  # seconds after which a box looks at its jobs again at the latest: it warms up meanwhile
-FALL, WINDOW = 4.0, 1.5  # multiple of its present capacity for so many seconds that pushes a cold box over
+# Multiple of its present capacity for so many seconds that pushes a cold box over.
+FALL = 4.0
+WINDOW = 1.5
 FAIL_FAST = 0.02  # seconds in which a bad box answers
 
 
--- a/beaconhinge/standin/fleet/world.py
+++ b/beaconhinge/standin/fleet/world.py
@@ -33,7 +33,9 @@
 COLD = (3.6, 8.2)  # seconds that a box takes to warm up
 RESTART = (1.7, 1.8)
 CUT = 2.5  # seconds that the zones' dispatchers do not hear each other
-SPLIT, LATE_LIST = 6.0, 7.0  # seconds that a part is cut off, and that lists come late then
+# Seconds that a part is cut off, and that lists come late then.
+SPLIT = 6.0
+LATE_LIST = 7.0
 SILENT, DRAINED, HUNG, LOST = 0.2, 0.25, 0.3, 0.3  # parts of the boxes
 BURST, SLOWED, CAUSE = 1.5, 0.6, 5.0  # times the traffic, times the pace of each box, for so many seconds
 GRACE = 0.05  # seconds, as the rules have them on sockets
--- a/beaconhinge/standin/harness.py
+++ b/beaconhinge/standin/harness.py
@@ -54,7 +54,9 @@
         "mostHeld": 2000,
     },
 }
-START, ENDING = 10.0, 10.0  # seconds that a dispatcher may take to be up, and to end
+# Seconds that a dispatcher may take to be up, and to end.
+START = 10.0
+ENDING = 10.0
 
 
 class SceneError(Error):
--- a/beaconhinge/standin/ports.py
+++ b/beaconhinge/standin/ports.py
@@ -14,7 +14,8 @@
 from collections import deque
 
 # Below the ports that the kernel hands out to outgoing connections, which nobody reserves.
-FIRST_PORT, PORTS_END = 10000, 32000
+FIRST_PORT = 10000
+PORTS_END = 32000
 # Of this process; the oldest gives way. One scenario has 80 at most.
 MOST_RESERVATIONS = 256
 
--- a/beaconhinge/standin/resource.py
+++ b/beaconhinge/standin/resource.py
@@ -17,7 +17,9 @@
 from ..net.http1 import Message
 from .http import Server
 
-SHORTEST, LONGEST = 0.01, 0.06  # seconds that an act takes
+# Seconds that an act takes.
+SHORTEST = 0.01
+LONGEST = 0.06
 
 
 class Resource:
--- a/beaconhinge/standin/rig/soak.py
+++ b/beaconhinge/standin/rig/soak.py
@@ -14,7 +14,9 @@
 from .scenario import Fault, Scenario
 
 SECONDS = 17.0
-FIRST, LAST = 0.6, 7.5  # when faults begin, so that what holds 6 s later can still be seen
+# When faults begin, so that what holds 6 s later can still be seen.
+FIRST = 0.6
+LAST = 7.5
 SYSTEM_CALLS = "accept=0.02,connect=0.01,short=0.2,step=3600,socket=0.01"
 CLOSE = 0.3  # seconds from a fault within which another begins that is to meet it
 
--- a/beaconhinge/store/codec.py
+++ b/beaconhinge/store/codec.py
@@ -19,8 +19,12 @@
 
 VERSION = 1
 SEGMENT_MAGIC, INDEX_MAGIC, MANIFEST_MAGIC = b"BHSG", b"BHIX", b"BHMF"
-PUT, DELETE = 1, 2  # kinds of a frame
-FIRST, END = 0x40, 0x80  # set on the kind of a batch's first and last frame
+# Kinds of a frame.
+PUT = 1
+DELETE = 2
+# Set on the kind of a batch's first and last frame.
+FIRST = 0x40
+END = 0x80
 _KINDS = {
     kind | mark: (kind, bool(mark & FIRST), bool(mark & END))
     for kind in (PUT, DELETE)
--- a/benchmarks/leases.py
+++ b/benchmarks/leases.py
@@ -25,7 +25,7 @@
 import uvloop
 
 from beaconhinge.config.local import Leases as Settings
-from beaconhinge.net.leases import Leases
+from beaconhinge.net.leases import LeaseService
 from beaconhinge.net.peers import PeerSocket
 from beaconhinge.runtime.clock import Clock
 from beaconhinge.runtime.metrics import Metrics
@@ -46,7 +46,7 @@
     return figures
 
 
-async def nodes(count: int, folder: Path | None) -> list[Leases]:
+async def nodes(count: int, folder: Path | None) -> list[LeaseService]:
     addresses = [("127.0.0.1", free_port(socket.SOCK_DGRAM)) for _ in range(count)]
     made = []
     for number in range(count):
@@ -66,7 +66,7 @@
         peers = PeerSocket(config, policy_runner, timers, metrics)
         peers.listen()
         store = None if folder is None else Store.open(folder / str(number))
-        leases = Leases(Settings(enabled=True, span_s=SPAN), config, store, peers, timers, metrics)
+        leases = LeaseService(Settings(enabled=True, span_s=SPAN), config, store, peers, timers, metrics)
         leases.open()
         made.append(leases)
     await asyncio.sleep(1.05 * SPAN)
@@ -87,7 +87,7 @@
                 began = time.perf_counter()
             await waiting
             handed.append(time.perf_counter() - began)
-            second.give_up(second.lease(name))
+            second.release(second.lease(name))
         for leases in made:
             if leases.store is not None:
                 await leases.store.close()
--- a/tests/leases/lease_defects.py
+++ b/tests/leases/lease_defects.py
@@ -11,15 +11,15 @@
 
 from lease_explorer import Move, World, shortest, walk, world_of
 
-from beaconhinge.leases.holder import Holder, Tenure
-from beaconhinge.leases.node import Node
+from beaconhinge.leases.holder import LeaseHolder, Tenure
+from beaconhinge.leases.node import LeaseNode
 from beaconhinge.leases.terms import Council
-from beaconhinge.leases.votes import Member, Say, Vote, Write
-from beaconhinge.leases.wire import ASK, GRANT, RELEASE, RENEW, Message
+from beaconhinge.leases.votes import SendMessage, Vote, VotingMember, WriteNumber
+from beaconhinge.leases.wire import GRANT, RELEASE, RENEW, REQUEST, LeaseMessage
 
 
 def _span_from_the_answer(real: Callable[..., Any]) -> Callable[..., Any]:
-    def granted(self: Holder, now: float, asked: Any) -> Any:
+    def granted(self: LeaseHolder, now: float, asked: Any) -> Any:
         asked.asked_at = now
         return real(self, now, asked)
 
@@ -27,39 +27,46 @@
 
 
 def _old_answer_for_new(real: Callable[..., Any]) -> Callable[..., Any]:
-    def hear(self: Holder, now: float, sender: int, message: Message) -> Any:
-        if self.round is not None and message.kind == GRANT:
-            message = replace(message, round=self.round.id, number=self.round.number)
+    def hear(self: LeaseHolder, now: float, sender: int, message: LeaseMessage) -> Any:
+        if self.voting_round is not None and message.kind == GRANT:
+            message = replace(message, round_id=self.voting_round.id, number=self.voting_round.number)
         return real(self, now, sender, message)
 
     return hear
 
 
 def _ended_tenure_renewed(real: Callable[..., Any]) -> Callable[..., Any]:
-    def asked(self: Member, now: float, sender: int, message: Message) -> Any:
+    def asked(self: VotingMember, now: float, sender: int, message: LeaseMessage) -> Any:
         vote = self.votes.get(message.lease)
         if message.kind == RENEW and (vote is None or now >= vote.until):
-            self.votes[message.lease] = Vote(sender, message.number, now + self.terms.granted, message.round)
-            return [Say(sender, self._say(GRANT, message, message.number))]
+            self.votes[message.lease] = Vote(
+                sender, message.number, now + self.terms.grant_span, message.round_id
+            )
+            return [SendMessage(sender, self._answer(GRANT, message, message.number))]
         return real(self, now, sender, message)
 
     return asked
 
 
 def _ended_tenure_kept(real: Callable[..., Any]) -> Callable[..., Any]:
-    def stand_down(self: Holder, now: float) -> Any:
-        asked = self.round
+    def stand_down(self: LeaseHolder, now: float) -> Any:
+        asked = self.voting_round
         done = real(self, now)
-        self.round = asked
+        self.voting_round = asked
         return done
 
     return stand_down
 
 
 def _same_name_same_tenure(real: Callable[..., Any]) -> Callable[..., Any]:
-    def asked(self: Member, now: float, sender: int, message: Message) -> Any:
+    def asked(self: VotingMember, now: float, sender: int, message: LeaseMessage) -> Any:
         vote = self.votes.get(message.lease)
-        if message.kind == ASK and vote is not None and vote.holder == sender and vote.round != message.round:
+        if (
+            message.kind == REQUEST
+            and vote is not None
+            and vote.holder == sender
+            and vote.round_id != message.round_id
+        ):
             del self.votes[message.lease]
         return real(self, now, sender, message)
 
@@ -67,21 +74,21 @@
 
 
 def _release_by_number(real: Callable[..., Any]) -> Callable[..., Any]:
-    def hear(self: Member, now: float, sender: int, message: Message) -> Any:
+    def hear(self: VotingMember, now: float, sender: int, message: LeaseMessage) -> Any:
         vote = self.votes.get(message.lease)
         if message.kind == RELEASE and vote is not None and vote.holder == sender:
-            message = replace(message, round=vote.round)
+            message = replace(message, round_id=vote.round_id)
         return real(self, now, sender, message)
 
     return hear
 
 
 def _old_process_renews(real: Callable[..., Any]) -> Callable[..., Any]:
-    def hand_over(self: Node, now: float, busy: frozenset[int]) -> Any:
+    def hand_over(self: LeaseNode, now: float, busy: frozenset[int]) -> Any:
         holders = dict(self.holders)
         tenures = {lease: held.tenure for lease, held in holders.items()}
         done = real(self, now, frozenset(holders))
-        self.out, self.holders = False, holders
+        self.handed_over, self.holders = False, holders
         for lease, tenure in tenures.items():
             holders[lease].tenure = tenure
         return [], done[1]
@@ -113,8 +120,8 @@
     def _perform(self, process: Any, actions: list[Any]) -> None:
         for action in actions:
             super()._perform(process, [action])
-            if isinstance(action, Write) and process.node is not None:
-                super()._perform(process, process.node.written(self.clock(process), action, True))
+            if isinstance(action, WriteNumber) and process.node is not None:
+                super()._perform(process, process.node.number_written(self.clock(process), action, True))
 
 
 class WallTime(World):
@@ -174,20 +181,23 @@
     "the span counted from the answer": (
         "3 members, slow holder",
         World,
-        [(Holder, "_granted", _span_from_the_answer)],
+        [(LeaseHolder, "_round_won", _span_from_the_answer)],
     ),
     "no silence after a start": ("3 members, 2 leases", NoSilence, []),
     "a renewal that revives an ended tenure": (
         "3 members, slow holder",
         World,
-        [(Member, "_asked", _ended_tenure_renewed), (Holder, "_stand_down", _ended_tenure_kept)],
+        [
+            (VotingMember, "_receive_request", _ended_tenure_renewed),
+            (LeaseHolder, "_expire", _ended_tenure_kept),
+        ],
     ),
     "a number granted before it is durable": ("3 members with a disk", GrantedBeforeWritten, []),
     "wall time": ("3 members, 2 leases", WallTime, []),
     "an old answer taken for a new one": (
         "3 members, 2 leases",
         World,
-        [(Holder, "hear", _old_answer_for_new)],
+        [(LeaseHolder, "receive", _old_answer_for_new)],
     ),
     "majorities that do not overlap": (
         "3 members, 2 leases",
@@ -198,27 +208,27 @@
     "an act without its time left": (
         "3 members, 2 leases",
         Hurried,
-        [(Tenure, "guard", lambda real: lambda self, now, longest, drift: now < self.end)],
+        [(Tenure, "covers", lambda real: lambda self, now, longest, drift: now < self.end)],
     ),
     "the old process of an upgrade that goes on": (
         "3 members, 2 leases",
         World,
-        [(Node, "hand_over", _old_process_renews)],
+        [(LeaseNode, "hand_over", _old_process_renews)],
     ),
     "a step while the one before is in force": (
         "3 to 5 members",
         SomeLag,
-        [(Council, "moved", lambda real: lambda self, numbers: True)],
+        [(Council, "is_settled", lambda real: lambda self, numbers: True)],
     ),
     "the same name taken for the same tenure": (
         "3 members, 2 leases",
         World,
-        [(Member, "_asked", _same_name_same_tenure)],
+        [(VotingMember, "_receive_request", _same_name_same_tenure)],
     ),
     "a release by name, come late": (
         "3 members, slow holder",
         LateWords,
-        [(Member, "hear", _release_by_number)],
+        [(VotingMember, "receive", _release_by_number)],
     ),
 }
 
--- a/tests/leases/lease_explorer.py
+++ b/tests/leases/lease_explorer.py
@@ -18,17 +18,17 @@
 from typing import Any, ClassVar
 
 from beaconhinge.leases import node as node_
-from beaconhinge.leases.holder import Held
-from beaconhinge.leases.node import Node
-from beaconhinge.leases.terms import Council, Terms
-from beaconhinge.leases.votes import Say, Write
-from beaconhinge.leases.wire import GRANT, Message
+from beaconhinge.leases.holder import LeaseAcquired
+from beaconhinge.leases.node import LeaseNode
+from beaconhinge.leases.terms import Council, LeaseTerms
+from beaconhinge.leases.votes import SendMessage, WriteNumber
+from beaconhinge.leases.wire import GRANT, LeaseMessage
 
 SPAN, DRIFT = 4.0, 0.25  # ticks of true time, and a bound that a fast and a slow clock make the most of
 SLOW, FAST = 1 - DRIFT, 1 + DRIFT
 ACT = 2.0  # ticks that an act takes
 # A question stays open for the whole span: here answers may come as late as they like.
-TERMS = Terms(SPAN, drift=DRIFT, open_for=1.0)
+TERMS = LeaseTerms(SPAN, drift=DRIFT, open_for=1.0)
 IN_FLIGHT = 10  # messages on their way; more push out the oldest, which is a loss
 Move = tuple[Any, ...]
 
@@ -53,9 +53,9 @@
     number: int
     rate: float
     offset: float
-    node: Node | None = None
+    node: LeaseNode | None = None
     disk: dict[int, int] = field(default_factory=dict)
-    writes: list[Write] = field(default_factory=list)
+    writes: list[WriteNumber] = field(default_factory=list)
     checked: list[tuple[int, int]] = field(default_factory=list)  # a look at the clock, and no act yet
     random: Count = field(default_factory=Count)
     wall: float = 0.0  # by which its wall clock has stepped
@@ -77,7 +77,7 @@
 class World:
     """`councils`: the first is in force, the rest are steps to come."""
 
-    node_type: type[Node] = Node
+    node_type: type[LeaseNode] = LeaseNode
     weights: ClassVar[dict[str, float]] = {}  # of moves, where they are not the usual ones
 
     def __init__(
@@ -98,7 +98,7 @@
         self.councils = councils or (Council(1, frozenset(range(len(rates)))),)
         self.at = [0] * len(rates)  # which council each process has
         self.t = 0
-        self.flying: list[tuple[int, int, Message, int]] = []
+        self.flying: list[tuple[int, int, LeaseMessage, int]] = []
         self.granted: dict[tuple[int, int], set[int]] = {}  # who really granted a number
         self.numbers: dict[int, int] = {}  # the highest tenure yet, by lease
         self.fenced: dict[int, int] = {}  # the highest number that the resource has accepted
@@ -106,7 +106,7 @@
             int, tuple[float, int]
         ] = {}  # the last act at a resource that checks nothing: its end
         self.tally: Counter[str] = Counter()
-        self.gone: list[tuple[Process, Node]] = []  # processes that others have taken over
+        self.gone: list[tuple[Process, LeaseNode]] = []  # processes that others have taken over
         self.processes = [Process(n, rate, 100.0 * n) for n, rate in enumerate(rates)]
         for process in self.processes:
             self._start(process, 0)
@@ -122,7 +122,7 @@
 
     def _start(self, process: Process, floor: int) -> None:
         council = self.councils[self.at[process.number]]
-        made = node_.new(
+        made = node_.new_node(
             process.number,
             council,
             TERMS,
@@ -186,19 +186,19 @@
 
     def _perform(self, process: Process, actions: list[Any]) -> None:
         for action in actions:
-            if isinstance(action, Say):
+            if isinstance(action, SendMessage):
                 if action.message.kind == GRANT:
                     self.granted.setdefault((action.message.lease, action.message.number), set()).add(
                         process.number
                     )
                 self.flying.append((process.number, action.to, action.message, self.copies))
-            elif isinstance(action, Write):
+            elif isinstance(action, WriteNumber):
                 process.writes.append(action)
-            elif isinstance(action, Held):
+            elif isinstance(action, LeaseAcquired):
                 self._held(process, action)
         del self.flying[:-IN_FLIGHT]
 
-    def _held(self, process: Process, held: Held) -> None:
+    def _held(self, process: Process, held: LeaseAcquired) -> None:
         self.tally["tenures"] += 1
         assert process.node is not None
         vote = process.node.member.votes.get(held.lease)
@@ -212,16 +212,16 @@
             raise Broken("a number did not grow")
         self.numbers[held.lease] = held.number
 
-    def _deliver(self, source: int, to: int, message: Message) -> bool:
+    def _deliver(self, source: int, to: int, message: LeaseMessage) -> bool:
         for index, (src, dst, flying, copies) in enumerate(self.flying):
             if (src, dst, flying) == (source, to, message):
                 self.flying[index : index + 1] = [(src, dst, flying, copies - 1)] if copies > 1 else []
                 process = self.processes[to]
                 if process.node is not None:
-                    self._perform(process, process.node.hear(self.clock(process), source, flying))
+                    self._perform(process, process.node.receive(self.clock(process), source, flying))
                 for old, node in self.gone:  # the kernel may still bring it what is for the new one
                     if old.number == to:
-                        self._perform(old, node.hear(self.clock(old), source, flying))
+                        self._perform(old, node.receive(self.clock(old), source, flying))
                 return True
         return False
 
@@ -230,7 +230,7 @@
         self._perform(process, process.node.want(self.clock(process), lease))  # type: ignore[union-attr]
         return True
 
-    def _busy(self, node: Node, lease: int) -> bool:
+    def _busy(self, node: LeaseNode, lease: int) -> bool:
         """Whether an act of its tenure is under way."""
         tenure = node.holders[lease].tenure if lease in node.holders else None
         end, number = self.plain.get(lease, (0.0, 0))
@@ -241,13 +241,13 @@
         if self._busy(process.node, lease):
             return False
         self.left.gives -= 1
-        self._perform(process, process.node.give_up(self.clock(process), lease))  # type: ignore[union-attr]
+        self._perform(process, process.node.release(self.clock(process), lease))  # type: ignore[union-attr]
         return True
 
     def _turn(self, process: Process) -> bool:
-        self._perform(process, process.node.turn(self.clock(process)))  # type: ignore[union-attr]
+        self._perform(process, process.node.advance(self.clock(process)))  # type: ignore[union-attr]
         for old, node in self.gone:
-            self._perform(old, node.turn(self.clock(old)))
+            self._perform(old, node.advance(self.clock(old)))
         return True
 
     def _write(self, process: Process, lease: int, number: int) -> bool:
@@ -255,7 +255,7 @@
             if (write.lease, write.number) == (lease, number):
                 process.writes.remove(write)
                 process.disk[lease] = max(number, process.disk.get(lease, 0))
-                self._perform(process, process.node.written(self.clock(process), write, True))  # type: ignore[union-attr]
+                self._perform(process, process.node.number_written(self.clock(process), write, True))  # type: ignore[union-attr]
                 return True
         return False
 
@@ -294,9 +294,9 @@
         """The number under which an act may begin, or 0. A process looks at its clock before all else."""
         now, node = self.clock(process), process.node
         assert node is not None
-        self._perform(process, node.turn(now))
+        self._perform(process, node.advance(now))
         tenure = node.holders[lease].tenure if lease in node.holders else None
-        return tenure.number if tenure is not None and tenure.guard(now, ACT, DRIFT) else 0
+        return tenure.number if tenure is not None and tenure.covers(now, ACT, DRIFT) else 0
 
     def _check(self, process: Process, lease: int) -> bool:
         number = self._guard(process, lease)
--- a/tests/leases/lease_fleet.py
+++ b/tests/leases/lease_fleet.py
@@ -9,9 +9,9 @@
 from typing import Any
 
 from beaconhinge.leases import node as node_
-from beaconhinge.leases.node import Node
-from beaconhinge.leases.terms import Council, Terms
-from beaconhinge.leases.votes import Say, Write
+from beaconhinge.leases.node import LeaseNode
+from beaconhinge.leases.terms import Council, LeaseTerms
+from beaconhinge.leases.votes import SendMessage, WriteNumber
 
 
 @dataclass
@@ -26,21 +26,21 @@
     span: float = 2.0
     now: float = 0.0
     sent: Counter[int] = field(default_factory=Counter)
-    nodes: dict[int, Node] = field(default_factory=dict)
+    nodes: dict[int, LeaseNode] = field(default_factory=dict)
     cut: frozenset[int] = frozenset()
     waiting: list[tuple[float, int, str, Any]] = field(default_factory=list)
 
     def __post_init__(self) -> None:
         self.random = random.Random(self.seed)
         self.council = Council(1, frozenset(range(self.voters)))
-        self.terms = Terms(self.span, spread=self.size // 25)
+        self.terms = LeaseTerms(self.span, spread=self.size // 25)
         for number in range(self.size):
             self.start(number)
             self.nodes[number].member.silent_until = 0.0
         self.wakes: dict[int, float] = {}
 
     def start(self, number: int) -> None:
-        self.nodes[number] = node_.new(
+        self.nodes[number] = node_.new_node(
             number, self.council, self.terms, self.now, self.random.random, round(1000 * self.now)
         )
 
@@ -51,8 +51,8 @@
 
     def perform(self, number: int, actions: list[Any]) -> None:
         for action in actions:
-            assert not isinstance(action, Write)
-            if isinstance(action, Say):
+            assert not isinstance(action, WriteNumber)
+            if isinstance(action, SendMessage):
                 self.sent[number] += 1
                 apart = (number in self.cut) != (action.to in self.cut)
                 if not apart and self.random.random() >= self.loss:
@@ -75,9 +75,9 @@
             if what == "turn":
                 self.wakes.pop(about, None)
                 if about in self.nodes:
-                    self.perform(about, self.nodes[about].turn(self.now))
+                    self.perform(about, self.nodes[about].advance(self.now))
             elif about[0] in self.nodes:
-                self.perform(about[0], self.nodes[about[0]].hear(self.now, about[1], about[2]))
+                self.perform(about[0], self.nodes[about[0]].receive(self.now, about[1], about[2]))
         self.now = until
 
     def holders(self, lease: int) -> list[int]:
--- a/tests/leases/test_hold.py
+++ b/tests/leases/test_hold.py
@@ -11,7 +11,7 @@
 
 from beaconhinge.config.local import Leases as Settings
 from beaconhinge.leases import terms
-from beaconhinge.net.leases import LeaseLost, Leases
+from beaconhinge.net.leases import LeaseLost, LeaseService
 from beaconhinge.runtime.metrics import Metrics
 from beaconhinge.runtime.timer_wheel import TimerWheel
 
@@ -27,7 +27,7 @@
         settings = SimpleNamespace(own_number=0, group_size=1)
         config: Any = SimpleNamespace(name="n0", settings=settings, peer_listen=None)
         peers: Any = SimpleNamespace(talk={}, config=config, send=lambda number, payload: None)
-        self.leases = Leases(
+        self.leases = LeaseService(
             Settings(enabled=True, span_s=2.0), config, None, peers, self.timers, self.metrics
         )
 
@@ -42,7 +42,7 @@
 
     def voted(self, name: str) -> bool:
         assert self.leases.node is not None
-        vote = self.leases.node.member.votes.get(terms.key(name))
+        vote = self.leases.node.member.votes.get(terms.lease_key(name))
         return vote is not None and self.now < vote.until
 
 
@@ -63,8 +63,8 @@
         async def body() -> None:
             async with alone.leases.hold("export") as tenure:
                 tenures.append(tenure)
-                assert tenure.number > 100_000 and 1.9 < tenure.left < 2.0
-                assert not tenure.guard(2.0) and tenure.guard(0.5)
+                assert tenure.number > 100_000 and 1.9 < tenure.seconds_left < 2.0
+                assert not tenure.may_act(2.0) and tenure.may_act(0.5)
 
         task = asyncio.create_task(body())
         await asyncio.sleep(0)
@@ -74,10 +74,10 @@
         assert alone.voted("export") and not task.done()  # the body has ended, the act perhaps not
         alone.pass_(0.2)
         await task
-        assert not alone.voted("export") and not tenure.guard(0.1) and tenure.left == 0.0
+        assert not alone.voted("export") and not tenure.may_act(0.1) and tenure.seconds_left == 0.0
         async with alone.leases.hold("export") as again:
-            assert again.number > tenure.number and again.guard(0.5) and not tenure.guard(0.1)
-            again.done()
+            assert again.number > tenure.number and again.may_act(0.5) and not tenure.may_act(0.1)
+            again.act_done()
         assert not alone.voted("export")
 
     played(scenario)
@@ -88,7 +88,7 @@
         with pytest.raises(LeaseLost):
             async with alone.leases.hold("export") as tenure:
                 alone.now += 10.0  # no timer has run yet
-                assert not tenure.guard(0.1) and tenure.left == 0.0
+                assert not tenure.may_act(0.1) and tenure.seconds_left == 0.0
                 await asyncio.sleep(60)
         assert "lease_lost" in alone.logged
 
@@ -105,7 +105,7 @@
                 for _ in range(40):
                     alone.pass_(0.1)
                     await asyncio.sleep(0)
-                    assert tenure.left > 0.5
+                    assert tenure.seconds_left > 0.5
                 order.append(name)
 
         await asyncio.gather(body("a"), body("b"))
--- a/tests/leases/test_nodes.py
+++ b/tests/leases/test_nodes.py
@@ -10,13 +10,13 @@
 from lease_fleet import Fleet
 
 from beaconhinge.leases import node, terms, wire
-from beaconhinge.leases.holder import Held, Lost
-from beaconhinge.leases.terms import Council, Terms
-from beaconhinge.leases.votes import Say
-from beaconhinge.leases.wire import ASK, GRANT, Message
+from beaconhinge.leases.holder import LeaseAcquired, LeaseEnded
+from beaconhinge.leases.terms import Council, LeaseTerms
+from beaconhinge.leases.votes import SendMessage
+from beaconhinge.leases.wire import GRANT, REQUEST, LeaseMessage
 
 MESSAGES = st.builds(
-    Message,
+    LeaseMessage,
     st.integers(1, 6),
     st.integers(0, 3),
     st.integers(0, 5),
@@ -80,7 +80,7 @@
     fleet.want(range(3))
     fleet.run(3.0)
     [holder] = fleet.holders(0)
-    fleet.perform(holder, fleet.nodes[holder].give_up(fleet.now, 0, 2.0))
+    fleet.perform(holder, fleet.nodes[holder].release(fleet.now, 0, 2.0))
     fleet.perform(holder, fleet.nodes[holder].want(fleet.now, 0))
     fleet.run(6.0)
     assert fleet.holders(0) and fleet.holders(0) != [holder]
@@ -88,28 +88,30 @@
 
 @given(st.lists(st.tuples(st.integers(0, 4), MESSAGES, st.floats(0.0, 1.0)), max_size=30))
 def test_foreign_messages_raise_nothing_and_make_nobody_a_holder(
-    told: list[tuple[int, Message, float]],
+    told: list[tuple[int, LeaseMessage, float]],
 ) -> None:
     """Of other councils, to no question, of those who have no vote; the process asks meanwhile."""
     council, now = Council(1, frozenset({0, 1, 2})), 100.0
-    made = node.new(0, council, Terms(2.0), now, random.Random(1).random)
+    made = node.new_node(0, council, LeaseTerms(2.0), now, random.Random(1).random)
     made.member.silent_until = 0.0
     done = made.want(now, 1)
-    asked = {action.message.round for action in done if isinstance(action, Say)}
+    asked = {action.message.round_id for action in done if isinstance(action, SendMessage)}
     for sender, message, passed in told:
         now += passed
-        if message.round in asked and message.kind == GRANT:
+        if message.round_id in asked and message.kind == GRANT:
             continue
-        done = made.hear(now, sender, message)
+        done = made.receive(now, sender, message)
         asked |= {
-            action.message.round for action in done if isinstance(action, Say) and action.message.kind == ASK
+            action.message.round_id
+            for action in done
+            if isinstance(action, SendMessage) and action.message.kind == REQUEST
         }
-        assert not any(isinstance(action, Held | Lost) for action in done)
-        assert all(vote.until <= now + Terms(2.0).granted for vote in made.member.votes.values())
+        assert not any(isinstance(action, LeaseAcquired | LeaseEnded) for action in done)
+        assert all(vote.until <= now + LeaseTerms(2.0).grant_span for vote in made.member.votes.values())
 
 
 @given(st.binary(max_size=60), MESSAGES)
-def test_what_is_no_message_is_none(noise: bytes, message: Message) -> None:
+def test_what_is_no_message_is_none(noise: bytes, message: LeaseMessage) -> None:
     data = wire.encode(message)
     assert wire.decode(data) == message and len(data) == 28
     assert all(wire.decode(data[:cut]) is None for cut in range(28)) and wire.decode(data + b"x") is None
@@ -121,16 +123,16 @@
     three, four = frozenset({0, 1, 2}), frozenset({0, 1, 2, 3})
     assert Council(2, four, three).problem() is None and Council(2, three, four).problem() is None
     assert "one at a time" in (Council(2, frozenset({0, 1, 3, 4}), three).problem() or "")
-    made = node.new(3, Council(2, four, three), Terms(2.0), 100.0, random.random)
-    steps = [action.to for action in made.member.steps() if isinstance(action, Say)]
+    made = node.new_node(3, Council(2, four, three), LeaseTerms(2.0), 100.0, random.random)
+    steps = [action.to for action in made.member.announce_council() if isinstance(action, SendMessage)]
     assert steps == [0, 1, 2] and made.member.voting_at == float("inf")
-    made.hear(110.0, 0, Message(wire.STEP, 1))
-    made.hear(110.0, 1, Message(wire.STEP, 2, 1))
+    made.receive(110.0, 0, LeaseMessage(wire.COUNCIL_CHANGE, 1))
+    made.receive(110.0, 1, LeaseMessage(wire.COUNCIL_CHANGE, 2, 1))
     assert made.member.voting_at == float("inf")  # one of three has left the step before
-    made.hear(111.0, 2, Message(wire.STEP, 2))
-    assert made.member.voting_at == 111.0 + Terms(2.0).silence and made.member.steps() == []
+    made.receive(111.0, 2, LeaseMessage(wire.COUNCIL_CHANGE, 2))
+    assert made.member.voting_at == 111.0 + LeaseTerms(2.0).silence and made.member.announce_council() == []
     assert (
-        terms.NAME.fullmatch("restart.0")
-        and not terms.NAME.fullmatch("Restart")
-        and not terms.NAME.fullmatch("a b")
+        terms.LEASE_NAME.fullmatch("restart.0")
+        and not terms.LEASE_NAME.fullmatch("Restart")
+        and not terms.LEASE_NAME.fullmatch("a b")
     )
