--- a/beaconhinge/leases/holder.py
+++ b/beaconhinge/leases/holder.py
@@ -22,13 +22,18 @@
 
 @dataclass(frozen=True, slots=True)
 class LeaseAcquired:
+    """A tenure of the lease has begun; `number` grows from tenure to tenure."""
+
     lease: int
     number: int
 
 
 @dataclass(frozen=True, slots=True)
 class LeaseEnded:
-    """The tenure is over, and was before this was told: `ended` by its time, or `given up`."""
+    """The tenure is over, and was before this was reported.
+
+    `reason` is `ended` by its time, `given up` or `handed over`.
+    """
 
     lease: int
     number: int
@@ -40,6 +45,8 @@
 
 @dataclass(slots=True)
 class Tenure:
+    """One holding of the lease by this process, from its grant to `end`."""
+
     number: int  # only grows from tenure to tenure, whoever holds it
     end: float
     round_id: int  # in which it was asked for
@@ -51,7 +58,12 @@
 
 @dataclass(slots=True)
 class VotingRound:
-    """A question to all members, and who has answered it."""
+    """A request to all members, and who has answered it.
+
+    Attributes:
+        asked_at: When it was sent first.
+        denied: Members that denied it, each with the seconds for which it is not worth asking again.
+    """
 
     id: int
     number: int
@@ -64,7 +76,14 @@
 
 @dataclass(slots=True)
 class LeaseHolder:
-    """`random` yields numbers from 0 to 1. `next_at` is when `turn` has something to do, at the latest."""
+    """How this process takes, keeps and gives up one lease.
+
+    Attributes:
+        random: Yields numbers from 0 to 1.
+        highest_seen: The highest number that any member has reported.
+        request_at: When the lease is requested, or renewed, next.
+        next_at: When `advance` has something to do, at the latest.
+    """
 
     own_number: int
     lease: int
@@ -80,22 +99,27 @@
     back_off: float = 0.0
 
     def want(self, now: float) -> list[Action]:
+        """Take the lease, and keep it until it is released."""
         if not self.wanted:
             self.wanted, self.request_at = True, max(self.request_at, now)
         return self.advance(now)
 
     def release(self, now: float, stay_out: float = 0.0) -> list[Action]:
-        """At once, for others to take; not asked for again before `stay_out` is over."""
+        """Give the lease up at once; it is not requested again before `stay_out` seconds are over."""
         self.wanted = False
         # Of a tenure it is when it would have been renewed; of a contender, when it is worth asking again.
         self.request_at = now + stay_out if self.tenure is not None else max(self.request_at, now + stay_out)
         return self.advance(now)
 
     def adopt(self, council: Council, terms: LeaseTerms) -> None:
-        """A question of the step before is over. The tenure stays, and is renewed by the new members."""
+        """Go on with another council.
+
+        An open request is over, the tenure stays and is renewed by the new one.
+        """
         self.council, self.terms, self.voting_round = council, terms, None
 
     def advance(self, now: float) -> list[Action]:
+        """Do what is due at `now`."""
         done = self._expire(now)
         if not self.wanted:
             return done + self._release_now("given up")
@@ -113,6 +137,7 @@
         return done
 
     def receive(self, now: float, sender: int, message: LeaseMessage) -> list[Action]:
+        """Take in the answer of a member."""
         done = self._expire(now)
         if sender in self.council.members and message.kind in (GRANT, DENY):
             self.highest_seen = max(self.highest_seen, message.number)
@@ -146,6 +171,7 @@
 
     @property
     def next_at(self) -> float:
+        """When `advance` has something to do, at the latest; infinite if never."""
         ends = [self.tenure.end] if self.tenure is not None else []
         if self.wanted:
             asked = self.voting_round
@@ -214,8 +240,10 @@
         return [LeaseAcquired(self.lease, asked.number)]
 
     def _round_lost(self, now: float) -> list[Action]:
-        """No majority. A renewal is tried again soon; a contender gives back what it got, and waits for as
-        long as a majority will refuse it, and a little by chance, so that two do not meet without end.
+        """No majority has granted the request.
+
+        A renewal is tried again soon. A contender gives back what it got, and waits for as long as a
+        majority will deny it, and a little by chance, so that two do not meet without end.
         """
         asked, self.voting_round = self.voting_round, None
         assert asked is not None
--- a/beaconhinge/leases/node.py
+++ b/beaconhinge/leases/node.py
@@ -18,7 +18,11 @@
 
 @dataclass(slots=True)
 class LeaseNode:
-    """`out`: another process of this dispatcher has taken over; this one says nothing any more."""
+    """Votes and leases of one process, with the messages that it sends to itself.
+
+    Attributes:
+        handed_over: Another process of this dispatcher has taken over; this one sends nothing any more.
+    """
 
     member: VotingMember
     random: Callable[[], float]
@@ -26,6 +30,7 @@
     handed_over: bool = False
 
     def want(self, now: float, lease: int) -> list[Action]:
+        """Take a lease, and keep it until it is released."""
         if self.handed_over:
             return []
         if lease not in self.holders:
@@ -36,10 +41,12 @@
         return self._route(now, self._holder(lease).want(now))
 
     def release(self, now: float, lease: int, stay_out: float = 0.0) -> list[Action]:
+        """Give a lease up; it is not requested again before `stay_out` seconds are over."""
         held = self.holders.get(lease)
         return [] if held is None or self.handed_over else self._route(now, held.release(now, stay_out))
 
     def receive(self, now: float, sender: int, message: LeaseMessage) -> list[Action]:
+        """Take in a message of another member; what is over by now ends before it counts."""
         if self.handed_over:
             return []
         # Whatever it is that comes first after a stop: what is over has ended before it counts.
@@ -47,9 +54,11 @@
         return done + self._route(now, self._receive(now, sender, message))
 
     def number_written(self, now: float, write: WriteNumber, well: bool) -> list[Action]:
+        """The number of a grant is on the disk, or (`well` is False) could not be written."""
         return [] if self.handed_over else self._route(now, self.member.number_written(now, write, well))
 
     def advance(self, now: float) -> list[Action]:
+        """Do what is due at `now`."""
         if self.handed_over:
             return []
         turns = (self._holder(lease).advance(now) for lease in self.holders)
@@ -63,9 +72,11 @@
 
     @property
     def next_at(self) -> float:
+        """When `advance` has something to do, at the latest; infinite if never."""
         return min((held.next_at for held in self.holders.values()), default=math.inf)
 
     def adopt(self, now: float, council: Council, terms: LeaseTerms) -> list[Action]:
+        """Go on with another council."""
         self.member.adopt(now, council, terms)
         for held in self.holders.values():
             held.adopt(council, terms)
@@ -74,8 +85,13 @@
     # ---- an upgrade ----------------------------------------------------------------------------------------
 
     def hand_over(self, now: float, busy: frozenset[int]) -> tuple[list[Action], dict[str, Any]]:
-        """To another process of this dispatcher: from here on this one neither votes nor holds. It gives up
-        what it holds, but for `busy` leases, under which an act is under way: these end by their span.
+        """Leave votes and leases to another process of this dispatcher.
+
+        From here on this process neither votes nor holds. It gives up what it holds, but for `busy` leases,
+        under which an act is under way: these end by their span.
+
+        Returns:
+            What to do, and the state for `take_over` of the other process.
         """
         lost: list[Action] = []
         for held in self.holders.values():
@@ -102,8 +118,13 @@
         return lost, state
 
     def take_over(self, now: float, passed: float, state: dict[str, Any]) -> None:
-        """What the other process handed over `passed` seconds ago. A vote whose number was being written
-        counts from now. Raises ValueError, KeyError or TypeError, and has changed nothing then.
+        """Go on with what the other process handed over `passed` seconds ago.
+
+        A vote whose number was being written counts from now.
+
+        Raises:
+            ValueError: The state is of another council, or malformed; nothing has changed then. KeyError and
+                TypeError say the same.
         """
         member, longest = self.member, self.member.terms.grant_span
         if state["council"] != member.council.number:
--- a/beaconhinge/leases/votes.py
+++ b/beaconhinge/leases/votes.py
@@ -16,13 +16,15 @@
 
 @dataclass(frozen=True, slots=True)
 class SendMessage:
+    """Send a message to a member, which may be this process itself."""
+
     to: int
     message: LeaseMessage
 
 
 @dataclass(frozen=True, slots=True)
 class WriteNumber:
-    """Have that number on the disk, then tell `Member.written`."""
+    """Write the number to the disk, then call `VotingMember.number_written`."""
 
     lease: int
     number: int
@@ -34,6 +36,14 @@
 
 @dataclass(slots=True)
 class Vote:
+    """A grant that is in force.
+
+    Attributes:
+        until: When it ends; infinite while its number is being written.
+        round_id: The request that it answers.
+        renewed: Its holder has a majority, and does not give it back in a moment.
+    """
+
     holder: int
     number: int
     until: float  # infinite while its number is being written
@@ -43,8 +53,16 @@
 
 @dataclass(slots=True)
 class VotingMember:
-    """One member's votes. It starts silent, since an earlier life of it may have voted; `floor` is above
-    every number that an earlier life can have granted. `durable`: a number is written before it is granted.
+    """The votes of one member.
+
+    It starts silent, since an earlier incarnation of it may have voted.
+
+    Attributes:
+        floor: Above every number that an earlier incarnation can have granted.
+        durable: A number is written before it is granted.
+        denied: Requests that were denied, by lease and requester.
+        council_numbers: Numbers of their councils, as members last sent them.
+        council_settled_at: When the council before was seen to be over.
     """
 
     own_number: int
@@ -66,6 +84,7 @@
             self.council_settled_at = -math.inf
 
     def receive(self, now: float, sender: int, message: LeaseMessage) -> list[Action]:
+        """Take in a message: what to send, and what to write first."""
         if sender in self.council.members | self.council.previous_members:
             self.council_numbers[sender] = max(message.council, self.council_numbers.get(sender, 0))
             self._check_council(now)
@@ -90,14 +109,14 @@
         return []
 
     def adopt(self, now: float, council: Council, terms: LeaseTerms) -> None:
-        """Another step. Votes stay in force, and may be renewed at once."""
+        """Go on with another council; votes stay in force, and may be renewed at once."""
         self.council, self.terms = council, terms
         self.council_numbers[self.own_number] = council.number
         self.council_settled_at = math.inf if council.previous_members else -math.inf
         self._check_council(now)
 
     def announce_council(self) -> list[Action]:
-        """Who has to hear of the step, until that before it is over."""
+        """Messages to all who have to hear of the council, until the one before is over."""
         known = self.council.members | self.council.previous_members
         waits = self.council_settled_at == math.inf
         return [
@@ -107,7 +126,10 @@
         ]
 
     def number_written(self, now: float, write: WriteNumber, well: bool) -> list[Action]:
-        """Its span begins now. What is not on the disk is not granted, and counts as granted all the same."""
+        """The span of a grant begins.
+
+        What is not on the disk is not granted, and counts as granted all the same.
+        """
         vote = self.votes.get(write.lease)
         if vote is not None and vote.number == write.number and vote.until == math.inf:
             vote.until = now + self.terms.grant_span
@@ -116,7 +138,7 @@
 
     @property
     def voting_at(self) -> float:
-        """From when on new tenures are granted; infinite while the step before is not over."""
+        """From when on new tenures are granted; infinite while the council before is not over."""
         return max(self.silent_until, self.council_settled_at + self.terms.silence)
 
     def _check_council(self, now: float) -> None:
--- a/beaconhinge/leases/wire.py
+++ b/beaconhinge/leases/wire.py
@@ -13,9 +13,14 @@
 
 @dataclass(frozen=True, slots=True)
 class LeaseMessage:
-    """`council`: the number of the sender's. `round` ties an answer to its question; in STEP, 1 asks for one.
-    `value`, in milliseconds: of ASK and RENEW the span, of NO the time until it is worth asking again; of
-    RELEASE, 1 gives a tenure back, 0 a question that failed.
+    """A message between members.
+
+    Attributes:
+        council: Number of the sender's council.
+        round_id: Ties an answer to its request; in COUNCIL_CHANGE, 1 asks for an answer.
+        number: Of the tenure; in DENY the highest that the member has granted.
+        value: In milliseconds: of REQUEST and RENEW the span, of DENY the time until it is worth asking
+            again. Of RELEASE, 1 gives a tenure back, 0 a request that failed.
     """
 
     kind: int
@@ -27,6 +32,7 @@
 
 
 def encode(message: LeaseMessage) -> bytes:
+    """Bytes of a message."""
     return _FORM.pack(
         DATAGRAM_TYPE,
         message.kind,
@@ -39,7 +45,7 @@
 
 
 def decode(payload: bytes) -> LeaseMessage | None:
-    """None for whatever is foreign, truncated or of another version."""
+    """The message in a datagram; None if it is foreign, truncated or of another version."""
     if (
         len(payload) != _FORM.size
         or payload[0] != DATAGRAM_TYPE
@@ -50,4 +56,5 @@
 
 
 def milliseconds(seconds: float) -> int:
+    """A span as it is sent, from 0 to 2^32 - 1."""
     return max(0, min(round(seconds * 1000), _MOST))
--- a/beaconhinge/net/keys.py
+++ b/beaconhinge/net/keys.py
@@ -36,6 +36,8 @@
 
 
 class IdempotencyKeyService:
+    """The idempotency keys of this dispatcher, on the disk and between dispatchers."""
+
     def __init__(
         self,
         config: Config,
@@ -75,10 +77,8 @@
     def _unsure_until(self, window: float) -> float:
         found = None
         if self.store is not None:
-            try:
+            with contextlib.suppress(StoreError):  # as good as none
                 found = self.store.get(OWNER_KEY)
-            except StoreError:
-                pass  # as good as none
         number = self.config.settings.own_number
         return key_records.uncertain_until(found, self.config.name, number, self.timers.now(), window)
 
@@ -118,8 +118,10 @@
         return await self._commit([self._owner(), put])
 
     async def _delete_records(self, names: list[int]) -> None:
-        """Where that fails, they are too old at the next start as well. One that has been taken again has a
-        newer record, which stays.
+        """Remove records from the disk.
+
+        Where that fails, they are too old at the next start as well. A key that has begun again has a newer
+        record, which stays.
         """
         gone = [name for name in names if name not in self.registry]
         await self._commit([Delete(RECORD_PREFIX + name.to_bytes(8, "big")) for name in gone])
@@ -146,7 +148,11 @@
     # ---- a request -----------------------------------------------------------------------------------------
 
     async def enter(self, job: Job) -> Known:
-        """Before the module hears of a job with a key: whether it may have run elsewhere, or its result."""
+        """Find out what is known of a job's key, before the policy hears of it.
+
+        Returns:
+            That it may have run elsewhere, or its result, or neither.
+        """
         now, name = self.timers.now(), key_messages.key_name(job.cls, job.tenant, job.dedup_key)
         result = self.registry.result(now, name)
         if result is not None:
@@ -186,7 +192,7 @@
             self.metrics.spawn(self._delete_records([name]), "keys")
 
     def may_have(self, request: str) -> bool:
-        """Whether a job that this life has not sent may be one with a key, whose client comes again."""
+        """Whether a job of an earlier incarnation may have a key, whose client may come again."""
         return self.timers.now() < self.registry.uncertain_until or self.registry.has_request(request)
 
     def mark_journal_stale(self) -> None:
@@ -195,7 +201,7 @@
         self.metrics.spawn(self._write_owner(), "keys")
 
     def record_late_result(self, request: str, result: str) -> None:
-        """A worker's result for which no attempt is open."""
+        """Take in a worker's result for which no attempt is open."""
         if self.registry.record_late_result(self.timers.now(), request, result.encode()):
             self.metrics.count("keys_results_late")
 
--- a/beaconhinge/net/lease_calls.py
+++ b/beaconhinge/net/lease_calls.py
@@ -41,7 +41,11 @@
     metrics: Metrics,
     inherited: dict[str, Any] | None,
 ) -> LeaseService:
-    """Raises ConfigError where the others cannot be heard."""
+    """Build the parts of leases and connect them.
+
+    Raises:
+        ConfigError: Other dispatchers cannot be heard.
+    """
     if config.peer_listen is None and config.settings.group_size > 1:
         raise ConfigError("leases.enabled: needs peer_listen and peers, by which dispatchers hear each other")
     leases = LeaseService(options, config, store, peers, timers, metrics)
--- a/beaconhinge/net/leases.py
+++ b/beaconhinge/net/leases.py
@@ -36,11 +36,15 @@
 
 
 class LeaseLost(Error):
-    """A tenure ended while the body of `async with` was at work; it was cancelled."""
+    """A tenure ended while the body of `async with` was running; the body was cancelled."""
 
 
 class Tenure:
-    """One holding of a lease, from its grant to its end."""
+    """One holding of a lease, from its grant to its end, as the body of `async with` sees it.
+
+    Attributes:
+        number: Greater than that of every tenure before; it goes with each act.
+    """
 
     def __init__(self, leases: LeaseService, lease: _LocalLease, number: int) -> None:
         self.number = number  # greater than that of every tenure before; goes with each act
@@ -55,8 +59,9 @@
         return max(0.0, held.end - self._leases.timers.now()) if held is not None and mine else 0.0
 
     def may_act(self, longest: float) -> bool:
-        """Whether an act of `longest` seconds at most may begin, in this very step of the event loop. Until
-        then, or `done`, the lease is not given up, whatever ends the body.
+        """Whether an act of `longest` seconds at most may begin, in this very turn of the event loop.
+
+        Until it is over, or `act_done` is called, the lease is not given up, whatever ends the body.
         """
         held = self._leases.current_tenure(self._lease)
         if held is None or held.number != self.number:
@@ -88,8 +93,10 @@
 
 
 class LeaseContext:
-    """`async with leases.hold(name) as tenure`: waits for the lease, without bound. The body is cancelled
-    when the tenure ends early, and LeaseLost raised; when the body ends, the lease is given up.
+    """`async with leases.hold(name) as tenure`: waits for the lease, without bound.
+
+    The body is cancelled when the tenure ends early, and LeaseLost raised. When the body ends, the lease is
+    given up.
     """
 
     def __init__(self, leases: LeaseService, lease: _LocalLease) -> None:
@@ -132,12 +139,14 @@
         finally:
             self._lease.body_lock.release()
         # A cancellation from elsewhere at the same moment goes on as what it is.
-        if self._expired and self._task is not None and self._task.uncancel() == 0:
-            if kind is asyncio.CancelledError:
-                raise LeaseLost(f"lease {self._lease.name} was lost") from error
+        cancelled_here = self._expired and self._task is not None and self._task.uncancel() == 0
+        if cancelled_here and kind is asyncio.CancelledError:
+            raise LeaseLost(f"lease {self._lease.name} was lost") from error
 
 
 class LeaseService:
+    """The leases of this process: datagrams, timers, numbers on the disk, and who waits for a lease."""
+
     def __init__(
         self,
         options: Settings,
@@ -175,7 +184,7 @@
         )
 
     def open(self, inherited: dict[str, Any] | None = None) -> None:
-        """`inherited`: what the other process of this dispatcher has handed over."""
+        """Begin; `inherited` is what the other process of this dispatcher has handed over."""
         self.metrics.spawn(self._start_node(inherited), "leases")
 
     async def _start_node(self, inherited: dict[str, Any] | None) -> None:
@@ -241,10 +250,19 @@
     # ---- what the parts here ask for -----------------------------------------------------------------------
 
     def hold(self, name: str) -> LeaseContext:
-        """Raises ValueError for what is no name of a lease."""
+        """A context that holds the lease.
+
+        Raises:
+            ValueError: The name is not one of a lease.
+        """
         return LeaseContext(self, self.lease(name))
 
     def lease(self, name: str) -> _LocalLease:
+        """The record of a lease by its name.
+
+        Raises:
+            ValueError: The name is not one of a lease.
+        """
         if not terms.LEASE_NAME.fullmatch(name):
             raise ValueError(f"{name[:50]}: a lease's name has letters, digits and dashes, 40 at most")
         key = terms.lease_key(name)
@@ -253,26 +271,35 @@
         return self._leases[key]
 
     def want(self, lease: _LocalLease) -> None:
+        """Have the node take the lease."""
         if self.node is not None and not self._leaving:
             self._perform(self.node.want(self.timers.now(), lease.key))
 
     async def wait_for_acts(self, lease: _LocalLease) -> None:
-        """Wait until no act can be under way any more. Till then it is kept, and nobody else gets it."""
+        """Wait until no act can be under way any more.
+
+        Till then the lease is kept, and nobody else gets it.
+        """
         while self.current_tenure(lease) is not None and (left := lease.busy_until - self.timers.now()) > 0:
             over = asyncio.Event()
             self.timers.after(left, over.set)
             await over.wait()
 
     def release_later(self, lease: _LocalLease) -> None:
+        """Give the lease up once no act can be under way."""
         self.timers.after(max(0.0, lease.busy_until - self.timers.now()), lambda: self.release(lease))
 
     def release(self, lease: _LocalLease) -> None:
+        """Have the node give the lease up."""
         stay_out, lease.stay_out = lease.stay_out, 0.0
         if self.node is not None:
             self._perform(self.node.release(self.timers.now(), lease.key, stay_out))
 
     def current_tenure(self, lease: _LocalLease) -> holder.Tenure | None:
-        """With a look at the clock first: a process that was stopped may hold it no longer."""
+        """The tenure of a lease, after a look at the clock.
+
+        A process that was stopped may hold it no longer.
+        """
         if self.node is None:
             return None
         self._perform(self.node.advance(self.timers.now()))
@@ -280,8 +307,12 @@
         return held.tenure if held is not None else None
 
     def hand_over(self, lease: _LocalLease) -> bool:
-        """Have another take it: the body here is cancelled, and this process stays out for a span. Whether it
-        was held here.
+        """Have another dispatcher take the lease.
+
+        The body is cancelled, and this process stays out for a span.
+
+        Returns:
+            Whether the lease was held here.
         """
         if self.current_tenure(lease) is None:
             return False
@@ -293,7 +324,7 @@
         return True
 
     def status_json(self) -> str:
-        """One line of JSON."""
+        """The state of all leases, as one line of JSON."""
         now = self.timers.now()
         member = self.node.member if self.node is not None else None
         shown = {}
@@ -318,7 +349,10 @@
         )
 
     def leave(self) -> None:
-        """Before the last word to the others. What an act is under way for ends by its span."""
+        """Give up all leases before the process ends.
+
+        One under which an act is under way ends by its span.
+        """
         self._leaving = True
         now = self.timers.now()
         for lease in self._leases.values():
@@ -328,7 +362,7 @@
     # ---- an upgrade, and steps -----------------------------------------------------------------------------
 
     def hand_over_state(self) -> dict[str, Any] | None:
-        """For the process that replaces this one, which is out from here on."""
+        """State for the process that replaces this one, which is out from here on."""
         if self.node is None:
             return None
         now = self.timers.now()
@@ -341,12 +375,15 @@
         return {"at": time.monotonic(), "node": state}
 
     def take_back(self) -> None:
-        """The new process has died. What it granted or held is over after a span of silence."""
+        """Begin anew after the new process has died.
+
+        What it granted or held is over after a span of silence.
+        """
         if self.node is None:
             self.open()
 
     def reload(self, options: Settings) -> str:
-        """Take a step, or say why not."""
+        """Go on with another council, or return why not."""
         council, span = self._read(options)
         if (council, span) == (self.council, self.terms):
             return ""
--- a/beaconhinge/net/recovery.py
+++ b/beaconhinge/net/recovery.py
@@ -48,7 +48,10 @@
     upgrade: Upgrade | None,
     metrics: Metrics,
 ) -> RestartCoordinator:
-    """Before the door opens: from then on jobs and datagrams come."""
+    """Build the parts of recovery and connect them, before the listener opens.
+
+    From then on jobs and datagrams come.
+    """
     recovery = StallRecovery(options.stall_s, policy_runner, timers, requests, discovery, peers, metrics)
     returning = RestartCoordinator(config, store, timers, peers, metrics, recovery.delay_for_restart)
     keys = None
@@ -80,6 +83,11 @@
 
 
 class StallRecovery:
+    """Reports stalls of the process to every part before anything else.
+
+    Delays new jobs for a fresh list.
+    """
+
     def __init__(
         self,
         after: float,
@@ -139,6 +147,7 @@
             self._set_delay(STALL, False)
 
     def delay_for_restart(self, wait: bool) -> None:
+        """Delay new jobs while the stages of a start last, or let them go on."""
         self._set_delay(START, wait)
 
     def _set_delay(self, why: str, wait: bool) -> None:
--- a/beaconhinge/net/restart.py
+++ b/beaconhinge/net/restart.py
@@ -25,6 +25,8 @@
 
 
 class RestartCoordinator:
+    """Takes a start through its stages, and exchanges incarnations with other dispatchers."""
+
     def __init__(
         self,
         config: Config,
@@ -51,15 +53,16 @@
 
     @property
     def stage_name(self) -> str:
+        """Name of the present stage."""
         return NAMES[self.stages.stage]
 
     @property
     def serving(self) -> bool:
-        """The list is as good as it gets, and others have been asked about this life."""
+        """Whether the list is as good as it gets, and others have been asked about this incarnation."""
         return self.stages.stage == NORMAL
 
     def open(self, taken_over: bool) -> None:
-        """The door is open. A process that took over from another of this dispatcher serves on as before."""
+        """Begin, with an open listener; a process that took over from another one serves on as before."""
         if taken_over:
             self.stages.stage = NORMAL
             self._report_stages([NORMAL])
@@ -69,11 +72,13 @@
         self.metrics.spawn(self._announce(), "life")
 
     def process_resumed(self) -> None:
+        """The process stood still until now."""
         self._feed(stages.ProcessResumed(self._queried_peers()))
         if not self.serving:
             self._query_unanswered()
 
     def list_received(self, how: str) -> None:
+        """Discovery has sent a list."""
         if how in (UpdateKind.SNAPSHOT, UpdateKind.CHANGES):
             self._feed(stages.ListReceived())
 
@@ -107,7 +112,7 @@
     # ---- the others ----------------------------------------------------------------------------------------
 
     def _queried_peers(self) -> frozenset[int]:
-        """The same at each start: they are the ones that have heard of the lives before."""
+        """Dispatchers to ask, the same at each start: they have heard of the incarnations before."""
         settings = self.config.settings
         size, own = settings.group_size, settings.own_number
         most = min(MAX_QUERIED_PEERS, size - 1) if settings.peer_messages else 0
@@ -141,7 +146,10 @@
             self._send_hello(number, asks=True)
 
     async def _advance_incarnation(self, store: Store) -> None:
-        """On the disk before it is told, so that the next start never tells it again."""
+        """Count this start on the disk before it is announced.
+
+        The next start never announces it again then.
+        """
         name, number = self.config.name, self.config.settings.own_number
         try:
             life = incarnations.next_incarnation(
@@ -162,8 +170,11 @@
 
 
 class OrphanedJobs:
-    """Jobs of the old life that boxes still run for nobody: withdrawn, each once, while there can be any.
-    `left_to_finish` says of a request whether somebody may come for its result.
+    """Withdraws jobs of an earlier incarnation that workers still run for nobody, each once.
+
+    Args:
+        until: When no such job can be left.
+        may_be_awaited: Whether somebody may come for the result of a request.
     """
 
     def __init__(
@@ -184,7 +195,7 @@
         self._withdrawals = 0
 
     def observe(self, request: str, worker: int) -> None:
-        """A worker tells of a job that no attempt is open for, and that it has not ended."""
+        """A worker reports a job that no attempt is open for, and that has not ended."""
         job = request, worker
         if self.timers.now() >= self.until or job in self._seen or len(self._seen) >= MAX_ORPHANS:
             return
@@ -207,7 +218,7 @@
 
 
 class MaintenanceStore:
-    """Workers that operators have taken out, on the disk under this dispatcher's name."""
+    """Workers that operators have taken out, kept on the disk under this dispatcher's name."""
 
     def __init__(self, config: Config, store: Store, timers: TimerWheel, metrics: Metrics) -> None:
         self.store = store
@@ -216,6 +227,7 @@
         self._signature = incarnations.sign_record(config.name, config.settings.own_number, b"")
 
     def restore(self, apply: Callable[[str, bool], None]) -> None:
+        """Apply what is on the disk; records of other dispatchers are counted and passed over."""
         foreign = 0
         try:
             for place, data in self.store.scan(MAINTENANCE_PREFIX):
@@ -229,7 +241,7 @@
             self.metrics.count_and_log("hands_foreign", records=foreign)
 
     async def write(self, worker: str, out: bool) -> str:
-        """Why it is not on the disk, if so."""
+        """Write that a worker is out, or back; the reason where it could not be written, or an empty text."""
         place = MAINTENANCE_PREFIX + worker.encode()
         try:
             async with self.timers.timeout(DISK_TIMEOUT_S):
