--- a/beaconhinge/__main__.py
+++ b/beaconhinge/__main__.py
@@ -22,7 +22,7 @@
 from .net.operator_calls import OperatorCalls
 from .net.peers import PeerSocket
 from .net.sockets import RESERVED_DESCRIPTORS, DescriptorBudget
-from .net.upgrade import Upgrade
+from .net.upgrade import ProcessUpgrade
 from .net.worker_pool import WorkerPool
 from .policy import interface
 from .policy.dispatcher import Dispatcher
@@ -75,7 +75,7 @@
     operators = OperatorCalls(config, policy_runner, workers, requests, listener)
     upgrade = None
     if config.mgmt is not None and shared is not None:
-        upgrade = Upgrade(
+        upgrade = ProcessUpgrade(
             config,
             config.mgmt,
             shared,
@@ -167,10 +167,10 @@
     if returning is not None:
         returning.open(inherited is not None)
     if upgrade is not None:
-        await upgrade.serving()
+        await upgrade.announce_serving()
     if config.mgmt is not None:
         management = Management(config.mgmt, operators.acts, timers, metrics)
-        management.adopt = upgrade.adopt if upgrade is not None else None
+        management.adopt = upgrade.accept_successor if upgrade is not None else None
         management.listen()
     metrics.log(
         "started",
--- a/beaconhinge/dispatch/request.py
+++ b/beaconhinge/dispatch/request.py
@@ -234,7 +234,7 @@
 
     def turn_away(self, job: Job) -> Answer:
         """Refuse a job without the module's word: there is no room for it, or no time."""
-        self.metrics.count(figures.counter(figures.BUSY, self.class_names[job.cls]))
+        self.metrics.count(figures.counter_name(figures.BUSY, self.class_names[job.cls]))
         return Answer(REFUSED, retry_after=self.settings.max_retry_after_s)
 
     def take(
@@ -457,5 +457,7 @@
             "attempts", "answered", request=self.job.id, end=answer.end, attempts=len(self._attempts)
         )
         if answer.end in FIGURE:
-            self.all.metrics.count(figures.counter(FIGURE[answer.end], self.all.class_names[self.job.cls]))
+            self.all.metrics.count(
+                figures.counter_name(FIGURE[answer.end], self.all.class_names[self.job.cls])
+            )
         return True
--- a/beaconhinge/management/calls.py
+++ b/beaconhinge/management/calls.py
@@ -14,7 +14,7 @@
 LEASE_HAND_OVER = "lease-hand-over"
 TAKE_OVER = "take-over"  # between two processes of one dispatcher
 # What each call needs beside its name.
-WORDS = {
+ARGUMENT_BY_CALL = {
     READY: "",
     SHOW_STAT: "",
     DRAIN: "",
@@ -27,49 +27,56 @@
     LEASE_HAND_OVER: "a lease's name",
     TAKE_OVER: "the word that a process has left",
 }
-MAX_LINE = 512  # bytes
+MAX_LINE_BYTES = 512  # bytes
 
 
-class BadCall(Exception):
+class InvalidCallError(Exception):
     """A line that is no call; the text says what is wrong."""
 
 
 @dataclass(slots=True, frozen=True)
-class Call:
+class OperatorCall:
+    """One call of an operator, with its argument where it has one."""
+
     name: str
-    word: str = ""
+    argument: str = ""
+
 
+def parse(line: bytes) -> OperatorCall:
+    """Read a call from a line, which may end in CR, LF, both or nothing.
 
-def parse(line: bytes) -> Call:
-    """Raises BadCall. The line may end in CR, LF, both or nothing."""
-    if len(line) > MAX_LINE:
-        raise BadCall(f"the line is over {MAX_LINE} bytes")
+    Raises:
+        InvalidCallError: The line is no call.
+    """
+    if len(line) > MAX_LINE_BYTES:
+        raise InvalidCallError(f"the line is over {MAX_LINE_BYTES} bytes")
     text = line.rstrip(b"\r\n")
     if not text.isascii() or not text.decode("ascii").isprintable():
-        raise BadCall("the line is no printable text")
+        raise InvalidCallError("the line is no printable text")
     words = text.decode("ascii").split()
     if not words:
-        raise BadCall(f"no call; known are {', '.join(WORDS)}")
+        raise InvalidCallError(f"no call; known are {', '.join(ARGUMENT_BY_CALL)}")
     name, *rest = words
-    if name not in WORDS:
-        raise BadCall(f"{name[:40]}: no such call; known are {', '.join(WORDS)}")
-    wanted = 1 if WORDS[name] else 0
+    if name not in ARGUMENT_BY_CALL:
+        raise InvalidCallError(f"{name[:40]}: no such call; known are {', '.join(ARGUMENT_BY_CALL)}")
+    wanted = 1 if ARGUMENT_BY_CALL[name] else 0
     if len(rest) < wanted:
-        raise BadCall(f"{name}: {WORDS[name]} is missing")
+        raise InvalidCallError(f"{name}: {ARGUMENT_BY_CALL[name]} is missing")
     if len(rest) > wanted:
-        raise BadCall(f"{name}: {rest[wanted][:40]} is one word too many")
-    return Call(name, *rest)
+        raise InvalidCallError(f"{name}: {rest[wanted][:40]} is one word too many")
+    return OperatorCall(name, *rest)
 
 
 def success(text: str) -> bytes:
+    """The answer to a call that was carried out."""
     return f"SUCCESS {text}\n".encode()
 
 
 def failure(why: str) -> bytes:
-    """One line, whatever the text: it may quote what a caller sent."""
+    """The answer to a call that was not; one line, whatever the text: it may quote what a caller sent."""
     return b"FAILURE " + why.encode("ascii", "backslashreplace").replace(b"\n", b" ") + b"\n"
 
 
-def shown(text: str) -> bytes:
-    """An answer that shows something stands by itself: the last line tells that it is whole."""
+def multi_line(text: str) -> bytes:
+    """An answer that shows something; its last line says that it is complete."""
     return text.encode() + b"\nEOT\n"
--- a/beaconhinge/management/figures.py
+++ b/beaconhinge/management/figures.py
@@ -11,12 +11,12 @@
 BACKEND_CALLS = "backend_calls"
 
 
-def counter(kind: str, cls: str) -> str:
-    """The name in `Stats.counters`."""
+def counter_name(kind: str, cls: str) -> str:
+    """The name of a class's figure in `Metrics.counters`."""
     return f"{kind}_{cls}"
 
 
-def show(
+def stat_json(
     counters: Mapping[str, int],
     classes: Iterable[str],
     inflight: int,
@@ -24,9 +24,12 @@
     down: int,
     phase: str = "",
 ) -> str:
-    """One line of JSON. Every class of the settings appears; the phase only where there are phases."""
+    """The figures as one line of JSON.
+
+    Every class of the settings appears; the phase only where there are phases.
+    """
     calls = {
-        cls: {kind: counters.get(counter(kind, cls), 0) for kind in (SUCCESS, BUSY, FAILURE)}
+        cls: {kind: counters.get(counter_name(kind, cls), 0) for kind in (SUCCESS, BUSY, FAILURE)}
         for cls in classes
     }
     shown = {
@@ -39,7 +42,7 @@
     return json.dumps({**shown, "phase": phase} if phase else shown, separators=(",", ":"))
 
 
-def down(dispatcher: Dispatcher, listed: Iterable[int], now: float) -> int:
+def count_down(dispatcher: Dispatcher, listed: Iterable[int], now: float) -> int:
     """Of the listed workers, by number, those that get no jobs now: taken out by hand, leaving, benched, or
     silent while they have jobs.
     """
--- a/beaconhinge/management/handover.py
+++ b/beaconhinge/management/handover.py
@@ -20,8 +20,8 @@
 from ..policy.interface import Semantics, Settings
 
 VERSION = 1
-AHEAD = 16  # numbers that the old process may have used up after it took the form
-MAX_FRAME = 8 * 1024 * 1024
+SEQUENCE_ALLOWANCE = 16  # numbers that the old process may have used up after it took the form
+MAX_FRAME_BYTES = 8 * 1024 * 1024
 _HEAD = struct.Struct(">IB")
 _MAGIC = b"beaconhinge handover %d " % VERSION
 
@@ -71,45 +71,55 @@
 _PEER = ("incarnation", "sequence", "heard", "known", "span", "admitted")
 
 
-class Unusable(Exception):
-    """A form, or a frame, that must not be used; the text says why."""
+class HandoverError(Exception):
+    """A state, or a frame, that must not be used; the text says why."""
 
 
 def seal(content: dict[str, Any]) -> bytes:
+    """Bytes of a state, with version and checksum."""
     body = json.dumps(content, separators=(",", ":")).encode()
     return _MAGIC + hashlib.blake2s(body, digest_size=16).hexdigest().encode() + b"\n" + body
 
 
 def unseal(form: bytes) -> dict[str, Any]:
-    """Raises Unusable."""
+    """The state in these bytes.
+
+    Raises:
+        HandoverError: The bytes are foreign, torn or of another version.
+    """
     head, _, body = form.partition(b"\n")
     if not head.startswith(_MAGIC):
-        raise Unusable("foreign, or of another version")
+        raise HandoverError("foreign, or of another version")
     if head[len(_MAGIC) :] != hashlib.blake2s(body, digest_size=16).hexdigest().encode():
-        raise Unusable("torn: its checksum is wrong")
+        raise HandoverError("torn: its checksum is wrong")
     content = json.loads(body)
     if not isinstance(content, dict):
-        raise Unusable("not an object")
+        raise HandoverError("not an object")
     return content
 
 
-def frame(kind: int, payload: bytes = b"") -> bytes:
+def encode_frame(kind: int, payload: bytes = b"") -> bytes:
+    """Bytes of one frame between the two processes."""
     return _HEAD.pack(len(payload), kind) + payload
 
 
-class Frames:
-    """Bytes in pieces of any size become frames."""
+class FrameReader:
+    """Turns bytes in pieces of any size into frames."""
 
     def __init__(self) -> None:
         self._waiting = bytearray()
 
     def feed(self, data: bytes) -> Iterator[tuple[int, bytes]]:
-        """Raises Unusable for one that is too long."""
+        """Take in bytes, and yield each frame that is complete.
+
+        Raises:
+            HandoverError: A frame is too long.
+        """
         self._waiting += data
         while len(self._waiting) >= _HEAD.size:
             length, kind = _HEAD.unpack_from(self._waiting)
-            if length > MAX_FRAME:
-                raise Unusable(f"a frame of {length} bytes")
+            if length > MAX_FRAME_BYTES:
+                raise HandoverError(f"a frame of {length} bytes")
             if len(self._waiting) < _HEAD.size + length:
                 return
             payload = bytes(self._waiting[_HEAD.size : _HEAD.size + length])
@@ -204,7 +214,7 @@
     try:
         _restore(module, content)
     except (KeyError, TypeError, ValueError, IndexError, AttributeError) as error:
-        raise Unusable(f"{type(error).__name__}: {error}") from None
+        raise HandoverError(f"{type(error).__name__}: {error}") from None
 
 
 def _restore(module: Dispatcher, content: dict[str, Any]) -> None:
@@ -257,4 +267,8 @@
     module.limits, module.most_free, module.by_hand = limits, most_free, by_hand
     group.peers, group.board.out, group.seen, group.hub = peers, board, seen, hub
     group.board.told = dict.fromkeys(board)  # all of it is told again in turn
-    group.incarnation, group._sequence, group._hub_heard = incarnation, (sequence + AHEAD) & 0xFFFF, heard
+    group.incarnation, group._sequence, group._hub_heard = (
+        incarnation,
+        (sequence + SEQUENCE_ALLOWANCE) & 0xFFFF,
+        heard,
+    )
--- a/beaconhinge/net/lease_calls.py
+++ b/beaconhinge/net/lease_calls.py
@@ -12,7 +12,7 @@
 from ..config.local import Leases as Settings
 from ..config.platform import address
 from ..management import calls
-from ..management.calls import Call
+from ..management.calls import OperatorCall
 from ..runtime.metrics import Metrics
 from ..runtime.timer_wheel import TimerWheel
 from ..store import Store
@@ -22,7 +22,7 @@
 from .operator_calls import OperatorCalls
 from .peers import PeerSocket
 from .sockets import connect
-from .upgrade import Upgrade
+from .upgrade import ProcessUpgrade
 
 CONNECT_TIMEOUT_S = 0.25  # seconds for a connection, which costs nothing of an act's longest time
 STALE_TENURE_STATUSES = (409, 412)  # answers of who has seen a greater number
@@ -35,7 +35,7 @@
     config: Config,
     store: Store | None,
     operators: OperatorCalls,
-    upgrade: Upgrade | None,
+    upgrade: ProcessUpgrade | None,
     peers: PeerSocket,
     timers: TimerWheel,
     metrics: Metrics,
@@ -125,45 +125,45 @@
         self.leases = leases
         self.timers = timers
         self.metrics = metrics
-        self.acts: dict[str, Callable[[Call], bytes | Awaitable[bytes]]] = {
+        self.acts: dict[str, Callable[[OperatorCall], bytes | Awaitable[bytes]]] = {
             calls.LEASE_LIST: self._list,
             calls.LEASE_TAKE: self._take,
             calls.LEASE_GIVE: self._give,
             calls.LEASE_HAND_OVER: self._hand_over,
         }
 
-    def _list(self, _call: Call) -> bytes:
-        return calls.shown(self.leases.status_json())
+    def _list(self, _call: OperatorCall) -> bytes:
+        return calls.multi_line(self.leases.status_json())
 
-    def _take(self, call: Call) -> bytes:
+    def _take(self, call: OperatorCall) -> bytes:
         try:
-            lease = self.leases.lease(call.word)
+            lease = self.leases.lease(call.argument)
         except ValueError as why:
             return calls.failure(str(why))
         lease.command_until = self.timers.now() + COMMAND_LEASE_S
         if lease.command_task is None or lease.command_task.done():
-            lease.command_task = self.metrics.spawn(self._keep(call.word), f"lease {call.word}")
+            lease.command_task = self.metrics.spawn(self._keep(call.argument), f"lease {call.argument}")
         held = self.leases.current_tenure(lease)
         if held is None:
             return calls.success("waiting")
         return calls.success(f"held {held.number} {max(0, int(1000 * (held.end - self.timers.now())))}")
 
-    def _give(self, call: Call) -> bytes:
+    def _give(self, call: OperatorCall) -> bytes:
         """The command has ended."""
         try:
-            self.leases.lease(call.word).command_until = 0.0
+            self.leases.lease(call.argument).command_until = 0.0
         except ValueError as why:
             return calls.failure(str(why))
-        return calls.success(f"{call.word} is given up")
+        return calls.success(f"{call.argument} is given up")
 
-    def _hand_over(self, call: Call) -> bytes:
+    def _hand_over(self, call: OperatorCall) -> bytes:
         try:
-            held = self.leases.hand_over(self.leases.lease(call.word))
+            held = self.leases.hand_over(self.leases.lease(call.argument))
         except ValueError as why:
             return calls.failure(str(why))
         if not held:
-            return calls.failure(f"{call.word} is not held here")
-        return calls.success(f"{call.word} is for others")
+            return calls.failure(f"{call.argument} is not held here")
+        return calls.success(f"{call.argument} is for others")
 
     async def _keep(self, name: str) -> None:
         lease = self.leases.lease(name)
--- a/beaconhinge/net/management.py
+++ b/beaconhinge/net/management.py
@@ -9,7 +9,7 @@
 
 from ..config import Address
 from ..management import calls
-from ..management.calls import BadCall, Call
+from ..management.calls import InvalidCallError, OperatorCall
 from ..runtime.metrics import Metrics
 from ..runtime.timer_wheel import TimerWheel
 from .sockets import tcp_listener
@@ -25,7 +25,7 @@
     def __init__(
         self,
         address: Address,
-        acts: dict[str, Callable[[Call], bytes | Awaitable[bytes]]],
+        acts: dict[str, Callable[[OperatorCall], bytes | Awaitable[bytes]]],
         timers: TimerWheel,
         metrics: Metrics,
     ) -> None:
@@ -90,8 +90,8 @@
     async def _line(self, sock: socket.socket) -> bytes:
         """Up to the end of the line or of the stream; one byte over the bound is enough to refuse it."""
         line = b""
-        while b"\n" not in line and len(line) <= calls.MAX_LINE:
-            part = await asyncio.get_running_loop().sock_recv(sock, calls.MAX_LINE + 2)
+        while b"\n" not in line and len(line) <= calls.MAX_LINE_BYTES:
+            part = await asyncio.get_running_loop().sock_recv(sock, calls.MAX_LINE_BYTES + 2)
             if not part:
                 break
             line += part
@@ -105,11 +105,11 @@
             self.metrics.count("management_calls")
             if call.name != calls.TAKE_OVER:
                 return self.acts[call.name](call)
-            why = self.adopt(call.word, sock) if self.adopt is not None else "no place to leave word in"
+            why = self.adopt(call.argument, sock) if self.adopt is not None else "no place to leave word in"
             if not why:
                 self._adopted.add(sock)
             return calls.failure(f"{call.name}: {why}") if why else b""
-        except BadCall as why:
+        except InvalidCallError as why:
             self.metrics.count_and_log("management_call_refused", why=why)
             return calls.failure(str(why))
         except Exception as error:  # a defect here: the operator hears of it too
--- a/beaconhinge/net/operator_calls.py
+++ b/beaconhinge/net/operator_calls.py
@@ -8,7 +8,7 @@
 from ..dispatch.policy_runner import PolicyRunner
 from ..dispatch.request import RequestTable
 from ..management import calls, figures
-from ..management.calls import Call
+from ..management.calls import OperatorCall
 from ..membership.inventory import worker_number
 from ..policy import interface
 from .listener import Listener
@@ -32,10 +32,12 @@
         self.out: set[str] = set()  # workers out by hand, by id: they may leave the list meanwhile
         workers.out_by_hand = self.out.__contains__
         self.replaces: Callable[[], bool] = lambda: True  # whether a process before this one may be ended
-        self.others: Callable[[Call], None] = lambda call: None  # the other process of an upgrade hears too
+        self.others: Callable[[OperatorCall], None] = lambda call: (
+            None
+        )  # the other process of an upgrade hears too
         self.keep: Callable[[str, bool], Awaitable[str]] | None = None  # on the disk; says why not
         self.phase: Callable[[], str] | None = None  # of a return, where there are phases
-        self.acts: dict[str, Callable[[Call], bytes | Awaitable[bytes]]] = {
+        self.acts: dict[str, Callable[[OperatorCall], bytes | Awaitable[bytes]]] = {
             calls.READY: self._ready,
             calls.SHOW_STAT: self._show_stat,
             calls.DISABLE: self._take_out_or_put_back,
@@ -46,7 +48,7 @@
         for name in (calls.LEASE_LIST, calls.LEASE_TAKE, calls.LEASE_GIVE, calls.LEASE_HAND_OVER):
             self.acts[name] = lambda call: calls.failure("leases are not switched on")
 
-    def _ready(self, _call: Call) -> bytes:
+    def _ready(self, _call: OperatorCall) -> bytes:
         if not self.replaces():
             return calls.failure("the process before still has jobs")
         if self.listener.handed:
@@ -55,11 +57,11 @@
             return calls.success("ready")
         return calls.failure("drained" if self.listener.draining else "no list of workers yet")
 
-    def _show_stat(self, _call: Call) -> bytes:
+    def _show_stat(self, _call: OperatorCall) -> bytes:
         listed = self.workers.workers
-        down = figures.down(self.policy_runner.dispatcher, listed, self.policy_runner.timers.now())
-        return calls.shown(
-            figures.show(
+        down = figures.count_down(self.policy_runner.dispatcher, listed, self.policy_runner.timers.now())
+        return calls.multi_line(
+            figures.stat_json(
                 self.policy_runner.metrics.counters,
                 self.config.class_names,
                 self.requests.owed,
@@ -69,14 +71,16 @@
             )
         )
 
-    def _take_out_or_put_back(self, call: Call) -> bytes | Awaitable[bytes]:
-        if call.word not in self.out and not self.workers.lists(call.word):
-            return calls.failure(f"{call.word}: no such worker in the list")
+    def _take_out_or_put_back(self, call: OperatorCall) -> bytes | Awaitable[bytes]:
+        if call.argument not in self.out and not self.workers.lists(call.argument):
+            return calls.failure(f"{call.argument}: no such worker in the list")
         out = call.name == calls.DISABLE
-        self.apply(call.word, out)
+        self.apply(call.argument, out)
         self.others(call)
-        answer = f"{call.word} is {'out' if out else 'in'}"
-        return calls.success(answer) if self.keep is None else self._kept(self.keep(call.word, out), answer)
+        answer = f"{call.argument} is {'out' if out else 'in'}"
+        return (
+            calls.success(answer) if self.keep is None else self._kept(self.keep(call.argument, out), answer)
+        )
 
     async def _kept(self, keeping: Awaitable[str], answer: str) -> bytes:
         why = await keeping
@@ -90,7 +94,7 @@
         self.policy_runner.metrics.log("worker_out" if out else "worker_back", worker=host_id)
         self.policy_runner.feed(interface.MaintenanceMode(worker_number(host_id), out))
 
-    def _drain_or_resume(self, call: Call) -> bytes:
+    def _drain_or_resume(self, call: OperatorCall) -> bytes:
         if self.listener.ending:
             return calls.failure("this process is ending")
         drain = call.name == calls.DRAIN
--- a/beaconhinge/net/recovery.py
+++ b/beaconhinge/net/recovery.py
@@ -22,7 +22,7 @@
 from .operator_calls import OperatorCalls
 from .peers import PeerSocket
 from .restart import MaintenanceStore, OrphanedJobs, RestartCoordinator
-from .upgrade import Upgrade
+from .upgrade import ProcessUpgrade
 from .worker_pool import WorkerPool
 
 SOCKETS_FIRST_S = 0.1  # seconds that timers wait after a stall, while what came meanwhile is read
@@ -45,7 +45,7 @@
     peers: PeerSocket,
     listener: Listener,
     operators: OperatorCalls,
-    upgrade: Upgrade | None,
+    upgrade: ProcessUpgrade | None,
     metrics: Metrics,
 ) -> RestartCoordinator:
     """Build the parts of recovery and connect them, before the listener opens.
--- a/beaconhinge/net/upgrade.py
+++ b/beaconhinge/net/upgrade.py
@@ -23,8 +23,8 @@
 from ..config.platform import address
 from ..dispatch.policy_runner import PolicyRunner
 from ..management import calls, handover
-from ..management.calls import Call
-from ..management.handover import Unusable
+from ..management.calls import OperatorCall
+from ..management.handover import HandoverError
 from ..membership.inventory import InventoryError
 from ..policy import interface
 from ..runtime.metrics import Metrics
@@ -36,65 +36,80 @@
 from .sockets import DescriptorBudget, connect
 from .worker_pool import WorkerPool
 
-ANSWER = 1.0  # seconds that the process that serves has for each of its two answers
-READY_BY = 4.5  # seconds after its start, of 6, by which a new process says that it is ready
-LOOK = 0.05
-TELL_SLOTS = 0.05  # seconds between looks at the own slots out, while the other process wants to know
-SHARE = 0.5  # of sockets and bodies for each of the two
+ANSWER_TIMEOUT_S = 1.0  # seconds that the process that serves has for each of its two answers
+READY_WITHIN_S = 4.5  # seconds after its start, of 6, by which a new process says that it is ready
+CHECK_INTERVAL_S = 0.05
+SLOTS_INTERVAL_S = 0.05  # seconds between looks at the own slots out, while the other process wants to know
+BUDGET_SHARE = 0.5  # of sockets and bodies for each of the two
 _SLOTS = struct.Struct(">Id")
 
 
-class Link:
-    """The connection between the two processes. `took` gets each frame, `lost` is called once at its end."""
+class ProcessLink:
+    """The connection between the two processes of one dispatcher."""
 
     def __init__(self, sock: socket.socket, metrics: Metrics) -> None:
         self.sock = sock
         self.metrics = metrics
-        self.frames = handover.Frames()
-        self.waiting: list[tuple[int, bytes]] = []  # read, and not yet taken
-        self._out: asyncio.Queue[bytes] = asyncio.Queue()
+        self.frames = handover.FrameReader()
+        self._received: list[tuple[int, bytes]] = []  # read, and not yet taken
+        self._outgoing: asyncio.Queue[bytes] = asyncio.Queue()
 
-    async def first(self) -> tuple[int, bytes]:
-        """Raises OSError, or Unusable."""
-        while not self.waiting:
+    async def next_frame(self) -> tuple[int, bytes]:
+        """The kind and payload of the next frame.
+
+        Raises:
+            OSError: The connection has ended.
+            HandoverError: The frame must not be used.
+        """
+        while not self._received:
             data = await asyncio.get_running_loop().sock_recv(self.sock, 65536)
             if not data:
                 raise ConnectionError("the other process ended the connection")
-            self.waiting += self.frames.feed(data)
-        return self.waiting.pop(0)
+            self._received += self.frames.feed(data)
+        return self._received.pop(0)
 
-    def start(self, took: Callable[[int, bytes], None], lost: Callable[[], None]) -> None:
-        self._took, self._lost = took, lost
+    def start(self, on_frame: Callable[[int, bytes], None], on_closed: Callable[[], None]) -> None:
+        """Read and write from now on: `on_frame` gets each frame, `on_closed` is called once at the end."""
+        self._on_frame, self._on_closed = on_frame, on_closed
         self._writing = self.metrics.spawn(self._write(), "link")
         self.metrics.spawn(self._read(), "link")
 
     def send(self, kind: int, payload: bytes = b"") -> None:
-        self._out.put_nowait(handover.frame(kind, payload))
+        """Queue a frame; it is lost if the connection ends first."""
+        self._outgoing.put_nowait(handover.encode_frame(kind, payload))
 
     async def _read(self) -> None:
         try:
             while True:
-                self._took(*await self.first())
+                self._on_frame(*await self.next_frame())
         except OSError:
             pass
-        except Unusable as why:
+        except HandoverError as why:
             self.metrics.count_and_log("handover_unusable", why=why)
         except Exception as error:  # a defect here: the other process goes on by itself
             self.metrics.log_exception("link", error)
-        self._end()
+        self._close()
 
     async def _write(self) -> None:
         with contextlib.suppress(OSError):  # the reader notices as well
             while True:
-                await asyncio.get_running_loop().sock_sendall(self.sock, await self._out.get())
+                await asyncio.get_running_loop().sock_sendall(self.sock, await self._outgoing.get())
 
-    def _end(self) -> None:
+    def _close(self) -> None:
         self._writing.cancel()
         self.sock.close()
-        self._lost()
+        self._on_closed()
+
 
+class ProcessUpgrade:
+    """Takes over from the process that serves, and hands over to the one that comes after.
+
+    Attributes:
+        parts: What other parts hand over, and what they do when the new process has died.
+        predecessor: The link to the process that this one replaces.
+        successor: The link to the process that replaces this one.
+    """
 
-class Upgrade:
     def __init__(
         self,
         config: Config,
@@ -120,69 +135,73 @@
         self.budget = budget
         self.timers = timers
         self.metrics = metrics
-        self.word = shared / f"beaconhinge-{config.listen[0]}-{config.listen[1]}.json"
+        self.rendezvous_file = shared / f"beaconhinge-{config.listen[0]}-{config.listen[1]}.json"
         self.token = secrets.token_hex(16)
         # What other parts hand over, and what they do when the new process has died.
         self.parts: dict[str, tuple[Callable[[], Any], Callable[[], None]]] = {}
-        self.before: Link | None = None  # to the process that this one replaces
-        self.after: Link | None = None  # to the one that replaces this one
-        self._ready_at = timers.now() + READY_BY
-        self._parted = asyncio.Event()
-        self._done = False  # the one before owes nothing any more
-        self._inherited: Counter[int] = Counter()  # slots out by the one before, by worker
-        self._told: Counter[int] = Counter()  # own slots out, as the one after knows them
-        workers.elsewhere = self._pass_on
-        operators.others = self._tell_operators
+        self.predecessor: ProcessLink | None = None  # to the process that this one replaces
+        self.successor: ProcessLink | None = None  # to the one that replaces this one
+        self._ready_deadline = timers.now() + READY_WITHIN_S
+        self._addresses_released = asyncio.Event()
+        self._predecessor_done = False  # the one before owes nothing any more
+        self._predecessor_slots: Counter[int] = Counter()  # slots out by the one before, by worker
+        self._reported_slots: Counter[int] = Counter()  # own slots out, as the one after knows them
+        workers.elsewhere = self._forward_callback
+        operators.others = self._forward_operator_call
         operators.replaces = lambda: self.ready
 
     @property
     def ready(self) -> bool:
-        """Whether the process before may be ended: it owes nothing any more, or this one waits no longer."""
-        return self.before is None or self._done or self.timers.now() >= self._ready_at
+        """Whether the predecessor may be ended: it owes nothing any more, or this process waits no longer."""
+        return self.predecessor is None or self._predecessor_done or self.timers.now() >= self._ready_deadline
 
     @property
     def paired(self) -> bool:
         """Whether another process of this dispatcher is there."""
-        return self.before is not None or self.after is not None
+        return self.predecessor is not None or self.successor is not None
 
     # ---- the new process -----------------------------------------------------------------------------------
 
     async def inherit(self) -> dict[str, Any] | None:
-        """What the process that serves hands over. None if there is no such process, or, with a line that
-        says why, if it does not answer: then this one starts from nothing.
+        """Ask the process that serves for its state.
+
+        Returns:
+            The state; None if there is no such process or, with a log line, if it does not answer: then this
+                one
+            starts from nothing.
         """
         try:
-            found = json.loads(self.word.read_bytes())
+            found = json.loads(self.rendezvous_file.read_bytes())
             where, token = address(found["mgmt"], "mgmt"), found["token"]
         except FileNotFoundError:
             return None
         except (OSError, ValueError, TypeError, KeyError, ConfigError) as error:
             self.metrics.count_and_log(
-                "handover_unusable", why=f"{self.word.name}: {type(error).__name__}: {error}"
+                "handover_unusable", why=f"{self.rendezvous_file.name}: {type(error).__name__}: {error}"
             )
             return None
         sock = None
         try:
-            async with self.timers.timeout(ANSWER):
+            async with self.timers.timeout(ANSWER_TIMEOUT_S):
                 sock = await connect(where)
-                link = Link(sock, self.metrics)
+                link = ProcessLink(sock, self.metrics)
                 await asyncio.get_running_loop().sock_sendall(sock, f"{calls.TAKE_OVER} {token}\n".encode())
-                kind, form = await link.first()
+                kind, form = await link.next_frame()
             if kind != handover.STATE:
-                raise Unusable(f"a frame of kind {kind}")
+                raise HandoverError(f"a frame of kind {kind}")
             content = handover.unseal(form)
-        except (OSError, Unusable, ValueError, RecursionError) as error:
+        except (OSError, HandoverError, ValueError, RecursionError) as error:
             if sock is not None:
                 sock.close()
             # Left over by a process that was killed: nobody is there to be called.
             self.metrics.count_and_log("handover_unusable", why=f"{type(error).__name__}: {error}")
             return None
-        self.before = link
+        self.predecessor = link
         return content
 
     def restore(self, content: dict[str, Any]) -> None:
-        """After the module's start and before its first list."""
-        self.budget.set_share(SHARE)
+        """Take in the state, after the start of the policy and before its first list."""
+        self.budget.set_share(BUDGET_SHARE)
         try:
             hosts = self.discovery.inventory.read(content["list"])
             out = [str(host_id) for host_id in content["out"]]
@@ -194,54 +213,61 @@
         try:
             handover.restore(self.policy_runner.dispatcher, module)
             for worker in self.policy_runner.dispatcher.workers.values():
-                self._inherited[worker.id] = round(worker.out)
-        except Unusable as why:  # as with other settings: the list and the operators' word still hold
+                self._predecessor_slots[worker.id] = round(worker.out)
+        except HandoverError as why:  # as with other settings: the list and the operators' word still hold
             self.metrics.count_and_log("handover_unusable", why=why)
         self.discovery.inherit(hosts, here)
         for host_id in out:
             self.operators.apply(host_id, True)
         self.metrics.log("taken_over", workers=len(hosts.hosts), out=len(out))
 
-    async def serving(self) -> None:
-        """This process serves. Once the other has let go of the addresses, it says so to whoever asks."""
-        if self.before is not None:
-            self.before.start(self._from_before, self._before_ended)
-            self.before.send(handover.SERVING)
+    async def announce_serving(self) -> None:
+        """Tell the predecessor that this process serves.
+
+        Once it has released the addresses, say where to call.
+        """
+        if self.predecessor is not None:
+            self.predecessor.start(self._receive_from_predecessor, self._predecessor_ended)
+            self.predecessor.send(handover.SERVING)
             with contextlib.suppress(TimeoutError):
-                async with self.timers.timeout(ANSWER):
-                    await self._parted.wait()
-        self._leave_word()
+                async with self.timers.timeout(ANSWER_TIMEOUT_S):
+                    await self._addresses_released.wait()
+        self._write_rendezvous()
 
-    def _from_before(self, kind: int, payload: bytes) -> None:
+    def _receive_from_predecessor(self, kind: int, payload: bytes) -> None:
         if kind == handover.PARTED:
-            self._parted.set()
+            self._addresses_released.set()
         elif kind == handover.DONE:
-            self._done = True
+            self._predecessor_done = True
         elif kind == handover.SLOTS:
             number, slots = _SLOTS.unpack(payload)
-            self._inherited[number] += slots
+            self._predecessor_slots[number] += slots
             self.policy_runner.feed(interface.SiblingLoad(number, slots))
         else:
-            self._either(kind, payload, self.before)
+            self._receive_shared(kind, payload, self.predecessor)
 
-    def _before_ended(self) -> None:
-        self._parted.set()
-        self.before = None
-        for number, slots in self._inherited.items():
+    def _predecessor_ended(self) -> None:
+        self._addresses_released.set()
+        self.predecessor = None
+        for number, slots in self._predecessor_slots.items():
             if slots > 0:
                 self.policy_runner.feed(interface.SiblingLoad(number, -slots))
-        self._inherited.clear()
-        self.budget.set_share(SHARE if self.after is not None else 1.0)
+        self._predecessor_slots.clear()
+        self.budget.set_share(BUDGET_SHARE if self.successor is not None else 1.0)
         self.metrics.log("other_process_ended")
 
     # ---- the old process -----------------------------------------------------------------------------------
 
-    def adopt(self, token: str, sock: socket.socket) -> str:
-        """A new process is there. Why it may not take over, or nothing: then the socket is kept."""
+    def accept_successor(self, token: str, sock: socket.socket) -> str:
+        """Hand over to a new process that has called.
+
+        Returns:
+            Why it may not take over, or an empty text: then the socket is kept.
+        """
         if not secrets.compare_digest(token.encode(), self.token.encode()):
             return "not the word that this process has left"
-        if self.after is not None or self.listener.ending:
-            return "another has taken over" if self.after is not None else "this process is ending"
+        if self.successor is not None or self.listener.ending:
+            return "another has taken over" if self.successor is not None else "this process is ending"
         form = handover.seal(
             {
                 "module": handover.take(self.policy_runner.dispatcher),
@@ -251,38 +277,39 @@
                 **{name: give() for name, (give, _) in self.parts.items()},
             }
         )
-        link = self.after = Link(sock, self.metrics)
-        link.start(self._from_after, self._after_ended)
-        self._told = self._out()
+        link = self.successor = ProcessLink(sock, self.metrics)
+        link.start(self._receive_from_successor, self._successor_ended)
+        self._reported_slots = self._slots_in_flight()
         link.send(handover.STATE, form)
-        self.timers.after(TELL_SLOTS, self._tell_slots)
+        self.timers.after(SLOTS_INTERVAL_S, self._report_slots)
         return ""
 
-    def _from_after(self, kind: int, payload: bytes) -> None:
-        if kind == handover.SERVING and self.after is not None:
-            self.metrics.spawn(self._let_go(self.after), "let go")
+    def _receive_from_successor(self, kind: int, payload: bytes) -> None:
+        if kind == handover.SERVING and self.successor is not None:
+            self.metrics.spawn(self._release_addresses(self.successor), "let go")
         else:
-            self._either(kind, payload, self.after)
+            self._receive_shared(kind, payload, self.successor)
+
+    async def _release_addresses(self, link: ProcessLink) -> None:
+        """Release the shared addresses; what this process has taken it brings to its end.
 
-    async def _let_go(self, link: Link) -> None:
-        """Of the shared addresses. What the old process has taken it brings to its end. The new one may die
-        at any point: then all has been taken back, or nothing was let go.
+        The new one may die at any point: then all has been taken back, or nothing was released.
         """
-        if self.after is not link:
+        if self.successor is not link:
             return
         self.peers.let_go()
-        self.budget.set_share(SHARE)
+        self.budget.set_share(BUDGET_SHARE)
         await self.listener.let_go()
-        if self.after is link:
+        if self.successor is link:
             self.metrics.log("handed_over", owed=self.listener.owing)
             link.send(handover.PARTED)
-        while self.after is link and self.listener.owing:
-            await asyncio.sleep(LOOK)
-        if self.after is link:
+        while self.successor is link and self.listener.owing:
+            await asyncio.sleep(CHECK_INTERVAL_S)
+        if self.successor is link:
             link.send(handover.DONE)
 
-    def _after_ended(self) -> None:
-        self.after = None
+    def _successor_ended(self) -> None:
+        self.successor = None
         if self.listener.handed and not self.listener.ending:
             self.metrics.count_and_log("taken_back")  # the new process died: this one goes on
             self.policy_runner.dispatcher.fleet.incarnation = (
@@ -290,61 +317,63 @@
             ) & 0xFF
             self.peers.listen()
             self.listener.take_back()
-            self.budget.set_share(SHARE if self.before is not None else 1.0)
-            self._leave_word()
+            self.budget.set_share(BUDGET_SHARE if self.predecessor is not None else 1.0)
+            self._write_rendezvous()
         for _, take_back in self.parts.values():
             take_back()
 
-    def _tell_slots(self) -> None:
-        if self.after is None:
+    def _report_slots(self) -> None:
+        if self.successor is None:
             return
-        self.timers.after(TELL_SLOTS, self._tell_slots)
-        out = self._out()
-        for number in {*out, *self._told}:
-            if out[number] != self._told[number]:
-                self.after.send(handover.SLOTS, _SLOTS.pack(number, out[number] - self._told[number]))
-        self._told = out
-
-    def _out(self) -> Counter[int]:
+        self.timers.after(SLOTS_INTERVAL_S, self._report_slots)
+        out = self._slots_in_flight()
+        for number in {*out, *self._reported_slots}:
+            if out[number] != self._reported_slots[number]:
+                self.successor.send(
+                    handover.SLOTS, _SLOTS.pack(number, out[number] - self._reported_slots[number])
+                )
+        self._reported_slots = out
+
+    def _slots_in_flight(self) -> Counter[int]:
         return Counter({w.id: round(w.out) for w in self.policy_runner.dispatcher.workers.values() if w.out})
 
     # ---- both ----------------------------------------------------------------------------------------------
 
-    def _leave_word(self) -> None:
-        """Where to call this process. A new file takes the old one's place whole."""
-        new = self.word.with_suffix(".new")
+    def _write_rendezvous(self) -> None:
+        """Write where to call this process; a new file takes the old one's place as a whole."""
+        new = self.rendezvous_file.with_suffix(".new")
         try:
             with contextlib.suppress(FileNotFoundError):
                 new.unlink()
             with os.fdopen(os.open(new, os.O_WRONLY | os.O_CREAT | os.O_EXCL, 0o600), "w") as file:
                 json.dump({"mgmt": f"{self.mgmt[0]}:{self.mgmt[1]}", "token": self.token}, file)
-            new.replace(self.word)
+            new.replace(self.rendezvous_file)
         except OSError as error:  # the next process starts from nothing
             self.metrics.count_and_log("handover_word_not_left", why=error)
 
-    def _links(self, but: Link | None) -> list[Link]:
-        return [link for link in (self.before, self.after) if link is not None and link is not but]
+    def _links(self, but: ProcessLink | None) -> list[ProcessLink]:
+        return [link for link in (self.predecessor, self.successor) if link is not None and link is not but]
 
-    def _pass_on(self, body: bytes, worker: int, but: Link | None = None) -> None:
-        """A call-back for no job of this process may be for one of the other's."""
+    def _forward_callback(self, body: bytes, worker: int, but: ProcessLink | None = None) -> None:
+        """Forward a call-back for no job of this process: it may be for one of the other's."""
         for link in self._links(but):
             link.send(handover.CALL_BACK, body)
             self.metrics.count("callbacks_passed_on")
-            if link is self.before:  # the worker lives, though nothing is told here
+            if link is self.predecessor:  # the worker lives, though nothing is told here
                 self.policy_runner.feed(interface.SiblingLoad(worker, 0.0))
 
-    def _tell_operators(self, call: Call) -> None:
-        """What an operator asks of one process holds for both; a drain is for the one that takes clients."""
+    def _forward_operator_call(self, call: OperatorCall) -> None:
+        """Forward what holds for both processes; a drain is for the one that takes clients."""
         kinds = {calls.DISABLE: handover.OUT, calls.ENABLE: handover.BACK}
         for link in self._links(None):
             if call.name in kinds:
-                link.send(kinds[call.name], call.word.encode())
-            elif link is self.after:
+                link.send(kinds[call.name], call.argument.encode())
+            elif link is self.successor:
                 link.send(handover.DRAIN if call.name == calls.DRAIN else handover.RESUME)
 
-    def _either(self, kind: int, payload: bytes, link: Link | None) -> None:
+    def _receive_shared(self, kind: int, payload: bytes, link: ProcessLink | None) -> None:
         if kind == handover.CALL_BACK:
-            self.workers.news(payload, lambda body, worker: self._pass_on(body, worker, link))
+            self.workers.news(payload, lambda body, worker: self._forward_callback(body, worker, link))
             return
         for other in self._links(link):  # a third, where one upgrade follows close on another
             other.send(kind, payload)
--- a/tests/management/test_calls.py
+++ b/tests/management/test_calls.py
@@ -7,22 +7,22 @@
 import pytest
 
 from beaconhinge.management import calls
-from beaconhinge.management.calls import BadCall, Call
+from beaconhinge.management.calls import InvalidCallError, OperatorCall
 
 
 @pytest.mark.parametrize("end", [b"", b"\n", b"\r\n"])
 @pytest.mark.parametrize(
     ("line", "call"),
     [
-        (b"ready", Call("ready")),
-        (b"show-stat", Call("show-stat")),
-        (b"drain", Call("drain")),
-        (b"  resume ", Call("resume")),
-        (b"disable-server s-5be2a07c", Call("disable-server", "s-5be2a07c")),
-        (b"enable-server  s-1", Call("enable-server", "s-1")),
+        (b"ready", OperatorCall("ready")),
+        (b"show-stat", OperatorCall("show-stat")),
+        (b"drain", OperatorCall("drain")),
+        (b"  resume ", OperatorCall("resume")),
+        (b"disable-server s-5be2a07c", OperatorCall("disable-server", "s-5be2a07c")),
+        (b"enable-server  s-1", OperatorCall("enable-server", "s-1")),
     ],
 )
-def test_a_call_is_read_whatever_ends_its_line(line: bytes, call: Call, end: bytes) -> None:
+def test_a_call_is_read_whatever_ends_its_line(line: bytes, call: OperatorCall, end: bytes) -> None:
     assert calls.parse(line + end) == call
 
 
@@ -44,13 +44,13 @@
     ],
 )
 def test_what_is_wrong_with_a_line_is_named(line: bytes, why: str) -> None:
-    with pytest.raises(BadCall, match=why):
+    with pytest.raises(InvalidCallError, match=why):
         calls.parse(line)
 
 
 def test_any_bytes_are_a_call_or_a_bad_call_and_the_answer_is_one_line() -> None:
     draw = random.Random(11)
-    words = [word.encode() for word in calls.WORDS] + [
+    words = [word.encode() for word in calls.ARGUMENT_BY_CALL] + [
         b" ",
         b"\n",
         b"\r",
@@ -62,8 +62,8 @@
     for _ in range(2000):
         line = b"".join(draw.choice(words) for _ in range(draw.randrange(6)))
         try:
-            assert calls.parse(line).name in calls.WORDS
-        except BadCall as why:
+            assert calls.parse(line).name in calls.ARGUMENT_BY_CALL
+        except InvalidCallError as why:
             answer = calls.failure(str(why))
             assert answer.startswith(b"FAILURE ")
             assert answer.count(b"\n") == 1 and answer.endswith(b"\n")
--- a/tests/management/test_handover.py
+++ b/tests/management/test_handover.py
@@ -9,7 +9,7 @@
 from helpers import job, members, outcome, started
 
 from beaconhinge.management import handover
-from beaconhinge.management.handover import Frames, Unusable
+from beaconhinge.management.handover import FrameReader, HandoverError
 from beaconhinge.policy import interface
 from beaconhinge.policy.dispatcher import Dispatcher
 from beaconhinge.policy.interface import AttemptOutcome, UpdateKind
@@ -49,7 +49,10 @@
     new = started(6, seed=2, groupSize="3", policyLimits__peers="true")
     handover.restore(new, handover.unseal(form)["module"])
     given, got = handover.take(old), handover.take(new)
-    assert got["fleet"].pop("sequence") == (given["fleet"].pop("sequence") + handover.AHEAD) & 0xFFFF
+    assert (
+        got["fleet"].pop("sequence")
+        == (given["fleet"].pop("sequence") + handover.SEQUENCE_ALLOWANCE) & 0xFFFF
+    )
     assert json.loads(json.dumps(got)) == json.loads(json.dumps(given))
     new.handle(130.0, interface.MembershipUpdate(UpdateKind.SNAPSHOT, 3, members(6)))
     assert not new.workers[103].listed  # out by hand, across the hand-over
@@ -73,11 +76,11 @@
     form = handover.seal({"module": {"books": {"rate": float("inf")}}, "list": {}})
     assert handover.unseal(form)["module"]["books"]["rate"] == float("inf")
     for at in range(len(form)):
-        with pytest.raises(Unusable):
+        with pytest.raises(HandoverError):
             handover.unseal(form[:at])
-        with pytest.raises(Unusable):
+        with pytest.raises(HandoverError):
             handover.unseal(form[:at] + bytes([form[at] ^ 1]) + form[at + 1 :])
-    with pytest.raises(Unusable, match="another version"):
+    with pytest.raises(HandoverError, match="another version"):
         handover.unseal(form.replace(b" 1 ", b" 0 ", 1))
 
 
@@ -89,27 +92,27 @@
             before = json.dumps(handover.take(new))
             try:
                 handover.restore(new, {**content, key: wrong})
-            except Unusable:
+            except HandoverError:
                 assert json.dumps(handover.take(new)) == before
 
 
 def test_frames_in_pieces_are_frames() -> None:
     sent = [(handover.STATE, b"x" * 3000), (handover.SERVING, b""), (handover.CALL_BACK, b"{}")]
-    data, draw = b"".join(handover.frame(kind, payload) for kind, payload in sent), random.Random(3)
+    data, draw = b"".join(handover.encode_frame(kind, payload) for kind, payload in sent), random.Random(3)
     for _ in range(50):
-        frames, got, at = Frames(), [], 0
+        frames, got, at = FrameReader(), [], 0
         while at < len(data):
             size = draw.choice([1, 2, 7, 500, 5000])
             got += frames.feed(data[at : at + size])
             at += size
         assert got == sent
-    with pytest.raises(Unusable, match="a frame of"):
-        list(Frames().feed(b"\xff" * 5))
+    with pytest.raises(HandoverError, match="a frame of"):
+        list(FrameReader().feed(b"\xff" * 5))
 
 
 def test_figures_of_other_settings_are_not_used() -> None:
     content = handover.take(worked())
     for changes in ({"groupSize": "4"}, {"requestClasses__0__aim": "2"}, {"myNumber": "1"}):
         new = started(6, **{"groupSize": "3", "policyLimits__peers": "true", **changes})
-        with pytest.raises(Unusable, match="other settings"):
+        with pytest.raises(HandoverError, match="other settings"):
             handover.restore(new, content)
--- a/tests/management/test_upgrade.py
+++ b/tests/management/test_upgrade.py
@@ -18,7 +18,7 @@
 from test_management import FIRST, Operator
 
 from beaconhinge.management import handover
-from beaconhinge.management.handover import Frames
+from beaconhinge.management.handover import FrameReader
 from beaconhinge.net.sockets import tcp_listener
 from beaconhinge.policy import interface
 from beaconhinge.standin.harness import DemoFleet
@@ -31,7 +31,7 @@
     """The new process, as the old one sees it."""
 
     def __init__(self) -> None:
-        self.frames, self.got, self.read = Frames(), asyncio.Queue[tuple[int, bytes]](), b""
+        self.frames, self.got, self.read = FrameReader(), asyncio.Queue[tuple[int, bytes]](), b""
 
     async def take_over(self, word: Path, token: str = "") -> None:
         while not word.exists():
@@ -54,7 +54,7 @@
         return found[1]
 
     def say(self, kind: int, payload: bytes = b"") -> None:
-        self.writer.write(handover.frame(kind, payload))
+        self.writer.write(handover.encode_frame(kind, payload))
 
     def die(self) -> None:
         self.reading.cancel()
@@ -212,8 +212,8 @@
 def test_without_a_whole_form_the_new_process_starts_from_nothing(
     fault: str, tmp_path: Path, monkeypatch: pytest.MonkeyPatch, capsys: pytest.CaptureFixture[str]
 ) -> None:
-    monkeypatch.setattr("beaconhinge.net.upgrade.ANSWER", 0.2)
-    monkeypatch.setattr("beaconhinge.net.upgrade.READY_BY", 0.3)
+    monkeypatch.setattr("beaconhinge.net.upgrade.ANSWER_TIMEOUT_S", 0.2)
+    monkeypatch.setattr("beaconhinge.net.upgrade.READY_WITHIN_S", 0.3)
     form = handover.seal({"module": {}})
     forms = {
         "torn": form[:-1],
@@ -227,9 +227,9 @@
     async def old(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         await reader.readline()
         if fault in forms:
-            writer.write(handover.frame(handover.STATE, forms[fault]))
+            writer.write(handover.encode_frame(handover.STATE, forms[fault]))
         elif fault == "other frame":
-            writer.write(handover.frame(handover.PARTED))
+            writer.write(handover.encode_frame(handover.PARTED))
         await reader.read()
         writer.close()
 
