--- a/beaconhinge/__main__.py
+++ b/beaconhinge/__main__.py
@@ -57,7 +57,7 @@
     policy_runner = PolicyRunner(Dispatcher(config.settings, config.seed), timers, metrics)
     # Beside the callers' descriptors a second process needs its own to start with.
     aside = 2 * (CALLERS + 1) + RESERVED_DESCRIPTORS if config.mgmt else 0
-    budget = DescriptorBudget(config.limits.sockets, config.limits.body_bytes, aside)
+    budget = DescriptorBudget(config.limits.sockets, config.limits.max_body_bytes, aside)
     workers = WorkerPool(config, policy_runner, timers, budget, metrics)
     discovery = Discovery(config, policy_runner, workers, timers, metrics, clock.wall_time)
     peers = PeerSocket(config, policy_runner, timers, metrics)
@@ -109,7 +109,7 @@
         metrics.log(
             "reloaded",
             discovery=f"{new.discovery[0]}:{new.discovery[1]}",
-            wait_for_restart=",".join(config.kept_until_restart(new)) or "none",
+            wait_for_restart=",".join(config.changes_for_restart(new)) or "none",
         )
 
     leases = None
--- a/beaconhinge/config/local.py
+++ b/beaconhinge/config/local.py
@@ -18,39 +18,46 @@
 from ..store.options import Options
 from .platform import ConfigError, address
 
+_MIN_STALL_S = 0.3
+_MAX_NUMBER = 65535
+_MIN_SPAN_S = 0.5
+_MAX_SPAN_S = 60.0
+_MIN_CALL_INTERVAL_S = 0.05
 
-class Platform(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
+
+class PlatformOptions(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
     """Where the platform's JSON is. Without it the variable RELAY_CONFIG names the file, as there."""
 
     config: str = ""
 
 
-class Log(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
+class LogOptions(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
     """Form of the log's lines. `plain` needs no library; the others are written by structlog."""
 
     format: Literal["plain", "logfmt", "json"] = "plain"
 
 
-class StoreTable(Options, frozen=True, forbid_unknown_fields=True):
+class StoreOptions(Options, frozen=True, forbid_unknown_fields=True):
     """The embedded store; off while `folder` is empty."""
 
     folder: str = ""
 
 
-class Books(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
+class QuotaSnapshotOptions(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
     """Quota and fleet rate, kept in the store over a restart."""
 
     interval_s: float = 0.5
     max_age_s: float = 30.0
 
     def problem(self) -> tuple[str, str] | None:
+        """The first faulty key, and why it is."""
         for name in ("interval_s", "max_age_s"):
             if not 0 < getattr(self, name) < float("inf"):
                 return name, "must be a number of seconds, more than 0"
         return None
 
 
-class Progress(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
+class ProgressOptions(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
     """Answers as streams of server-sent events, for clients that ask for them."""
 
     enabled: bool = False
@@ -65,6 +72,7 @@
     max_detached: int = 200
 
     def problem(self) -> tuple[str, str] | None:
+        """The first faulty key, and why it is."""
         for name in self.__struct_fields__[1:]:
             value, least = getattr(self, name), name in ("detached_s", "keep_outcome_s")
             if not (0 <= value if least else 0 < value) or not value < float("inf"):
@@ -72,7 +80,7 @@
         return None
 
 
-class Recovery(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
+class RecoveryOptions(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
     """What a process does that was away: docs/operate/recovery.md."""
 
     enabled: bool = False
@@ -81,10 +89,11 @@
     max_result_bytes: int = 16_777_216
 
     def problem(self) -> tuple[str, str] | None:
+        """The first faulty key, and why it is."""
         for name in ("max_keys", "max_result_bytes"):
             if getattr(self, name) < 1:
                 return name, "must be 1 or more"
-        if not 0.3 <= self.stall_s < float("inf"):
+        if not _MIN_STALL_S <= self.stall_s < float("inf"):
             return "stall_s", "must be a number of seconds, 0.3 or more: the module wakes each 0.1 s"
         return None
 
@@ -98,8 +107,23 @@
     every_s: float = 3600.0
     longest_s: float = 0.5
 
+    def problem(self, span_s: float) -> str | None:
+        """Why the call cannot be made under a lease of that span, or None."""
+        if not LEASE_NAME.fullmatch(self.name):
+            return f"{self.name[:50]!r} is no name: letters, digits and dashes, 40 at most"
+        if not (_MIN_CALL_INTERVAL_S <= self.every_s < float("inf") and 0 < self.longest_s <= span_s / 2):
+            return f"{self.name}: every_s from 0.05, longest_s up to half of span_s"
+        is_token = self.path.isascii() and self.path.isprintable() and " " not in self.path
+        if not self.path.startswith("/") or not is_token:
+            return f"{self.name}: path must begin with / and hold no blanks"
+        try:
+            address(self.to, self.name)
+        except ConfigError as error:
+            return str(error)
+        return None
+
 
-class Leases(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
+class LeaseOptions(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
     """Tasks for exactly one dispatcher, or a few: docs/operate/leases.md."""
 
     enabled: bool = False
@@ -111,49 +135,51 @@
     calls: list[LeaseCall] = []
 
     def problem(self) -> tuple[str, str] | None:
-        if not 0 < self.number < 65536:
+        """The first faulty key, and why it is."""
+        if not 0 < self.number <= _MAX_NUMBER:
             return "number", "must be between 1 and 65535"
-        if not 0.5 <= self.span_s <= 60 or not 0 <= self.span_before_s <= 60:
+        spans_valid = _MIN_SPAN_S <= self.span_s <= _MAX_SPAN_S and 0 <= self.span_before_s <= _MAX_SPAN_S
+        if not spans_valid:
             return "span_s", "must be between 0.5 and 60 seconds, span_before_s 60 at most"
+        return self._member_problem() or self._call_problem()
+
+    def _member_problem(self) -> tuple[str, str] | None:
         for key in ("members", "members_before"):
-            told = getattr(self, key)
-            if len(set(told)) < len(told) or any(not 0 <= number < 65536 for number in told):
+            numbers = getattr(self, key)
+            if len(set(numbers)) < len(numbers) or any(not 0 <= number <= _MAX_NUMBER for number in numbers):
                 return key, "must be numbers of dispatchers, each once"
         if self.members_before:
             why = Council(self.number, frozenset(self.members), frozenset(self.members_before)).problem()
             if why is not None:
                 return "members_before", why
+        return None
+
+    def _call_problem(self) -> tuple[str, str] | None:
         for call in self.calls:
-            if not LEASE_NAME.fullmatch(call.name):
-                return "calls", f"{call.name[:50]!r} is no name: letters, digits and dashes, 40 at most"
-            if not (0.05 <= call.every_s < float("inf") and 0 < call.longest_s <= self.span_s / 2):
-                return "calls", f"{call.name}: every_s from 0.05, longest_s up to half of span_s"
-            if (
-                not call.path.startswith("/")
-                or not call.path.isascii()
-                or not call.path.isprintable()
-                or " " in call.path
-            ):
-                return "calls", f"{call.name}: path must begin with / and hold no blanks"
-            try:
-                address(call.to, call.name)
-            except ConfigError as error:
-                return "calls", str(error)
+            why = call.problem(self.span_s)
+            if why is not None:
+                return "calls", why
         return None
 
 
 class LocalConfig(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    platform: Platform = Platform()
-    log: Log = Log()
-    store: StoreTable = StoreTable()
-    books: Books = Books()
-    progress: Progress = Progress()
-    recovery: Recovery = Recovery()
-    leases: Leases = Leases()
+    """The whole file: a table for each subsystem."""
+
+    platform: PlatformOptions = PlatformOptions()
+    log: LogOptions = LogOptions()
+    store: StoreOptions = StoreOptions()
+    books: QuotaSnapshotOptions = QuotaSnapshotOptions()
+    progress: ProgressOptions = ProgressOptions()
+    recovery: RecoveryOptions = RecoveryOptions()
+    leases: LeaseOptions = LeaseOptions()
 
 
 def read(path: str | os.PathLike[str]) -> LocalConfig:
-    """Raises ConfigError. Paths in the file are taken from the folder that the file is in."""
+    """The configuration in a file; paths in it are taken from the folder that it is in.
+
+    Raises:
+        ConfigError: The file cannot be read, or a key is unknown or faulty.
+    """
     file = Path(path)
     try:
         content = tomllib.loads(file.read_text(encoding="utf-8"))
@@ -169,8 +195,12 @@
 
 
 def convert(content: Mapping[str, Any], name: str) -> LocalConfig:
-    """Raises ConfigError, with `name` for the file."""
-    _known(content, LocalConfig, name, "")
+    """The configuration in decoded TOML; errors name the file `name`.
+
+    Raises:
+        ConfigError: A key is unknown or faulty.
+    """
+    _check_known_keys(content, LocalConfig, name, "")
     try:
         local_config = msgspec.convert(content, LocalConfig)
     except msgspec.ValidationError as error:
@@ -183,7 +213,7 @@
     return local_config
 
 
-def _known(content: Mapping[str, Any], kind: type[msgspec.Struct], name: str, path: str) -> None:
+def _check_known_keys(content: Mapping[str, Any], kind: type[msgspec.Struct], name: str, path: str) -> None:
     hints = get_type_hints(kind)
     for key, value in content.items():
         if key not in kind.__struct_fields__:
@@ -192,10 +222,10 @@
             raise ConfigError(f"{name}: {path}{key}: no such key{hint}")
         inner = hints[key]
         if isinstance(inner, type) and issubclass(inner, msgspec.Struct) and isinstance(value, Mapping):
-            _known(value, inner, name, f"{path}{key}.")
+            _check_known_keys(value, inner, name, f"{path}{key}.")
 
 
 def tables(local_config: LocalConfig) -> dict[str, dict[str, Any]]:
     """Every key with its value, for printing."""
-    told: dict[str, dict[str, Any]] = msgspec.to_builtins(local_config)
-    return told
+    values: dict[str, dict[str, Any]] = msgspec.to_builtins(local_config)
+    return values
--- a/beaconhinge/config/platform.py
+++ b/beaconhinge/config/platform.py
@@ -14,6 +14,14 @@
 from ..policy.interface import Semantics, Settings
 
 Address = tuple[str, int]
+MAX_PORT = 65535
+
+# What the program itself takes after a busy day, and the part of the rest that is used.
+_PROGRAM_MB = 20.0
+_USED_SHARE = 0.8
+_MB_BYTES = 1024 * 1024
+# A client's connection takes this at most beside the body, by measurement.
+_CONNECTION_BYTES = 32 * 1024
 
 
 class ConfigError(Error):
@@ -22,27 +30,31 @@
 
 @dataclass(frozen=True)
 class Limits:
+    """What the platform lets this process use."""
+
     memory_mb: float = 192.0
     sockets: int = 1024
 
     @property
-    def _spare(self) -> float:
-        """Bytes beside the program itself, which takes 20 MB after a busy day; a fifth stays free."""
-        return 0.8 * (self.memory_mb - 20.0) * 1024 * 1024
+    def _spare_bytes(self) -> float:
+        """Bytes beside the program itself; a fifth stays free."""
+        return _USED_SHARE * (self.memory_mb - _PROGRAM_MB) * _MB_BYTES
 
     @property
-    def connections(self) -> int:
-        """Of clients: one takes 32 KB at most beside the body, by measurement."""
-        return int(self._spare / 2 / (32 * 1024))
+    def max_connections(self) -> int:
+        """Connections that clients may have."""
+        return int(self._spare_bytes / 2 / _CONNECTION_BYTES)
 
     @property
-    def body_bytes(self) -> int:
-        """Of clients' bodies: each is there twice while its last piece is read, or is passed on."""
-        return int(self._spare / 2 / 2)
+    def max_body_bytes(self) -> int:
+        """Bytes of clients' bodies; each is there twice while its last piece is read, or is passed on."""
+        return int(self._spare_bytes / 2 / 2)
 
 
 @dataclass(frozen=True)
 class Config:
+    """The platform's configuration of one dispatcher."""
+
     name: str
     listen: Address
     discovery: Address
@@ -57,13 +69,14 @@
     peer_listen: Address | None = None
     peers: tuple[Address, ...] = ()
     peers_all: Address | None = None
-    known: Hosts | None = None
+    bootstrap_list: Hosts | None = None
     mgmt: Address | None = None  # where operators call
 
-    def keyed(self, cls: int) -> bool:
+    def needs_key(self, cls: int) -> bool:
+        """Whether requests of the class carry an idempotency key."""
         return self.settings.classes[cls].semantics == Semantics.DEDUPLICATED
 
-    def kept_until_restart(self, new: Config) -> list[str]:
+    def changes_for_restart(self, new: Config) -> list[str]:
         """Keys that differ in a configuration read again and count at the next start only."""
         keys = ("name", "listen", "mgmt", "peer_listen", "limits", "settings")
         names = ("class_names", "tenant_names", "zones", "kinds", "report_names")
@@ -72,7 +85,11 @@
 
 
 def load(environment: Mapping[str, str]) -> Config:
-    """RELAY_CONFIG names the file; the other variables stand in for keys that it lacks."""
+    """Read the configuration that RELAY_CONFIG names; other variables stand in for keys that it lacks.
+
+    Raises:
+        ConfigError: The file cannot be read, or a key is missing or faulty.
+    """
     path = environment.get("RELAY_CONFIG", "")
     if not path:
         raise ConfigError("RELAY_CONFIG: not set; it names the configuration file")
@@ -91,6 +108,11 @@
 
 
 def parse(content: Mapping[str, Any]) -> Config:
+    """The configuration in the platform's JSON, already decoded.
+
+    Raises:
+        ConfigError: A key is missing or faulty; the first one is named.
+    """
     nested = content.get("settings")
     if not isinstance(nested, dict):
         raise ConfigError("settings: missing or not an object")
@@ -99,21 +121,11 @@
         settings = Settings.from_pairs(pairs)
     except ValueError as error:
         raise ConfigError(f"settings.{error}") from None
-    classes = tuple(pairs.get(f"requestClasses.{i}.name", "") for i in range(len(settings.classes)))
-    for i, name in enumerate(classes):
-        if not name or name in classes[:i]:
-            raise ConfigError(f"settings.requestClasses.{i}.name: missing or given twice")
-    tenants = tuple(pairs.get(f"orgs.{i}.name", "") for i in range(int(pairs.get("orgs.count", "0"))))
-    for i, name in enumerate(tenants):
-        if not name or name in tenants[:i]:
-            raise ConfigError(f"settings.orgs.{i}.name: missing or given twice")
-    source = pairs.get("report.source", "none")
-    zones, kinds = _words(pairs, "dcs"), _words(pairs, "kinds")
-    known: Any = content.get("known")
-    try:
-        hosts = Inventory(zones, kinds).read(known) if known is not None else None
-    except InventoryError as error:
-        raise ConfigError(f"known: {error}") from None
+    class_names = _unique_names(pairs, "requestClasses", len(settings.classes))
+    tenant_names = _unique_names(pairs, "orgs", int(pairs.get("orgs.count", "0")))
+    has_reports = pairs.get("report.source", "none") != "none"
+    zones, kinds = _comma_separated(pairs, "dcs"), _comma_separated(pairs, "kinds")
+    bootstrap_list = _bootstrap_list(content.get("known"), zones, kinds)
     peers = content.get("peers", [])
     if not isinstance(peers, list):
         raise ConfigError("peers: must be a list of addresses")
@@ -124,19 +136,34 @@
         seed=_seed(content),
         limits=_limits(content.get("limits", {})),
         settings=settings,
-        class_names=classes,
-        tenant_names=tenants,
+        class_names=class_names,
+        tenant_names=tenant_names,
         zones=zones,
         kinds=kinds,
-        report_names=_words(pairs, "report.names") if source != "none" else (),
-        peer_listen=_address(content, "peer_listen") if content.get("peer_listen") is not None else None,
+        report_names=_comma_separated(pairs, "report.names") if has_reports else (),
+        peer_listen=_optional_address(content, "peer_listen"),
         peers=tuple(address(text, f"peers.{i}") for i, text in enumerate(peers)),
-        peers_all=_address(content, "peers_all") if content.get("peers_all") is not None else None,
-        known=hosts,
-        mgmt=_address(content, "mgmt") if content.get("mgmt") is not None else None,
+        peers_all=_optional_address(content, "peers_all"),
+        bootstrap_list=bootstrap_list,
+        mgmt=_optional_address(content, "mgmt"),
     )
 
 
+def _unique_names(pairs: Mapping[str, str], key: str, count: int) -> tuple[str, ...]:
+    names = tuple(pairs.get(f"{key}.{i}.name", "") for i in range(count))
+    for i, name in enumerate(names):
+        if not name or name in names[:i]:
+            raise ConfigError(f"settings.{key}.{i}.name: missing or given twice")
+    return names
+
+
+def _bootstrap_list(known: Any, zones: tuple[str, ...], kinds: tuple[str, ...]) -> Hosts | None:
+    try:
+        return Inventory(zones, kinds).read(known) if known is not None else None
+    except InventoryError as error:
+        raise ConfigError(f"known: {error}") from None
+
+
 def flatten(nested: Mapping[str, Any], path: str = "") -> dict[str, str]:
     """Nested settings as the module's path=value pairs."""
     pairs: dict[str, str] = {}
@@ -169,7 +196,7 @@
     raise ConfigError(f"settings.{path}: a list in a list cannot be read")
 
 
-def _words(pairs: Mapping[str, str], key: str) -> tuple[str, ...]:
+def _comma_separated(pairs: Mapping[str, str], key: str) -> tuple[str, ...]:
     return tuple(word for word in pairs.get(key, "").split(",") if word)
 
 
@@ -184,11 +211,20 @@
     return address(_text(content, key), key)
 
 
+def _optional_address(content: Mapping[str, Any], key: str) -> Address | None:
+    return _address(content, key) if content.get(key) is not None else None
+
+
 def address(text: object, key: str) -> Address:
+    """An IPv4 address with a port.
+
+    Raises:
+        ConfigError: The text is none; `key` is named.
+    """
     host, _, port = text.rpartition(":") if isinstance(text, str) else ("", "", "")
     try:
         IPv4Address(host)
-        if not (port.isascii() and port.isdigit()) or not 0 < int(port) < 65536:
+        if not (port.isascii() and port.isdigit()) or not 0 < int(port) <= MAX_PORT:
             raise ValueError(port)
     except ValueError:
         raise ConfigError(f"{key}: {text!r} is not an address like 10.0.0.4:9000") from None
--- a/beaconhinge/net/discovery.py
+++ b/beaconhinge/net/discovery.py
@@ -71,7 +71,7 @@
             not settings.membership_on_request,
             settings.group_size,
             settings.membership_max_age_s,
-            _whole_version(config.known),
+            _whole_version(config.bootstrap_list),
             timers.now(),
             self._random.random(),
         )
@@ -79,7 +79,7 @@
             config.zones, config.kinds, lambda why: metrics.count_and_log("list_entry_malformed", why=why)
         )
         self.address = config.discovery
-        self.known = config.known or Hosts()
+        self.known = config.bootstrap_list or Hosts()
         self.told: Callable[[str], None] = lambda how: None  # hears of each list
         self._watch: asyncio.Task[None] | None = None
         self._heard = asyncio.Event()  # a call has been answered, or has failed
--- a/beaconhinge/net/keys.py
+++ b/beaconhinge/net/keys.py
@@ -53,7 +53,7 @@
         self.peers = peers
         self.timers = timers
         self.metrics = metrics
-        classes = [cls for number, cls in enumerate(config.settings.classes) if config.keyed(number)]
+        classes = [cls for number, cls in enumerate(config.settings.classes) if config.needs_key(number)]
         window = max((cls.dedup_window_s + cls.deadline_s for cls in classes), default=0.0)
         self.registry = KeyRegistry(window, self._unsure_until(window), max_keys, max_bytes)
         self._inquiries: dict[int, tuple[KeyInquiry, asyncio.Event]] = {}
--- a/beaconhinge/net/lease_calls.py
+++ b/beaconhinge/net/lease_calls.py
@@ -8,8 +8,7 @@
 from typing import Any
 
 from ..config import Config, ConfigError
-from ..config.local import LeaseCall
-from ..config.local import Leases as Settings
+from ..config.local import LeaseCall, LeaseOptions
 from ..config.platform import address
 from ..management import calls
 from ..management.calls import OperatorCall
@@ -31,7 +30,7 @@
 
 
 def wire_leases(
-    options: Settings,
+    options: LeaseOptions,
     config: Config,
     store: Store | None,
     operators: OperatorCalls,
--- a/beaconhinge/net/leases.py
+++ b/beaconhinge/net/leases.py
@@ -14,7 +14,7 @@
 from typing import Any
 
 from ..config import Config
-from ..config.local import Leases as Settings
+from ..config.local import LeaseOptions
 from ..errors import Error
 from ..leases import holder, node, terms, wire
 from ..leases.holder import LeaseAcquired, LeaseEnded
@@ -149,7 +149,7 @@
 
     def __init__(
         self,
-        options: Settings,
+        options: LeaseOptions,
         config: Config,
         store: Store | None,
         peers: PeerSocket,
@@ -172,7 +172,7 @@
         self._leaving = False
         peers.talk[wire.DATAGRAM_TYPE] = self._receive
 
-    def _read(self, options: Settings) -> tuple[Council, LeaseTerms]:
+    def _read(self, options: LeaseOptions) -> tuple[Council, LeaseTerms]:
         members = frozenset(options.members or range(self.config.settings.group_size))
         return (
             Council(options.number, members, frozenset(options.members_before)),
@@ -382,7 +382,7 @@
         if self.node is None:
             self.open()
 
-    def reload(self, options: Settings) -> str:
+    def reload(self, options: LeaseOptions) -> str:
         """Go on with another council, or return why not."""
         council, span = self._read(options)
         if (council, span) == (self.council, self.terms):
--- a/beaconhinge/net/listener.py
+++ b/beaconhinge/net/listener.py
@@ -135,7 +135,9 @@
     def most(self) -> int:
         """Connections that clients may have."""
         limits = self.config.limits
-        return min(int((1 - FOR_WORKERS) * self.budget.total), int(limits.connections * self.budget.share))
+        return min(
+            int((1 - FOR_WORKERS) * self.budget.total), int(limits.max_connections * self.budget.share)
+        )
 
     def _room(self) -> bool:
         """Take a socket for one more connection. Clients and workers' news come in by the same door: when
@@ -317,7 +319,7 @@
         if not wait.isascii() or not wait.isdigit() or len(wait) > 9 or not 0 < int(wait) <= MAX_WAIT * 1000:
             raise BadMessage(400, f"X-Timeout-Ms: whole milliseconds, 1 to {MAX_WAIT * 1000:.0f}, are needed")
         key = headers.get("idempotency-key", "")
-        if self.config.keyed(cls) and not key:
+        if self.config.needs_key(cls) and not key:
             raise BadMessage(400, "Idempotency-Key is missing, which jobs of this class carry")
         extras = _extras(headers.get("x-attrs", ""))
         now, patience = self.timers.now(), int(wait) / 1000
--- a/beaconhinge/net/recovery.py
+++ b/beaconhinge/net/recovery.py
@@ -7,7 +7,7 @@
 from collections.abc import Callable
 
 from ..config import Config
-from ..config.local import Recovery as Settings
+from ..config.local import RecoveryOptions
 from ..dispatch.policy_runner import PolicyRunner
 from ..dispatch.request import Attempt, RequestTable
 from ..policy import interface
@@ -34,7 +34,7 @@
 
 
 def wire_recovery(
-    options: Settings,
+    options: RecoveryOptions,
     config: Config,
     store: Store | None,
     policy_runner: PolicyRunner,
@@ -55,7 +55,7 @@
     recovery = StallRecovery(options.stall_s, policy_runner, timers, requests, discovery, peers, metrics)
     returning = RestartCoordinator(config, store, timers, peers, metrics, recovery.delay_for_restart)
     keys = None
-    if any(config.keyed(cls) for cls in range(len(config.settings.classes))):
+    if any(config.needs_key(cls) for cls in range(len(config.settings.classes))):
         keys = IdempotencyKeyService(
             config, store, options.max_keys, options.max_result_bytes, peers, timers, metrics
         )
--- a/beaconhinge/net/streams.py
+++ b/beaconhinge/net/streams.py
@@ -14,7 +14,7 @@
 from urllib.parse import parse_qs
 
 from ..config import Config
-from ..config.local import Progress
+from ..config.local import ProgressOptions
 from ..dispatch.request import REFUSED, Answer, Job, Request, RequestTable
 from ..policy.interface import AttemptOutcome
 from ..progress import codec
@@ -73,7 +73,12 @@
 
 class Streams:
     def __init__(
-        self, told: Progress, config: Config, requests: RequestTable, timers: TimerWheel, metrics: Metrics
+        self,
+        told: ProgressOptions,
+        config: Config,
+        requests: RequestTable,
+        timers: TimerWheel,
+        metrics: Metrics,
     ) -> None:
         self.told = told
         self.config = config
@@ -83,7 +88,10 @@
         self.open: Counter[int] = Counter()  # streams by tenant
         self.watches: dict[str, _Watch] = {}  # by job, as long as the registry knows it
         self.registry = Registry(
-            told.detached_s, told.keep_outcome_s, told.max_detached, int(KEPT_PART * config.limits.body_bytes)
+            told.detached_s,
+            told.keep_outcome_s,
+            told.max_detached,
+            int(KEPT_PART * config.limits.max_body_bytes),
         )
         timers.after(LOOK, self._look)
 
--- a/benchmarks/leases.py
+++ b/benchmarks/leases.py
@@ -24,7 +24,7 @@
 
 import uvloop
 
-from beaconhinge.config.local import Leases as Settings
+from beaconhinge.config.local import LeaseOptions as Settings
 from beaconhinge.net.leases import LeaseService
 from beaconhinge.net.peers import PeerSocket
 from beaconhinge.runtime.clock import Clock
--- a/tests/leases/test_hold.py
+++ b/tests/leases/test_hold.py
@@ -9,7 +9,7 @@
 
 import pytest
 
-from beaconhinge.config.local import Leases as Settings
+from beaconhinge.config.local import LeaseOptions as Settings
 from beaconhinge.leases import terms
 from beaconhinge.net.leases import LeaseLost, LeaseService
 from beaconhinge.runtime.metrics import Metrics
--- a/tests/progress/test_streams.py
+++ b/tests/progress/test_streams.py
@@ -15,7 +15,7 @@
 
 from beaconhinge import __main__ as program
 from beaconhinge.config import Limits
-from beaconhinge.config.local import LocalConfig, Progress
+from beaconhinge.config.local import LocalConfig, ProgressOptions
 from beaconhinge.dispatch.request import Answer, Job
 from beaconhinge.net.http1 import Closed, Connection
 from beaconhinge.net.streams import Streams
@@ -23,7 +23,7 @@
 from beaconhinge.runtime.metrics import Metrics
 from beaconhinge.runtime.timer_wheel import TimerWheel
 
-ON = LocalConfig(progress=Progress(enabled=True, events_per_s=1000.0))
+ON = LocalConfig(progress=ProgressOptions(enabled=True, events_per_s=1000.0))
 Event = tuple[str, dict[str, Any], int]
 
 
@@ -183,7 +183,7 @@
 
 
 def test_limits_refuse_with_a_time_to_come_back() -> None:
-    limits = LocalConfig(progress=Progress(enabled=True, max_streams=2, max_streams_tenant=1))
+    limits = LocalConfig(progress=ProgressOptions(enabled=True, max_streams=2, max_streams_tenant=1))
 
     async def scenario(harness: Harness) -> None:
         _, first, _ = await opened(harness, "r1")
@@ -241,7 +241,7 @@
     told(scenario)
 
 
-STAYS = LocalConfig(progress=Progress(enabled=True, events_per_s=1000.0, detached_s=5.0))
+STAYS = LocalConfig(progress=ProgressOptions(enabled=True, events_per_s=1000.0, detached_s=5.0))
 
 
 async def back(
@@ -336,7 +336,7 @@
         _, late, _ = await back(harness, token, seen=1)
         assert [content["status"] for _, content, _ in await late.rest()] == [502]
 
-    run_scenario(scenario, local_config=LocalConfig(progress=Progress(enabled=True, detached_s=0.05)))
+    run_scenario(scenario, local_config=LocalConfig(progress=ProgressOptions(enabled=True, detached_s=0.05)))
 
 
 def test_after_sigterm_a_detached_job_can_still_be_come_back_to() -> None:
@@ -386,7 +386,7 @@
             limits = Limits()
 
         streams = Streams(
-            Progress(enabled=True, stalled_s=0.05),
+            ProgressOptions(enabled=True, stalled_s=0.05),
             Sites(),
             All(),  # type: ignore[arg-type]
             TimerWheel(loop.time, metrics.log_exception),
--- a/tests/test_parts.py
+++ b/tests/test_parts.py
@@ -52,7 +52,7 @@
     config = parse(GIVEN)
     assert (config.listen, config.seed, config.limits.sockets) == (("127.0.0.1", 9000), 0x8C1F, 1024)
     assert (config.class_names, config.tenant_names) == (("render", "publish"), ("acme", "umbrella"))
-    assert (config.keyed(0), config.keyed(1), config.known) == (False, True, None)
+    assert (config.needs_key(0), config.needs_key(1), config.bootstrap_list) == (False, True, None)
     assert config.settings.classes[1].dedup_group == "cell"
     assert config.settings.free_slots_field == "x0"
 
