--- a/beaconhinge/__main__.py
+++ b/beaconhinge/__main__.py
@@ -66,7 +66,7 @@
         config,
         requests,
         workers.news,
-        lambda: bool(workers.workers) and discovery.current,
+        lambda: bool(workers.workers) and discovery.list_usable,
         peers.others,
         timers,
         budget,
@@ -103,7 +103,7 @@
         except ConfigError as error:
             metrics.count_and_log("reload_refused", why=error)
             return
-        discovery.move(new.discovery)
+        discovery.switch_to(new.discovery)
         peers.move(new)
         metrics.count("reloads")
         metrics.log(
@@ -162,7 +162,7 @@
             metrics,
             inherited,
         )
-    discovery.remembered()
+    discovery.start_from_bootstrap()
     listener.listen()
     if returning is not None:
         returning.open(inherited is not None)
--- a/beaconhinge/config/platform.py
+++ b/beaconhinge/config/platform.py
@@ -10,7 +10,7 @@
 from typing import Any
 
 from ..errors import Error
-from ..membership.inventory import Hosts, Inventory, InventoryError
+from ..membership.inventory import WorkerList, WorkerListError, WorkerListParser
 from ..policy.interface import Semantics, Settings
 
 Address = tuple[str, int]
@@ -57,7 +57,7 @@
     peer_listen: Address | None = None
     peers: tuple[Address, ...] = ()
     peers_all: Address | None = None
-    known: Hosts | None = None
+    known: WorkerList | None = None
     mgmt: Address | None = None  # where operators call
 
     def keyed(self, cls: int) -> bool:
@@ -111,8 +111,8 @@
     zones, kinds = _words(pairs, "dcs"), _words(pairs, "kinds")
     known: Any = content.get("known")
     try:
-        hosts = Inventory(zones, kinds).read(known) if known is not None else None
-    except InventoryError as error:
+        hosts = WorkerListParser(zones, kinds).parse(known) if known is not None else None
+    except WorkerListError as error:
         raise ConfigError(f"known: {error}") from None
     peers = content.get("peers", [])
     if not isinstance(peers, list):
--- a/beaconhinge/dispatch/arrivals.py
+++ b/beaconhinge/dispatch/arrivals.py
@@ -15,7 +15,7 @@
 READ_WITHIN_PART = 0.1  # of the time that it stood still
 
 
-class Arrivals:
+class ArrivalBounds:
     """Bounds for when bytes came that are read now."""
 
     def __init__(self, now: float) -> None:
@@ -23,7 +23,7 @@
         self._stood_since = now
         self._read_by = now  # when all that came meanwhile has been read
 
-    def ran(self, now: float) -> None:
+    def mark_running(self, now: float) -> None:
         """This process runs."""
         if now - self._ran_at > LATE_AFTER:
             if self._ran_at >= self._read_by:  # else what came during the gap before is being read still
@@ -32,7 +32,7 @@
             self._read_by = now + min(max(part, READ_WITHIN), READ_WITHIN_MOST)
         self._ran_at = now
 
-    def earliest(self, now: float) -> float:
+    def earliest_arrival(self, now: float) -> float:
         """The earliest moment at which what is read now may have come."""
-        self.ran(now)
+        self.mark_running(now)
         return self._stood_since if now < self._read_by else now
--- a/beaconhinge/dispatch/policy_runner.py
+++ b/beaconhinge/dispatch/policy_runner.py
@@ -10,8 +10,8 @@
 from ..policy.dispatcher import Dispatcher
 from ..runtime.metrics import Metrics
 from ..runtime.timer_wheel import TimerWheel
-from .arrivals import Arrivals
-from .invariants import Rule, SendMonitor
+from .arrivals import ArrivalBounds
+from .invariants import InvariantRule, SendMonitor
 
 FAILED_TIMER_RETRY_S = 1.0  # seconds after which a timer is fed again on which the module failed
 
@@ -33,14 +33,14 @@
         for kind in (interface.SendAttempt, interface.Reject, interface.Fail, interface.CancelAttempt):
             self.action_handlers[kind] = self._route_to_request
         self.monitor = SendMonitor(self._report_violation)
-        self.arrivals = Arrivals(timers.now())
+        self.arrivals = ArrivalBounds(timers.now())
         self._events: deque[interface.Event] = deque()
         self._feeding = False
         # Hears of events that the module failed on, and may not have applied.
         self.on_event_failed: Callable[[interface.Event], object] = lambda event: None
         self.check_for_stall: Callable[[], object] = lambda: None  # looks whether the process stood still
 
-    def _report_violation(self, rule: Rule, request: str, worker: str, why: str) -> None:
+    def _report_violation(self, rule: InvariantRule, request: str, worker: str, why: str) -> None:
         """A rule was broken by what was written: fatal in debug, counted under `python -O`, which `run`
         uses."""
         self.metrics.count(f"invariant_violations_{rule.value}")
@@ -55,7 +55,7 @@
         if self._feeding:
             self._events.append(event)
             return
-        self.arrivals.ran(self.timers.now())
+        self.arrivals.mark_running(self.timers.now())
         self.check_for_stall()  # which may feed first
         self._events.append(event)
         self._feeding = True
--- a/beaconhinge/dispatch/request.py
+++ b/beaconhinge/dispatch/request.py
@@ -272,7 +272,7 @@
     def client_left(self) -> None:
         if not self._left:
             self._left = True
-            self.all.policy_runner.monitor.client_left(self.job.id, self.all.timers.now())
+            self.all.policy_runner.monitor.client_disconnected(self.job.id, self.all.timers.now())
             self._steps.put_nowait(ClientLeft())
 
     def wanted(self) -> bool:
@@ -285,7 +285,7 @@
         policy_runner, metrics, job = self.all.policy_runner, self.all.metrics, self.job
         policy_runner.request_handlers[self.number] = self._steps.put_nowait
         unsafe = self.all.settings.classes[job.cls].semantics == Semantics.UNSAFE
-        policy_runner.monitor.request_taken(job.id, job.deadline, unsafe)
+        policy_runner.monitor.request_started(job.id, job.deadline, unsafe)
         late = job.remaining + self.all.settings.answer_grace_s / 2
         backstop = self.all.timers.after(late, lambda: self._steps.put_nowait(Overdue()))
         known, spent = Known(), 0.0
@@ -359,7 +359,7 @@
                     job, may_have_run, answer.body if answer.end == AttemptOutcome.SERVED else None
                 )
             policy_runner.request_handlers.pop(self.number, None)
-            policy_runner.monitor.request_over(job.id)
+            policy_runner.monitor.request_finished(job.id)
             del self.all.in_hand[job.id]
 
     async def _known(self) -> Known:
--- a/beaconhinge/dispatch/work_estimates.py
+++ b/beaconhinge/dispatch/work_estimates.py
@@ -13,36 +13,36 @@
 LEARN = 1 / 32
 
 
-class Hints:
+class WorkEstimator:
     """What a deployment's clients guess. The module's figures are by unit of hinted work, so either every
     job has some or none has: a missing one is filled in, and a few in a deployment without are passed over.
     """
 
     def __init__(self) -> None:
-        self.bounded = 0  # hints that were absurd
-        self.used = False
+        self.bounded_count = 0  # hints that were absurd
+        self.in_use = False
         self._share = 0.0  # of the latest jobs that came with a hint
         self._seen = 0
         self._mean = 0.0  # work of a job, as bounded
         self._classes: dict[int, _Class] = {}
 
-    def fit(self, cls: int, told: float, remaining: float) -> float:
+    def estimate_s(self, cls: int, told: float, remaining: float) -> float:
         """Work in seconds of a standard core for a job whose client said `told` seconds (0: nothing) and
         waits `remaining` seconds. 0 where hints are not in use.
         """
         self._seen += 1
         self._share += max(LEARN, 1 / self._seen) * ((told > 0) - self._share)
-        self.used = self._share >= (UNUSED if self.used else USED)
+        self.in_use = self._share >= (UNUSED if self.in_use else USED)
         if (known := self._classes.get(cls)) is None:
             known = self._classes[cls] = _Class()
         if told > 0:
             work = known.bound(told, remaining)
-            self.bounded += work != told
+            self.bounded_count += work != told
             known.learn(told, work)
             self._mean += LEARN * (work - self._mean) if self._mean else work
         else:
             work = known.mean or self._mean
-        return work if self.used else 0.0
+        return work if self.in_use else 0.0
 
 
 class _Class:
--- a/beaconhinge/membership/discovery_watch.py
+++ b/beaconhinge/membership/discovery_watch.py
@@ -12,7 +12,7 @@
 from dataclasses import dataclass, replace
 
 from ..policy.interface import UpdateKind
-from .inventory import Hosts
+from .inventory import WorkerList
 from .verification import SLOW, Read, Verification
 
 WAIT, WAIT_PART = 4.0, 0.4  # that a watch may wait for news, and that as a part of `mustAskIn` at most
@@ -151,28 +151,30 @@
         self._call = Call(index, wait, patience, self._body)
         return self._call
 
-    def answered(self, hosts: Hosts, after: float, now: float, chance: float, differs: bool) -> Step:
+    def answered(self, hosts: WorkerList, after: float, now: float, chance: float, differs: bool) -> Step:
         """An answer has come so many seconds after its call. `differs`: the believed list is another with it
         than without it.
         """
         call, known, verification = self._call, self.version, self.verification
         self._window, self._silent, self._failures, self._body = 0.0, False, 0, BODY
-        if hosts.full:
-            verification.whole_read(now, hosts.size)
+        if hosts.is_snapshot:
+            verification.whole_read(now, hosts.size_bytes)
         if known is not None and hosts.version < known and not (call.index is None and self._doubted):
             # One answer behind, or discovery has begun anew: only all of it, twice on new connections, tells.
             self._doubted = self._whole = True
             return OUT_OF_TURN
-        if call.index is None and not hosts.full:
+        if call.index is None and not hosts.is_snapshot:
             return self._changes_for_whole(now)
         early = hosts.version == known and call.wait > 0 and after < EARLY * call.wait
         if early:
             return OUT_OF_TURN  # said before: the own answer is still to come there
-        kind: UpdateKind | None = UpdateKind.SNAPSHOT if hosts.full else UpdateKind.CHANGES
+        kind: UpdateKind | None = UpdateKind.SNAPSHOT if hosts.is_snapshot else UpdateKind.CHANGES
         if hosts.version == known and call.wait > 0:  # an empty answer is news only to one who asked
             kind = None
         requested, self._whole, self._doubted, self._wrong_pause = self._whole, False, False, 0.0
-        if not hosts.full and (hosts.unread or hosts.version != call.index and not hosts.hosts):
+        if not hosts.is_snapshot and (
+            hosts.unparsed_ids or hosts.version != call.index and not hosts.endpoints
+        ):
             # The content of the version is missing, or not all there: what can be read of it counts, the
             # number does not.
             verification.doubt(now)
@@ -183,9 +185,9 @@
         if second:
             verification.read_again(now)
         contradicts = second and differs and hosts.version == known and not requested
-        if hosts.unread or contradicts:
+        if hosts.unparsed_ids or contradicts:
             verification.doubt(now)
-        elif second and (not differs or hosts.full and not verification.small_group):
+        elif second and (not differs or hosts.is_snapshot and not verification.small_group):
             verification.confirmed(hosts.version, now, chance)
         elif hosts.version != known or second:
             verification.changed(now, chance, missed=call.wait == 0 and not second)
--- a/beaconhinge/membership/inventory.py
+++ b/beaconhinge/membership/inventory.py
@@ -41,33 +41,37 @@
         yield entry
 
 
-class InventoryError(Exception):
+class WorkerListError(Exception):
     """A list that cannot be read at all."""
 
 
 @dataclass(frozen=True, slots=True)
-class Host:
+class WorkerEndpoint:
     id: str
     address: tuple[str, int]
     member: MemberEntry
 
-    def same(self, other: Host) -> bool:
+    def same_except_weight(self, other: WorkerEndpoint) -> bool:
         """Whether both name the same worker in the same state; weights move all the time."""
         member = replace(self.member, weight=other.member.weight)
         return self.address == other.address and member == other.member
 
-    def in_state(self, state: WorkerState) -> Host:
+    def with_state(self, state: WorkerState) -> WorkerEndpoint:
         return replace(self, member=replace(self.member, state=state))
 
 
 @dataclass(slots=True)
-class Hosts:
+class WorkerList:
     version: int = 0
-    full: bool = True
-    hosts: list[Host] = field(default_factory=list)
-    unread: list[str] = field(default_factory=list)  # ids of entries that cannot be read; "" for one without
-    states: dict[str, WorkerState] = field(default_factory=dict)  # of those of them whose state can be read
-    size: int = 0  # bytes that it came in
+    is_snapshot: bool = True
+    endpoints: list[WorkerEndpoint] = field(default_factory=list)
+    unparsed_ids: list[str] = field(
+        default_factory=list
+    )  # ids of entries that cannot be read; "" for one without
+    unparsed_states: dict[str, WorkerState] = field(
+        default_factory=dict
+    )  # of those of them whose state can be read
+    size_bytes: int = 0  # bytes that it came in
 
 
 def worker_number(host_id: str) -> int:
@@ -75,7 +79,7 @@
     return int.from_bytes(hashlib.blake2s(host_id.encode(), digest_size=4).digest(), "big")
 
 
-class Inventory:
+class WorkerListParser:
     """Reads list values. What one entry gets wrong costs that entry alone: `dropped` is told of it."""
 
     def __init__(
@@ -86,27 +90,27 @@
         self.dropped = dropped
         self.names: dict[int, str] = {}
 
-    def read(self, content: Any) -> Hosts:
+    def parse(self, content: Any) -> WorkerList:
         if not isinstance(content, Mapping) or not isinstance(content.get("servers"), list):
-            raise InventoryError("not an object with a list of servers")
+            raise WorkerListError("not an object with a list of servers")
         version = content.get("version")
         if isinstance(version, bool) or not isinstance(version, int) or version < 0:
-            raise InventoryError(f"version {version!r} is not a whole number")
-        hosts = Hosts(version, content.get("full") is not False)
-        if hosts.full:
+            raise WorkerListError(f"version {version!r} is not a whole number")
+        hosts = WorkerList(version, content.get("full") is not False)
+        if hosts.is_snapshot:
             self.names.clear()  # those that have left must not add up
         for entry in content["servers"]:
             try:
-                hosts.hosts.append(self._host(entry))
+                hosts.endpoints.append(self._host(entry))
             except (AttributeError, KeyError, TypeError, ValueError, OverflowError) as error:
                 name, state = _id_and_state(entry)
-                hosts.unread.append(name)
+                hosts.unparsed_ids.append(name)
                 if name and state is not None:
-                    hosts.states[name] = state
+                    hosts.unparsed_states[name] = state
                 self.dropped(f"{type(error).__name__}: {error}")
         return hosts
 
-    def salvage(self, body: bytes) -> Hosts | None:
+    def parse_partial(self, body: bytes) -> WorkerList | None:
         """What can be read of an answer that broke off: changes that hold only those entries which take a
         worker out of service, with their ids and states. None if not even the version can be read, or nothing
         is there.
@@ -119,15 +123,15 @@
         start = SERVERS.search(text)
         if version is None or start is None or version.start() > start.start():
             return None
-        hosts = Hosts(int(version[1]), full=False)
+        hosts = WorkerList(int(version[1]), is_snapshot=False)
         for entry in _entries(text, start.end()):
             name, state = _id_and_state(entry)
             if name and state in (WorkerState.DRAINING, WorkerState.GONE):
-                hosts.unread.append(name)
-                hosts.states[name] = state
-        return hosts if hosts.states else None
+                hosts.unparsed_ids.append(name)
+                hosts.unparsed_states[name] = state
+        return hosts if hosts.unparsed_states else None
 
-    def write(self, version: int, hosts: Sequence[Host]) -> dict[str, Any]:
+    def to_json(self, version: int, hosts: Sequence[WorkerEndpoint]) -> dict[str, Any]:
         """The whole list in discovery's form, as `read` takes it."""
         zones = {number: name for name, number in self.zones.items()}
         kinds = {number: name for name, number in self.kinds.items()}
@@ -150,7 +154,7 @@
             ],
         }
 
-    def _host(self, entry: Any) -> Host:
+    def _host(self, entry: Any) -> WorkerEndpoint:
         name = entry["id"]
         if not isinstance(name, str) or not name:
             raise ValueError(f"id {name!r} is not a text")
@@ -164,7 +168,7 @@
         weight, started = float(entry.get("weight", 1.0)), float(entry.get("started_ms", 0))
         if weight - weight != 0.0 or started - started != 0.0:
             raise ValueError("weight or started_ms is not finite")
-        return Host(
+        return WorkerEndpoint(
             name,
             (ip, int(port)),
             MemberEntry(
--- a/beaconhinge/net/discovery.py
+++ b/beaconhinge/net/discovery.py
@@ -13,7 +13,7 @@
 from ..dispatch.policy_runner import PolicyRunner
 from ..membership.discovery_watch import STALL, Call, DiscoveryWatch
 from ..membership.freshness import Freshness, ListState
-from ..membership.inventory import Hosts, Inventory, InventoryError
+from ..membership.inventory import WorkerList, WorkerListError, WorkerListParser
 from ..membership.start_times import StartTimes
 from ..policy import interface
 from ..policy.interface import UpdateKind, WorkerState
@@ -32,9 +32,9 @@
 RUN_CHECK = 0.15  # seconds between signs that this process runs
 
 
-def _whole_version(hosts: Hosts | None) -> int | None:
+def _whole_version(hosts: WorkerList | None) -> int | None:
     """The version of a list that is at hand whole; None if entries of it could not be read."""
-    return hosts.version if hosts is not None and not hosts.unread else None
+    return hosts.version if hosts is not None and not hosts.unparsed_ids else None
 
 
 class _Line:
@@ -75,12 +75,12 @@
             timers.now(),
             self._random.random(),
         )
-        self.inventory = Inventory(
+        self.list_parser = WorkerListParser(
             config.zones, config.kinds, lambda why: metrics.count_and_log("list_entry_malformed", why=why)
         )
         self.address = config.discovery
-        self.known = config.known or Hosts()
-        self.told: Callable[[str], None] = lambda how: None  # hears of each list
+        self.known = config.known or WorkerList()
+        self.on_list_applied: Callable[[str], None] = lambda how: None  # hears of each list
         self._watch: asyncio.Task[None] | None = None
         self._heard = asyncio.Event()  # a call has been answered, or has failed
         self._listed_at = timers.now()
@@ -91,12 +91,12 @@
         policy_runner.action_handlers[interface.SubscribeMembership] = self._subscribe
         policy_runner.action_handlers[interface.FetchMembership] = lambda action: self._again(whole=True)
         policy_runner.on_event_failed = self._not_applied
-        workers.list_usable = lambda: self.current
+        workers.list_usable = lambda: self.list_usable
         workers.list_usable_again = self._usable_again
         timers.after(RUN_CHECK, self._check)
 
     @property
-    def current(self) -> bool:
+    def list_usable(self) -> bool:
         """Whether the list may be acted on, as far as is known this moment."""
         now = self.timers.now()
         if self.freshness.ran(now):
@@ -114,7 +114,7 @@
 
     def _look(self) -> None:
         """Let go on who waits for a list that may be acted on, or have them wait."""
-        if self.current:
+        if self.list_usable:
             self._usable.set()
         elif self._usable.is_set():
             self._usable.clear()
@@ -134,7 +134,7 @@
         if self._watch is not None:
             self._again()
 
-    def remembered(self) -> None:
+    def start_from_bootstrap(self) -> None:
         """The module's first list is the one in the configuration, however old, or what was inherited.
         Nothing is sent by it before discovery has been asked, which is done here: the module asks later where
         many start.
@@ -143,7 +143,7 @@
         spread = min(START_SPREAD * self.config.settings.group_size, START_SPREAD_MOST)
         self._again(pause=0.0 if self.watch.pushed else spread * self._random.random())
 
-    def inherit(self, hosts: Hosts, here: bool) -> None:
+    def take_over_list(self, hosts: WorkerList, here: bool) -> None:
         """The list that this dispatcher's other process has. Versions count for one discovery alone: `here`
         tells whether it was had from this one.
         """
@@ -152,7 +152,7 @@
         self.watch.begin(_whole_version(hosts) if here else None, self.timers.now(), self._random.random())
         self.known = hosts
 
-    def move(self, address: Address) -> None:
+    def switch_to(self, address: Address) -> None:
         """Ask elsewhere from now on. Versions count there by themselves, so that the whole list is asked for;
         calls to the old place are ended, lest their answers be taken for news of the new one.
         """
@@ -194,7 +194,7 @@
                 call = self.watch.call(began)
                 try:
                     hosts = await self._call(line, call)
-                except (OSError, Closed, BadMessage, InventoryError) as error:
+                except (OSError, Closed, BadMessage, WorkerListError) as error:
                     pause = self._failed(line, call, error, began)
                 else:
                     pause = self._answered(line, call, hosts, self.timers.now() - began)
@@ -203,7 +203,7 @@
         finally:
             line.drop()
 
-    def _answered(self, line: _Line, call: Call, hosts: Hosts, after: float) -> float:
+    def _answered(self, line: _Line, call: Call, hosts: WorkerList, after: float) -> float:
         now, known = self.timers.now(), self.version
         if self.watch.failing:
             self.metrics.log("discovery_back", list_age=now - self._listed_at)
@@ -221,9 +221,13 @@
         if call.wait == 0 and step.kind and hosts.version == known:
             self.metrics.count("lists_verified")
         if step.contradicts:
-            self.metrics.count_and_log("list_contradicted", version=hosts.version, entries=len(hosts.hosts))
+            self.metrics.count_and_log(
+                "list_contradicted", version=hosts.version, entries=len(hosts.endpoints)
+            )
         if step.kind:
-            self._taken.append(f"{step.kind}:{known}-{hosts.version}:{len(hosts.hosts)}:{len(hosts.unread)}")
+            self._taken.append(
+                f"{step.kind}:{known}-{hosts.version}:{len(hosts.endpoints)}:{len(hosts.unparsed_ids)}"
+            )
             if differs or hosts.version != known:
                 self.metrics.log(
                     "list_taken",
@@ -232,11 +236,11 @@
                     known=known,
                     index=call.index,
                     wait=call.wait,
-                    entries=len(hosts.hosts),
-                    unread=len(hosts.unread),
+                    entries=len(hosts.endpoints),
+                    unread=len(hosts.unparsed_ids),
                     after=after,
                 )
-            self.policy_runner.monitor.list_taken(self._content, now)
+            self.policy_runner.monitor.list_received(self._content, now)
             self._tell(step.kind, hosts)
         else:
             members = [host.member for host in self.workers.hosts()]
@@ -250,26 +254,26 @@
             )
         return step.pause
 
-    def _complete(self, hosts: Hosts) -> None:
+    def _complete(self, hosts: WorkerList) -> None:
         """Entries that can't be read, as far as they can: a known worker's readable state counts where it
         takes the worker out of service. Else the worker stays as it is; in a whole list it has not left, at
         least.
         """
-        for known in self.workers.named(hosts.unread):
-            state = hosts.states.get(known.id, WorkerState.READY)
+        for known in self.workers.named(hosts.unparsed_ids):
+            state = hosts.unparsed_states.get(known.id, WorkerState.READY)
             if state != WorkerState.READY:
-                hosts.hosts.append(known.in_state(state))
-            elif hosts.full:
-                hosts.hosts.append(known)
+                hosts.endpoints.append(known.with_state(state))
+            elif hosts.is_snapshot:
+                hosts.endpoints.append(known)
 
     def _salvage(self, body: bytes) -> None:
         """An answer has broken off. What it told of workers that leave counts; its version does not."""
-        hosts = self.inventory.salvage(body)
+        hosts = self.list_parser.parse_partial(body)
         if hosts is None or hosts.version < (self.version or 0):
             return
         self._complete(hosts)
         if self.workers.differs(hosts):
-            self.metrics.count_and_log("list_salvaged", version=hosts.version, entries=len(hosts.hosts))
+            self.metrics.count_and_log("list_salvaged", version=hosts.version, entries=len(hosts.endpoints))
             self._tell(UpdateKind.CHANGES, hosts)
 
     def _failed(self, line: _Line, call: Call, error: Exception, began: float) -> float:
@@ -292,7 +296,7 @@
         if isinstance(event, interface.MembershipUpdate):
             self.watch.failed_to_apply(self.timers.now())
 
-    async def _call(self, line: _Line, call: Call) -> Hosts:
+    async def _call(self, line: _Line, call: Call) -> WorkerList:
         self.metrics.count("discovery_calls")
         query = "" if call.index is None else f"?index={call.index}&wait={call.wait * 1000:.0f}"
         if line.connection is not None and not line.connection.silent():
@@ -314,11 +318,11 @@
             raise BadMessage(message.status, f"status {message.status}")
         try:
             self._content = json.loads(message.body)
-            hosts = self.inventory.read(self._content)
+            hosts = self.list_parser.parse(self._content)
         except (ValueError, RecursionError) as error:
             self._salvage(message.body)
-            raise InventoryError(str(error)) from None
-        hosts.size = len(message.body)
+            raise WorkerListError(str(error)) from None
+        hosts.size_bytes = len(message.body)
         return hosts
 
     async def _whole_answer(self, connection: Connection, longest: float) -> Message:
@@ -333,22 +337,22 @@
                 if connection.received == received or self.timers.now() >= until:
                     raise
 
-    def _tell(self, how: UpdateKind, hosts: Hosts) -> None:
+    def _tell(self, how: UpdateKind, hosts: WorkerList) -> None:
         self.metrics.count("lists_" + how)
-        if hosts.full:  # who stands there in bytes that cannot be read has not left
-            hosts.hosts += self.workers.named(hosts.unread)
+        if hosts.is_snapshot:  # who stands there in bytes that cannot be read has not left
+            hosts.endpoints += self.workers.named(hosts.unparsed_ids)
         self.workers.update(hosts)
         self.policy_runner.feed(interface.MembershipUpdate(how, hosts.version, self._members(hosts)))
-        self.told(how)
+        self.on_list_applied(how)
 
-    def _members(self, hosts: Hosts) -> list[interface.MemberEntry]:
+    def _members(self, hosts: WorkerList) -> list[interface.MemberEntry]:
         """The list for the module, with each start of a worker on this process's clock."""
         now = self.timers.now()
         self._start_times.wall_clock_read(now, self._wall_clock())
-        if hosts.full:
-            self._start_times.keep({host.id for host in hosts.hosts})
+        if hosts.is_snapshot:
+            self._start_times.keep({host.id for host in hosts.endpoints})
         members = []
-        for host in hosts.hosts:
+        for host in hosts.endpoints:
             started = self._start_times.on_own_clock(host.id, host.member.started_at, now)
             members.append(replace(host.member, slow_start_from=started) if started else host.member)
         return members
--- a/beaconhinge/net/listener.py
+++ b/beaconhinge/net/listener.py
@@ -14,7 +14,7 @@
 
 from ..config import Config
 from ..dispatch.request import FAILED, GONE, REFUSED, Answer, Job, Request, RequestTable
-from ..dispatch.work_estimates import Hints
+from ..dispatch.work_estimates import WorkEstimator
 from ..policy.interface import AttemptOutcome
 from ..runtime.metrics import Metrics
 from ..runtime.timer_wheel import TimerWheel
@@ -89,7 +89,7 @@
         self.unheard: dict[_Peer, None] = {}  # those that have sent no whole message, in the order they came
         self.leaving: set[_Peer] = set()  # those seen off, until they close as well
         self.classes = {name: i for i, name in enumerate(config.class_names)}
-        self.hints = Hints()
+        self.hints = WorkEstimator()
         self.tenants = {name: i for i, name in enumerate(config.tenant_names)}
         self._listener: socket.socket | None = None
         self._accepting: asyncio.Task[None] | None = None
@@ -321,7 +321,7 @@
             raise BadMessage(400, "Idempotency-Key is missing, which jobs of this class carry")
         extras = _extras(headers.get("x-attrs", ""))
         now, patience = self.timers.now(), int(wait) / 1000
-        came_at = self.requests.policy_runner.arrivals.earliest(now)
+        came_at = self.requests.policy_runner.arrivals.earliest_arrival(now)
         remaining = min(came_at + patience, self.answer_by) - now
         work = self._work(cls, headers.get("x-cost", ""), patience)
         return Job(
@@ -348,9 +348,9 @@
             told = float(cost) / 1e6
         elif cost:
             self.metrics.count_and_log("hint_unread", cost=cost)
-        bounded = self.hints.bounded
-        work = self.hints.fit(cls, told, waits)
-        if self.hints.bounded > bounded:
+        bounded = self.hints.bounded_count
+        work = self.hints.estimate_s(cls, told, waits)
+        if self.hints.bounded_count > bounded:
             self.metrics.count("hints_bounded")
         return work
 
--- a/beaconhinge/net/recovery.py
+++ b/beaconhinge/net/recovery.py
@@ -56,7 +56,7 @@
         )
         requests.keys, workers.result_late = keys, keys.told
         keys.settled, returning.stale = lambda: returning.serving, keys.doubt
-    recovery.woken, discovery.told = returning.woke, returning.listed
+    recovery.woken, discovery.on_list_applied = returning.woke, returning.listed
     operators.phase = lambda: returning.phase
     listed = listener.ready
     listener.ready = lambda: listed() and returning.serving
--- a/beaconhinge/net/upgrade.py
+++ b/beaconhinge/net/upgrade.py
@@ -25,7 +25,7 @@
 from ..management import calls, handover
 from ..management.calls import Call
 from ..management.handover import Unusable
-from ..membership.inventory import InventoryError
+from ..membership.inventory import WorkerListError
 from ..policy import interface
 from ..runtime.metrics import Metrics
 from ..runtime.timer_wheel import TimerWheel
@@ -184,11 +184,11 @@
         """After the module's start and before its first list."""
         self.budget.set_share(SHARE)
         try:
-            hosts = self.discovery.inventory.read(content["list"])
+            hosts = self.discovery.list_parser.parse(content["list"])
             out = [str(host_id) for host_id in content["out"]]
             here = tuple(content["discovery"]) == self.discovery.address
             module = content["module"]
-        except (InventoryError, KeyError, TypeError) as error:
+        except (WorkerListError, KeyError, TypeError) as error:
             self.metrics.count_and_log("handover_unusable", why=f"{type(error).__name__}: {error}")
             return
         try:
@@ -197,10 +197,10 @@
                 self._inherited[worker.id] = round(worker.out)
         except Unusable as why:  # as with other settings: the list and the operators' word still hold
             self.metrics.count_and_log("handover_unusable", why=why)
-        self.discovery.inherit(hosts, here)
+        self.discovery.take_over_list(hosts, here)
         for host_id in out:
             self.operators.apply(host_id, True)
-        self.metrics.log("taken_over", workers=len(hosts.hosts), out=len(out))
+        self.metrics.log("taken_over", workers=len(hosts.endpoints), out=len(out))
 
     async def serving(self) -> None:
         """This process serves. Once the other has let go of the addresses, it says so to whoever asks."""
@@ -246,7 +246,7 @@
             {
                 "module": handover.take(self.policy_runner.dispatcher),
                 "out": sorted(self.operators.out),
-                "list": self.discovery.inventory.write(self.discovery.version or 0, self.workers.hosts()),
+                "list": self.discovery.list_parser.to_json(self.discovery.version or 0, self.workers.hosts()),
                 "discovery": self.discovery.address,
                 **{name: give() for name, (give, _) in self.parts.items()},
             }
--- a/beaconhinge/net/worker_pool.py
+++ b/beaconhinge/net/worker_pool.py
@@ -10,9 +10,9 @@
 from ..config import Config
 from ..dispatch.policy_runner import PolicyRunner
 from ..dispatch.request import Attempt
-from ..dispatch.send_guard import Refusal, SendState, refusal
+from ..dispatch.send_guard import SendRefusal, SendState, find_send_refusal
 from ..management.figures import BACKEND_CALLS
-from ..membership.inventory import Host, Hosts, worker_number
+from ..membership.inventory import WorkerEndpoint, WorkerList, worker_number
 from ..policy import interface
 from ..policy.interface import PROVEN_UNRUN, AttemptOutcome, NoticeKind, Semantics, WorkerState
 from ..runtime.metrics import Metrics
@@ -30,7 +30,7 @@
 
 
 class _Worker:
-    def __init__(self, host: Host) -> None:
+    def __init__(self, host: WorkerEndpoint) -> None:
         self.host = host
         self.idle: list[Connection] = []
 
@@ -38,7 +38,7 @@
 class _Carried:
     """An attempt on its way: its task, and whether the worker has taken the job with a 202."""
 
-    def __init__(self, attempt: Attempt, host: Host) -> None:
+    def __init__(self, attempt: Attempt, host: WorkerEndpoint) -> None:
         self.attempt = attempt
         self.host = host
         self.taken = False
@@ -84,12 +84,12 @@
 
     # ---- the list ------------------------------------------------------------------------------------------
 
-    def update(self, hosts: Hosts) -> None:
+    def update(self, hosts: WorkerList) -> None:
         """Before the module hears of it, so that it never sends to a worker unknown here."""
-        named = {host.member.worker for host in hosts.hosts if host.member.state != WorkerState.GONE}
-        for number in [n for n in self.workers if n not in named] if hosts.full else []:
+        named = {host.member.worker for host in hosts.endpoints if host.member.state != WorkerState.GONE}
+        for number in [n for n in self.workers if n not in named] if hosts.is_snapshot else []:
             self._forget(number)
-        for host in hosts.hosts:
+        for host in hosts.endpoints:
             if host.member.state == WorkerState.GONE:
                 self._forget(host.member.worker)
                 continue
@@ -98,31 +98,31 @@
                 self.disconnect(host.member.worker)
             worker.host = host
 
-    def differs(self, hosts: Hosts) -> bool:
+    def differs(self, hosts: WorkerList) -> bool:
         """Whether the workers that are known are others with this list than without it; weights don't
         count."""
         named = set()
-        for host in hosts.hosts:
+        for host in hosts.endpoints:
             number, known = host.member.worker, self.workers.get(host.member.worker)
             if host.member.state != WorkerState.GONE:
                 named.add(number)
-                if known is None or not known.host.same(host):
+                if known is None or not known.host.same_except_weight(host):
                     return True
             elif known is not None:
                 return True
-        return hosts.full and named != self.workers.keys()
+        return hosts.is_snapshot and named != self.workers.keys()
 
     def lists(self, host_id: str) -> bool:
         """Whether the list names that worker."""
         worker = self.workers.get(worker_number(host_id))
         return worker is not None and worker.host.id == host_id
 
-    def named(self, host_ids: Iterable[str]) -> list[Host]:
+    def named(self, host_ids: Iterable[str]) -> list[WorkerEndpoint]:
         """Those of them that are known."""
         known = {worker.host.id: worker.host for worker in self.workers.values()}
         return [known[host_id] for host_id in host_ids if host_id in known]
 
-    def hosts(self) -> list[Host]:
+    def hosts(self) -> list[WorkerEndpoint]:
         return [worker.host for worker in self.workers.values()]
 
     def _forget(self, number: int) -> None:
@@ -151,7 +151,7 @@
             while worker.idle and worker.idle[0].used_at < oldest:
                 worker.idle.pop(0).close()
 
-    def _idle(self, host: Host) -> Connection | None:
+    def _idle(self, host: WorkerEndpoint) -> Connection | None:
         """A connection safe to use: near the worker's own idle limit it would end in a reset."""
         worker = self.workers.get(host.member.worker)
         while worker is not None and worker.idle:
@@ -161,7 +161,7 @@
             connection.close()
         return None
 
-    async def _connection(self, host: Host) -> Connection:
+    async def _connection(self, host: WorkerEndpoint) -> Connection:
         connection = self._idle(host)
         if connection is not None:
             return connection
@@ -187,13 +187,13 @@
             self.reuse_within = DISTRUST * min(self.reuse_within, idle_for)
             self.metrics.count_and_log("kept_connection_stale", idle=idle_for, reuse_within=self.reuse_within)
 
-    def _keep(self, host: Host, connection: Connection, message: Message) -> None:
+    def _keep(self, host: WorkerEndpoint, connection: Connection, message: Message) -> None:
         if message.keep_alive:
             self._rest(host, connection)
         else:
             connection.close()
 
-    def _rest(self, host: Host, connection: Connection) -> None:
+    def _rest(self, host: WorkerEndpoint, connection: Connection) -> None:
         worker = self.workers.get(host.member.worker)
         if worker is not None and worker.host.address == host.address:
             connection.used_at = self.timers.now()
@@ -217,7 +217,7 @@
         """Given up before the 202, the connection closes, up or not; after it, the job is withdrawn."""
         self.carried.pop((carried.attempt.job.id, carried.host.id), None)
         unrun = outcome in PROVEN_UNRUN
-        self.policy_runner.monitor.ended(carried.attempt.job.id, carried.host.id, unrun)
+        self.policy_runner.monitor.attempt_ended(carried.attempt.job.id, carried.host.id, unrun)
         task = carried.task
         given_up = outcome in (AttemptOutcome.CANCELLED, AttemptOutcome.TIMEOUT)
         if task is not None and not carried.taken:
@@ -255,7 +255,7 @@
             }
             if job.dedup_key:
                 headers["Idempotency-Key"] = job.dedup_key
-            self.policy_runner.monitor.written(job.id, carried.host.id, self.timers.now(), left)
+            self.policy_runner.monitor.attempt_started(job.id, carried.host.id, self.timers.now(), left)
             await connection.send(http1.request("POST", job.target, headers, carried.body))
             written = True
             self.metrics.count(BACKEND_CALLS)
@@ -282,38 +282,39 @@
         if not carried.taken:
             self._answered(attempt, message)
 
-    async def _settled_refusal(self, carried: _Carried) -> Refusal | None:
+    async def _settled_refusal(self, carried: _Carried) -> SendRefusal | None:
         """The guard's answer for the moment in which this returns, once the list may be acted on."""
         why = self._refusal(carried)
-        if why is Refusal.LIST_UNKNOWN:
+        if why is SendRefusal.LIST_UNKNOWN:
             self.metrics.count("sends_waited_for_list")
-        while why is Refusal.LIST_UNKNOWN:
+        while why is SendRefusal.LIST_UNKNOWN:
             await self.list_usable_again()
             why = self._refusal(carried)
         return why
 
-    def _refusal(self, carried: _Carried) -> Refusal | None:
+    def _refusal(self, carried: _Carried) -> SendRefusal | None:
         """The guard's answer for this moment: what is written next is written in this turn of the loop."""
         attempt, others = carried.attempt, carried.attempt.others()
         worker = self.workers.get(attempt.worker)
-        return refusal(
+        return find_send_refusal(
             SendState(
                 list_usable=self.list_usable(),
-                chosen=carried.host.member,
-                listed=None if worker is None else worker.host.member,
+                entry_when_chosen=carried.host.member,
+                current_entry=None if worker is None else worker.host.member,
                 same_address=worker is not None and worker.host.address == carried.host.address,
-                out_by_hand=self.out_by_hand(carried.host.id),
-                open=attempt.open,
-                wanted=attempt.wanted(),
-                time_left=attempt.until - self.timers.now(),
-                others_at_worker=others.at_worker,
-                others_out=others.out,
+                disabled_by_operator=self.out_by_hand(carried.host.id),
+                attempt_open=attempt.open,
+                client_waiting=attempt.wanted(),
+                time_left_s=attempt.until - self.timers.now(),
+                other_attempts_at_worker=others.at_worker,
+                other_attempts_in_flight=others.out,
                 may_have_run=others.may_have_run,
-                unsafe=self.config.settings.classes[attempt.job.cls].semantics == Semantics.UNSAFE,
+                must_not_run_twice=self.config.settings.classes[attempt.job.cls].semantics
+                == Semantics.UNSAFE,
             )
         )
 
-    def _refuse(self, carried: _Carried, why: Refusal) -> None:
+    def _refuse(self, carried: _Carried, why: SendRefusal) -> None:
         self.metrics.count(f"send_refused_{why.value}")
         self.metrics.trace(
             "attempts", "send_refused", request=carried.attempt.job.id, worker=carried.host.id, why=why.value
@@ -352,7 +353,7 @@
         if worker is not None and request.isascii() and request.isprintable() and " " not in request:
             await self._aside(worker.host, "DELETE", f"/jobs/{request}".encode())
 
-    async def _aside(self, host: Host, method: str, target: bytes) -> Message | AttemptOutcome:
+    async def _aside(self, host: WorkerEndpoint, method: str, target: bytes) -> Message | AttemptOutcome:
         """A short exchange beside the attempts: the answer, or why there is none."""
         connection, why = None, AttemptOutcome.NO_CONNECTION
         try:
--- a/tests/test_arrivals.py
+++ b/tests/test_arrivals.py
@@ -9,48 +9,48 @@
     READ_WITHIN,
     READ_WITHIN_MOST,
     READ_WITHIN_PART,
-    Arrivals,
+    ArrivalBounds,
 )
 
 
-def running(until: float) -> Arrivals:
-    arrivals = Arrivals(0.0)
+def running(until: float) -> ArrivalBounds:
+    arrivals = ArrivalBounds(0.0)
     for step in range(1, round(until / 0.1) + 1):
-        arrivals.ran(step * 0.1)
+        arrivals.mark_running(step * 0.1)
     return arrivals
 
 
 def test_while_the_process_runs_a_request_comes_when_it_is_read() -> None:
-    assert running(10.0).earliest(10.0) == 10.0
-    assert running(10.0).earliest(10.0 + LATE_AFTER) == 10.0 + LATE_AFTER
-    assert Arrivals(5.0).earliest(5.0) == 5.0
+    assert running(10.0).earliest_arrival(10.0) == 10.0
+    assert running(10.0).earliest_arrival(10.0 + LATE_AFTER) == 10.0 + LATE_AFTER
+    assert ArrivalBounds(5.0).earliest_arrival(5.0) == 5.0
 
 
 @pytest.mark.parametrize("first", ["a timer", "the request"])
 def test_what_came_while_it_stood_still_counts_from_when_it_last_ran(first: str) -> None:
     arrivals = running(10.0)
     if first == "a timer":
-        arrivals.ran(12.5)
-    assert arrivals.earliest(12.5) == 10.0
+        arrivals.mark_running(12.5)
+    assert arrivals.earliest_arrival(12.5) == 10.0
     until = 12.5 + READ_WITHIN_PART * 2.5
-    arrivals.ran(12.6)
-    assert arrivals.earliest(until - 0.01) == 10.0  # the rest of what waited
-    assert arrivals.earliest(until + 0.01) == until + 0.01
+    arrivals.mark_running(12.6)
+    assert arrivals.earliest_arrival(until - 0.01) == 10.0  # the rest of what waited
+    assert arrivals.earliest_arrival(until + 0.01) == until + 0.01
 
 
 @pytest.mark.parametrize(("stood", "within"), [(0.3, READ_WITHIN), (3.0, 0.3), (3600.0, READ_WITHIN_MOST)])
 def test_what_waited_is_read_within_a_bounded_time(stood: float, within: float) -> None:
     arrivals = running(10.0)
     back = 10.0 + stood
-    arrivals.ran(back)
+    arrivals.mark_running(back)
     for step in range(int(within / 0.1)):
-        arrivals.ran(back + step * 0.1)
-    assert arrivals.earliest(back + within - 0.01) == 10.0
-    assert arrivals.earliest(back + within + 0.01) == back + within + 0.01
+        arrivals.mark_running(back + step * 0.1)
+    assert arrivals.earliest_arrival(back + within - 0.01) == 10.0
+    assert arrivals.earliest_arrival(back + within + 0.01) == back + within + 0.01
 
 
 def test_a_gap_while_it_still_reads_what_came_in_the_one_before_hides_nothing() -> None:
     arrivals = running(10.0)
-    arrivals.ran(17.0)
-    arrivals.ran(17.4)
-    assert arrivals.earliest(17.5) == 10.0
+    arrivals.mark_running(17.0)
+    arrivals.mark_running(17.4)
+    assert arrivals.earliest_arrival(17.5) == 10.0
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -23,7 +23,7 @@
 )
 
 from beaconhinge.membership.freshness import Freshness
-from beaconhinge.membership.inventory import Inventory, InventoryError, worker_number
+from beaconhinge.membership.inventory import WorkerListError, WorkerListParser, worker_number
 from beaconhinge.net.discovery import Discovery
 from beaconhinge.net.sockets import connect
 from beaconhinge.policy import interface
@@ -100,7 +100,9 @@
 
 
 def test_an_entry_turns_into_a_member_with_a_number_of_32_bits() -> None:
-    [host] = Inventory(["a", "b"], ["k"]).read({"version": 4, "full": True, "servers": [HOST]}).hosts
+    [host] = (
+        WorkerListParser(["a", "b"], ["k"]).parse({"version": 4, "full": True, "servers": [HOST]}).endpoints
+    )
     assert host.address == ("127.0.0.1", 9)
     assert host.member == interface.MemberEntry(worker_number("s-1"), WorkerState.READY, 0, 3, 1, 1.0, 1.5)
     assert 0 <= host.member.worker < 2**32
@@ -123,8 +125,10 @@
 )
 def test_a_bad_entry_is_dropped_and_told(change: dict[str, object]) -> None:
     dropped: list[str] = []
-    read = Inventory([], [], dropped.append).read({"version": 1, "servers": [{**HOST, **change}, HOST, 7]})
-    assert [host.id for host in read.hosts] == ["s-1"]
+    read = WorkerListParser([], [], dropped.append).parse(
+        {"version": 1, "servers": [{**HOST, **change}, HOST, 7]}
+    )
+    assert [host.id for host in read.endpoints] == ["s-1"]
     assert len(dropped) == 2
 
 
@@ -141,8 +145,8 @@
     ],
 )
 def test_a_list_that_is_none_is_an_error(content: object) -> None:
-    with pytest.raises(InventoryError):
-        Inventory([], []).read(content)
+    with pytest.raises(WorkerListError):
+        WorkerListParser([], []).parse(content)
 
 
 @pytest.mark.parametrize(
@@ -389,8 +393,10 @@
 ) -> None:
     """Until the next look at the list its event was set still: the attempt asked again and again in one turn."""
     discoveries = list[Discovery]()
-    original = Discovery.remembered
-    monkeypatch.setattr(Discovery, "remembered", lambda self: (discoveries.append(self), original(self)))
+    original = Discovery.start_from_bootstrap
+    monkeypatch.setattr(
+        Discovery, "start_from_bootstrap", lambda self: (discoveries.append(self), original(self))
+    )
 
     async def scenario(harness: Harness) -> None:
         await next_call(harness, "wait=4000")
--- a/tests/test_hints.py
+++ b/tests/test_hints.py
@@ -9,58 +9,58 @@
 import pytest
 from harness import Harness, job_bytes, next_event, run_scenario, use_scripted_policy
 
-from beaconhinge.dispatch.work_estimates import FEW, SPREAD, Hints
+from beaconhinge.dispatch.work_estimates import FEW, SPREAD, WorkEstimator
 from beaconhinge.policy import interface
 from beaconhinge.runtime.metrics import Metrics
 
 
 def test_a_deployment_without_hints_and_an_odd_client_in_one_get_none() -> None:
-    hints = Hints()
+    hints = WorkEstimator()
     told = [(n % 5 == 4) * 1e-6 for n in range(500)]  # one client in five says what no job costs
-    assert [hints.fit(n % 3, work, 5.0) for n, work in enumerate(told)] == [0.0] * 500
-    assert not hints.used
+    assert [hints.estimate_s(n % 3, work, 5.0) for n, work in enumerate(told)] == [0.0] * 500
+    assert not hints.in_use
 
 
 def test_rough_hints_pass_and_a_missing_one_is_the_mean_of_its_class() -> None:
-    rng, hints = random.Random(1), Hints()
+    rng, hints = random.Random(1), WorkEstimator()
     told = [rng.lognormvariate(0, 1.2) for _ in range(2000)]  # 1.2: from a tenth to ten times, and more
-    fitted = [hints.fit(0, work, 30.0) for work in told]
+    fitted = [hints.estimate_s(0, work, 30.0) for work in told]
     assert sum(got == work for got, work in zip(fitted, told, strict=True)) > 1980
-    assert hints.fit(0, 0.0, 30.0) == pytest.approx(statistics.mean(told), rel=0.5)
-    cheap = [hints.fit(1, 0.01, 30.0) for _ in range(20)]
-    assert cheap == [0.01] * 20 and hints.fit(1, 0.0, 30.0) == pytest.approx(0.01)
-    assert hints.fit(2, 0.0, 30.0) > 0  # a class whose clients never say anything: that of all jobs
+    assert hints.estimate_s(0, 0.0, 30.0) == pytest.approx(statistics.mean(told), rel=0.5)
+    cheap = [hints.estimate_s(1, 0.01, 30.0) for _ in range(20)]
+    assert cheap == [0.01] * 20 and hints.estimate_s(1, 0.0, 30.0) == pytest.approx(0.01)
+    assert hints.estimate_s(2, 0.0, 30.0) > 0  # a class whose clients never say anything: that of all jobs
 
 
 @pytest.mark.parametrize("absurd", [1e12, 1e-9])
 def test_absurd_hints_first_or_later_one_in_four_are_bounded_and_move_nobody_elses(absurd: float) -> None:
-    hints = Hints()
-    assert hints.fit(0, absurd, 5.0) <= 5.0
+    hints = WorkEstimator()
+    assert hints.estimate_s(0, absurd, 5.0) <= 5.0
     for number in range(400):
         told = absurd if number % 4 == 0 else 0.5
-        work = hints.fit(0, told, 5.0)
+        work = hints.estimate_s(0, told, 5.0)
         if number > FEW:
             assert work == 0.5 or told == absurd and 0.5 / SPREAD <= work <= 0.5 * SPREAD
-    assert hints.bounded >= 95
+    assert hints.bounded_count >= 95
 
 
 def test_a_class_that_turns_twenty_two_times_as_dear_is_believed_at_once_and_others_are_untouched() -> None:
-    hints = Hints()
+    hints = WorkEstimator()
     for _ in range(100):
-        assert (hints.fit(0, 0.5, 5.0), hints.fit(1, 3.0, 25.0)) == (0.5, 3.0)
+        assert (hints.estimate_s(0, 0.5, 5.0), hints.estimate_s(1, 3.0, 25.0)) == (0.5, 3.0)
     for _ in range(50):
-        assert (hints.fit(0, 11.0, 5.0), hints.fit(1, 3.0, 25.0)) == (11.0, 3.0)
-    assert hints.bounded == 0
+        assert (hints.estimate_s(0, 11.0, 5.0), hints.estimate_s(1, 3.0, 25.0)) == (11.0, 3.0)
+    assert hints.bounded_count == 0
 
 
 def test_where_most_jobs_begin_or_cease_to_carry_hints_the_use_follows_without_flapping() -> None:
-    hints, turns, before = Hints(), 0, True
+    hints, turns, before = WorkEstimator(), 0, True
     for number in range(600):
         share = [1.0, 0.5, 0.1][number // 200]
-        hints.fit(0, 0.5 if (number * 7 % 20) < 20 * share else 0.0, 5.0)
-        turns += hints.used != before
-        before = hints.used
-    assert turns == 1 and not hints.used
+        hints.estimate_s(0, 0.5 if (number * 7 % 20) < 20 * share else 0.0, 5.0)
+        turns += hints.in_use != before
+        before = hints.in_use
+    assert turns == 1 and not hints.in_use
 
 
 def test_the_module_has_the_clients_guess_and_a_bad_one_costs_no_job(monkeypatch: pytest.MonkeyPatch) -> None:
--- a/tests/test_invariants.py
+++ b/tests/test_invariants.py
@@ -6,17 +6,17 @@
 
 import pytest
 
-from beaconhinge.dispatch.invariants import LEFT_KEPT, Rule, SendMonitor
+from beaconhinge.dispatch.invariants import LEFT_KEPT, InvariantRule, SendMonitor
 
 
 class History:
     """A request r1, taken at 100.0 with 5 s, and workers a and b."""
 
     def __init__(self, unsafe: bool = False) -> None:
-        self.found: list[Rule] = []
+        self.found: list[InvariantRule] = []
         self.monitor = SendMonitor(lambda rule, request, worker, why: self.found.append(rule))
-        self.monitor.list_taken(listing(True, a="Ready", b="Ready"), 99.0)
-        self.monitor.request_taken("r1", 105.0, unsafe)
+        self.monitor.list_received(listing(True, a="Ready", b="Ready"), 99.0)
+        self.monitor.request_started("r1", 105.0, unsafe)
 
 
 def listing(full: bool, **states: str) -> dict[str, Any]:
@@ -29,15 +29,15 @@
 
 def test_a_healthy_history_has_no_violation() -> None:
     history = History()
-    history.monitor.written("r1", "a", 100.0, 5000)
-    history.monitor.ended("r1", "a", unrun=False)
-    history.monitor.list_taken(listing(False, a="Terminating"), 101.0)
-    history.monitor.written("r1", "a", 101.3, 3700)  # within the grace
-    history.monitor.written("r1", "b", 102.0, 3000)  # a copy, of a class that may run twice
-    history.monitor.list_taken(listing(False, a="Ready"), 103.0)
-    history.monitor.ended("r1", "a", unrun=True)
-    history.monitor.client_left("r1", 104.0)
-    history.monitor.written("r1", "a", 104.05, 950)
+    history.monitor.attempt_started("r1", "a", 100.0, 5000)
+    history.monitor.attempt_ended("r1", "a", unrun=False)
+    history.monitor.list_received(listing(False, a="Terminating"), 101.0)
+    history.monitor.attempt_started("r1", "a", 101.3, 3700)  # within the grace
+    history.monitor.attempt_started("r1", "b", 102.0, 3000)  # a copy, of a class that may run twice
+    history.monitor.list_received(listing(False, a="Ready"), 103.0)
+    history.monitor.attempt_ended("r1", "a", unrun=True)
+    history.monitor.client_disconnected("r1", 104.0)
+    history.monitor.attempt_started("r1", "a", 104.05, 950)
     assert history.found == []
 
 
@@ -46,59 +46,63 @@
 )
 def test_a_send_to_a_worker_that_has_left(left: dict[str, Any]) -> None:
     history = History()
-    history.monitor.list_taken(left, 100.0)
-    history.monitor.list_taken(left, 100.3)  # told again: it counts from the first word
-    history.monitor.written("r1", "a", 100.5, 4500)
-    assert history.found == [Rule.DRAIN]
+    history.monitor.list_received(left, 100.0)
+    history.monitor.list_received(left, 100.3)  # told again: it counts from the first word
+    history.monitor.attempt_started("r1", "a", 100.5, 4500)
+    assert history.found == [InvariantRule.DRAIN]
 
 
 def test_a_whole_list_with_an_entry_that_names_nobody_takes_nobody_out() -> None:
     history = History()
-    history.monitor.list_taken({"full": True, "servers": [{"id": "b", "state": "Ready"}, {"id": 7}]}, 100.0)
-    history.monitor.written("r1", "a", 101.0, 4000)
+    history.monitor.list_received(
+        {"full": True, "servers": [{"id": "b", "state": "Ready"}, {"id": 7}]}, 100.0
+    )
+    history.monitor.attempt_started("r1", "a", 101.0, 4000)
     assert history.found == []
 
 
 def test_a_send_for_a_client_that_has_gone_or_a_request_that_is_over() -> None:
     history = History()
-    history.monitor.client_left("r1", 100.0)
-    history.monitor.client_left("r1", 100.3)
-    history.monitor.written("r1", "a", 100.2, 4800)
-    history.monitor.request_over("r1")
-    history.monitor.written("r1", "b", 100.2, 4800)
-    assert history.found == [Rule.LOST, Rule.LOST]
+    history.monitor.client_disconnected("r1", 100.0)
+    history.monitor.client_disconnected("r1", 100.3)
+    history.monitor.attempt_started("r1", "a", 100.2, 4800)
+    history.monitor.request_finished("r1")
+    history.monitor.attempt_started("r1", "b", 100.2, 4800)
+    assert history.found == [InvariantRule.CLIENT_GONE, InvariantRule.CLIENT_GONE]
 
 
 @pytest.mark.parametrize(
     ("unsafe", "second", "ended", "unrun", "found"),
     [
-        (False, "a", False, False, [Rule.DUPLICATE]),
+        (False, "a", False, False, [InvariantRule.DUPLICATE]),
         (False, "b", False, False, []),
-        (True, "b", False, False, [Rule.DUPLICATE]),
-        (True, "b", True, False, [Rule.DUPLICATE]),
+        (True, "b", False, False, [InvariantRule.DUPLICATE]),
+        (True, "b", True, False, [InvariantRule.DUPLICATE]),
         (True, "b", True, True, []),
     ],
 )
-def test_a_second_attempt(unsafe: bool, second: str, ended: bool, unrun: bool, found: list[Rule]) -> None:
+def test_a_second_attempt(
+    unsafe: bool, second: str, ended: bool, unrun: bool, found: list[InvariantRule]
+) -> None:
     history = History(unsafe)
-    history.monitor.written("r1", "a", 100.0, 5000)
+    history.monitor.attempt_started("r1", "a", 100.0, 5000)
     if ended:
-        history.monitor.ended("r1", "a", unrun)
-    history.monitor.written("r1", second, 101.0, 4000)
+        history.monitor.attempt_ended("r1", "a", unrun)
+    history.monitor.attempt_started("r1", second, 101.0, 4000)
     assert history.found == found
 
 
 def test_a_worker_that_is_told_more_time_than_is_left() -> None:
     history = History()
-    history.monitor.written("r1", "a", 101.0, 4140)
-    history.monitor.written("r1", "b", 101.0, 4160)
-    assert history.found == [Rule.DEADLINE]
+    history.monitor.attempt_started("r1", "a", 101.0, 4140)
+    history.monitor.attempt_started("r1", "b", 101.0, 4160)
+    assert history.found == [InvariantRule.DEADLINE]
 
 
 def test_what_has_left_is_remembered_in_bounds() -> None:
     history = History()
     for number in range(LEFT_KEPT + 10):
-        history.monitor.list_taken(listing(False, **{f"w{number}": "Gone"}), 100.0)
-    history.monitor.written("r1", "w0", 101.0, 4000)  # forgotten by now
-    history.monitor.written("r1", f"w{LEFT_KEPT}", 101.0, 4000)
-    assert history.found == [Rule.DRAIN]
+        history.monitor.list_received(listing(False, **{f"w{number}": "Gone"}), 100.0)
+    history.monitor.attempt_started("r1", "w0", 101.0, 4000)  # forgotten by now
+    history.monitor.attempt_started("r1", f"w{LEFT_KEPT}", 101.0, 4000)
+    assert history.found == [InvariantRule.DRAIN]
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -7,14 +7,14 @@
 import pytest
 
 from beaconhinge.membership.discovery_watch import PAUSE, Call, DiscoveryWatch, Step
-from beaconhinge.membership.inventory import Hosts, Inventory
+from beaconhinge.membership.inventory import WorkerList, WorkerListParser
 from beaconhinge.policy.interface import UpdateKind
 
 TOLD_SILENT, TOLD_AFTER_WAIT, GRACE = 6.0, 2.0, 0.4  # seconds, as the operators have them
 
 
-def answer(version: int, full: bool = False, *entries: object) -> Hosts:
-    return Inventory([], []).read({"version": version, "full": full, "servers": list(entries)})
+def answer(version: int, full: bool = False, *entries: object) -> WorkerList:
+    return WorkerListParser([], []).parse({"version": version, "full": full, "servers": list(entries)})
 
 
 class Following(DiscoveryWatch):
@@ -30,7 +30,7 @@
     def fail(self, silent: bool, chance: float) -> float:
         return self.failed(silent, self.now, chance)
 
-    def take(self, hosts: Hosts, after: float, differs: bool = True) -> Step:
+    def take(self, hosts: WorkerList, after: float, differs: bool = True) -> Step:
         return self.answered(hosts, after, self.now, 0.5, differs)
 
 
--- a/tests/test_verification.py
+++ b/tests/test_verification.py
@@ -9,7 +9,7 @@
 import pytest
 
 from beaconhinge.membership.discovery_watch import DiscoveryWatch
-from beaconhinge.membership.inventory import Hosts, Inventory
+from beaconhinge.membership.inventory import WorkerList, WorkerListParser
 from beaconhinge.membership.verification import (
     AFTER_CROWD,
     AFTER_DOUBT,
@@ -36,8 +36,8 @@
     }
 
 
-def hosts(version: int, *entries: Any, full: bool = False) -> Hosts:
-    return Inventory(["a"], ["k"]).read({"version": version, "full": full, "servers": list(entries)})
+def hosts(version: int, *entries: Any, full: bool = False) -> WorkerList:
+    return WorkerListParser(["a"], ["k"]).parse({"version": version, "full": full, "servers": list(entries)})
 
 
 def watch(chance: float = 0.5, pushed: bool = False, size: int = 12) -> DiscoveryWatch:
@@ -180,11 +180,11 @@
             "servers": [entry("s-1", "Terminating"), entry("s-2"), {"id": "s-3", "state": "Gone"}],
         }
     ).encode()
-    found = Inventory(["a"], ["k"]).salvage(body[:cut])
+    found = WorkerListParser(["a"], ["k"]).parse_partial(body[:cut])
     expected = {"s-1": WorkerState.DRAINING} if cut > body.index(b"}") else {}
     expected |= {"s-3": WorkerState.GONE} if cut > body.rindex(b"Gone") + 5 else {}
-    assert (found.states if found else {}) == expected
-    assert found is None or (found.version, found.full, found.hosts) == (9, False, [])
+    assert (found.unparsed_states if found else {}) == expected
+    assert found is None or (found.version, found.is_snapshot, found.endpoints) == (9, False, [])
 
 
 @pytest.mark.parametrize(
@@ -199,7 +199,7 @@
     ],
 )
 def test_what_is_no_list_yields_nothing(body: bytes) -> None:
-    assert Inventory([], []).salvage(body) is None
+    assert WorkerListParser([], []).parse_partial(body) is None
 
 
 def test_a_crowd_at_discovery_is_not_made_larger_by_what_can_wait() -> None:
