--- a/beaconhinge/dispatch/send_guard.py
+++ b/beaconhinge/dispatch/send_guard.py
@@ -1,9 +1,9 @@
-"""The one question before anything is sent to a worker: may it be, at this moment? Pure.
+"""Whether an attempt may be sent to its worker at this moment. Pure.
 
-Whoever writes the first byte of an attempt asks in the same turn of the loop, and asks again after every
-wait: a list may have come, a client have gone, or a clock have run out meanwhile. The answer is None, or the
-reason why not, under which it is counted (`send_refused_REASON`, docs/oncall.md). What was really written is
-watched apart from this, by `invariants.py`, which shares none of its code.
+Whoever writes the first byte of an attempt asks in the same turn of the event loop, and asks again after
+every wait: a list may have come, a client have disconnected, or a deadline have passed meanwhile. The answer
+is None, or the reason why not, under which it is counted (`send_refused_REASON`, docs/oncall.md). What was
+really written is checked apart from this by `invariants.py`, which shares none of its code.
 """
 
 from __future__ import annotations
@@ -15,46 +15,71 @@
 
 
 class SendRefusal(enum.Enum):
-    """Why an attempt may not begin."""
+    """Why an attempt may not begin. The values are parts of counters' names."""
 
-    LIST_UNKNOWN = "list_unknown"  # nobody knows whether the believed list is current: wait, or do without
+    LIST_UNKNOWN = "list_unknown"  # whether the endpoint list is current is unknown: wait, or do without
     ATTEMPT_ENDED = "answered"  # the attempt, or its request, has ended
     CLIENT_GONE = "client_gone"
     DEADLINE_PASSED = "out_of_time"
     WORKER_REMOVED = "worker_removed"
     WORKER_DRAINING = "worker_draining"
-    WORKER_REPLACED = "worker_replaced"  # it has started anew, or moved, since it was chosen
+    WORKER_REPLACED = "worker_replaced"  # it has restarted, or moved, since it was chosen
     DISABLED_BY_OPERATOR = "out_by_hand"
-    ATTEMPT_IN_FLIGHT = "attempt_out"  # this worker has an attempt of the request
-    UNSAFE_REPEAT = "unsafe_repeat"  # one that may have run, or may yet, and a class that must not run twice
+    ATTEMPT_IN_FLIGHT = "attempt_out"  # this worker already has an attempt of the request
+    UNSAFE_REPEAT = (
+        "unsafe_repeat"  # another attempt may have run, or may yet, and the class is not idempotent
+    )
 
 
 @dataclass(frozen=True, slots=True)
 class SendState:
-    """All that decides whether an attempt may begin. Seconds."""
+    """Everything that decides whether an attempt may begin.
+
+    Attributes:
+        list_usable: Whether the endpoint list may be acted on.
+        entry_when_chosen: The worker's entry as it was when the worker was chosen.
+        current_entry: Its entry now; None if it is no longer listed.
+        same_address: Whether its address is still the one that is connected to.
+        disabled_by_operator: Whether an operator has taken the worker out of service.
+        attempt_open: Whether the attempt has not ended.
+        client_waiting: Whether the client is connected and waits.
+        time_left_s: Time to the attempt's deadline.
+        other_attempts_at_worker: Attempts of the request that this worker has.
+        other_attempts_in_flight: Attempts of the request that are in flight anywhere.
+        may_have_run: Whether an attempt of the request that has ended may have run.
+        must_not_run_twice: Whether the request's class is not idempotent.
+    """
 
     list_usable: bool
-    entry_when_chosen: MemberEntry  # the worker as it was listed when it was chosen
-    current_entry: MemberEntry | None  # as it is listed now
+    entry_when_chosen: MemberEntry
+    current_entry: MemberEntry | None
     same_address: bool
     disabled_by_operator: bool
-    attempt_open: bool  # the attempt has not ended
-    client_waiting: bool  # its client is there and waits
+    attempt_open: bool
+    client_waiting: bool
     time_left_s: float
-    other_attempts_at_worker: int  # attempts of the request that this worker has
-    other_attempts_in_flight: int  # attempts of the request that are out anywhere
-    may_have_run: bool  # one that has ended may have run
-    must_not_run_twice: bool  # the class must not run twice
+    other_attempts_at_worker: int
+    other_attempts_in_flight: int
+    may_have_run: bool
+    must_not_run_twice: bool
 
 
 def find_send_refusal(state: SendState) -> SendRefusal | None:
-    """Why the attempt may not begin; None if it may."""
+    """Return why the attempt may not begin; None if it may."""
+    return _request_refusal(state) or _worker_refusal(state) or _repeat_refusal(state)
+
+
+def _request_refusal(state: SendState) -> SendRefusal | None:
     if not state.attempt_open:
         return SendRefusal.ATTEMPT_ENDED
     if not state.client_waiting:
         return SendRefusal.CLIENT_GONE
     if state.time_left_s <= 0:
         return SendRefusal.DEADLINE_PASSED
+    return None
+
+
+def _worker_refusal(state: SendState) -> SendRefusal | None:
     if not state.list_usable:
         return SendRefusal.LIST_UNKNOWN
     if state.current_entry is None:
@@ -65,6 +90,10 @@
         return SendRefusal.WORKER_REPLACED
     if state.disabled_by_operator:
         return SendRefusal.DISABLED_BY_OPERATOR
+    return None
+
+
+def _repeat_refusal(state: SendState) -> SendRefusal | None:
     if state.other_attempts_at_worker:
         return SendRefusal.ATTEMPT_IN_FLIGHT
     if state.must_not_run_twice and (state.other_attempts_in_flight or state.may_have_run):
--- a/beaconhinge/membership/discovery_watch.py
+++ b/beaconhinge/membership/discovery_watch.py
@@ -1,10 +1,11 @@
-"""When discovery is called, and which of its answers are taken. No I/O: time and chance are arguments.
+"""When discovery is called, and which of its answers are applied.
 
-A version is taken together with its content: an answer whose content is missing or can't be read leaves the
+No I/O: time and jitter are arguments. Times are seconds.
+
+A version is taken together with its content: an answer whose content is missing or can't be parsed leaves the
 version as it was, and what was taken is confirmed by a second answer (`verification.py`).
 
-docs/design/membership.md tells what counts as told, and why each wait here is as short as it is. Times are
-seconds.
+docs/design/membership.md tells when a change counts as notified, and why each wait here is as short as it is.
 """
 
 from __future__ import annotations
@@ -13,224 +14,354 @@
 
 from ..policy.interface import UpdateKind
 from .inventory import WorkerList
-from .verification import SLOW, Read, Verification
-
-WAIT, WAIT_PART = 4.0, 0.4  # that a watch may wait for news, and that as a part of `mustAskIn` at most
-SILENT = 0.5  # beyond its wait after which a watch has fallen silent: 2 s after it that counts as told
-STALL = 1.0  # without a further byte, after which an answer that has begun is given up
-# From the first byte of an answer to its last. Some never end; others are slow and whole, so that the time
-# doubles after one that was given up while its bytes still came.
-BODY, BODY_MOST = 3.0, 12.0
-AGAIN_BODY = 0.4  # within which a call comes again whose answer had begun: much of its time is gone
-ANSWER = 2.0  # for a call that does not wait: given up, it is worked on all the same, and comes again on top
-ANSWER_CONFIRMING = 0.7  # for one that only confirms: a crowd at discovery is not to wait for that
-ANSWER_SILENT = 1.0  # the same right after a silent watch, whose news count as told soon
-# The same where an agent at hand has the list. While discovery is away it is silent, and what it has at the
-# return counts at once, so that a silent call and the pause after it stay within the grace for drains. It is
-# slow, not silent, when it has not answered AGENT_SLOW calls, in some 20 s: then they have up to AGENT_MOST.
-AGENT_ANSWER, AGENT_MOST, AGENT_SLOW = 0.2, 0.8, 60
-PAUSE = 0.05  # from an answer to the next call, of 0.2 allowed: bounds calls answered at once
-AGAIN_AGENT = 0.1  # between calls to an agent: what it gets counts as told at once
-AGAIN_SILENT = 0.5  # within which a call comes again that was to follow a silent watch
-SPREAD = 0.25  # for each dispatcher, over which they call again after a break that all saw
-# The longest such time. News count as told 6 s after discovery could be reached, whatever failed before: a
-# call that began just before is given up ANSWER later, the next begins within this, and has ANSWER again.
-SPREAD_MOST = 2.0
-SHORTEST_WAIT = 0.05  # of a watch that ends because something has to be confirmed
-EARLY = 0.9  # part of its wait before which a watch's answer without news is not its own
+from .verification import SLOW_ANSWER_S, ConfirmingRead, Verification
+
+# How long a watch (a long poll) waits for a change, also as a fraction of the list's maximum age
+# (`mustAskIn`).
+LONG_POLL_WAIT_S = 4.0
+LONG_POLL_WAIT_FRACTION = 0.4
+# The shortest wait, of a watch that ends because something has to be confirmed.
+LONG_POLL_WAIT_MIN_S = 0.05
+# How long after its wait a watch without an answer counts as silent: 2 s after it, a change counts as
+# notified.
+FIRST_BYTE_MARGIN_S = 0.5
+# An answer without a change that comes before this fraction of the watch's wait belongs to an earlier call.
+EARLY_ANSWER_FRACTION = 0.9
+
+# How long an answer that has begun may go without a further byte.
+BODY_IDLE_TIMEOUT_S = 1.0
+# How long an answer may take from its first byte to its last. Some never end; others are slow and complete,
+# so that the timeout doubles after one that was given up while its bytes still came.
+BODY_TIMEOUT_S = 3.0
+BODY_TIMEOUT_MAX_S = 12.0
+# The window of the retry after an answer that broke off: much of the time for it has passed.
+BROKEN_BODY_RETRY_WINDOW_S = 0.4
+
+# First-byte timeouts of a call that does not wait. Discovery works on a call that was given up all the same,
+# and its retry comes on top.
+POLL_FIRST_BYTE_TIMEOUT_S = 2.0
+# The same of a call that only confirms: an overloaded discovery is not to be waited for.
+CONFIRMING_FIRST_BYTE_TIMEOUT_S = 0.7
+# The same right after a silent watch, whose changes count as notified soon.
+AFTER_SILENT_WATCH_FIRST_BYTE_TIMEOUT_S = 1.0
+# The same where a local agent has the list. While discovery is away the agent is silent, and what it has at
+# the return counts at once, so that a silent call and the pause after it stay within the grace for drains.
+AGENT_FIRST_BYTE_TIMEOUT_S = 0.2
+AGENT_FIRST_BYTE_TIMEOUT_MAX_S = 0.8
+# An agent is slow, not silent, when it has not answered so many calls, in some 20 s: the timeout doubles
+# then.
+AGENT_FAILURES_PER_DOUBLING = 60
+AGENT_DOUBLINGS_MAX = 8  # keeps the power small; the timeout's maximum is reached before
+
+# The pause from an answer to the next call, of 0.2 s allowed: bounds the rate of calls answered at once.
+CALL_SPACING_S = 0.05
+# The window of retries to an agent: what it gets counts as notified at once.
+AGENT_RETRY_WINDOW_S = 0.1
+# The window of the retry after the call that followed a silent watch.
+AFTER_SILENT_WATCH_RETRY_WINDOW_S = 0.5
+# The first backoff window for each dispatcher of the group, over which they call again after a common
+# failure.
+BACKOFF_PER_DISPATCHER_S = 0.25
+# The longest backoff window. A change counts as notified 6 s after discovery could be reached, whatever
+# failed before: a call that began just before is given up POLL_FIRST_BYTE_TIMEOUT_S later, the next begins
+# within this window, and has POLL_FIRST_BYTE_TIMEOUT_S again.
+BACKOFF_MAX_S = 2.0
 
 
 @dataclass(frozen=True, slots=True)
-class Call:
-    """One call: the whole list (no index), or what is newer than `index`."""
+class DiscoveryCall:
+    """One call to discovery.
+
+    Attributes:
+        index: Only what is newer than this version is asked for; None asks for the snapshot.
+        wait_s: How long discovery may wait for a change; 0 if it is to answer at once.
+        first_byte_timeout_s: How long the first byte of the answer may take.
+        body_timeout_s: How long the answer may take from its first byte to its last.
+    """
 
     index: int | None
-    wait: float  # that discovery may wait for news
-    patience: float  # until the first byte of the answer
-    body: float = BODY  # from the first byte of the answer to its last
+    wait_s: float
+    first_byte_timeout_s: float
+    body_timeout_s: float = BODY_TIMEOUT_S
 
 
 @dataclass(frozen=True, slots=True)
-class Step:
-    """What follows from an answer: as which kind of list the module hears of it (not at all if None),
-    whether the connection may be used again, and the seconds until the next call.
+class WatchDecision:
+    """What follows from an answer.
+
+    Attributes:
+        update_kind: How the list is applied; None if it is not.
+        keep_connection: Whether the connection may be used for the next call.
+        pause_s: The time to the next call.
+        contradicts_earlier: Whether the same version, read a second time, has other content.
+        proves_current: Whether the applied list is current, as far as the answer shows.
     """
 
-    kind: UpdateKind | None
-    keep: bool
-    pause: float = PAUSE
-    contradicts: bool = False  # the same version, read a second time, holds something else
-    current: bool = True  # the believed list is what discovery said, as far as the answer shows
+    update_kind: UpdateKind | None
+    keep_connection: bool
+    pause_s: float = CALL_SPACING_S
+    contradicts_earlier: bool = False
+    proves_current: bool = True
 
 
-# Not the answer to the call that is out: the connection is not used again.
-OUT_OF_TURN = Step(None, keep=False, current=False)
+# The answer does not belong to the last call: the connection is not used again.
+UNRELATED_ANSWER = WatchDecision(None, keep_connection=False, proves_current=False)
 
 
 class DiscoveryWatch:
-    """One dispatcher's calls to its discovery, one after the other. `version` is that of the configured list,
-    whose content is at hand; None if there is none.
+    """Decides on one dispatcher's calls to its discovery, one after the other.
+
+    Attributes:
+        pushed: Whether a local agent pushes lists, in place of a central discovery that is polled.
+        verification: Whether the applied list is confirmed.
+        entry_count: The number of workers in the applied list.
+        version: The version of the applied list; None if none is known. 0 is a version like any other: taken
+            for none, each call would ask for the snapshot, without a wait.
     """
 
     def __init__(
         self,
         pushed: bool,
         group_size: int,
-        must_ask_in: float,
+        max_age_s: float,
         version: int | None,
         now: float,
-        chance: float,
+        jitter: float,
     ) -> None:
+        """Start with the configured list.
+
+        Args:
+            pushed: Whether a local agent pushes lists.
+            group_size: How many dispatchers ask the same discovery.
+            max_age_s: How long a list without a further call counts as known; 0 for no bound.
+            version: The version of the configured list; None if there is none.
+            now: The current time.
+            jitter: Drawn from 0 to 1.
+        """
         self.pushed = pushed
-        self.verification = Verification(pushed, group_size, now, chance, version)
-        self.entries = 0  # of the believed list
-        # None: no list is known. 0 is a version like any other: taken for none, it once made each call ask
-        # for the whole list, one call right after the other, until discovery refused.
+        self.verification = Verification(pushed, group_size, now, jitter, version)
+        self.entry_count = 0
         self.version = version
-        self._wait = min(WAIT, WAIT_PART * must_ask_in) if must_ask_in > 0 else WAIT
-        self._longest = max(min(SPREAD_MOST, must_ask_in / 2), PAUSE)  # even if told to be 0: no hammering
-        self._first = min(SPREAD * group_size, self._longest)
-        self._whole = False  # all is to be asked for
-        self._doubted = False  # the last answer was older than the list in use
-        self._body = BODY
-        self._confirming = False  # the call that is out only confirms what is believed
-        self._reads_changes_again = False  # it asks for the changes since the version that was confirmed last
+        self._long_poll_wait_s = LONG_POLL_WAIT_S
+        if max_age_s > 0:
+            self._long_poll_wait_s = min(LONG_POLL_WAIT_S, LONG_POLL_WAIT_FRACTION * max_age_s)
+        # Bounded from below, lest a maximum age of 0 have discovery called without a pause.
+        self._backoff_max_s = max(min(BACKOFF_MAX_S, max_age_s / 2), CALL_SPACING_S)
+        self._backoff_first_s = min(BACKOFF_PER_DISPATCHER_S * group_size, self._backoff_max_s)
+        self._snapshot_needed = False
+        self._older_version_seen = False  # the last answer was older than the applied list
+        self._body_timeout_s = BODY_TIMEOUT_S
+        self._confirming = False  # the last call only confirms the applied list
+        self._rereads_changes = False  # the last call asks for the changes since the confirmed version
         self._watching = False  # nothing is missed: the next call may wait
-        self._window = 0.0  # in which a call that has failed comes again; 0: none has
-        self._silent = False  # a watch has fallen silent, and the call that follows it is not answered yet
-        self._failures = 0
-        self._wrong_pause = 0.0  # after the last answer that was not the whole list asked for; 0: none
-        self._call = Call(None, 0.0, ANSWER)
-
-    def begin(self, version: int | None, now: float, chance: float) -> None:
-        """Anew, with another discovery or another list, from no version or from this one."""
-        self.verification.begin(now, chance)
+        self._backoff_s = 0.0  # the window of the last retry; 0: the last call has not failed
+        self._after_silent_watch = False  # the call that follows a silent watch is not answered yet
+        self._failure_count = 0  # consecutive
+        self._wrong_answer_pause_s = 0.0  # after the last answer that was not the snapshot asked for; 0: none
+        self._last_call = DiscoveryCall(None, 0.0, POLL_FIRST_BYTE_TIMEOUT_S)
+
+    @property
+    def failing(self) -> bool:
+        """Whether the last call has failed."""
+        return self._failure_count > 0
+
+    def restart(self, version: int | None, now: float, jitter: float) -> None:
+        """Start anew with another discovery or another list, whose version is None if it is not known."""
+        self.verification.restart(now, jitter)
         self.version = version
-        self._whole = self._doubted = self._watching = False
-        self._window, self._silent, self._failures, self._wrong_pause = 0.0, False, 0, 0.0
+        self._snapshot_needed = self._older_version_seen = self._watching = False
+        self._reset_backoff()
+        self._wrong_answer_pause_s = 0.0
 
-    def catch_up(self, whole: bool = False) -> None:
-        """The next call does not wait."""
-        self._watching, self._whole = False, self._whole or whole
+    def resync(self, snapshot: bool = False) -> None:
+        """Have the next call not wait, and ask for the snapshot if so stated."""
+        self._watching, self._snapshot_needed = False, self._snapshot_needed or snapshot
 
-    def moved(self, now: float, chance: float) -> float:
-        """All have heard of another discovery at once; the seconds until the first call there."""
-        self.begin(None, now, chance)
-        return 0.0 if self.pushed else self._first * chance
+    def switch_discovery(self, now: float, jitter: float) -> float:
+        """Start anew with another discovery, which all of the group switch to at once.
 
-    @property
-    def last_call(self) -> Call:
-        return self._call
+        Returns:
+            The time to the first call there.
+        """
+        self.restart(None, now, jitter)
+        return 0.0 if self.pushed else self._backoff_first_s * jitter
 
-    @property
-    def failing(self) -> bool:
-        return self._failures > 0
+    def next_call(self, now: float) -> DiscoveryCall:
+        """Return the next call.
 
-    def call(self, now: float) -> Call:
-        """The next call. A watch ends when something has to be confirmed, and the call after it reads
-        that."""
-        read = self.verification.read(now, self.entries)
+        A watch ends when something has to be confirmed, and the call after it reads that.
+        """
+        read = self.verification.next_read(now, self.entry_count)
         # Nothing is missed: a call that reads the same once more may fail, and the watch goes on after it.
-        caught_up = self._watching and not self._whole and not self.verification.doubtful
-        self._confirming = caught_up and read is not Read.NOTHING
-        index = None if self._whole or read is Read.WHOLE else self.version
-        wait = self._wait if self._watching and index is not None else 0.0
-        self._reads_changes_again = index is not None and read is Read.CHANGES
-        if self._reads_changes_again:
-            index, wait = self.verification.confirmed_version, 0.0
-        elif wait:
-            wait = max(min(wait, self.verification.wait(now)), SHORTEST_WAIT)
-        if wait:
-            patience = wait + SILENT
-        elif self.pushed:
-            patience = min(AGENT_ANSWER * 2 ** min(self._failures // AGENT_SLOW, 8), AGENT_MOST)
-        elif self._confirming:
-            patience = ANSWER_CONFIRMING
-        else:
-            patience = ANSWER_SILENT if self._silent else ANSWER
-        self._call = Call(index, wait, patience, self._body)
-        return self._call
-
-    def answered(self, hosts: WorkerList, after: float, now: float, chance: float, differs: bool) -> Step:
-        """An answer has come so many seconds after its call. `differs`: the believed list is another with it
-        than without it.
+        caught_up = self._watching and not self._snapshot_needed and not self.verification.doubtful
+        self._confirming = caught_up and read is not ConfirmingRead.NOTHING
+        index = None if self._snapshot_needed or read is ConfirmingRead.SNAPSHOT else self.version
+        wait_s = self._long_poll_wait_s if self._watching and index is not None else 0.0
+        self._rereads_changes = index is not None and read is ConfirmingRead.CHANGES
+        if self._rereads_changes:
+            index, wait_s = self.verification.confirmed_version, 0.0
+        elif wait_s:
+            wait_s = max(min(wait_s, self.verification.seconds_until_read(now)), LONG_POLL_WAIT_MIN_S)
+        timeout_s = self._first_byte_timeout(wait_s)
+        self._last_call = DiscoveryCall(index, wait_s, timeout_s, self._body_timeout_s)
+        return self._last_call
+
+    def _first_byte_timeout(self, wait_s: float) -> float:
+        if wait_s:
+            return wait_s + FIRST_BYTE_MARGIN_S
+        if self.pushed:
+            doublings = min(self._failure_count // AGENT_FAILURES_PER_DOUBLING, AGENT_DOUBLINGS_MAX)
+            return min(AGENT_FIRST_BYTE_TIMEOUT_S * float(2**doublings), AGENT_FIRST_BYTE_TIMEOUT_MAX_S)
+        if self._confirming:
+            return CONFIRMING_FIRST_BYTE_TIMEOUT_S
+        if self._after_silent_watch:
+            return AFTER_SILENT_WATCH_FIRST_BYTE_TIMEOUT_S
+        return POLL_FIRST_BYTE_TIMEOUT_S
+
+    def handle_answer(
+        self, worker_list: WorkerList, elapsed_s: float, now: float, jitter: float, changes_workers: bool
+    ) -> WatchDecision:
+        """Decide on the answer to the last call.
+
+        Args:
+            worker_list: The answer.
+            elapsed_s: The time from the call to the answer.
+            now: The current time.
+            jitter: Drawn from 0 to 1.
+            changes_workers: Whether applying the list would change the known workers.
         """
-        call, known, verification = self._call, self.version, self.verification
-        self._window, self._silent, self._failures, self._body = 0.0, False, 0, BODY
-        if hosts.is_snapshot:
-            verification.whole_read(now, hosts.size_bytes)
-        if known is not None and hosts.version < known and not (call.index is None and self._doubted):
-            # One answer behind, or discovery has begun anew: only all of it, twice on new connections, tells.
-            self._doubted = self._whole = True
-            return OUT_OF_TURN
-        if call.index is None and not hosts.is_snapshot:
-            return self._changes_for_whole(now)
-        early = hosts.version == known and call.wait > 0 and after < EARLY * call.wait
-        if early:
-            return OUT_OF_TURN  # said before: the own answer is still to come there
-        kind: UpdateKind | None = UpdateKind.SNAPSHOT if hosts.is_snapshot else UpdateKind.CHANGES
-        if hosts.version == known and call.wait > 0:  # an empty answer is news only to one who asked
-            kind = None
-        requested, self._whole, self._doubted, self._wrong_pause = self._whole, False, False, 0.0
-        if not hosts.is_snapshot and (
-            hosts.unparsed_ids or hosts.version != call.index and not hosts.endpoints
-        ):
-            # The content of the version is missing, or not all there: what can be read of it counts, the
-            # number does not.
-            verification.doubt(now)
-            self._whole, self._watching = True, False
-            return Step(kind, keep=True, pause=max(PAUSE, verification.pause(now)), current=False)
-        self.version, self._watching = hosts.version, True
-        second = call.wait == 0 and (call.index is None or self._reads_changes_again)
-        if second:
-            verification.read_again(now)
-        contradicts = second and differs and hosts.version == known and not requested
-        if hosts.unparsed_ids or contradicts:
-            verification.doubt(now)
-        elif second and (not differs or hosts.is_snapshot and not verification.small_group):
-            verification.confirmed(hosts.version, now, chance)
-        elif hosts.version != known or second:
-            verification.changed(now, chance, missed=call.wait == 0 and not second)
-        if call.wait == 0 and after > SLOW and not self.pushed:
-            verification.crowded(now)
-        return Step(kind, keep=True, contradicts=contradicts)
-
-    def _changes_for_whole(self, now: float) -> Step:
-        """The whole list was asked for, and changes came. Who only confirms goes back to the watch; who has
-        to have the list asks for it again, ever later lest discovery be asked twenty times a second.
+        self._reset_backoff()
+        self._body_timeout_s = BODY_TIMEOUT_S
+        if worker_list.is_snapshot:
+            self.verification.handle_snapshot(now, worker_list.size_bytes)
+        if self._is_older(worker_list):
+            # Either an answer to an earlier call, or discovery has begun anew: only the snapshot, twice on
+            # new connections, can tell.
+            self._older_version_seen = self._snapshot_needed = True
+            return UNRELATED_ANSWER
+        if self._last_call.index is None and not worker_list.is_snapshot:
+            return self._handle_changes_for_snapshot(now)
+        if self._is_early(worker_list, elapsed_s):
+            return UNRELATED_ANSWER  # the answer to the last call is still to come on that connection
+        snapshot_requested = self._snapshot_needed
+        self._snapshot_needed = self._older_version_seen = False
+        self._wrong_answer_pause_s = 0.0
+        if self._lacks_content(worker_list):
+            return self._handle_missing_content(worker_list, now)
+        return self._take(worker_list, elapsed_s, now, jitter, changes_workers, snapshot_requested)
+
+    def _is_older(self, worker_list: WorkerList) -> bool:
+        """Whether the answer is older than the applied list, and is not the second snapshot to say so."""
+        if self.version is None or worker_list.version >= self.version:
+            return False
+        return not (self._last_call.index is None and self._older_version_seen)
+
+    def _is_early(self, worker_list: WorkerList, elapsed_s: float) -> bool:
+        """Whether a watch's answer without a change has come before its wait was over."""
+        wait_s = self._last_call.wait_s
+        unchanged = worker_list.version == self.version
+        return unchanged and wait_s > 0 and elapsed_s < EARLY_ANSWER_FRACTION * wait_s
+
+    def _lacks_content(self, worker_list: WorkerList) -> bool:
+        """Whether the content of the version is missing, or not all of it could be parsed."""
+        if worker_list.is_snapshot:
+            return False
+        renumbered = worker_list.version != self._last_call.index
+        return bool(worker_list.unparsed_ids) or (renumbered and not worker_list.endpoints)
+
+    def _update_kind(self, worker_list: WorkerList) -> UpdateKind | None:
+        """How the list is applied; the unchanged version in answer to a watch is not."""
+        if worker_list.version == self.version and self._last_call.wait_s > 0:
+            return None
+        return UpdateKind.SNAPSHOT if worker_list.is_snapshot else UpdateKind.CHANGES
+
+    def _handle_changes_for_snapshot(self, now: float) -> WatchDecision:
+        """Changes came in answer to a call for the snapshot.
+
+        A call that only confirms is followed by the watch. One that has to have the snapshot is repeated with
+        a growing pause, lest discovery be called twenty times a second.
         """
         if self._confirming and not self.pushed:
-            self.verification.crowded(now)
-            return OUT_OF_TURN
-        pause = min(2 * self._wrong_pause, self._longest) if self._wrong_pause else 2 * PAUSE
-        self._wrong_pause = pause
-        return replace(OUT_OF_TURN, pause=pause)
-
-    def failed_to_apply(self, now: float) -> None:
-        """The list that was taken last has not been applied whole: it is read anew."""
-        self.verification.doubt(now)
-
-    def failed(self, silent: bool, now: float, chance: float, begun: bool = False) -> float:
-        """A call has failed, `silent` if nothing came in time, `begun` if its answer had begun; the seconds
-        until the next. `chance` is drawn from 0 to 1.
+            self.verification.handle_overload(now)
+            return UNRELATED_ANSWER
+        doubled_s = min(2 * self._wrong_answer_pause_s, self._backoff_max_s)
+        self._wrong_answer_pause_s = doubled_s if self._wrong_answer_pause_s else 2 * CALL_SPACING_S
+        return replace(UNRELATED_ANSWER, pause_s=self._wrong_answer_pause_s)
+
+    def _handle_missing_content(self, worker_list: WorkerList, now: float) -> WatchDecision:
+        """What could be parsed of the changes is applied; the version's number is not taken."""
+        kind = self._update_kind(worker_list)
+        self.verification.handle_doubt(now)
+        self._snapshot_needed, self._watching = True, False
+        pause_s = max(CALL_SPACING_S, self.verification.bounded_seconds_until_read(now))
+        return WatchDecision(kind, keep_connection=True, pause_s=pause_s, proves_current=False)
+
+    def _take(
+        self,
+        worker_list: WorkerList,
+        elapsed_s: float,
+        now: float,
+        jitter: float,
+        changes_workers: bool,
+        snapshot_requested: bool,
+    ) -> WatchDecision:
+        """Take the list with its version, and see what it says of the list that was applied before."""
+        call, verification = self._last_call, self.verification
+        kind = self._update_kind(worker_list)
+        is_new_version = worker_list.version != self.version
+        self.version, self._watching = worker_list.version, True
+        is_second_read = call.wait_s == 0 and (call.index is None or self._rereads_changes)
+        if is_second_read:
+            verification.handle_confirming_read(now)
+        contradicts = is_second_read and changes_workers and not is_new_version and not snapshot_requested
+        agrees = not changes_workers or (worker_list.is_snapshot and not verification.small_group)
+        if worker_list.unparsed_ids or contradicts:
+            verification.handle_doubt(now)
+        elif is_second_read and agrees:
+            verification.handle_confirmation(worker_list.version, now, jitter)
+        elif is_new_version or is_second_read:
+            missed = call.wait_s == 0 and not is_second_read
+            verification.handle_change(now, jitter, missed)
+        if call.wait_s == 0 and elapsed_s > SLOW_ANSWER_S and not self.pushed:
+            verification.handle_overload(now)
+        return WatchDecision(kind, keep_connection=True, contradicts_earlier=contradicts)
+
+    def handle_apply_failure(self, now: float) -> None:
+        """Have the list read anew, as the one that was taken last has not been applied completely."""
+        self.verification.handle_doubt(now)
+
+    def handle_failure(self, silent: bool, now: float, jitter: float, answer_begun: bool = False) -> float:
+        """Decide on the retry of a call that has failed.
+
+        Args:
+            silent: Whether nothing came before the first-byte timeout.
+            now: The current time.
+            jitter: Drawn from 0 to 1.
+            answer_begun: Whether the answer had begun.
+
+        Returns:
+            The time to the next call.
         """
-        watched = self._call.wait > 0
         if self._confirming and not self.pushed:
-            self.verification.crowded(now)
-            return PAUSE  # back to the watch, which costs discovery nothing
+            self.verification.handle_overload(now)
+            return CALL_SPACING_S  # back to the watch, which costs discovery nothing
         self._watching = False
-        self._failures += 1
+        self._failure_count += 1
         if self.pushed:
-            return AGAIN_AGENT * (0.5 + chance / 2)
-        self.verification.crowded(now)
-        if begun:
-            self._body = min(2 * self._body, BODY_MOST)
-            return AGAIN_BODY * chance
-        if watched and silent:  # each watch ends at its own time, so that nobody comes in step
-            self._silent = True
+            return AGENT_RETRY_WINDOW_S * (0.5 + jitter / 2)
+        self.verification.handle_overload(now)
+        if answer_begun:
+            self._body_timeout_s = min(2 * self._body_timeout_s, BODY_TIMEOUT_MAX_S)
+            return BROKEN_BODY_RETRY_WINDOW_S * jitter
+        if self._last_call.wait_s > 0 and silent:  # each watch ends at its own time: no retries in step
+            self._after_silent_watch = True
             return 0.0
-        if self._silent:
-            self._silent = False
-            return AGAIN_SILENT * chance
-        self._window = min(2 * self._window, self._longest) if self._window else self._first
-        return self._window * chance
+        if self._after_silent_watch:
+            self._after_silent_watch = False
+            return AFTER_SILENT_WATCH_RETRY_WINDOW_S * jitter
+        doubled_s = min(2 * self._backoff_s, self._backoff_max_s)
+        self._backoff_s = doubled_s if self._backoff_s else self._backoff_first_s
+        return self._backoff_s * jitter
+
+    def _reset_backoff(self) -> None:
+        self._backoff_s, self._after_silent_watch, self._failure_count = 0.0, False, 0
--- a/beaconhinge/membership/inventory.py
+++ b/beaconhinge/membership/inventory.py
@@ -1,4 +1,4 @@
-"""Hosts as they are listed, and their translation into the module's `Member`s."""
+"""The endpoint list as discovery sends it, parsed into entries for the policy."""
 
 from __future__ import annotations
 
@@ -12,172 +12,212 @@
 
 from ..policy.interface import MemberEntry, WorkerState
 
-STATES = {"Ready": WorkerState.READY, "Terminating": WorkerState.DRAINING, "Gone": WorkerState.GONE}
+STATES_BY_NAME = {
+    "Ready": WorkerState.READY,
+    "Terminating": WorkerState.DRAINING,
+    "Gone": WorkerState.GONE,
+}
 
+# One above the largest TCP port.
+PORT_LIMIT = 65536
 
-VERSION = re.compile(r'"version"\s*:\s*(\d{1,18})\b')
-SERVERS = re.compile(r'"servers"\s*:\s*\[')
-BETWEEN = re.compile(r"[\s,]*")
-
-
-def _id_and_state(entry: Any) -> tuple[str, WorkerState | None]:
-    """An entry's id, empty if it can't be read, and its state."""
-    if not isinstance(entry, Mapping):
-        return "", None
-    name, state = entry.get("id"), entry.get("state")
-    return name if isinstance(name, str) else "", STATES.get(state) if isinstance(state, str) else None
-
-
-def _entries(text: str, at: int) -> Iterator[Any]:
-    """The JSON values from there on, up to the first that is not whole."""
-    decoder = json.JSONDecoder()
-    while True:
-        between = BETWEEN.match(text, at)
-        at = between.end() if between else at
-        try:
-            entry, at = decoder.raw_decode(text, at)
-        except (ValueError, RecursionError):
-            return
-        yield entry
+# Parts of a list's JSON, for answers that broke off and can't be parsed as a whole.
+VERSION_PATTERN = re.compile(r'"version"\s*:\s*(\d{1,18})\b')
+SERVERS_PATTERN = re.compile(r'"servers"\s*:\s*\[')
+SEPARATOR_PATTERN = re.compile(r"[\s,]*")
 
 
 class WorkerListError(Exception):
-    """A list that cannot be read at all."""
+    """A list that cannot be parsed at all."""
 
 
 @dataclass(frozen=True, slots=True)
 class WorkerEndpoint:
+    """One worker of a list: its id, its address, and its entry for the policy."""
+
     id: str
     address: tuple[str, int]
     member: MemberEntry
 
     def same_except_weight(self, other: WorkerEndpoint) -> bool:
-        """Whether both name the same worker in the same state; weights move all the time."""
+        """Return whether both name the same worker in the same state; weights change all the time."""
         member = replace(self.member, weight=other.member.weight)
         return self.address == other.address and member == other.member
 
     def with_state(self, state: WorkerState) -> WorkerEndpoint:
+        """Return a copy in another state."""
         return replace(self, member=replace(self.member, state=state))
 
 
 @dataclass(slots=True)
 class WorkerList:
+    """One answer of discovery: a snapshot of all workers, or the changes since a version.
+
+    Attributes:
+        version: The number that discovery gives to the list.
+        is_snapshot: Whether all workers are listed, so that one that is missing has left.
+        endpoints: The entries that could be parsed.
+        unparsed_ids: Ids of the entries that could not; "" for one without an id.
+        unparsed_states: States of those of them whose state can be read, by id.
+        size_bytes: The size of the answer's body.
+    """
+
     version: int = 0
     is_snapshot: bool = True
     endpoints: list[WorkerEndpoint] = field(default_factory=list)
-    unparsed_ids: list[str] = field(
-        default_factory=list
-    )  # ids of entries that cannot be read; "" for one without
-    unparsed_states: dict[str, WorkerState] = field(
-        default_factory=dict
-    )  # of those of them whose state can be read
-    size_bytes: int = 0  # bytes that it came in
+    unparsed_ids: list[str] = field(default_factory=list)
+    unparsed_states: dict[str, WorkerState] = field(default_factory=dict)
+    size_bytes: int = 0
 
 
-def worker_number(host_id: str) -> int:
-    """The same at every dispatcher, since peers name workers by it, and 32 bits wide for their reports."""
-    return int.from_bytes(hashlib.blake2s(host_id.encode(), digest_size=4).digest(), "big")
+def worker_number(worker_id: str) -> int:
+    """Return a worker's number, 32 bits wide.
+
+    It is the same at every dispatcher, since gossip names workers by it.
+    """
+    return int.from_bytes(hashlib.blake2s(worker_id.encode(), digest_size=4).digest(), "big")
 
 
 class WorkerListParser:
-    """Reads list values. What one entry gets wrong costs that entry alone: `dropped` is told of it."""
+    """Parses endpoint lists. A malformed entry costs that entry alone."""
 
     def __init__(
-        self, zones: Sequence[str], kinds: Sequence[str], dropped: Callable[[str], None] = lambda why: None
+        self,
+        zones: Sequence[str],
+        kinds: Sequence[str],
+        on_malformed_entry: Callable[[str], None] = lambda _why: None,
     ) -> None:
-        self.zones = {name: i for i, name in enumerate(zones)}
-        self.kinds = {name: i for i, name in enumerate(kinds)}
-        self.dropped = dropped
-        self.names: dict[int, str] = {}
+        """Create a parser for one deployment.
+
+        Args:
+            zones: Names of the zones, whose positions are their numbers.
+            kinds: Names of the kinds of worker, whose positions are their numbers.
+            on_malformed_entry: Called with the reason for each entry that can't be parsed.
+        """
+        self._zone_numbers = {name: i for i, name in enumerate(zones)}
+        self._kind_numbers = {name: i for i, name in enumerate(kinds)}
+        self._on_malformed_entry = on_malformed_entry
+        self._ids_by_number: dict[int, str] = {}
 
     def parse(self, content: Any) -> WorkerList:
+        """Parse a list from decoded JSON.
+
+        Raises:
+            WorkerListError: If the content as a whole is not a list.
+        """
         if not isinstance(content, Mapping) or not isinstance(content.get("servers"), list):
             raise WorkerListError("not an object with a list of servers")
         version = content.get("version")
         if isinstance(version, bool) or not isinstance(version, int) or version < 0:
             raise WorkerListError(f"version {version!r} is not a whole number")
-        hosts = WorkerList(version, content.get("full") is not False)
-        if hosts.is_snapshot:
-            self.names.clear()  # those that have left must not add up
+        worker_list = WorkerList(version, content.get("full") is not False)
+        if worker_list.is_snapshot:
+            self._ids_by_number.clear()  # workers that have left must not add up
         for entry in content["servers"]:
             try:
-                hosts.endpoints.append(self._host(entry))
+                worker_list.endpoints.append(self._parse_entry(entry))
             except (AttributeError, KeyError, TypeError, ValueError, OverflowError) as error:
-                name, state = _id_and_state(entry)
-                hosts.unparsed_ids.append(name)
-                if name and state is not None:
-                    hosts.unparsed_states[name] = state
-                self.dropped(f"{type(error).__name__}: {error}")
-        return hosts
+                worker_id, state = _id_and_state(entry)
+                worker_list.unparsed_ids.append(worker_id)
+                if worker_id and state is not None:
+                    worker_list.unparsed_states[worker_id] = state
+                self._on_malformed_entry(f"{type(error).__name__}: {error}")
+        return worker_list
 
     def parse_partial(self, body: bytes) -> WorkerList | None:
-        """What can be read of an answer that broke off: changes that hold only those entries which take a
-        worker out of service, with their ids and states. None if not even the version can be read, or nothing
-        is there.
+        """Parse what can be read of an answer that broke off.
 
-        Source: the form of discovery's answers, version before entries. Taking a worker out on a part of an
-        answer is safe; putting one in is not.
+        Taking a worker out of service on a part of an answer is safe; putting one into service is not. This
+        relies on the form of discovery's answers, the version before the entries.
+
+        Returns:
+            Changes with only those entries that take a worker out of service, as `unparsed_ids` and
+            `unparsed_states`; None if not even the version can be read, or there are no such entries.
         """
         text = body.decode("utf-8", "replace")
-        version = VERSION.search(text)
-        start = SERVERS.search(text)
+        version = VERSION_PATTERN.search(text)
+        start = SERVERS_PATTERN.search(text)
         if version is None or start is None or version.start() > start.start():
             return None
-        hosts = WorkerList(int(version[1]), is_snapshot=False)
-        for entry in _entries(text, start.end()):
-            name, state = _id_and_state(entry)
-            if name and state in (WorkerState.DRAINING, WorkerState.GONE):
-                hosts.unparsed_ids.append(name)
-                hosts.unparsed_states[name] = state
-        return hosts if hosts.unparsed_states else None
-
-    def to_json(self, version: int, hosts: Sequence[WorkerEndpoint]) -> dict[str, Any]:
-        """The whole list in discovery's form, as `read` takes it."""
-        zones = {number: name for name, number in self.zones.items()}
-        kinds = {number: name for name, number in self.kinds.items()}
-        states = {state: name for name, state in STATES.items()}
+        worker_list = WorkerList(int(version[1]), is_snapshot=False)
+        for entry in _complete_entries(text, start.end()):
+            worker_id, state = _id_and_state(entry)
+            if worker_id and state in (WorkerState.DRAINING, WorkerState.GONE):
+                worker_list.unparsed_ids.append(worker_id)
+                worker_list.unparsed_states[worker_id] = state
+        return worker_list if worker_list.unparsed_states else None
+
+    def to_json(self, version: int, endpoints: Sequence[WorkerEndpoint]) -> dict[str, Any]:
+        """Return the snapshot of these workers in discovery's form, as `parse` takes it."""
+        zones = {number: name for name, number in self._zone_numbers.items()}
+        kinds = {number: name for name, number in self._kind_numbers.items()}
+        states = {state: name for name, state in STATES_BY_NAME.items()}
         return {
             "version": version,
             "full": True,
             "servers": [
                 {
-                    "id": host.id,
-                    "addr": f"{host.address[0]}:{host.address[1]}",
-                    "state": states[host.member.state],
-                    "zone": zones.get(host.member.zone),
-                    "kind": kinds.get(host.member.kind),
-                    "cell": host.member.cell,
-                    "weight": host.member.weight,
-                    "started_ms": host.member.started_at * 1000,
+                    "id": endpoint.id,
+                    "addr": f"{endpoint.address[0]}:{endpoint.address[1]}",
+                    "state": states[endpoint.member.state],
+                    "zone": zones.get(endpoint.member.zone),
+                    "kind": kinds.get(endpoint.member.kind),
+                    "cell": endpoint.member.cell,
+                    "weight": endpoint.member.weight,
+                    "started_ms": endpoint.member.started_at * 1000,
                 }
-                for host in hosts
+                for endpoint in endpoints
             ],
         }
 
-    def _host(self, entry: Any) -> WorkerEndpoint:
-        name = entry["id"]
-        if not isinstance(name, str) or not name:
-            raise ValueError(f"id {name!r} is not a text")
-        number = worker_number(name)
-        if self.names.setdefault(number, name) != name:
-            raise ValueError(f"id {name!r} has the same number as {self.names[number]!r}")
+    def _parse_entry(self, entry: Any) -> WorkerEndpoint:
+        worker_id = entry["id"]
+        if not isinstance(worker_id, str) or not worker_id:
+            raise ValueError(f"id {worker_id!r} is not a text")
+        number = worker_number(worker_id)
+        if self._ids_by_number.setdefault(number, worker_id) != worker_id:
+            raise ValueError(f"id {worker_id!r} has the same number as {self._ids_by_number[number]!r}")
         ip, _, port = entry["addr"].rpartition(":")
         IPv4Address(ip)  # no names: there is no DNS, and looking one up would block
-        if not 0 < int(port) < 65536:
+        if not 0 < int(port) < PORT_LIMIT:
             raise ValueError(f"addr {entry['addr']!r} has no port")
-        weight, started = float(entry.get("weight", 1.0)), float(entry.get("started_ms", 0))
-        if weight - weight != 0.0 or started - started != 0.0:
+        weight, started_ms = float(entry.get("weight", 1.0)), float(entry.get("started_ms", 0))
+        if weight - weight != 0.0 or started_ms - started_ms != 0.0:
             raise ValueError("weight or started_ms is not finite")
         return WorkerEndpoint(
-            name,
+            worker_id,
             (ip, int(port)),
             MemberEntry(
                 number,
-                STATES[entry["state"]],
-                self.kinds.get(entry.get("kind"), -1),
+                STATES_BY_NAME[entry["state"]],
+                self._kind_numbers.get(entry.get("kind"), -1),
                 int(entry.get("cell", 0)),
-                self.zones.get(entry.get("zone"), -1),
+                self._zone_numbers.get(entry.get("zone"), -1),
                 weight,
-                max(started, 0.0) / 1000,
+                max(started_ms, 0.0) / 1000,
             ),
         )
+
+
+def _id_and_state(entry: Any) -> tuple[str, WorkerState | None]:
+    """An entry's id, empty if it can't be read, and its state."""
+    if not isinstance(entry, Mapping):
+        return "", None
+    worker_id, state = entry.get("id"), entry.get("state")
+    return (
+        worker_id if isinstance(worker_id, str) else "",
+        STATES_BY_NAME.get(state) if isinstance(state, str) else None,
+    )
+
+
+def _complete_entries(text: str, position: int) -> Iterator[Any]:
+    """The JSON values from a position on, up to the first that is incomplete."""
+    decoder = json.JSONDecoder()
+    while True:
+        separator = SEPARATOR_PATTERN.match(text, position)
+        position = separator.end() if separator else position
+        try:
+            entry, position = decoder.raw_decode(text, position)
+        except (ValueError, RecursionError):
+            return
+        yield entry
--- a/beaconhinge/membership/start_times.py
+++ b/beaconhinge/membership/start_times.py
@@ -1,40 +1,62 @@
-"""When workers started, on the clock of this process. No I/O: times are arguments.
-
-Discovery tells a start as wall time, and wall clocks step: this machine's, or all of them. A worker's age is
-what slow start goes by, and an age that is too large has a cold worker overloaded. So each start is brought
-to the forward-only clock of this process once, when it is first told, and stays as it is whatever the wall
-clock does later. Where the wall clock has stepped since this process started, the smaller of the ages that it
-gives is taken: a worker may then count as cold for a while longer than it is. A wall clock that was wrong all
-through the life of this process can't be noticed. Times are seconds.
+"""Start times of workers on this process's monotonic clock.
+
+No I/O: times are arguments, in seconds.
+
+Discovery reports a worker's start as wall time, and wall clocks step, on this machine or on all of them. Slow
+start depends on a worker's age, and an age that is too large overloads a worker that is still warming up. So
+each start is converted to the monotonic clock of this process once, when it is first reported, and is kept
+whatever the wall clock does later. If the wall clock has stepped since this process started, the smaller of
+the possible ages is used: a worker may then be treated as warming up for longer than necessary. A wall clock
+that was wrong during the whole lifetime of this process can't be detected.
 """
 
 from __future__ import annotations
 
+from dataclasses import dataclass
+
+
+@dataclass(frozen=True, slots=True)
+class _StartTime:
+    """One reported start on both clocks, in seconds."""
+
+    wall_s: float
+    monotonic_s: float
+
 
 class StartTimes:
-    """The starts of the workers that were told last, by their ids."""
+    """Converted start times of the workers that were listed last, by worker id."""
 
     def __init__(self) -> None:
-        self._least_wall_lead = 0.0  # of the wall clock before the process's, which begin as one
-        self._starts: dict[str, tuple[float, float]] = {}  # as told, and on this process's clock
+        # The smallest lead of the wall clock over the monotonic clock seen so far. The two begin equal.
+        self._min_wall_lead_s = 0.0
+        self._starts_by_worker: dict[str, _StartTime] = {}
+
+    def observe_clocks(self, now: float, wall: float) -> None:
+        """Record a simultaneous reading of the monotonic clock (`now`) and the wall clock."""
+        self._min_wall_lead_s = min(self._min_wall_lead_s, wall - now)
+
+    def to_monotonic(self, worker_id: str, wall_start_s: float, now: float) -> float:
+        """Convert a reported start to the monotonic clock.
 
-    def wall_clock_read(self, now: float, wall: float) -> None:
-        """What both clocks show this moment."""
-        self._least_wall_lead = min(self._least_wall_lead, wall - now)
+        Args:
+            worker_id: The worker's id in the endpoint list.
+            wall_start_s: Its start as discovery reports it, in wall time; 0 means long ago.
+            now: The current monotonic time.
 
-    def on_own_clock(self, worker: str, told: float, now: float) -> float:
-        """When the worker started that is told to have started at `told` in wall time; 0 stays 0: long
-        ago.
+        Returns:
+            The start in monotonic time, the same for each call with the same arguments; 0 if it was long ago.
         """
-        if told <= 0:
+        if wall_start_s <= 0:
             return 0.0
-        known = self._starts.get(worker)
-        if known is not None and known[0] == told:
-            return known[1]
-        age = max(0.0, now + self._least_wall_lead - told)
-        self._starts[worker] = told, now - age
-        return now - age
-
-    def keep(self, workers: set[str]) -> None:
-        """Forget all but these, which a whole list names."""
-        self._starts = {worker: start for worker, start in self._starts.items() if worker in workers}
+        known = self._starts_by_worker.get(worker_id)
+        if known is not None and known.wall_s == wall_start_s:
+            return known.monotonic_s
+        age_s = max(0.0, now + self._min_wall_lead_s - wall_start_s)
+        self._starts_by_worker[worker_id] = _StartTime(wall_start_s, now - age_s)
+        return now - age_s
+
+    def retain_only(self, worker_ids: set[str]) -> None:
+        """Forget all workers but these, which are the ones in a snapshot."""
+        self._starts_by_worker = {
+            worker_id: start for worker_id, start in self._starts_by_worker.items() if worker_id in worker_ids
+        }
--- a/beaconhinge/membership/verification.py
+++ b/beaconhinge/membership/verification.py
@@ -1,11 +1,12 @@
-"""When the list that is believed is compared with discovery's whole list. No I/O: time and chance are
-arguments.
+"""When the applied endpoint list is compared with discovery's snapshot.
+
+No I/O: time and jitter are arguments. Times are seconds, sizes bytes.
 
 A version is a number that discovery gives to its list. Having heard the number does not mean having the
-content: an answer may hold none of the changes that it numbers, or only a part of them. So each change of the
-believed list stays *unconfirmed* until a second answer, asked for apart from the first, agrees with it. What
-reconciles the two is the anti-entropy of replicated stores: the whole list is read after anything doubtful,
-and at a low rate anyway. docs/design/membership.md tells the price. Times are seconds, sizes bytes.
+content: an answer may hold none of the changes that it numbers, or only some of them. So each change of the
+applied list stays *unconfirmed* until a second answer, asked for apart from the first, agrees with it. What
+reconciles the two is the anti-entropy of replicated stores: the snapshot is read after anything doubtful, and
+at a low rate anyway. docs/design/membership.md tells the price.
 """
 
 from __future__ import annotations
@@ -13,146 +14,193 @@
 import enum
 import math
 
-# After the first unconfirmed change, when the whole list is read: at random lest a fleet come at once, and
-# late enough that one read does for a burst of changes. What discovery tells counts as notified 6 s later at
-# the latest, and a call has 2 s.
-AFTER_CHANGE_EARLIEST, AFTER_CHANGE_LATEST = 2.0, 3.8
-# What a whole group may add to discovery's calls: it answers some dozens a second, watches apart. In a group
-# of more than 18 the reads are spread over longer than that, and what an answer left out unseen may count for
-# some seconds.
-FLEET_READS_PER_SECOND = 10.0
+# The delay between the first unconfirmed change and the read that confirms it: drawn at random lest a fleet
+# come at once, and long enough that one read does for a burst of changes. What discovery announces counts as
+# notified 6 s later at the latest, and a call has 2 s.
+CONFIRM_DELAY_MIN_S = 2.0
+CONFIRM_DELAY_MAX_S = 3.8
+# The same where a local agent pushes lists: what it has counts at once, and asking it is free.
+AGENT_CONFIRM_DELAY_S = 0.1
+# What a whole group may add to discovery's load: it answers some dozens of calls a second, watches apart. In
+# a group of more than 18 the reads are spread over longer than CONFIRM_DELAY_MAX_S, and what an answer left
+# out unseen may count for some seconds.
+GROUP_READS_PER_SECOND = 10.0
 # In a larger group nothing is read to confirm what no answer shows to be doubtful: a read takes the place of
 # the watch for a moment, and on an overbooked day the watch comes back seconds later.
-CONFIRMING_GROUP_MOST = 60
-# While calls fail, or take longer than SLOW, discovery has too many callers: what can wait does.
-SLOW, AFTER_CROWD = 0.5, 2.0  # doubled each time, up to RESYNC, until a read is answered quickly
-# A group of up to so many confirms by whole lists, and at once what was missed (before a start, in a stop,
-# while calls failed), since that counts as notified already. Whole lists are dear: those of a larger group
+CONFIRMING_GROUP_SIZE_MAX = 60
+# While calls fail, or take longer than this, discovery is overloaded: what can wait does.
+SLOW_ANSWER_S = 0.5
+# The first such delay; doubled each time, up to RESYNC_PERIOD_S, until a read is answered quickly.
+OVERLOAD_BACKOFF_S = 2.0
+# A group of up to this size confirms by snapshots, and at once what was missed (before a start, in a pause,
+# while calls failed), since that counts as notified already. Snapshots are expensive: those of a larger group
 # kept discovery from answering (docs/design/membership.md). It reads the changes again.
-SMALL_GROUP_MOST = 18
-AFTER_CHANGE_AGENT = 0.1  # where an agent at hand pushes lists: what it has counts at once, asking is free
-# Between whole reads while answers contradict each other or can't be read; doubled while that goes on, up to
-# RESYNC.
-AFTER_DOUBT, AFTER_DOUBT_AGENT = 2.0, 0.2
-RESYNC = 60.0  # the mean time between whole reads while nothing changes
-SPACING = 1.5  # the least time between whole reads that nothing doubtful has caused
-# Whole lists of large fleets are dear: beyond this rate a change is confirmed by reading the changes again.
-BYTES_PER_SECOND, BYTES_BURST = 8 * 1024, 128 * 1024
-BYTES_PER_ENTRY = 160  # until a whole list has come
-
-
-class Read(enum.Enum):
-    """What the next call to discovery is to read so as to confirm what is believed."""
+SMALL_GROUP_SIZE_MAX = 18
+# Between snapshots while answers contradict each other or can't be parsed; doubled while that goes on, up to
+# RESYNC_PERIOD_S.
+DOUBT_BACKOFF_S = 2.0
+AGENT_DOUBT_BACKOFF_S = 0.2
+# The mean time between snapshots while nothing changes.
+RESYNC_PERIOD_S = 60.0
+# The least time between snapshots that nothing doubtful has caused.
+SNAPSHOT_SPACING_S = 1.5
+# Snapshots of large fleets are expensive: beyond this rate a change is confirmed by reading the changes
+# again.
+SNAPSHOT_BUDGET_BYTES_PER_S = 8 * 1024
+SNAPSHOT_BUDGET_BURST_BYTES = 128 * 1024
+# The size of an entry, until a snapshot has shown it.
+ESTIMATED_ENTRY_BYTES = 160
+
+
+class ConfirmingRead(enum.Enum):
+    """What the next call to discovery is to read so as to confirm the applied list."""
 
     NOTHING = enum.auto()
-    WHOLE = enum.auto()  # the whole list
+    SNAPSHOT = enum.auto()
     CHANGES = enum.auto()  # the changes since the last confirmed version, once more
 
 
+def _double(backoff_s: float, first_s: float) -> float:
+    """The backoff after this one: the first if there was none, else twice as long within bounds."""
+    return min(2 * backoff_s, RESYNC_PERIOD_S) if backoff_s else first_s
+
+
 class Verification:
-    """Whether the believed list is confirmed, and what has to be read when to have it confirmed."""
+    """Tracks whether the applied list is confirmed, and what has to be read when to confirm it.
+
+    Attributes:
+        pushed: Whether a local agent pushes lists, in place of a central discovery that is polled.
+        small_group: Whether the group of dispatchers is small enough to confirm by snapshots.
+        confirmed_version: The version that was confirmed last, or configured; None if there is none.
+        unconfirmed_since_s: When the first change after the last confirmation was applied; None if all is
+            confirmed.
+        doubtful: Whether an answer contradicts another one, or could not be parsed.
+    """
 
     def __init__(
-        self, pushed: bool, group_size: int, now: float, chance: float, version: int | None = None
+        self, pushed: bool, group_size: int, now: float, jitter: float, version: int | None = None
     ) -> None:
+        """Start with the configured list as the confirmed one.
+
+        Args:
+            pushed: Whether a local agent pushes lists.
+            group_size: How many dispatchers ask the same discovery.
+            now: The current time.
+            jitter: Drawn from 0 to 1.
+            version: The version of the configured list, None if there is none.
+        """
         self.pushed = pushed
-        turn = 0.0 if pushed else group_size / FLEET_READS_PER_SECOND
-        self._latest = max(AFTER_CHANGE_LATEST, AFTER_CHANGE_EARLIEST + turn)
-        self.small_group = pushed or group_size <= SMALL_GROUP_MOST
-        self._confirms = pushed or group_size <= CONFIRMING_GROUP_MOST
-        self._resync = RESYNC if self._confirms else math.inf
-        self._spacing = 0.0 if pushed else max(SPACING, turn)
-        self.confirmed_version = version  # of the list that was confirmed last, or configured
-        self.unconfirmed_since: float | None = None  # the first change since then
-        self._due = now + self._resync * (0.5 + chance)
-        self.doubtful = False  # an answer contradicts another, or could not be read
-        self._first_doubt = AFTER_DOUBT_AGENT if pushed else AFTER_DOUBT
-        self._doubt_again = 0.0  # seconds from a doubtful whole list to the next read; 0: the last was not
-        self._crowded_for = 0.0  # seconds that the last read was put off because of a crowd
-        self._last_whole = -math.inf
-        self._whole_bytes = 0
-        self._budget = float(BYTES_BURST)
-        self._budget_at = now
-
-    def begin(self, now: float, chance: float) -> None:
-        """Another discovery is asked from now on, or another list was taken over: nothing of it is
-        confirmed."""
+        group_round_s = 0.0 if pushed else group_size / GROUP_READS_PER_SECOND
+        self._confirm_delay_max_s = max(CONFIRM_DELAY_MAX_S, CONFIRM_DELAY_MIN_S + group_round_s)
+        self.small_group = pushed or group_size <= SMALL_GROUP_SIZE_MAX
+        self._confirms_changes = pushed or group_size <= CONFIRMING_GROUP_SIZE_MAX
+        self._resync_period_s = RESYNC_PERIOD_S if self._confirms_changes else math.inf
+        self._snapshot_spacing_s = 0.0 if pushed else max(SNAPSHOT_SPACING_S, group_round_s)
+        self.confirmed_version = version
+        self.unconfirmed_since_s: float | None = None
+        self._read_due_s = now + self._resync_period_s * (0.5 + jitter)
+        self.doubtful = False
+        self._doubt_backoff_first_s = AGENT_DOUBT_BACKOFF_S if pushed else DOUBT_BACKOFF_S
+        self._doubt_backoff_s = 0.0  # from a doubtful snapshot to the next; 0: the last was not doubtful
+        self._overload_backoff_s = 0.0  # by which the last read was put off; 0: discovery is not overloaded
+        self._last_snapshot_s = -math.inf
+        self._snapshot_size_bytes = 0
+        self._budget_bytes = float(SNAPSHOT_BUDGET_BURST_BYTES)
+        self._budget_refilled_s = now
+
+    def restart(self, now: float, jitter: float) -> None:
+        """Another discovery is asked from now on, or another list was taken over: nothing is confirmed."""
         self.confirmed_version = None
-        self.changed(now, chance)
+        self.handle_change(now, jitter)
+
+    def handle_change(self, now: float, jitter: float, missed: bool = False) -> None:
+        """Schedule the read that confirms a change of the applied list.
 
-    def changed(self, now: float, chance: float, missed: bool = False) -> None:
-        """The believed list has changed by an answer that nothing has confirmed yet. `missed`: it tells of
-        changes that were made while nobody watched.
+        Args:
+            now: The current time.
+            jitter: Drawn from 0 to 1.
+            missed: Whether the change was made while no watch was open.
         """
-        if self.unconfirmed_since is None:
-            self.unconfirmed_since = now
-        if not self._confirms:
+        if self.unconfirmed_since_s is None:
+            self.unconfirmed_since_s = now
+        if not self._confirms_changes:
             return
-        span = self._latest - AFTER_CHANGE_EARLIEST
         if missed and self.small_group and not self.pushed:
-            self._due = now
+            self._read_due_s = now
             return
-        wait = AFTER_CHANGE_AGENT if self.pushed else AFTER_CHANGE_EARLIEST + span * chance
-        self._due = min(self._due, max(now + wait, self._last_whole + self._spacing))
+        spread_s = self._confirm_delay_max_s - CONFIRM_DELAY_MIN_S
+        delay_s = AGENT_CONFIRM_DELAY_S if self.pushed else CONFIRM_DELAY_MIN_S + spread_s * jitter
+        earliest_s = self._last_snapshot_s + self._snapshot_spacing_s
+        self._read_due_s = min(self._read_due_s, max(now + delay_s, earliest_s))
 
-    def crowded(self, now: float) -> None:
-        """Discovery has too many callers at present. What is doubtful is read all the same."""
+    def handle_overload(self, now: float) -> None:
+        """Put reads off as discovery has too many callers. What is doubtful is read all the same."""
         if self.doubtful:
             return
-        self._crowded_for = min(2 * self._crowded_for, RESYNC) if self._crowded_for else AFTER_CROWD
-        self._due = max(self._due, now + self._crowded_for)
+        self._overload_backoff_s = _double(self._overload_backoff_s, OVERLOAD_BACKOFF_S)
+        self._read_due_s = max(self._read_due_s, now + self._overload_backoff_s)
+
+    def handle_doubt(self, now: float) -> None:
+        """Have the snapshot read, as an answer can't be right, can't be parsed, or contradicts another.
 
-    def doubt(self, now: float) -> None:
-        """An answer can't be right, or can't be read, or contradicts another: read the whole list, now if
-        that was not done just before.
+        It is read now unless that was done just before.
         """
-        if self.unconfirmed_since is None:
-            self.unconfirmed_since = now
+        if self.unconfirmed_since_s is None:
+            self.unconfirmed_since_s = now
         self.doubtful = True
-        if now == self._last_whole:  # the answer that was to settle it is itself doubtful
-            self._doubt_again = min(2 * self._doubt_again, RESYNC) if self._doubt_again else self._first_doubt
-        self._due = min(self._due, max(now, self._last_whole + (self._doubt_again or self._first_doubt)))
-
-    def confirmed(self, version: int, now: float, chance: float) -> None:
-        """A second answer agrees with what is believed."""
-        self.confirmed_version, self.unconfirmed_since, self.doubtful = version, None, False
-        self._crowded_for = 0.0
-        self._doubt_again = 0.0
-        self._due = now + self._resync * (0.5 + chance)
-
-    def read_again(self, now: float) -> None:
-        """What had to be read has been; what follows from it is said next."""
-        self._due = now + 2 * self._resync
-
-    def whole_read(self, now: float, size: int) -> None:
-        """A whole list of so many bytes has come."""
-        self.read_again(now)
-        self._refill(now)
-        self._budget -= size
-        self._last_whole, self._whole_bytes = now, size
-
-    def wait(self, now: float) -> float:
-        """Seconds until something has to be read; 0 if it has to be now."""
-        return max(0.0, self._due - now)
-
-    def pause(self, now: float) -> float:
-        """The same, bounded: so long may pass without any call at most."""
-        return min(self.wait(now), self._first_doubt)
-
-    def read(self, now: float, entries: int) -> Read:
-        """What to read now; `entries`: the size of the believed list, which tells the price of the whole
-        one."""
-        if now < self._due:
-            return Read.NOTHING
+        if now == self._last_snapshot_s:  # the answer that was to settle it is itself doubtful
+            self._doubt_backoff_s = _double(self._doubt_backoff_s, self._doubt_backoff_first_s)
+        earliest_s = self._last_snapshot_s + (self._doubt_backoff_s or self._doubt_backoff_first_s)
+        self._read_due_s = min(self._read_due_s, max(now, earliest_s))
+
+    def handle_confirmation(self, version: int, now: float, jitter: float) -> None:
+        """Record that a second answer agrees with the applied list, which has this version."""
+        self.confirmed_version, self.unconfirmed_since_s, self.doubtful = version, None, False
+        self._overload_backoff_s = 0.0
+        self._doubt_backoff_s = 0.0
+        self._read_due_s = now + self._resync_period_s * (0.5 + jitter)
+
+    def handle_confirming_read(self, now: float) -> None:
+        """Record that what had to be read has been; the outcome is reported by the next call."""
+        self._read_due_s = now + 2 * self._resync_period_s
+
+    def handle_snapshot(self, now: float, size_bytes: int) -> None:
+        """Record that a snapshot of this size has come."""
+        self.handle_confirming_read(now)
+        self._refill_budget(now)
+        self._budget_bytes -= size_bytes
+        self._last_snapshot_s, self._snapshot_size_bytes = now, size_bytes
+
+    def seconds_until_read(self, now: float) -> float:
+        """Return the seconds until something has to be read; 0 if it has to be now."""
+        return max(0.0, self._read_due_s - now)
+
+    def bounded_seconds_until_read(self, now: float) -> float:
+        """Return the same, bounded by the longest time that may pass without any call."""
+        return min(self.seconds_until_read(now), self._doubt_backoff_first_s)
+
+    def next_read(self, now: float, entry_count: int) -> ConfirmingRead:
+        """Return what to read now.
+
+        Args:
+            now: The current time.
+            entry_count: The number of workers in the applied list, by which a snapshot's size is estimated.
+        """
+        if now < self._read_due_s:
+            return ConfirmingRead.NOTHING
         if self.doubtful or self.confirmed_version is None:
-            return Read.WHOLE
-        return Read.WHOLE if self.small_group and self._affordable(now, entries) else Read.CHANGES
-
-    def _affordable(self, now: float, entries: int) -> bool:
-        """Whether the whole list may be read, by the bytes that it takes."""
-        self._refill(now)
-        return self._budget > 0 or (self._whole_bytes or entries * BYTES_PER_ENTRY) <= BYTES_PER_SECOND
-
-    def _refill(self, now: float) -> None:
-        grown = self._budget + (now - self._budget_at) * BYTES_PER_SECOND
-        self._budget, self._budget_at = min(grown, float(BYTES_BURST)), now
+            return ConfirmingRead.SNAPSHOT
+        if self.small_group and self._snapshot_affordable(now, entry_count):
+            return ConfirmingRead.SNAPSHOT
+        return ConfirmingRead.CHANGES
+
+    def _snapshot_affordable(self, now: float, entry_count: int) -> bool:
+        """Whether the byte budget allows a snapshot."""
+        self._refill_budget(now)
+        expected_bytes = self._snapshot_size_bytes or entry_count * ESTIMATED_ENTRY_BYTES
+        return self._budget_bytes > 0 or expected_bytes <= SNAPSHOT_BUDGET_BYTES_PER_S
+
+    def _refill_budget(self, now: float) -> None:
+        grown = self._budget_bytes + (now - self._budget_refilled_s) * SNAPSHOT_BUDGET_BYTES_PER_S
+        self._budget_bytes = min(grown, float(SNAPSHOT_BUDGET_BURST_BYTES))
+        self._budget_refilled_s = now
--- a/beaconhinge/net/discovery.py
+++ b/beaconhinge/net/discovery.py
@@ -11,8 +11,8 @@
 
 from ..config import Address, Config
 from ..dispatch.policy_runner import PolicyRunner
-from ..membership.discovery_watch import STALL, Call, DiscoveryWatch
-from ..membership.freshness import Freshness, ListState
+from ..membership.discovery_watch import BODY_IDLE_TIMEOUT_S, DiscoveryCall, DiscoveryWatch
+from ..membership.freshness import ListFreshness, ListState
 from ..membership.inventory import WorkerList, WorkerListError, WorkerListParser
 from ..membership.start_times import StartTimes
 from ..policy import interface
@@ -28,7 +28,8 @@
 TRACED_LISTS = 8  # lists taken last, told with each quiet watch that is traced
 # Seconds for each member of a group, over which the first calls of those that start at once are spread, and
 # the most. None of them serves before it has its list.
-START_SPREAD, START_SPREAD_MOST = 0.01, 3.0
+START_SPREAD = 0.01
+START_SPREAD_MOST = 3.0
 RUN_CHECK = 0.15  # seconds between signs that this process runs
 
 
@@ -84,7 +85,7 @@
         self._watch: asyncio.Task[None] | None = None
         self._heard = asyncio.Event()  # a call has been answered, or has failed
         self._listed_at = timers.now()
-        self.freshness = Freshness(not settings.membership_on_request, timers.now())
+        self.freshness = ListFreshness(not settings.membership_on_request, timers.now())
         self._content: dict[str, object] = {}  # of the last answer
         self._usable = asyncio.Event()  # the list may be acted on
         self._taken: deque[str] = deque(maxlen=TRACED_LISTS)
@@ -99,7 +100,7 @@
     def list_usable(self) -> bool:
         """Whether the list may be acted on, as far as is known this moment."""
         now = self.timers.now()
-        if self.freshness.ran(now):
+        if self.freshness.mark_running(now):
             self._stood_still()
         return self.freshness.state(now) is not ListState.UNKNOWN
 
@@ -109,7 +110,7 @@
 
     def _check(self) -> None:
         self.timers.after(RUN_CHECK, self._check)
-        self._start_times.wall_clock_read(self.timers.now(), self._wall_clock())
+        self._start_times.observe_clocks(self.timers.now(), self._wall_clock())
         self._look()
 
     def _look(self) -> None:
@@ -149,7 +150,7 @@
         """
         if here and self.version is not None and self.version > hosts.version:
             return
-        self.watch.begin(_whole_version(hosts) if here else None, self.timers.now(), self._random.random())
+        self.watch.restart(_whole_version(hosts) if here else None, self.timers.now(), self._random.random())
         self.known = hosts
 
     def switch_to(self, address: Address) -> None:
@@ -159,7 +160,7 @@
         if address == self.address:
             return
         self.address = address
-        pause = self.watch.moved(self.timers.now(), self._random.random())
+        pause = self.watch.switch_discovery(self.timers.now(), self._random.random())
         if self._watch is not None:  # soon: the module would ask again only when the old watch had failed
             self._again(pause=pause)
 
@@ -174,7 +175,7 @@
         """Call now, and follow from there. One call at a time: no answer overtakes another."""
         if self._watch is not None:
             self._watch.cancel()
-        self.watch.catch_up(whole)
+        self.watch.resync(whole)
         self._watch = self.metrics.spawn(self._follow(pause), "watch")
 
     async def refresh(self) -> None:
@@ -189,9 +190,9 @@
         try:
             while True:
                 await asyncio.sleep(pause)
-                self.watch.entries = len(self.workers.workers)
+                self.watch.entry_count = len(self.workers.workers)
                 began = self.timers.now()
-                call = self.watch.call(began)
+                call = self.watch.next_call(began)
                 try:
                     hosts = await self._call(line, call)
                 except (OSError, Closed, BadMessage, WorkerListError) as error:
@@ -203,45 +204,45 @@
         finally:
             line.drop()
 
-    def _answered(self, line: _Line, call: Call, hosts: WorkerList, after: float) -> float:
+    def _answered(self, line: _Line, call: DiscoveryCall, hosts: WorkerList, after: float) -> float:
         now, known = self.timers.now(), self.version
         if self.watch.failing:
             self.metrics.log("discovery_back", list_age=now - self._listed_at)
         self._complete(hosts)
         differs = self.workers.differs(hosts)
-        step = self.watch.answered(hosts, after, now, self._random.random(), differs)
-        if step.current:
+        step = self.watch.handle_answer(hosts, after, now, self._random.random(), differs)
+        if step.proves_current:
             self._listed_at = now
-            self.freshness.heard(now - after, now)
+            self.freshness.handle_answer(now - after, now)
         else:  # as little as a call that fails
-            self.freshness.failed(now - after, now, down=False, watched=False)
-        if not step.keep:
+            self.freshness.handle_failure(now - after, now, refused=False, was_watch=False)
+        if not step.keep_connection:
             line.drop()
             self.metrics.count_and_log("list_out_of_turn", version=hosts.version, known=self.version)
-        if call.wait == 0 and step.kind and hosts.version == known:
+        if call.wait_s == 0 and step.update_kind and hosts.version == known:
             self.metrics.count("lists_verified")
-        if step.contradicts:
+        if step.contradicts_earlier:
             self.metrics.count_and_log(
                 "list_contradicted", version=hosts.version, entries=len(hosts.endpoints)
             )
-        if step.kind:
+        if step.update_kind:
             self._taken.append(
-                f"{step.kind}:{known}-{hosts.version}:{len(hosts.endpoints)}:{len(hosts.unparsed_ids)}"
+                f"{step.update_kind}:{known}-{hosts.version}:{len(hosts.endpoints)}:{len(hosts.unparsed_ids)}"
             )
             if differs or hosts.version != known:
                 self.metrics.log(
                     "list_taken",
-                    kind=step.kind,
+                    kind=step.update_kind,
                     version=hosts.version,
                     known=known,
                     index=call.index,
-                    wait=call.wait,
+                    wait=call.wait_s,
                     entries=len(hosts.endpoints),
                     unread=len(hosts.unparsed_ids),
                     after=after,
                 )
             self.policy_runner.monitor.list_received(self._content, now)
-            self._tell(step.kind, hosts)
+            self._tell(step.update_kind, hosts)
         else:
             members = [host.member for host in self.workers.hosts()]
             self.metrics.trace(
@@ -252,7 +253,7 @@
                 ready=sum(member.state == WorkerState.READY for member in members),
                 taken=" ".join(self._taken),
             )
-        return step.pause
+        return step.pause_s
 
     def _complete(self, hosts: WorkerList) -> None:
         """Entries that can't be read, as far as they can: a known worker's readable state counts where it
@@ -276,34 +277,34 @@
             self.metrics.count_and_log("list_salvaged", version=hosts.version, entries=len(hosts.endpoints))
             self._tell(UpdateKind.CHANGES, hosts)
 
-    def _failed(self, line: _Line, call: Call, error: Exception, began: float) -> float:
+    def _failed(self, line: _Line, call: DiscoveryCall, error: Exception, began: float) -> float:
         down = isinstance(error, (ConnectionRefusedError, ConnectionResetError, BrokenPipeError, Closed))
-        self.freshness.failed(began, self.timers.now(), down, call.wait > 0)
+        self.freshness.handle_failure(began, self.timers.now(), down, call.wait_s > 0)
         begun = line.connection is not None and line.connection.partial
         if line.connection is not None and begun:
             self._salvage(line.connection.unfinished_body())
         line.drop()
         silent = isinstance(error, TimeoutError) and not begun
-        if silent and call.wait:
+        if silent and call.wait_s:
             self.metrics.count_and_log("watch_silent", list_age=self.timers.now() - self._listed_at)
         else:
             self.metrics.count_and_log("discovery_failed", why=f"{type(error).__name__}: {error}")
-        return self.watch.failed(silent, self.timers.now(), self._random.random(), begun)
+        return self.watch.handle_failure(silent, self.timers.now(), self._random.random(), begun)
 
     def _not_applied(self, event: interface.Event) -> None:
         """The module failed on an event: if that was a list, it may hold another one than is believed
         here."""
         if isinstance(event, interface.MembershipUpdate):
-            self.watch.failed_to_apply(self.timers.now())
+            self.watch.handle_apply_failure(self.timers.now())
 
-    async def _call(self, line: _Line, call: Call) -> WorkerList:
+    async def _call(self, line: _Line, call: DiscoveryCall) -> WorkerList:
         self.metrics.count("discovery_calls")
-        query = "" if call.index is None else f"?index={call.index}&wait={call.wait * 1000:.0f}"
+        query = "" if call.index is None else f"?index={call.index}&wait={call.wait_s * 1000:.0f}"
         if line.connection is not None and not line.connection.silent():
             # A second answer to the call before: every later one would be taken for that of another call.
             line.drop()
             self.metrics.count("discovery_spoke_unasked")
-        async with self.timers.timeout(call.patience):
+        async with self.timers.timeout(call.first_byte_timeout_s):
             if line.connection is None:
                 sock = await connect(self.address)
                 line.connection = Connection(sock, False, lambda: None, MAX_LIST)
@@ -311,7 +312,7 @@
                 http1.request("GET", f"/discovery/hosts{query}".encode(), {"Host": "discovery"})
             )
             await line.connection.begun()
-        message = await self._whole_answer(line.connection, call.body)
+        message = await self._whole_answer(line.connection, call.body_timeout_s)
         if not message.keep_alive:
             line.drop()
         if message.status != 200:
@@ -331,7 +332,7 @@
         while True:
             received, left = connection.received, until - self.timers.now()
             try:
-                async with self.timers.timeout(min(STALL, left)):
+                async with self.timers.timeout(min(BODY_IDLE_TIMEOUT_S, left)):
                     return await connection.next()
             except TimeoutError:
                 if connection.received == received or self.timers.now() >= until:
@@ -348,11 +349,11 @@
     def _members(self, hosts: WorkerList) -> list[interface.MemberEntry]:
         """The list for the module, with each start of a worker on this process's clock."""
         now = self.timers.now()
-        self._start_times.wall_clock_read(now, self._wall_clock())
+        self._start_times.observe_clocks(now, self._wall_clock())
         if hosts.is_snapshot:
-            self._start_times.keep({host.id for host in hosts.endpoints})
+            self._start_times.retain_only({host.id for host in hosts.endpoints})
         members = []
         for host in hosts.endpoints:
-            started = self._start_times.on_own_clock(host.id, host.member.started_at, now)
+            started = self._start_times.to_monotonic(host.id, host.member.started_at, now)
             members.append(replace(host.member, slow_start_from=started) if started else host.member)
         return members
--- a/tests/test_arrivals.py
+++ b/tests/test_arrivals.py
@@ -5,10 +5,10 @@
 import pytest
 
 from beaconhinge.dispatch.arrivals import (
-    LATE_AFTER,
-    READ_WITHIN,
-    READ_WITHIN_MOST,
-    READ_WITHIN_PART,
+    DRAIN_INPUT_FRACTION,
+    DRAIN_INPUT_MAX_S,
+    DRAIN_INPUT_MIN_S,
+    PROCESS_PAUSE_S,
     ArrivalBounds,
 )
 
@@ -22,7 +22,7 @@
 
 def test_while_the_process_runs_a_request_comes_when_it_is_read() -> None:
     assert running(10.0).earliest_arrival(10.0) == 10.0
-    assert running(10.0).earliest_arrival(10.0 + LATE_AFTER) == 10.0 + LATE_AFTER
+    assert running(10.0).earliest_arrival(10.0 + PROCESS_PAUSE_S) == 10.0 + PROCESS_PAUSE_S
     assert ArrivalBounds(5.0).earliest_arrival(5.0) == 5.0
 
 
@@ -32,13 +32,15 @@
     if first == "a timer":
         arrivals.mark_running(12.5)
     assert arrivals.earliest_arrival(12.5) == 10.0
-    until = 12.5 + READ_WITHIN_PART * 2.5
+    until = 12.5 + DRAIN_INPUT_FRACTION * 2.5
     arrivals.mark_running(12.6)
     assert arrivals.earliest_arrival(until - 0.01) == 10.0  # the rest of what waited
     assert arrivals.earliest_arrival(until + 0.01) == until + 0.01
 
 
-@pytest.mark.parametrize(("stood", "within"), [(0.3, READ_WITHIN), (3.0, 0.3), (3600.0, READ_WITHIN_MOST)])
+@pytest.mark.parametrize(
+    ("stood", "within"), [(0.3, DRAIN_INPUT_MIN_S), (3.0, 0.3), (3600.0, DRAIN_INPUT_MAX_S)]
+)
 def test_what_waited_is_read_within_a_bounded_time(stood: float, within: float) -> None:
     arrivals = running(10.0)
     back = 10.0 + stood
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -22,7 +22,7 @@
     use_scripted_policy,
 )
 
-from beaconhinge.membership.freshness import Freshness
+from beaconhinge.membership.freshness import ListFreshness
 from beaconhinge.membership.inventory import WorkerListError, WorkerListParser, worker_number
 from beaconhinge.net.discovery import Discovery
 from beaconhinge.net.sockets import connect
@@ -173,7 +173,7 @@
 def test_a_discovery_that_says_nothing_holds_up_no_job_and_is_not_hammered(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr("beaconhinge.membership.discovery_watch.ANSWER", 0.1)
+    monkeypatch.setattr("beaconhinge.membership.discovery_watch.POLL_FIRST_BYTE_TIMEOUT_S", 0.1)
     calls = 0
 
     async def script(_message: ReceivedMessage) -> bytes | None:
@@ -224,7 +224,7 @@
 ) -> None:
     """It was given up just as that counted as told, 2 s after its wait, and asked for anew at random after."""
     monkeypatch.setattr(
-        "beaconhinge.membership.discovery_watch.WAIT", 0.5
+        "beaconhinge.membership.discovery_watch.LONG_POLL_WAIT_S", 0.5
     )  # the part beyond it stays as it is
 
     async def scenario(harness: Harness) -> None:
@@ -401,7 +401,7 @@
     async def scenario(harness: Harness) -> None:
         await next_call(harness, "wait=4000")
         discovery, loop = discoveries[0], asyncio.get_running_loop()
-        discovery.freshness = Freshness(False, discovery.timers.now())  # nothing is known from now on
+        discovery.freshness = ListFreshness(False, discovery.timers.now())  # nothing is known from now on
         asked = asyncio.create_task(harness.post())
         began = loop.time()
         while not harness.running.done() and not discovery.metrics.counters["sends_waited_for_list"]:
@@ -410,7 +410,7 @@
             await asyncio.sleep(0)
         assert loop.time() - began < 1.0
         assert harness.workers[0].seen.empty()
-        discovery.freshness.heard(discovery.timers.now(), discovery.timers.now())
+        discovery.freshness.handle_answer(discovery.timers.now(), discovery.timers.now())
         discovery._look()
         await harness.workers[0].seen.get()
         await harness.callback(0, id="r1", state="done", result="x")
@@ -454,7 +454,7 @@
         await serve_all(harness, 0)
 
     monkeypatch.setattr(Harness, "list", script)
-    monkeypatch.setattr("beaconhinge.membership.freshness.UNKNOWN_MOST", 0.3)
+    monkeypatch.setattr("beaconhinge.membership.freshness.UNKNOWN_MAX_S", 0.3)
     run_scenario(scenario, settings={**SETTINGS, "membershipMode": "pushed"})
 
 
@@ -526,7 +526,7 @@
 def test_an_answer_that_never_ends_costs_that_call_alone(
     wrong: bytes, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr("beaconhinge.net.discovery.STALL", 0.1)
+    monkeypatch.setattr("beaconhinge.net.discovery.BODY_IDLE_TIMEOUT_S", 0.1)
 
     async def scenario(harness: Harness) -> None:
         calls = 0
--- a/tests/test_hints.py
+++ b/tests/test_hints.py
@@ -9,7 +9,7 @@
 import pytest
 from harness import Harness, job_bytes, next_event, run_scenario, use_scripted_policy
 
-from beaconhinge.dispatch.work_estimates import FEW, SPREAD, WorkEstimator
+from beaconhinge.dispatch.work_estimates import MEDIAN_MIN_HINTS, OUTLIER_FACTOR, WorkEstimator
 from beaconhinge.policy import interface
 from beaconhinge.runtime.metrics import Metrics
 
@@ -39,8 +39,8 @@
     for number in range(400):
         told = absurd if number % 4 == 0 else 0.5
         work = hints.estimate_s(0, told, 5.0)
-        if number > FEW:
-            assert work == 0.5 or told == absurd and 0.5 / SPREAD <= work <= 0.5 * SPREAD
+        if number > MEDIAN_MIN_HINTS:
+            assert work == 0.5 or told == absurd and 0.5 / OUTLIER_FACTOR <= work <= 0.5 * OUTLIER_FACTOR
     assert hints.bounded_count >= 95
 
 
--- a/tests/test_invariants.py
+++ b/tests/test_invariants.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from beaconhinge.dispatch.invariants import LEFT_KEPT, InvariantRule, SendMonitor
+from beaconhinge.dispatch.invariants import DEPARTED_WORKERS_KEPT, InvariantRule, SendMonitor
 
 
 class History:
@@ -30,12 +30,12 @@
 def test_a_healthy_history_has_no_violation() -> None:
     history = History()
     history.monitor.attempt_started("r1", "a", 100.0, 5000)
-    history.monitor.attempt_ended("r1", "a", unrun=False)
+    history.monitor.attempt_ended("r1", "a", never_ran=False)
     history.monitor.list_received(listing(False, a="Terminating"), 101.0)
     history.monitor.attempt_started("r1", "a", 101.3, 3700)  # within the grace
     history.monitor.attempt_started("r1", "b", 102.0, 3000)  # a copy, of a class that may run twice
     history.monitor.list_received(listing(False, a="Ready"), 103.0)
-    history.monitor.attempt_ended("r1", "a", unrun=True)
+    history.monitor.attempt_ended("r1", "a", never_ran=True)
     history.monitor.client_disconnected("r1", 104.0)
     history.monitor.attempt_started("r1", "a", 104.05, 950)
     assert history.found == []
@@ -101,8 +101,8 @@
 
 def test_what_has_left_is_remembered_in_bounds() -> None:
     history = History()
-    for number in range(LEFT_KEPT + 10):
+    for number in range(DEPARTED_WORKERS_KEPT + 10):
         history.monitor.list_received(listing(False, **{f"w{number}": "Gone"}), 100.0)
     history.monitor.attempt_started("r1", "w0", 101.0, 4000)  # forgotten by now
-    history.monitor.attempt_started("r1", f"w{LEFT_KEPT}", 101.0, 4000)
+    history.monitor.attempt_started("r1", f"w{DEPARTED_WORKERS_KEPT}", 101.0, 4000)
     assert history.found == [InvariantRule.DRAIN]
--- a/tests/test_start_times.py
+++ b/tests/test_start_times.py
@@ -9,30 +9,30 @@
 
 def test_while_the_wall_clock_keeps_its_step_a_start_is_what_it_is_told_to_be() -> None:
     starts = StartTimes()
-    starts.wall_clock_read(11000.0, 11000.0)
-    assert starts.on_own_clock("s-1", 10990.0, 11000.0) == 10990.0
-    assert starts.on_own_clock("s-2", 0.0, 11000.0) == 0.0
-    assert starts.on_own_clock("s-3", 11000.2, 11000.0) == 11000.0  # another machine is a little ahead
+    starts.observe_clocks(11000.0, 11000.0)
+    assert starts.to_monotonic("s-1", 10990.0, 11000.0) == 10990.0
+    assert starts.to_monotonic("s-2", 0.0, 11000.0) == 0.0
+    assert starts.to_monotonic("s-3", 11000.2, 11000.0) == 11000.0  # another machine is a little ahead
 
 
 @pytest.mark.parametrize("step", [-3600.0, -2.0, 2.0, 3600.0])
 def test_after_a_step_no_start_counts_as_earlier_than_it_was(step: float) -> None:
     starts = StartTimes()
-    starts.wall_clock_read(11000.0, 11000.0)
-    before = starts.on_own_clock("before", 10990.0, 11000.0)
-    starts.wall_clock_read(11010.0, 11010.0 + step)
-    assert starts.on_own_clock("everywhere", 11008.0 + step, 11010.0) >= 11008.0
-    assert starts.on_own_clock("here alone", 11008.0, 11010.0) >= 11008.0
-    assert starts.on_own_clock("before", 10990.0, 11010.0) == before == 10990.0
+    starts.observe_clocks(11000.0, 11000.0)
+    before = starts.to_monotonic("before", 10990.0, 11000.0)
+    starts.observe_clocks(11010.0, 11010.0 + step)
+    assert starts.to_monotonic("everywhere", 11008.0 + step, 11010.0) >= 11008.0
+    assert starts.to_monotonic("here alone", 11008.0, 11010.0) >= 11008.0
+    assert starts.to_monotonic("before", 10990.0, 11010.0) == before == 10990.0
 
 
 def test_a_worker_that_starts_again_has_another_start_and_one_that_has_left_is_forgotten() -> None:
     starts = StartTimes()
-    assert starts.on_own_clock("s-1", 10990.0, 11000.0) == 10990.0
-    starts.wall_clock_read(11500.0, 11500.0 - 3600.0)
-    assert starts.on_own_clock("s-1", 10990.0, 11500.0) == 10990.0
-    assert starts.on_own_clock("s-1", 11490.0 - 3600.0, 11500.0) == 11490.0
-    starts.keep({"s-2"})
+    assert starts.to_monotonic("s-1", 10990.0, 11000.0) == 10990.0
+    starts.observe_clocks(11500.0, 11500.0 - 3600.0)
+    assert starts.to_monotonic("s-1", 10990.0, 11500.0) == 10990.0
+    assert starts.to_monotonic("s-1", 11490.0 - 3600.0, 11500.0) == 11490.0
+    starts.retain_only({"s-2"})
     assert (
-        starts.on_own_clock("s-1", 10990.0, 11500.0) == 11500.0
+        starts.to_monotonic("s-1", 10990.0, 11500.0) == 11500.0
     )  # one clock gives 510 s, the other less than 0
--- a/tests/test_verification.py
+++ b/tests/test_verification.py
@@ -1,4 +1,4 @@
-"""What is believed is compared with discovery again, and what that costs, in made-up time."""
+"""What is believed is compared with discovery again, and what that costs, in simulated time."""
 
 from __future__ import annotations
 
@@ -11,11 +11,11 @@
 from beaconhinge.membership.discovery_watch import DiscoveryWatch
 from beaconhinge.membership.inventory import WorkerList, WorkerListParser
 from beaconhinge.membership.verification import (
-    AFTER_CROWD,
-    AFTER_DOUBT,
-    FLEET_READS_PER_SECOND,
-    RESYNC,
-    Read,
+    DOUBT_BACKOFF_S,
+    GROUP_READS_PER_SECOND,
+    OVERLOAD_BACKOFF_S,
+    RESYNC_PERIOD_S,
+    ConfirmingRead,
     Verification,
 )
 from beaconhinge.policy.interface import UpdateKind, WorkerState
@@ -36,114 +36,128 @@
     }
 
 
-def hosts(version: int, *entries: Any, full: bool = False) -> WorkerList:
+def worker_list(version: int, *entries: Any, full: bool = False) -> WorkerList:
     return WorkerListParser(["a"], ["k"]).parse({"version": version, "full": full, "servers": list(entries)})
 
 
-def watch(chance: float = 0.5, pushed: bool = False, size: int = 12) -> DiscoveryWatch:
-    made = DiscoveryWatch(pushed, size, 10.0, 5, 0.0, chance)
-    made.entries = 100
-    made.call(0.0)
-    made.answered(hosts(5), 0.01, 0.0, chance, differs=False)
-    return made
+def new_watch(jitter: float = 0.5, pushed: bool = False, size: int = 12) -> DiscoveryWatch:
+    watch = DiscoveryWatch(pushed, size, 10.0, 5, 0.0, jitter)
+    watch.entry_count = 100
+    watch.next_call(0.0)
+    watch.handle_answer(worker_list(5), 0.01, 0.0, jitter, changes_workers=False)
+    return watch
 
 
 @pytest.mark.parametrize("seed", range(20))
 def test_a_change_is_read_a_second_time_before_it_counts_as_notified(seed: int) -> None:
-    chance = random.Random(seed)
-    made, now = watch(chance.random()), 1.0
-    made.call(0.06)
-    made.answered(hosts(6, entry("s-1", "Gone")), 0.9, now, chance.random(), differs=True)
-    call = made.call(now + 0.05)
-    assert call.index == 6 and 0 < call.wait
-    made.answered(hosts(6), call.wait, now + 0.05 + call.wait, chance.random(), differs=False)
-    watched = call.wait
-    call = made.call(now + 0.1 + watched)
+    jitter = random.Random(seed)
+    watch, now = new_watch(jitter.random()), 1.0
+    watch.next_call(0.06)
+    watch.handle_answer(worker_list(6, entry("s-1", "Gone")), 0.9, now, jitter.random(), changes_workers=True)
+    call = watch.next_call(now + 0.05)
+    assert call.index == 6 and 0 < call.wait_s
+    watch.handle_answer(
+        worker_list(6), call.wait_s, now + 0.05 + call.wait_s, jitter.random(), changes_workers=False
+    )
+    watched = call.wait_s
+    call = watch.next_call(now + 0.1 + watched)
     assert call.index is None
-    assert 0.1 + watched + call.patience <= NOTIFIED_AFTER
+    assert 0.1 + watched + call.first_byte_timeout_s <= NOTIFIED_AFTER
 
 
 def test_a_new_version_without_an_entry_is_not_taken_and_the_whole_list_asked_for_at_once() -> None:
-    made = watch()
-    made.call(0.06)
-    step = made.answered(hosts(6), 0.9, 1.0, 0.5, differs=False)
-    assert made.version == 5 and step.pause < 0.1
-    assert made.call(1.05).index is None
-    made.answered(hosts(6, entry("s-2"), full=True), 0.02, 1.07, 0.5, differs=True)
-    assert made.version == 6
+    watch = new_watch()
+    watch.next_call(0.06)
+    decision = watch.handle_answer(worker_list(6), 0.9, 1.0, 0.5, changes_workers=False)
+    assert watch.version == 5 and decision.pause_s < 0.1
+    assert watch.next_call(1.05).index is None
+    watch.handle_answer(worker_list(6, entry("s-2"), full=True), 0.02, 1.07, 0.5, changes_workers=True)
+    assert watch.version == 6
 
 
 def test_a_second_answer_that_agrees_confirms_and_one_that_contradicts_is_followed_by_a_third() -> None:
-    made = watch()
-    made.call(0.06)
-    made.answered(hosts(6, entry("s-1", "Gone")), 0.9, 1.0, 0.0, differs=True)
-    assert made.verification.unconfirmed_since == 1.0
-    assert made.call(3.0).index is None
-    step = made.answered(hosts(6, entry("s-2"), full=True), 0.02, 3.02, 0.5, differs=True)
-    assert step.contradicts and step.kind == UpdateKind.SNAPSHOT
-    assert made.call(3.07).index == 6  # watched meanwhile
-    assert made.call(3.02 + AFTER_DOUBT).index is None
-    step = made.answered(hosts(6, entry("s-2"), full=True), 0.02, 3.05 + AFTER_DOUBT, 0.5, differs=False)
-    assert not step.contradicts and made.verification.unconfirmed_since is None
-    assert made.verification.confirmed_version == 6
+    watch = new_watch()
+    watch.next_call(0.06)
+    watch.handle_answer(worker_list(6, entry("s-1", "Gone")), 0.9, 1.0, 0.0, changes_workers=True)
+    assert watch.verification.unconfirmed_since_s == 1.0
+    assert watch.next_call(3.0).index is None
+    decision = watch.handle_answer(
+        worker_list(6, entry("s-2"), full=True), 0.02, 3.02, 0.5, changes_workers=True
+    )
+    assert decision.contradicts_earlier and decision.update_kind == UpdateKind.SNAPSHOT
+    assert watch.next_call(3.07).index == 6  # watched meanwhile
+    assert watch.next_call(3.02 + DOUBT_BACKOFF_S).index is None
+    decision = watch.handle_answer(
+        worker_list(6, entry("s-2"), full=True), 0.02, 3.05 + DOUBT_BACKOFF_S, 0.5, changes_workers=False
+    )
+    assert not decision.contradicts_earlier and watch.verification.unconfirmed_since_s is None
+    assert watch.verification.confirmed_version == 6
 
 
 def test_an_entry_that_stays_unreadable_is_looked_at_ever_less_often() -> None:
-    made, now, reads = watch(), 1.0, []
+    watch, now, reads = new_watch(), 1.0, []
     bad = {"id": "s-1", "state": "Odd"}
     while now < 300.0:
-        call = made.call(now)
-        now += 0.02 if call.wait == 0 else call.wait
+        call = watch.next_call(now)
+        now += 0.02 if call.wait_s == 0 else call.wait_s
         if call.index is None:
             reads.append(now)
-        made.answered(
-            hosts(6, bad, full=True) if call.wait == 0 else hosts(6), call.wait, now, 0.5, differs=False
+        watch.handle_answer(
+            worker_list(6, bad, full=True) if call.wait_s == 0 else worker_list(6),
+            call.wait_s,
+            now,
+            0.5,
+            changes_workers=False,
         )
         now += 0.05
     waits = [later - earlier for earlier, later in zip(reads, reads[1:], strict=False)]
-    assert len(reads) < 15 and waits == sorted(waits) and waits[-1] >= RESYNC / 2
+    assert len(reads) < 15 and waits == sorted(waits) and waits[-1] >= RESYNC_PERIOD_S / 2
 
 
 def test_the_whole_list_is_read_at_a_low_rate_though_nothing_changes() -> None:
-    made, now, whole = watch(), 1.0, 0
+    watch, now, whole = new_watch(), 1.0, 0
     for _ in range(400):
-        call = made.call(now)
+        call = watch.next_call(now)
         whole += call.index is None
-        now += max(call.wait, 0.01) + 0.05
-        made.answered(hosts(5, full=call.index is None), call.wait, now, 0.5, differs=False)
-    assert now / RESYNC / 2 < whole < now / RESYNC * 2
+        now += max(call.wait_s, 0.01) + 0.05
+        watch.handle_answer(
+            worker_list(5, full=call.index is None), call.wait_s, now, 0.5, changes_workers=False
+        )
+    assert now / RESYNC_PERIOD_S / 2 < whole < now / RESYNC_PERIOD_S * 2
 
 
 def test_a_large_group_spreads_its_reads_so_that_discovery_still_answers() -> None:
     """Two hundred and twenty that read within 1.8 s of each change kept it from answering anybody."""
-    chance, reads = random.Random(7), list[float]()
+    jitter, reads = random.Random(7), list[float]()
     for _ in range(60):
-        made = watch(chance.random(), size=60)
-        made.call(0.06)
-        made.answered(hosts(6, entry("s-1", "Gone")), 0.9, 1.0, chance.random(), differs=True)
+        watch = new_watch(jitter.random(), size=60)
+        watch.next_call(0.06)
+        watch.handle_answer(
+            worker_list(6, entry("s-1", "Gone")), 0.9, 1.0, jitter.random(), changes_workers=True
+        )
         now = 1.0
-        while (call := made.call(now)).wait > 0:
-            now += call.wait + 0.05
-            made.answered(hosts(6), call.wait, now, 0.5, differs=False)
+        while (call := watch.next_call(now)).wait_s > 0:
+            now += call.wait_s + 0.05
+            watch.handle_answer(worker_list(6), call.wait_s, now, 0.5, changes_workers=False)
         assert call.index == 5  # the changes since what is confirmed: whole lists of so many are too dear
         reads.append(now)
     assert max(sum(start <= read < start + 1.0 for read in reads) for start in range(30)) <= 20
-    assert max(reads) < 1.0 + 2.0 + 60 / FLEET_READS_PER_SECOND + 5.0
+    assert max(reads) < 1.0 + 2.0 + 60 / GROUP_READS_PER_SECOND + 5.0
 
 
 def test_a_larger_group_reads_again_only_what_an_answer_shows_to_be_doubtful() -> None:
     """A confirming read took the place of the watch, which came back seconds later on an overbooked day."""
-    made, now = watch(size=220), 1.0
-    made.call(0.06)
-    made.answered(hosts(6, entry("s-1", "Gone")), 0.9, now, 0.5, differs=True)
+    watch, now = new_watch(size=220), 1.0
+    watch.next_call(0.06)
+    watch.handle_answer(worker_list(6, entry("s-1", "Gone")), 0.9, now, 0.5, changes_workers=True)
     for _ in range(60):
-        call = made.call(now)
-        assert call.index == 6 and call.wait == 4.0
-        now += call.wait + 0.05
-        made.answered(hosts(6), call.wait, now, 0.5, differs=False)
-    made.call(now)
-    made.answered(hosts(7), 0.9, now, 0.5, differs=False)
-    assert made.call(now + 0.05).index is None
+        call = watch.next_call(now)
+        assert call.index == 6 and call.wait_s == 4.0
+        now += call.wait_s + 0.05
+        watch.handle_answer(worker_list(6), call.wait_s, now, 0.5, changes_workers=False)
+    watch.next_call(now)
+    watch.handle_answer(worker_list(7), 0.9, now, 0.5, changes_workers=False)
+    assert watch.next_call(now + 0.05).index is None
 
 
 def test_in_a_large_fleet_changes_are_confirmed_by_reading_them_again_within_a_budget() -> None:
@@ -152,22 +166,22 @@
         Verification(False, 18, 0.0, 0.5),
         0.0,
         0,
-        {Read.WHOLE: 500_000, Read.CHANGES: 400},
+        {ConfirmingRead.SNAPSHOT: 500_000, ConfirmingRead.CHANGES: 400},
     )
-    verification.confirmed(1, 0.0, 0.5)
-    kinds = set[Read]()
+    verification.handle_confirmation(1, 0.0, 0.5)
+    kinds = set[ConfirmingRead]()
     for version in range(2, 120):
         now += 0.8
-        verification.changed(now, 0.5)
-        what = verification.read(now, 3200)
-        if what is Read.NOTHING:
+        verification.handle_change(now, 0.5)
+        what = verification.next_read(now, 3200)
+        if what is ConfirmingRead.NOTHING:
             continue
         kinds.add(what)
         read += sizes[what]
-        if what is Read.WHOLE:
-            verification.whole_read(now, sizes[what])
-        verification.confirmed(version, now, 0.5)
-    assert kinds == {Read.WHOLE, Read.CHANGES}
+        if what is ConfirmingRead.SNAPSHOT:
+            verification.handle_snapshot(now, sizes[what])
+        verification.handle_confirmation(version, now, 0.5)
+    assert kinds == {ConfirmingRead.SNAPSHOT, ConfirmingRead.CHANGES}
     assert read < 2_100_000
 
 
@@ -204,52 +218,52 @@
 
 def test_a_crowd_at_discovery_is_not_made_larger_by_what_can_wait() -> None:
     """On a day of two hundred with outage and release, the further calls kept discovery from answering anybody."""
-    made = watch()
-    made.call(0.06)
-    made.answered(hosts(6, entry("s-1", "Gone")), 0.9, 1.0, 0.0, differs=True)
-    made.call(1.05)
-    made.failed(False, 2.9, 0.5)
-    assert made.call(3.1).index == 6  # it would have been read by now
-    assert made.call(2.9 + AFTER_CROWD).index is None
+    watch = new_watch()
+    watch.next_call(0.06)
+    watch.handle_answer(worker_list(6, entry("s-1", "Gone")), 0.9, 1.0, 0.0, changes_workers=True)
+    watch.next_call(1.05)
+    watch.handle_failure(False, 2.9, 0.5)
+    assert watch.next_call(3.1).index == 6  # it would have been read by now
+    assert watch.next_call(2.9 + OVERLOAD_BACKOFF_S).index is None
     for now in (5.0, 6.5, 8.0, 9.5):
-        made.failed(False, now, 0.5)
-    assert made.call(40.0).index == 6  # ever later while that goes on
-    assert made.call(9.5 + 16 * AFTER_CROWD).index is None
+        watch.handle_failure(False, now, 0.5)
+    assert watch.next_call(40.0).index == 6  # ever later while that goes on
+    assert watch.next_call(9.5 + 16 * OVERLOAD_BACKOFF_S).index is None
 
 
 def test_a_confirming_read_that_fails_leaves_the_watch_as_it_was() -> None:
     """It was followed by calls that do not wait, from each of two hundred, to a discovery with too many callers."""
-    made = watch()
-    made.call(0.06)
-    made.answered(hosts(6, entry("s-1", "Gone")), 0.9, 1.0, 0.0, differs=True)
-    call = made.call(3.0)
-    assert call.index is None and call.patience < 1.0
-    assert made.failed(True, 3.7, 0.999) < 0.1
-    call = made.call(3.75)
-    assert call.index == 6 and call.wait > 1.0 and not made.failing
+    watch = new_watch()
+    watch.next_call(0.06)
+    watch.handle_answer(worker_list(6, entry("s-1", "Gone")), 0.9, 1.0, 0.0, changes_workers=True)
+    call = watch.next_call(3.0)
+    assert call.index is None and call.first_byte_timeout_s < 1.0
+    assert watch.handle_failure(True, 3.7, 0.999) < 0.1
+    call = watch.next_call(3.75)
+    assert call.index == 6 and call.wait_s > 1.0 and not watch.failing
 
 
 def test_the_first_answer_after_a_start_is_confirmed_at_once() -> None:
-    """What it omits may have been made long before the start. The soak's seed 313 sent 0.5 s too late by it."""
-    made = DiscoveryWatch(False, 12, 10.0, 5, 0.0, 0.5)
-    made.call(0.0)
-    made.answered(hosts(6, entry("s-1", "Gone")), 0.01, 0.0, 0.999, differs=True)
-    assert made.verification.wait(0.0) <= 1.0
+    """What it omits may have been watch long before the start. The soak's seed 313 sent 0.5 s too late by it."""
+    watch = DiscoveryWatch(False, 12, 10.0, 5, 0.0, 0.5)
+    watch.next_call(0.0)
+    watch.handle_answer(worker_list(6, entry("s-1", "Gone")), 0.01, 0.0, 0.999, changes_workers=True)
+    assert watch.verification.seconds_until_read(0.0) <= 1.0
 
 
 @pytest.mark.parametrize("size", [19, 32, 60])
 def test_a_change_that_was_read_again_in_a_larger_group_is_confirmed_and_a_doubt_reads_all(size: int) -> None:
     """Thirty-two that confirmed by whole lists, 0.7 s each, heard late of the drains that came meanwhile."""
-    made, now = watch(size=size), 1.0
+    watch, now = new_watch(size=size), 1.0
     for version in (6, 7):
-        made.call(now)
-        made.answered(hosts(version, entry("s-1", "Gone")), 0.9, now, 0.5, differs=True)
-        while (call := made.call(now)).wait > 0:
-            now += call.wait + 0.05
-            made.answered(hosts(version), call.wait, now, 0.5, differs=False)
-        assert call.index == version - 1 and call.patience < 1.0
-        made.answered(hosts(version, entry("s-1", "Gone")), 0.02, now, 0.5, differs=False)
-        assert made.verification.confirmed_version == version
-    made.call(now)
-    made.answered(hosts(8, {"id": "s-2", "state": "Odd"}), 0.9, now, 0.5, differs=False)
-    assert made.call(now + 0.05).index is None
+        watch.next_call(now)
+        watch.handle_answer(worker_list(version, entry("s-1", "Gone")), 0.9, now, 0.5, changes_workers=True)
+        while (call := watch.next_call(now)).wait_s > 0:
+            now += call.wait_s + 0.05
+            watch.handle_answer(worker_list(version), call.wait_s, now, 0.5, changes_workers=False)
+        assert call.index == version - 1 and call.first_byte_timeout_s < 1.0
+        watch.handle_answer(worker_list(version, entry("s-1", "Gone")), 0.02, now, 0.5, changes_workers=False)
+        assert watch.verification.confirmed_version == version
+    watch.next_call(now)
+    watch.handle_answer(worker_list(8, {"id": "s-2", "state": "Odd"}), 0.9, now, 0.5, changes_workers=False)
+    assert watch.next_call(now + 0.05).index is None
