--- a/beaconhinge/net/discovery.py
+++ b/beaconhinge/net/discovery.py
@@ -1,4 +1,8 @@
-"""Discovery: the list of workers, fetched and watched as `beaconhinge/membership.py` decides."""
+"""The client of discovery: polls and watches the endpoint list, and applies and confirms what comes.
+
+`membership/discovery_watch.py` decides on the calls and on their answers, `discovery_connection.py` makes the
+calls, `list_applier.py` applies lists, `list_availability.py` tells whether the list may be acted on.
+"""
 
 from __future__ import annotations
 
@@ -6,50 +10,52 @@
 import json
 import random
 from collections import deque
-from collections.abc import Callable
-from dataclasses import replace
+from collections.abc import Callable, Mapping
+from dataclasses import dataclass
+from typing import Any
 
 from ..config import Address, Config
 from ..dispatch.policy_runner import PolicyRunner
-from ..membership.discovery_watch import BODY_IDLE_TIMEOUT_S, DiscoveryCall, DiscoveryWatch
-from ..membership.freshness import ListFreshness, ListState
+from ..membership.discovery_watch import DiscoveryCall, DiscoveryWatch, WatchDecision
 from ..membership.inventory import WorkerList, WorkerListError, WorkerListParser
-from ..membership.start_times import StartTimes
 from ..policy import interface
 from ..policy.interface import UpdateKind, WorkerState
 from ..runtime.metrics import Metrics
 from ..runtime.timer_wheel import TimerWheel
-from . import http1
-from .http1 import BadMessage, Closed, Connection, Message
-from .sockets import connect
+from .discovery_connection import DiscoveryConnection
+from .http1 import BadMessage, Closed
+from .list_applier import ListApplier
+from .list_availability import ListAvailability
 from .worker_pool import WorkerPool
 
-MAX_LIST = 2 * 1024 * 1024  # bytes: 1,024 workers take some 400 KiB, indented
-TRACED_LISTS = 8  # lists taken last, told with each quiet watch that is traced
-# Seconds for each member of a group, over which the first calls of those that start at once are spread, and
-# the most. None of them serves before it has its list.
-START_SPREAD = 0.01
-START_SPREAD_MOST = 3.0
-RUN_CHECK = 0.15  # seconds between signs that this process runs
-
+# How many of the lists applied last are named with each traced watch without a change.
+TRACED_LISTS = 8
+# The window of the first calls of a group that starts at once, for each member, and its maximum. None of them
+# serves before it has its list.
+START_SPREAD_PER_DISPATCHER_S = 0.01
+START_SPREAD_MAX_S = 3.0
+# The time between signs that this process runs.
+RUN_CHECK_S = 0.15
 
-def _whole_version(hosts: WorkerList | None) -> int | None:
-    """The version of a list that is at hand whole; None if entries of it could not be read."""
-    return hosts.version if hosts is not None and not hosts.unparsed_ids else None
 
+@dataclass(frozen=True, slots=True)
+class DiscoveryAnswer:
+    """An answer as parsed, and the JSON that it was parsed from."""
 
-class _Line:
-    """A kept connection to discovery."""
+    worker_list: WorkerList
+    content: Mapping[str, Any]
 
-    connection: Connection | None = None
 
-    def drop(self) -> None:
-        if self.connection is not None:
-            self.connection.close()
-            self.connection = None
+class Discovery:
+    """Keeps the endpoint list of this process up to date.
 
+    Attributes:
+        watch: Decides on calls and answers.
+        availability: Whether the list may be acted on.
+        address: Where discovery is called.
+        on_list_applied: Called with the kind of each list that was applied.
+    """
 
-class Discovery:
     def __init__(
         self,
         config: Config,
@@ -60,19 +66,18 @@
         wall_clock: Callable[[], float],
     ) -> None:
         self.config = config
-        self._wall_clock = wall_clock
-        self._start_times = StartTimes()
         self.policy_runner = policy_runner
         self.workers = workers
         self.timers = timers
         self.metrics = metrics
         settings = config.settings
-        self._random = random.Random(config.seed)  # of its own: the module's draws stay as they are
+        pushed = not settings.membership_on_request
+        self._random = random.Random(config.seed)  # of its own: the policy's draws stay as they are
         self.watch = DiscoveryWatch(
-            not settings.membership_on_request,
+            pushed,
             settings.group_size,
             settings.membership_max_age_s,
-            _whole_version(config.known),
+            _complete_version(config.known),
             timers.now(),
             self._random.random(),
         )
@@ -80,280 +85,249 @@
             config.zones, config.kinds, lambda why: metrics.count_and_log("list_entry_malformed", why=why)
         )
         self.address = config.discovery
-        self.known = config.known or WorkerList()
-        self.on_list_applied: Callable[[str], None] = lambda how: None  # hears of each list
-        self._watch: asyncio.Task[None] | None = None
-        self._heard = asyncio.Event()  # a call has been answered, or has failed
-        self._listed_at = timers.now()
-        self.freshness = ListFreshness(not settings.membership_on_request, timers.now())
-        self._content: dict[str, object] = {}  # of the last answer
-        self._usable = asyncio.Event()  # the list may be acted on
-        self._taken: deque[str] = deque(maxlen=TRACED_LISTS)
+        self.on_list_applied: Callable[[str], None] = lambda _kind: None
+        self.availability = ListAvailability(pushed, timers, metrics, self._handle_process_pause)
+        self._applier = ListApplier(policy_runner, workers, timers, metrics, wall_clock)
+        self._bootstrap_list = config.known or WorkerList()
+        self._poll_task: asyncio.Task[None] | None = None
+        self._call_ended = asyncio.Event()  # a call has been answered, or has failed
+        self._recent_lists: deque[str] = deque(maxlen=TRACED_LISTS)
         policy_runner.action_handlers[interface.SubscribeMembership] = self._subscribe
-        policy_runner.action_handlers[interface.FetchMembership] = lambda action: self._again(whole=True)
-        policy_runner.on_event_failed = self._not_applied
+        policy_runner.action_handlers[interface.FetchMembership] = lambda _action: self._restart_polling(
+            snapshot=True
+        )
+        policy_runner.on_event_failed = self._handle_event_failure
         workers.list_usable = lambda: self.list_usable
-        workers.list_usable_again = self._usable_again
-        timers.after(RUN_CHECK, self._check)
+        workers.list_usable_again = self.availability.wait_until_usable
+        timers.after(RUN_CHECK_S, self._check)
 
     @property
     def list_usable(self) -> bool:
         """Whether the list may be acted on, as far as is known this moment."""
-        now = self.timers.now()
-        if self.freshness.mark_running(now):
-            self._stood_still()
-        return self.freshness.state(now) is not ListState.UNKNOWN
+        return self.availability.usable
 
     @property
     def version(self) -> int | None:
+        """The version of the applied list; None if none is known."""
         return self.watch.version
 
-    def _check(self) -> None:
-        self.timers.after(RUN_CHECK, self._check)
-        self._start_times.observe_clocks(self.timers.now(), self._wall_clock())
-        self._look()
-
-    def _look(self) -> None:
-        """Let go on who waits for a list that may be acted on, or have them wait."""
-        if self.list_usable:
-            self._usable.set()
-        elif self._usable.is_set():
-            self._usable.clear()
-            self.metrics.count_and_log("list_unknown", list_age=self.timers.now() - self._listed_at)
-
-    async def _usable_again(self) -> None:
-        """Wait until the list may be acted on. It may have turned unknown since the last look: the event is
-        set then still, and waiting for it would not wait.
-        """
-        self._look()
-        await self._usable.wait()
-
-    def _stood_still(self) -> None:
-        """Nobody knows what was told meanwhile: ask at once, whatever call is out."""
-        self._usable.clear()
-        self.metrics.count("list_asked_after_standing_still")
-        if self._watch is not None:
-            self._again()
-
     def start_from_bootstrap(self) -> None:
-        """The module's first list is the one in the configuration, however old, or what was inherited.
-        Nothing is sent by it before discovery has been asked, which is done here: the module asks later where
-        many start.
+        """Apply the configured or inherited list, however old, and call discovery.
+
+        Nothing is sent by that list before discovery has been called, which is done here: the policy asks
+        later where many dispatchers start.
         """
-        self._tell(UpdateKind.BOOTSTRAP, self.known)
-        spread = min(START_SPREAD * self.config.settings.group_size, START_SPREAD_MOST)
-        self._again(pause=0.0 if self.watch.pushed else spread * self._random.random())
+        self._apply(UpdateKind.BOOTSTRAP, self._bootstrap_list)
+        spread_s = min(START_SPREAD_PER_DISPATCHER_S * self.config.settings.group_size, START_SPREAD_MAX_S)
+        self._restart_polling(pause_s=0.0 if self.watch.pushed else spread_s * self._random.random())
+
+    def take_over_list(self, worker_list: WorkerList, same_discovery: bool) -> None:
+        """Take the list of the process that this one replaces as the bootstrap list.
 
-    def take_over_list(self, hosts: WorkerList, here: bool) -> None:
-        """The list that this dispatcher's other process has. Versions count for one discovery alone: `here`
-        tells whether it was had from this one.
+        Args:
+            worker_list: The other process's list.
+            same_discovery: Whether it came from the discovery that this process calls; versions count for one
+                discovery alone.
         """
-        if here and self.version is not None and self.version > hosts.version:
+        if same_discovery and self.version is not None and self.version > worker_list.version:
             return
-        self.watch.restart(_whole_version(hosts) if here else None, self.timers.now(), self._random.random())
-        self.known = hosts
+        version = _complete_version(worker_list) if same_discovery else None
+        self.watch.restart(version, self.timers.now(), self._random.random())
+        self._bootstrap_list = worker_list
 
     def switch_to(self, address: Address) -> None:
-        """Ask elsewhere from now on. Versions count there by themselves, so that the whole list is asked for;
-        calls to the old place are ended, lest their answers be taken for news of the new one.
+        """Call another discovery from now on.
+
+        Its versions count by themselves, so that the snapshot is asked for. A call to the old address is
+        cancelled, lest its answer be taken for one of the new discovery.
         """
         if address == self.address:
             return
         self.address = address
-        pause = self.watch.switch_discovery(self.timers.now(), self._random.random())
-        if self._watch is not None:  # soon: the module would ask again only when the old watch had failed
-            self._again(pause=pause)
-
-    def _subscribe(self, action: interface.SubscribeMembership) -> None:
-        if self._watch is not None and not action.enabled:
-            self._watch.cancel()
-            self._watch = None
-        elif action.enabled and (self._watch is None or self._watch.done()):
-            self._again()
-
-    def _again(self, whole: bool = False, pause: float = 0.0) -> None:
-        """Call now, and follow from there. One call at a time: no answer overtakes another."""
-        if self._watch is not None:
-            self._watch.cancel()
-        self.watch.resync(whole)
-        self._watch = self.metrics.spawn(self._follow(pause), "watch")
+        pause_s = self.watch.switch_discovery(self.timers.now(), self._random.random())
+        if self._poll_task is not None:  # the policy would ask again only when the old watch had failed
+            self._restart_polling(pause_s=pause_s)
 
     async def refresh(self) -> None:
-        """Have what has changed at once. Returns when it is there, or could not be had."""
-        self._heard.clear()
-        self._again()
-        await self._heard.wait()
-
-    async def _follow(self, pause: float) -> None:
-        """One call after the other: what was missed, which is answered at once, then watches."""
-        line = _Line()
+        """Fetch what has changed at once; returns when that has been applied, or has failed."""
+        self._call_ended.clear()
+        self._restart_polling()
+        await self._call_ended.wait()
+
+    def _check(self) -> None:
+        self.timers.after(RUN_CHECK_S, self._check)
+        self._applier.observe_clocks()
+        self.availability.update()
+
+    def _handle_process_pause(self) -> None:
+        """Call discovery at once, whatever call is out: what was announced meanwhile is not known."""
+        self.metrics.count("list_asked_after_standing_still")
+        if self._poll_task is not None:
+            self._restart_polling()
+
+    def _subscribe(self, action: interface.SubscribeMembership) -> None:
+        if self._poll_task is not None and not action.enabled:
+            self._poll_task.cancel()
+            self._poll_task = None
+        elif action.enabled and (self._poll_task is None or self._poll_task.done()):
+            self._restart_polling()
+
+    def _restart_polling(self, snapshot: bool = False, pause_s: float = 0.0) -> None:
+        """Call now, and continue from there. One call at a time: no answer overtakes another."""
+        if self._poll_task is not None:
+            self._poll_task.cancel()
+        self.watch.resync(snapshot)
+        self._poll_task = self.metrics.spawn(self._poll(pause_s), "watch")
+
+    async def _poll(self, pause_s: float) -> None:
+        """One call after the other: first for what was missed, which is answered at once, then watches."""
+        connection = DiscoveryConnection(self.timers, self.metrics)
         try:
             while True:
-                await asyncio.sleep(pause)
+                await asyncio.sleep(pause_s)
                 self.watch.entry_count = len(self.workers.workers)
-                began = self.timers.now()
-                call = self.watch.next_call(began)
+                started_s = self.timers.now()
+                call = self.watch.next_call(started_s)
                 try:
-                    hosts = await self._call(line, call)
+                    answer = self._parse(await connection.fetch(self.address, call))
                 except (OSError, Closed, BadMessage, WorkerListError) as error:
-                    pause = self._failed(line, call, error, began)
+                    pause_s = self._handle_failure(connection, call, error, started_s)
                 else:
-                    pause = self._answered(line, call, hosts, self.timers.now() - began)
-                self._heard.set()
-                self._look()
+                    elapsed_s = self.timers.now() - started_s
+                    pause_s = self._handle_answer(connection, call, answer, elapsed_s)
+                self._call_ended.set()
+                self.availability.update()
         finally:
-            line.drop()
+            connection.close()
 
-    def _answered(self, line: _Line, call: DiscoveryCall, hosts: WorkerList, after: float) -> float:
-        now, known = self.timers.now(), self.version
+    def _parse(self, body: bytes) -> DiscoveryAnswer:
+        try:
+            content = json.loads(body)
+            worker_list = self.list_parser.parse(content)
+        except (ValueError, RecursionError) as error:
+            self._salvage(body)
+            raise WorkerListError(str(error)) from None
+        worker_list.size_bytes = len(body)
+        return DiscoveryAnswer(worker_list, content)
+
+    def _handle_answer(
+        self, connection: DiscoveryConnection, call: DiscoveryCall, answer: DiscoveryAnswer, elapsed_s: float
+    ) -> float:
+        """Verify and apply an answer; returns the time to the next call."""
+        now, previous_version, worker_list = self.timers.now(), self.version, answer.worker_list
         if self.watch.failing:
-            self.metrics.log("discovery_back", list_age=now - self._listed_at)
-        self._complete(hosts)
-        differs = self.workers.differs(hosts)
-        step = self.watch.handle_answer(hosts, after, now, self._random.random(), differs)
-        if step.proves_current:
-            self._listed_at = now
-            self.freshness.handle_answer(now - after, now)
-        else:  # as little as a call that fails
-            self.freshness.handle_failure(now - after, now, refused=False, was_watch=False)
-        if not step.keep_connection:
-            line.drop()
-            self.metrics.count_and_log("list_out_of_turn", version=hosts.version, known=self.version)
-        if call.wait_s == 0 and step.update_kind and hosts.version == known:
-            self.metrics.count("lists_verified")
-        if step.contradicts_earlier:
-            self.metrics.count_and_log(
-                "list_contradicted", version=hosts.version, entries=len(hosts.endpoints)
-            )
-        if step.update_kind:
-            self._taken.append(
-                f"{step.update_kind}:{known}-{hosts.version}:{len(hosts.endpoints)}:{len(hosts.unparsed_ids)}"
-            )
-            if differs or hosts.version != known:
-                self.metrics.log(
-                    "list_taken",
-                    kind=step.update_kind,
-                    version=hosts.version,
-                    known=known,
-                    index=call.index,
-                    wait=call.wait_s,
-                    entries=len(hosts.endpoints),
-                    unread=len(hosts.unparsed_ids),
-                    after=after,
-                )
-            self.policy_runner.monitor.list_received(self._content, now)
-            self._tell(step.update_kind, hosts)
+            self.metrics.log("discovery_back", list_age=self.availability.list_age_s)
+        self._applier.fill_in_unparsed(worker_list)
+        changes_workers = self.workers.differs(worker_list)
+        decision = self.watch.handle_answer(
+            worker_list, elapsed_s, now, self._random.random(), changes_workers
+        )
+        if decision.proves_current:
+            self.availability.handle_answer(now - elapsed_s, now)
+        else:  # shows as little as a call that fails
+            self.availability.freshness.handle_failure(now - elapsed_s, now, refused=False, was_watch=False)
+        if not decision.keep_connection:
+            connection.close()
+        self._report_decision(call, worker_list, decision, previous_version)
+        if decision.update_kind:
+            if changes_workers or worker_list.version != previous_version:
+                self._log_list_taken(call, worker_list, decision.update_kind, previous_version, elapsed_s)
+            self.policy_runner.monitor.list_received(answer.content, now)
+            self._apply(decision.update_kind, worker_list)
         else:
-            members = [host.member for host in self.workers.hosts()]
-            self.metrics.trace(
-                "lists",
-                "list_unchanged",
-                version=hosts.version,
-                workers=len(members),
-                ready=sum(member.state == WorkerState.READY for member in members),
-                taken=" ".join(self._taken),
-            )
-        return step.pause_s
-
-    def _complete(self, hosts: WorkerList) -> None:
-        """Entries that can't be read, as far as they can: a known worker's readable state counts where it
-        takes the worker out of service. Else the worker stays as it is; in a whole list it has not left, at
-        least.
-        """
-        for known in self.workers.named(hosts.unparsed_ids):
-            state = hosts.unparsed_states.get(known.id, WorkerState.READY)
-            if state != WorkerState.READY:
-                hosts.endpoints.append(known.with_state(state))
-            elif hosts.is_snapshot:
-                hosts.endpoints.append(known)
+            self._trace_unchanged(worker_list)
+        return decision.pause_s
 
-    def _salvage(self, body: bytes) -> None:
-        """An answer has broken off. What it told of workers that leave counts; its version does not."""
-        hosts = self.list_parser.parse_partial(body)
-        if hosts is None or hosts.version < (self.version or 0):
-            return
-        self._complete(hosts)
-        if self.workers.differs(hosts):
-            self.metrics.count_and_log("list_salvaged", version=hosts.version, entries=len(hosts.endpoints))
-            self._tell(UpdateKind.CHANGES, hosts)
-
-    def _failed(self, line: _Line, call: DiscoveryCall, error: Exception, began: float) -> float:
-        down = isinstance(error, (ConnectionRefusedError, ConnectionResetError, BrokenPipeError, Closed))
-        self.freshness.handle_failure(began, self.timers.now(), down, call.wait_s > 0)
-        begun = line.connection is not None and line.connection.partial
-        if line.connection is not None and begun:
-            self._salvage(line.connection.unfinished_body())
-        line.drop()
-        silent = isinstance(error, TimeoutError) and not begun
-        if silent and call.wait_s:
-            self.metrics.count_and_log("watch_silent", list_age=self.timers.now() - self._listed_at)
+    def _report_decision(
+        self,
+        call: DiscoveryCall,
+        worker_list: WorkerList,
+        decision: WatchDecision,
+        previous_version: int | None,
+    ) -> None:
+        version, kind = worker_list.version, decision.update_kind
+        entries, unparsed = len(worker_list.endpoints), len(worker_list.unparsed_ids)
+        if not decision.keep_connection:
+            self.metrics.count_and_log("list_out_of_turn", version=version, known=self.version)
+        if call.wait_s == 0 and kind and version == previous_version:
+            self.metrics.count("lists_verified")
+        if decision.contradicts_earlier:
+            self.metrics.count_and_log("list_contradicted", version=version, entries=entries)
+        if kind:
+            self._recent_lists.append(f"{kind}:{previous_version}-{version}:{entries}:{unparsed}")
+
+    def _log_list_taken(
+        self,
+        call: DiscoveryCall,
+        worker_list: WorkerList,
+        kind: UpdateKind,
+        previous_version: int | None,
+        elapsed_s: float,
+    ) -> None:
+        self.metrics.log(
+            "list_taken",
+            kind=kind,
+            version=worker_list.version,
+            known=previous_version,
+            index=call.index,
+            wait=call.wait_s,
+            entries=len(worker_list.endpoints),
+            unread=len(worker_list.unparsed_ids),
+            after=elapsed_s,
+        )
+
+    def _trace_unchanged(self, worker_list: WorkerList) -> None:
+        members = [endpoint.member for endpoint in self.workers.hosts()]
+        self.metrics.trace(
+            "lists",
+            "list_unchanged",
+            version=worker_list.version,
+            workers=len(members),
+            ready=sum(member.state == WorkerState.READY for member in members),
+            taken=" ".join(self._recent_lists),
+        )
+
+    def _handle_failure(
+        self, connection: DiscoveryConnection, call: DiscoveryCall, error: Exception, started_s: float
+    ) -> float:
+        """Report a failed call, and use what came of its answer; returns the time to the next call."""
+        refused = isinstance(error, (ConnectionRefusedError, ConnectionResetError, BrokenPipeError, Closed))
+        was_watch = call.wait_s > 0
+        self.availability.freshness.handle_failure(started_s, self.timers.now(), refused, was_watch)
+        answer_begun = connection.answer_begun
+        if answer_begun:
+            self._salvage(connection.unfinished_body())
+        connection.close()
+        silent = isinstance(error, TimeoutError) and not answer_begun
+        if silent and was_watch:
+            self.metrics.count_and_log("watch_silent", list_age=self.availability.list_age_s)
         else:
             self.metrics.count_and_log("discovery_failed", why=f"{type(error).__name__}: {error}")
-        return self.watch.handle_failure(silent, self.timers.now(), self._random.random(), begun)
+        return self.watch.handle_failure(silent, self.timers.now(), self._random.random(), answer_begun)
 
-    def _not_applied(self, event: interface.Event) -> None:
-        """The module failed on an event: if that was a list, it may hold another one than is believed
-        here."""
+    def _salvage(self, body: bytes) -> None:
+        """Apply what a broken answer says of workers that leave; its version does not count."""
+        worker_list = self.list_parser.parse_partial(body)
+        if worker_list is None or worker_list.version < (self.version or 0):
+            return
+        self._applier.fill_in_unparsed(worker_list)
+        if self.workers.differs(worker_list):
+            entries = len(worker_list.endpoints)
+            self.metrics.count_and_log("list_salvaged", version=worker_list.version, entries=entries)
+            self._apply(UpdateKind.CHANGES, worker_list)
+
+    def _apply(self, kind: UpdateKind, worker_list: WorkerList) -> None:
+        self._applier.apply(kind, worker_list)
+        self.on_list_applied(kind)
+
+    def _handle_event_failure(self, event: interface.Event) -> None:
+        """The policy failed on an event: if that was a list, it may hold another one than is known here."""
         if isinstance(event, interface.MembershipUpdate):
             self.watch.handle_apply_failure(self.timers.now())
 
-    async def _call(self, line: _Line, call: DiscoveryCall) -> WorkerList:
-        self.metrics.count("discovery_calls")
-        query = "" if call.index is None else f"?index={call.index}&wait={call.wait_s * 1000:.0f}"
-        if line.connection is not None and not line.connection.silent():
-            # A second answer to the call before: every later one would be taken for that of another call.
-            line.drop()
-            self.metrics.count("discovery_spoke_unasked")
-        async with self.timers.timeout(call.first_byte_timeout_s):
-            if line.connection is None:
-                sock = await connect(self.address)
-                line.connection = Connection(sock, False, lambda: None, MAX_LIST)
-            await line.connection.send(
-                http1.request("GET", f"/discovery/hosts{query}".encode(), {"Host": "discovery"})
-            )
-            await line.connection.begun()
-        message = await self._whole_answer(line.connection, call.body_timeout_s)
-        if not message.keep_alive:
-            line.drop()
-        if message.status != 200:
-            raise BadMessage(message.status, f"status {message.status}")
-        try:
-            self._content = json.loads(message.body)
-            hosts = self.list_parser.parse(self._content)
-        except (ValueError, RecursionError) as error:
-            self._salvage(message.body)
-            raise WorkerListError(str(error)) from None
-        hosts.size_bytes = len(message.body)
-        return hosts
-
-    async def _whole_answer(self, connection: Connection, longest: float) -> Message:
-        """The rest of an answer that has begun. It may take so long at most, as long as bytes come."""
-        until = self.timers.now() + longest
-        while True:
-            received, left = connection.received, until - self.timers.now()
-            try:
-                async with self.timers.timeout(min(BODY_IDLE_TIMEOUT_S, left)):
-                    return await connection.next()
-            except TimeoutError:
-                if connection.received == received or self.timers.now() >= until:
-                    raise
-
-    def _tell(self, how: UpdateKind, hosts: WorkerList) -> None:
-        self.metrics.count("lists_" + how)
-        if hosts.is_snapshot:  # who stands there in bytes that cannot be read has not left
-            hosts.endpoints += self.workers.named(hosts.unparsed_ids)
-        self.workers.update(hosts)
-        self.policy_runner.feed(interface.MembershipUpdate(how, hosts.version, self._members(hosts)))
-        self.on_list_applied(how)
-
-    def _members(self, hosts: WorkerList) -> list[interface.MemberEntry]:
-        """The list for the module, with each start of a worker on this process's clock."""
-        now = self.timers.now()
-        self._start_times.observe_clocks(now, self._wall_clock())
-        if hosts.is_snapshot:
-            self._start_times.retain_only({host.id for host in hosts.endpoints})
-        members = []
-        for host in hosts.endpoints:
-            started = self._start_times.to_monotonic(host.id, host.member.started_at, now)
-            members.append(replace(host.member, slow_start_from=started) if started else host.member)
-        return members
+
+def _complete_version(worker_list: WorkerList | None) -> int | None:
+    """The version of a list whose content is complete; None if some entries could not be parsed."""
+    if worker_list is None or worker_list.unparsed_ids:
+        return None
+    return worker_list.version
--- a/tests/net/test_discovery.py
+++ b/tests/net/test_discovery.py
@@ -384,7 +384,7 @@
         ):
             assert (b" 200 " in await looks[0]) is serves
 
-    monkeypatch.setattr("beaconhinge.net.discovery.connect", failing)
+    monkeypatch.setattr("beaconhinge.net.discovery_connection.connect", failing)
     uvloop.run(run())
 
 
@@ -401,7 +401,9 @@
     async def scenario(harness: Harness) -> None:
         await next_call(harness, "wait=4000")
         discovery, loop = discoveries[0], asyncio.get_running_loop()
-        discovery.freshness = ListFreshness(False, discovery.timers.now())  # nothing is known from now on
+        discovery.availability.freshness = ListFreshness(
+            False, discovery.timers.now()
+        )  # nothing is known from now on
         asked = asyncio.create_task(harness.post())
         began = loop.time()
         while not harness.running.done() and not discovery.metrics.counters["sends_waited_for_list"]:
@@ -410,8 +412,8 @@
             await asyncio.sleep(0)
         assert loop.time() - began < 1.0
         assert harness.workers[0].seen.empty()
-        discovery.freshness.handle_answer(discovery.timers.now(), discovery.timers.now())
-        discovery._look()
+        discovery.availability.freshness.handle_answer(discovery.timers.now(), discovery.timers.now())
+        discovery.availability.update()
         await harness.workers[0].seen.get()
         await harness.callback(0, id="r1", state="done", result="x")
         assert (await asked).status == 200
@@ -526,7 +528,7 @@
 def test_an_answer_that_never_ends_costs_that_call_alone(
     wrong: bytes, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr("beaconhinge.net.discovery.BODY_IDLE_TIMEOUT_S", 0.1)
+    monkeypatch.setattr("beaconhinge.net.discovery_connection.BODY_IDLE_TIMEOUT_S", 0.1)
 
     async def scenario(harness: Harness) -> None:
         calls = 0
