--- a/beaconhinge/net/discovery.py
+++ b/beaconhinge/net/discovery.py
@@ -1,7 +1,8 @@
 """The client of discovery: polls and watches the endpoint list, and applies and confirms what comes.
 
 `membership/discovery_watch.py` decides on the calls and on their answers, `discovery_connection.py` makes the
-calls, `list_applier.py` applies lists, `list_availability.py` tells whether the list may be acted on.
+calls, `list_applier.py` applies lists, `list_availability.py` tells whether the list may be acted on, and
+`list_log.py` reports what happened.
 """
 
 from __future__ import annotations
@@ -9,27 +10,25 @@
 import asyncio
 import json
 import random
-from collections import deque
 from collections.abc import Callable, Mapping
 from dataclasses import dataclass
 from typing import Any
 
 from ..config import Address, Config
 from ..dispatch.policy_runner import PolicyRunner
-from ..membership.discovery_watch import DiscoveryCall, DiscoveryWatch, WatchDecision
+from ..membership.discovery_watch import DiscoveryCall, DiscoveryWatch
 from ..membership.inventory import WorkerList, WorkerListError, WorkerListParser
 from ..policy import interface
-from ..policy.interface import UpdateKind, WorkerState
+from ..policy.interface import UpdateKind
 from ..runtime.metrics import Metrics
 from ..runtime.timer_wheel import TimerWheel
 from .discovery_connection import DiscoveryConnection
 from .http1 import BadMessage, Closed
 from .list_applier import ListApplier
 from .list_availability import ListAvailability
+from .list_log import ListLog
 from .worker_pool import WorkerPool
 
-# How many of the lists applied last are named with each traced watch without a change.
-TRACED_LISTS = 8
 # The window of the first calls of a group that starts at once, for each member, and its maximum. None of them
 # serves before it has its list.
 START_SPREAD_PER_DISPATCHER_S = 0.01
@@ -91,7 +90,7 @@
         self._bootstrap_list = config.known or WorkerList()
         self._poll_task: asyncio.Task[None] | None = None
         self._call_ended = asyncio.Event()  # a call has been answered, or has failed
-        self._recent_lists: deque[str] = deque(maxlen=TRACED_LISTS)
+        self._log = ListLog(metrics)
         policy_runner.action_handlers[interface.SubscribeMembership] = self._subscribe
         policy_runner.action_handlers[interface.FetchMembership] = lambda _action: self._restart_polling(
             snapshot=True
@@ -228,65 +227,16 @@
             self.availability.freshness.handle_failure(now - elapsed_s, now, refused=False, was_watch=False)
         if not decision.keep_connection:
             connection.close()
-        self._report_decision(call, worker_list, decision, previous_version)
+        self._log.report_decision(call, worker_list, decision, previous_version, self.version)
         if decision.update_kind:
             if changes_workers or worker_list.version != previous_version:
-                self._log_list_taken(call, worker_list, decision.update_kind, previous_version, elapsed_s)
+                self._log.report_change(call, worker_list, decision.update_kind, previous_version, elapsed_s)
             self.policy_runner.monitor.list_received(answer.content, now)
             self._apply(decision.update_kind, worker_list)
         else:
-            self._trace_unchanged(worker_list)
+            self._log.trace_unchanged(worker_list, self.workers.hosts())
         return decision.pause_s
 
-    def _report_decision(
-        self,
-        call: DiscoveryCall,
-        worker_list: WorkerList,
-        decision: WatchDecision,
-        previous_version: int | None,
-    ) -> None:
-        version, kind = worker_list.version, decision.update_kind
-        entries, unparsed = len(worker_list.endpoints), len(worker_list.unparsed_ids)
-        if not decision.keep_connection:
-            self.metrics.count_and_log("list_out_of_turn", version=version, known=self.version)
-        if call.wait_s == 0 and kind and version == previous_version:
-            self.metrics.count("lists_verified")
-        if decision.contradicts_earlier:
-            self.metrics.count_and_log("list_contradicted", version=version, entries=entries)
-        if kind:
-            self._recent_lists.append(f"{kind}:{previous_version}-{version}:{entries}:{unparsed}")
-
-    def _log_list_taken(
-        self,
-        call: DiscoveryCall,
-        worker_list: WorkerList,
-        kind: UpdateKind,
-        previous_version: int | None,
-        elapsed_s: float,
-    ) -> None:
-        self.metrics.log(
-            "list_taken",
-            kind=kind,
-            version=worker_list.version,
-            known=previous_version,
-            index=call.index,
-            wait=call.wait_s,
-            entries=len(worker_list.endpoints),
-            unread=len(worker_list.unparsed_ids),
-            after=elapsed_s,
-        )
-
-    def _trace_unchanged(self, worker_list: WorkerList) -> None:
-        members = [endpoint.member for endpoint in self.workers.hosts()]
-        self.metrics.trace(
-            "lists",
-            "list_unchanged",
-            version=worker_list.version,
-            workers=len(members),
-            ready=sum(member.state == WorkerState.READY for member in members),
-            taken=" ".join(self._recent_lists),
-        )
-
     def _handle_failure(
         self, connection: DiscoveryConnection, call: DiscoveryCall, error: Exception, started_s: float
     ) -> float:
