--- a/tests/dispatch/test_arrivals.py
+++ b/tests/dispatch/test_arrivals.py
@@ -1,4 +1,4 @@
-"""How long a request may have waited to be read, in made-up time."""
+"""How long a request may have waited to be read, in simulated time."""
 
 from __future__ import annotations
 
@@ -20,14 +20,14 @@
     return arrivals
 
 
-def test_while_the_process_runs_a_request_comes_when_it_is_read() -> None:
+def test_request_arrives_when_it_is_read_while_the_process_runs() -> None:
     assert running(10.0).earliest_arrival(10.0) == 10.0
     assert running(10.0).earliest_arrival(10.0 + PROCESS_PAUSE_S) == 10.0 + PROCESS_PAUSE_S
     assert ArrivalBounds(5.0).earliest_arrival(5.0) == 5.0
 
 
 @pytest.mark.parametrize("first", ["a timer", "the request"])
-def test_what_came_while_it_stood_still_counts_from_when_it_last_ran(first: str) -> None:
+def test_input_that_came_during_a_pause_counts_from_when_the_process_last_ran(first: str) -> None:
     arrivals = running(10.0)
     if first == "a timer":
         arrivals.mark_running(12.5)
@@ -41,7 +41,7 @@
 @pytest.mark.parametrize(
     ("stood", "within"), [(0.3, DRAIN_INPUT_MIN_S), (3.0, 0.3), (3600.0, DRAIN_INPUT_MAX_S)]
 )
-def test_what_waited_is_read_within_a_bounded_time(stood: float, within: float) -> None:
+def test_waiting_input_is_read_within_a_bounded_time(stood: float, within: float) -> None:
     arrivals = running(10.0)
     back = 10.0 + stood
     arrivals.mark_running(back)
@@ -51,7 +51,7 @@
     assert arrivals.earliest_arrival(back + within + 0.01) == back + within + 0.01
 
 
-def test_a_gap_while_it_still_reads_what_came_in_the_one_before_hides_nothing() -> None:
+def test_second_pause_while_input_of_the_first_is_read_hides_nothing() -> None:
     arrivals = running(10.0)
     arrivals.mark_running(17.0)
     arrivals.mark_running(17.4)
--- a/tests/dispatch/test_invariants.py
+++ b/tests/dispatch/test_invariants.py
@@ -27,7 +27,7 @@
     }
 
 
-def test_a_healthy_history_has_no_violation() -> None:
+def test_healthy_history_has_no_violation() -> None:
     history = History()
     history.monitor.attempt_started("r1", "a", 100.0, 5000)
     history.monitor.attempt_ended("r1", "a", never_ran=False)
@@ -44,15 +44,15 @@
 @pytest.mark.parametrize(
     "left", [listing(False, a="Terminating"), listing(False, a="Gone"), listing(True, b="Ready")]
 )
-def test_a_send_to_a_worker_that_has_left(left: dict[str, Any]) -> None:
+def test_send_to_a_departed_worker(left: dict[str, Any]) -> None:
     history = History()
     history.monitor.list_received(left, 100.0)
-    history.monitor.list_received(left, 100.3)  # told again: it counts from the first word
+    history.monitor.list_received(left, 100.3)  # announced again: it counts from the first announcement
     history.monitor.attempt_started("r1", "a", 100.5, 4500)
     assert history.found == [InvariantRule.DRAIN]
 
 
-def test_a_whole_list_with_an_entry_that_names_nobody_takes_nobody_out() -> None:
+def test_snapshot_with_an_entry_without_id_removes_no_worker() -> None:
     history = History()
     history.monitor.list_received(
         {"full": True, "servers": [{"id": "b", "state": "Ready"}, {"id": 7}]}, 100.0
@@ -61,7 +61,7 @@
     assert history.found == []
 
 
-def test_a_send_for_a_client_that_has_gone_or_a_request_that_is_over() -> None:
+def test_send_for_a_disconnected_client_or_a_finished_request() -> None:
     history = History()
     history.monitor.client_disconnected("r1", 100.0)
     history.monitor.client_disconnected("r1", 100.3)
@@ -81,7 +81,7 @@
         (True, "b", True, True, []),
     ],
 )
-def test_a_second_attempt(
+def test_second_attempt(
     unsafe: bool, second: str, ended: bool, unrun: bool, found: list[InvariantRule]
 ) -> None:
     history = History(unsafe)
@@ -92,14 +92,14 @@
     assert history.found == found
 
 
-def test_a_worker_that_is_told_more_time_than_is_left() -> None:
+def test_longer_timeout_announced_than_there_is_time_left() -> None:
     history = History()
     history.monitor.attempt_started("r1", "a", 101.0, 4140)
     history.monitor.attempt_started("r1", "b", 101.0, 4160)
     assert history.found == [InvariantRule.DEADLINE]
 
 
-def test_what_has_left_is_remembered_in_bounds() -> None:
+def test_departed_workers_are_remembered_in_bounds() -> None:
     history = History()
     for number in range(DEPARTED_WORKERS_KEPT + 10):
         history.monitor.list_received(listing(False, **{f"w{number}": "Gone"}), 100.0)
--- a/tests/dispatch/test_send_guard.py
+++ b/tests/dispatch/test_send_guard.py
@@ -26,7 +26,7 @@
     must_not_run_twice=False,
 )
 
-STOPPED: list[tuple[SendRefusal, dict[str, Any]]] = [
+REFUSED_SENDS: list[tuple[SendRefusal, dict[str, Any]]] = [
     (SendRefusal.LIST_UNKNOWN, {"list_usable": False}),
     (SendRefusal.ATTEMPT_ENDED, {"attempt_open": False}),
     (SendRefusal.CLIENT_GONE, {"client_waiting": False}),
@@ -43,7 +43,7 @@
 ]
 
 
-def test_a_send_with_nothing_against_it_is_allowed() -> None:
+def test_send_without_a_reason_against_it_is_allowed() -> None:
     assert find_send_refusal(ALLOWED) is None
     # A safe class may have a copy elsewhere, and weights move.
     assert (
@@ -59,13 +59,13 @@
     )
 
 
-@pytest.mark.parametrize(("why", "change"), STOPPED)
-def test_each_reason_stops_it_alone(why: SendRefusal, change: dict[str, Any]) -> None:
+@pytest.mark.parametrize(("why", "change"), REFUSED_SENDS)
+def test_each_reason_alone_refuses_the_send(why: SendRefusal, change: dict[str, Any]) -> None:
     assert find_send_refusal(replace(ALLOWED, **change)) is why
 
 
-def test_every_reason_and_every_field_is_tried() -> None:
-    assert {why for why, _ in STOPPED} == set(SendRefusal)
-    assert {name for _, change in STOPPED for name in change} | {"entry_when_chosen"} == {
+def test_every_reason_and_every_field_is_covered() -> None:
+    assert {why for why, _ in REFUSED_SENDS} == set(SendRefusal)
+    assert {name for _, change in REFUSED_SENDS for name in change} | {"entry_when_chosen"} == {
         field.name for field in fields(SendState)
     }
--- a/tests/dispatch/test_work_estimates.py
+++ b/tests/dispatch/test_work_estimates.py
@@ -1,4 +1,4 @@
-"""What clients guess of a job's cost: read, filled in where it is missing, bounded where it is absurd."""
+"""Clients' hints of a job's cost: parsed, filled in where missing, bounded where absurd."""
 
 from __future__ import annotations
 
@@ -14,56 +14,59 @@
 from beaconhinge.runtime.metrics import Metrics
 
 
-def test_a_deployment_without_hints_and_an_odd_client_in_one_get_none() -> None:
-    hints = WorkEstimator()
-    told = [(n % 5 == 4) * 1e-6 for n in range(500)]  # one client in five says what no job costs
-    assert [hints.estimate_s(n % 3, work, 5.0) for n, work in enumerate(told)] == [0.0] * 500
-    assert not hints.in_use
+def test_deployment_with_few_hints_gets_no_estimates() -> None:
+    estimator = WorkEstimator()
+    hints_s = [(n % 5 == 4) * 1e-6 for n in range(500)]  # one client in five says what no job costs
+    assert [estimator.estimate_s(n % 3, work, 5.0) for n, work in enumerate(hints_s)] == [0.0] * 500
+    assert not estimator.in_use
 
 
-def test_rough_hints_pass_and_a_missing_one_is_the_mean_of_its_class() -> None:
-    rng, hints = random.Random(1), WorkEstimator()
-    told = [rng.lognormvariate(0, 1.2) for _ in range(2000)]  # 1.2: from a tenth to ten times, and more
-    fitted = [hints.estimate_s(0, work, 30.0) for work in told]
-    assert sum(got == work for got, work in zip(fitted, told, strict=True)) > 1980
-    assert hints.estimate_s(0, 0.0, 30.0) == pytest.approx(statistics.mean(told), rel=0.5)
-    cheap = [hints.estimate_s(1, 0.01, 30.0) for _ in range(20)]
-    assert cheap == [0.01] * 20 and hints.estimate_s(1, 0.0, 30.0) == pytest.approx(0.01)
-    assert hints.estimate_s(2, 0.0, 30.0) > 0  # a class whose clients never say anything: that of all jobs
+def test_rough_hints_pass_and_missing_hint_is_the_mean_of_its_class() -> None:
+    rng, estimator = random.Random(1), WorkEstimator()
+    hints_s = [rng.lognormvariate(0, 1.2) for _ in range(2000)]  # 1.2: from a tenth to ten times, and more
+    fitted = [estimator.estimate_s(0, work, 30.0) for work in hints_s]
+    assert sum(got == work for got, work in zip(fitted, hints_s, strict=True)) > 1980
+    assert estimator.estimate_s(0, 0.0, 30.0) == pytest.approx(statistics.mean(hints_s), rel=0.5)
+    cheap = [estimator.estimate_s(1, 0.01, 30.0) for _ in range(20)]
+    assert cheap == [0.01] * 20 and estimator.estimate_s(1, 0.0, 30.0) == pytest.approx(0.01)
+    # A class whose clients never send a hint gets the mean of all jobs.
+    assert estimator.estimate_s(2, 0.0, 30.0) > 0
 
 
 @pytest.mark.parametrize("absurd", [1e12, 1e-9])
-def test_absurd_hints_first_or_later_one_in_four_are_bounded_and_move_nobody_elses(absurd: float) -> None:
-    hints = WorkEstimator()
-    assert hints.estimate_s(0, absurd, 5.0) <= 5.0
+def test_absurd_hints_are_bounded_and_affect_no_other_estimate(absurd: float) -> None:
+    estimator = WorkEstimator()
+    assert estimator.estimate_s(0, absurd, 5.0) <= 5.0
     for number in range(400):
-        told = absurd if number % 4 == 0 else 0.5
-        work = hints.estimate_s(0, told, 5.0)
+        hint_s = absurd if number % 4 == 0 else 0.5
+        work = estimator.estimate_s(0, hint_s, 5.0)
         if number > MEDIAN_MIN_HINTS:
-            assert work == 0.5 or told == absurd and 0.5 / OUTLIER_FACTOR <= work <= 0.5 * OUTLIER_FACTOR
-    assert hints.bounded_count >= 95
+            assert work == 0.5 or hint_s == absurd and 0.5 / OUTLIER_FACTOR <= work <= 0.5 * OUTLIER_FACTOR
+    assert estimator.bounded_count >= 95
 
 
-def test_a_class_that_turns_twenty_two_times_as_dear_is_believed_at_once_and_others_are_untouched() -> None:
-    hints = WorkEstimator()
+def test_class_that_becomes_22_times_as_expensive_is_believed_at_once_and_others_are_unaffected() -> None:
+    estimator = WorkEstimator()
     for _ in range(100):
-        assert (hints.estimate_s(0, 0.5, 5.0), hints.estimate_s(1, 3.0, 25.0)) == (0.5, 3.0)
+        assert (estimator.estimate_s(0, 0.5, 5.0), estimator.estimate_s(1, 3.0, 25.0)) == (0.5, 3.0)
     for _ in range(50):
-        assert (hints.estimate_s(0, 11.0, 5.0), hints.estimate_s(1, 3.0, 25.0)) == (11.0, 3.0)
-    assert hints.bounded_count == 0
+        assert (estimator.estimate_s(0, 11.0, 5.0), estimator.estimate_s(1, 3.0, 25.0)) == (11.0, 3.0)
+    assert estimator.bounded_count == 0
 
 
-def test_where_most_jobs_begin_or_cease_to_carry_hints_the_use_follows_without_flapping() -> None:
-    hints, turns, before = WorkEstimator(), 0, True
+def test_use_of_hints_follows_their_share_without_flapping() -> None:
+    estimator, turns, before = WorkEstimator(), 0, True
     for number in range(600):
         share = [1.0, 0.5, 0.1][number // 200]
-        hints.estimate_s(0, 0.5 if (number * 7 % 20) < 20 * share else 0.0, 5.0)
-        turns += hints.in_use != before
-        before = hints.in_use
-    assert turns == 1 and not hints.in_use
+        estimator.estimate_s(0, 0.5 if (number * 7 % 20) < 20 * share else 0.0, 5.0)
+        turns += estimator.in_use != before
+        before = estimator.in_use
+    assert turns == 1 and not estimator.in_use
 
 
-def test_the_module_has_the_clients_guess_and_a_bad_one_costs_no_job(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_policy_gets_the_clients_hint_and_malformed_hint_rejects_no_job(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
     """Without its reading `size_hint` stays 0, and every class is taken for one that costs the mean."""
     module, counted, count = use_scripted_policy(monkeypatch), Counter[str](), Metrics.count
 
--- a/tests/membership/test_discovery_watch.py
+++ b/tests/membership/test_discovery_watch.py
@@ -1,4 +1,4 @@
-"""When discovery is called and what of it is taken: the decisions alone, in made-up time."""
+"""When discovery is called and which answers are applied: the decisions alone, in simulated time."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 
 
 class ClockedWatch(DiscoveryWatch):
-    """A watch in made-up time, which stands still but where a test moves it on."""
+    """A watch in simulated time, which stands still but where a test moves it on."""
 
     def __init__(self, pushed: bool, size: int, max_age_s: float, version: int | None) -> None:
         super().__init__(pushed, size, max_age_s, version, 0.0, 0.5)
@@ -54,10 +54,10 @@
 @pytest.mark.parametrize("pushed", [False, True])
 @pytest.mark.parametrize("size", [1, 5, 40, 230, 1024])
 @pytest.mark.parametrize("max_age_s", [2.0, 10.0, 30.0])
-def test_what_a_silent_watch_misses_is_asked_for_before_it_counts_as_told(
+def test_silent_watch_is_followed_by_a_call_before_missed_changes_count_as_notified(
     pushed: bool, size: int, max_age_s: float
 ) -> None:
-    """Its call was given up just as that counted as told, and came again up to 50 s later."""
+    """Its call was given up just as that counted as notified, and came again up to 50 s later."""
     watch, jitter = watching(pushed=pushed, size=size, max_age_s=max_age_s), random.Random(size)
     call = watch.poll()
     assert 0 < call.wait_s <= 0.4 * max_age_s
@@ -73,7 +73,7 @@
 
 
 @pytest.mark.parametrize("size", [1, 5, 40, 230, 1024])
-def test_after_a_break_the_list_is_asked_for_before_not_asking_counts_as_knowing(size: int) -> None:
+def test_broken_watch_is_followed_by_a_call_before_the_maximum_age(size: int) -> None:
     for seed in range(50):
         watch = watching(size=size)
         call = watch.poll()  # the last one; the watch breaks just before its end
@@ -90,8 +90,8 @@
 SIZES = [1, 5, 30, 230, 1024]
 
 
-def test_the_calls_of_many_after_a_common_break_are_spread() -> None:
-    """Over as long as leaves each of them a second try before its news count as told, and evenly."""
+def test_retries_of_a_group_after_a_common_failure_are_spread() -> None:
+    """Over as long as leaves each of them a second try before its changes count as notified, and evenly."""
     times = []
     for seed in range(230):
         watch = watching(size=230)
@@ -104,7 +104,7 @@
 @pytest.mark.parametrize("size", SIZES)
 @pytest.mark.parametrize("max_age_s", [0.0, 2.0, 10.0, 30.0])
 @pytest.mark.parametrize("failures", [0, 1, 3, 9])
-def test_however_often_calls_failed_the_next_that_can_be_answered_ends_before_its_news_count_as_told(
+def test_after_any_number_of_failures_the_next_call_ends_before_changes_count_as_notified(
     size: int, max_age_s: float, failures: int
 ) -> None:
     """Calls came again in up to 10 s after a failure in a group of 200, and had 3.2 s each."""
@@ -143,7 +143,7 @@
 
 @pytest.mark.parametrize("size", SIZES)
 @pytest.mark.parametrize("way", ["away and back", "all watches reset", "all moved"])
-def test_a_whole_group_that_comes_at_once_has_its_news_in_time(size: int, way: str) -> None:
+def test_group_that_calls_at_once_has_its_changes_in_time(size: int, way: str) -> None:
     """A third of the group a second, as large days have it. The last of 230 had its list 12.1 s after discovery was
     back, and of 1,024 22 s after, while calls backed off.
     """
@@ -175,7 +175,7 @@
     assert calls <= size * (2 + (back - 4.0))  # while it is away nobody calls more than once a second
 
 
-def test_an_agent_is_asked_again_within_the_grace_for_drains_for_as_long_as_it_is_away() -> None:
+def test_agent_is_polled_within_the_drain_grace_while_it_is_away() -> None:
     """Silent calls had up to 1.2 s each, and what it had at its return counted at once."""
     watch = watching(pushed=True)
     watch.poll()
@@ -188,7 +188,7 @@
     assert watch.poll().first_byte_timeout_s > 0.5
 
 
-def test_an_older_list_is_not_used_until_it_comes_twice_on_new_connections() -> None:
+def test_older_list_is_not_applied_until_it_comes_twice_on_new_connections() -> None:
     watch = watching(version=9)
     watch.poll()
     decision = watch.take(answer(3, True), 0.02)  # a second answer to an earlier call, say
@@ -202,7 +202,7 @@
     assert decision.update_kind == UpdateKind.SNAPSHOT and decision.keep_connection and watch.version == 2
 
 
-def test_the_same_again_before_its_wait_is_over_closes_the_connection() -> None:
+def test_unchanged_answer_before_the_wait_is_over_closes_the_connection() -> None:
     watch = watching()
     call = watch.poll()
     decision = watch.take(answer(5), 0.1 * call.wait_s)
@@ -215,7 +215,7 @@
     assert decision.update_kind is None and decision.keep_connection
 
 
-def test_changes_where_all_was_asked_for_are_not_taken() -> None:
+def test_changes_in_place_of_the_snapshot_are_not_applied() -> None:
     watch = ClockedWatch(False, 3, 10.0, None)
     assert watch.poll().index is None
     assert watch.take(answer(4), 0.01).update_kind is None
@@ -223,7 +223,7 @@
     assert watch.take(answer(4, True), 0.01).update_kind == UpdateKind.SNAPSHOT
 
 
-def test_an_entry_that_cannot_be_read_has_all_asked_for_once_and_no_more() -> None:
+def test_malformed_entry_has_the_snapshot_requested_once() -> None:
     watch = watching()
     watch.poll()
     assert watch.take(answer(6, False, {"id": "s-1"}), 0.3).update_kind == UpdateKind.CHANGES
@@ -233,7 +233,7 @@
     assert call.index == 6 and call.wait_s > 0  # it is what discovery has
 
 
-def test_changes_in_answer_to_calls_for_the_whole_list_are_not_taken_and_asked_about_ever_later() -> None:
+def test_changes_in_place_of_the_snapshot_are_answered_with_growing_pauses() -> None:
     """Each was followed by the same call 0.05 s later, for as long as discovery answered so."""
     watch, calls = watching(), 0
     watch.resync(snapshot=True)
@@ -252,7 +252,7 @@
 
 
 @pytest.mark.parametrize(("size", "whole_again"), [(18, True), (19, False), (230, False)])
-def test_the_whole_list_of_another_discovery_is_read_twice_in_a_small_group_alone(
+def test_snapshot_of_another_discovery_is_read_twice_in_a_small_group_alone(
     size: int, whole_again: bool
 ) -> None:
     """After SIGHUP all of a group ask for whole lists; a second time, they would keep it from answering."""
@@ -272,7 +272,9 @@
 @pytest.mark.parametrize(
     ("size", "prompt"), [(1, True), (18, True), (19, False), (230, False), (1024, False)]
 )
-def test_what_a_start_missed_is_confirmed_at_once_in_a_small_group(size: int, prompt: bool) -> None:
+def test_changes_missed_before_a_start_are_confirmed_at_once_in_a_small_group(
+    size: int, prompt: bool
+) -> None:
     """A large group that asks for whole lists as well keeps discovery from answering anybody."""
     watch = watching(size=size)
     watch.resync()
--- a/tests/membership/test_freshness.py
+++ b/tests/membership/test_freshness.py
@@ -1,4 +1,4 @@
-"""Whether the believed list may be acted on: starts, silence, outages, stalls, in made-up time."""
+"""Whether the endpoint list may be acted on: starts, silence, outages, pauses, in simulated time."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 
 
 @pytest.mark.parametrize("pushed", [False, True])
-def test_a_start_knows_nothing_until_discovery_has_spoken(pushed: bool) -> None:
+def test_list_is_unknown_at_the_start_until_discovery_has_answered(pushed: bool) -> None:
     """It served by its configured list, however old, for up to 5 s before it asked."""
     freshness = ListFreshness(pushed, 100.0)
     assert freshness.state(100.0) is ListState.UNKNOWN
@@ -34,7 +34,7 @@
     assert freshness.state(101.0) is ListState.CURRENT
 
 
-def test_a_list_is_current_until_what_was_missed_counts_as_notified() -> None:
+def test_list_is_current_until_missed_changes_count_as_notified() -> None:
     freshness = ListFreshness(False, 0.0)
     freshness.handle_answer(0.0, 0.1)
     running(freshness, 0.1, 0.1 + LIST_MAX_AGE_S)
@@ -43,7 +43,7 @@
     assert freshness.state(0.2 + LIST_MAX_AGE_S) is ListState.UNKNOWN
 
 
-def test_service_goes_on_while_discovery_is_down_and_not_for_lack_of_one_answer() -> None:
+def test_service_continues_while_discovery_is_down_and_not_for_lack_of_one_answer() -> None:
     freshness = ListFreshness(False, 0.0)
     running(freshness, 0.0, 1.0)
     freshness.handle_failure(
@@ -60,7 +60,7 @@
     assert freshness.state(1.2) is ListState.UNREACHABLE
 
 
-def test_one_that_has_had_a_word_goes_on_while_its_calls_are_refused() -> None:
+def test_process_that_has_had_an_answer_continues_while_its_calls_are_refused() -> None:
     """In an outage calls end with 503 after a while; two hundred held all their jobs back."""
     freshness = ListFreshness(False, 0.0)
     freshness.handle_answer(0.0, 0.1)
@@ -70,7 +70,7 @@
     assert freshness.state(11.0) is ListState.UNREACHABLE
 
 
-def test_a_discovery_that_says_nothing_holds_work_up_for_a_bounded_time() -> None:
+def test_silent_discovery_delays_work_for_a_bounded_time() -> None:
     freshness = ListFreshness(False, 0.0)
     running(freshness, 0.0, UNKNOWN_MAX_S)
     assert freshness.state(UNKNOWN_MAX_S - 0.1) is ListState.UNKNOWN
@@ -78,7 +78,7 @@
 
 
 @pytest.mark.parametrize("stopped", [7.0, 20.0, 3600.0])
-def test_one_that_stood_still_knows_nothing_and_failures_of_before_show_nothing(stopped: float) -> None:
+def test_list_is_unknown_after_a_pause_whatever_failed_before_it(stopped: float) -> None:
     freshness = ListFreshness(False, 0.0)
     freshness.handle_answer(0.0, 0.1)
     freshness.handle_failure(call_started_s=0.2, now=0.3, refused=True, was_watch=False)
@@ -93,7 +93,7 @@
     assert freshness.state(back + 0.05) is ListState.CURRENT
 
 
-def test_what_an_agent_at_hand_has_counts_at_once_so_that_a_short_stop_is_enough() -> None:
+def test_shorter_pause_makes_the_list_unknown_where_an_agent_pushes_it() -> None:
     freshness = ListFreshness(True, 0.0)
     freshness.handle_answer(0.0, 0.1)
     running(freshness, 0.1, 1.0)
--- a/tests/membership/test_start_times.py
+++ b/tests/membership/test_start_times.py
@@ -1,4 +1,4 @@
-"""Starts of workers, told in wall time, on a clock that only goes forward."""
+"""Start times of workers, reported in wall time, on the monotonic clock."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 from beaconhinge.membership.start_times import StartTimes
 
 
-def test_while_the_wall_clock_keeps_its_step_a_start_is_what_it_is_told_to_be() -> None:
+def test_start_is_as_reported_while_the_wall_clock_does_not_step() -> None:
     starts = StartTimes()
     starts.observe_clocks(11000.0, 11000.0)
     assert starts.to_monotonic("s-1", 10990.0, 11000.0) == 10990.0
@@ -16,7 +16,7 @@
 
 
 @pytest.mark.parametrize("step", [-3600.0, -2.0, 2.0, 3600.0])
-def test_after_a_step_no_start_counts_as_earlier_than_it_was(step: float) -> None:
+def test_no_start_is_too_early_after_a_step(step: float) -> None:
     starts = StartTimes()
     starts.observe_clocks(11000.0, 11000.0)
     before = starts.to_monotonic("before", 10990.0, 11000.0)
@@ -26,7 +26,7 @@
     assert starts.to_monotonic("before", 10990.0, 11010.0) == before == 10990.0
 
 
-def test_a_worker_that_starts_again_has_another_start_and_one_that_has_left_is_forgotten() -> None:
+def test_restarted_worker_has_another_start_and_departed_worker_is_forgotten() -> None:
     starts = StartTimes()
     assert starts.to_monotonic("s-1", 10990.0, 11000.0) == 10990.0
     starts.observe_clocks(11500.0, 11500.0 - 3600.0)
--- a/tests/membership/test_verification.py
+++ b/tests/membership/test_verification.py
@@ -1,4 +1,4 @@
-"""What is believed is compared with discovery again, and what that costs, in simulated time."""
+"""How the applied list is confirmed by discovery, and what that costs, in simulated time."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 )
 from beaconhinge.policy.interface import UpdateKind, WorkerState
 
-NOTIFIED_AFTER = 6.0
+NOTIFIED_AFTER_S = 6.0
 
 
 def entry(name: str, state: str = "Ready") -> dict[str, Any]:
@@ -49,7 +49,7 @@
 
 
 @pytest.mark.parametrize("seed", range(20))
-def test_a_change_is_read_a_second_time_before_it_counts_as_notified(seed: int) -> None:
+def test_change_is_read_a_second_time_before_it_counts_as_notified(seed: int) -> None:
     jitter = random.Random(seed)
     watch, now = new_watch(jitter.random()), 1.0
     watch.next_call(0.06)
@@ -62,10 +62,10 @@
     watched = call.wait_s
     call = watch.next_call(now + 0.1 + watched)
     assert call.index is None
-    assert 0.1 + watched + call.first_byte_timeout_s <= NOTIFIED_AFTER
+    assert 0.1 + watched + call.first_byte_timeout_s <= NOTIFIED_AFTER_S
 
 
-def test_a_new_version_without_an_entry_is_not_taken_and_the_whole_list_asked_for_at_once() -> None:
+def test_new_version_without_entries_is_not_taken_and_the_snapshot_requested_at_once() -> None:
     watch = new_watch()
     watch.next_call(0.06)
     decision = watch.handle_answer(worker_list(6), 0.9, 1.0, 0.5, changes_workers=False)
@@ -75,7 +75,7 @@
     assert watch.version == 6
 
 
-def test_a_second_answer_that_agrees_confirms_and_one_that_contradicts_is_followed_by_a_third() -> None:
+def test_second_answer_that_agrees_confirms_and_one_that_contradicts_is_followed_by_a_third() -> None:
     watch = new_watch()
     watch.next_call(0.06)
     watch.handle_answer(worker_list(6, entry("s-1", "Gone")), 0.9, 1.0, 0.0, changes_workers=True)
@@ -94,7 +94,7 @@
     assert watch.verification.confirmed_version == 6
 
 
-def test_an_entry_that_stays_unreadable_is_looked_at_ever_less_often() -> None:
+def test_entry_that_stays_malformed_is_read_ever_less_often() -> None:
     watch, now, reads = new_watch(), 1.0, []
     bad = {"id": "s-1", "state": "Odd"}
     while now < 300.0:
@@ -114,7 +114,7 @@
     assert len(reads) < 15 and waits == sorted(waits) and waits[-1] >= RESYNC_PERIOD_S / 2
 
 
-def test_the_whole_list_is_read_at_a_low_rate_though_nothing_changes() -> None:
+def test_snapshot_is_read_at_a_low_rate_though_nothing_changes() -> None:
     watch, now, whole = new_watch(), 1.0, 0
     for _ in range(400):
         call = watch.next_call(now)
@@ -126,7 +126,7 @@
     assert now / RESYNC_PERIOD_S / 2 < whole < now / RESYNC_PERIOD_S * 2
 
 
-def test_a_large_group_spreads_its_reads_so_that_discovery_still_answers() -> None:
+def test_large_group_spreads_its_confirming_reads() -> None:
     """Two hundred and twenty that read within 1.8 s of each change kept it from answering anybody."""
     jitter, reads = random.Random(7), list[float]()
     for _ in range(60):
@@ -145,7 +145,7 @@
     assert max(reads) < 1.0 + 2.0 + 60 / GROUP_READS_PER_SECOND + 5.0
 
 
-def test_a_larger_group_reads_again_only_what_an_answer_shows_to_be_doubtful() -> None:
+def test_larger_group_confirms_only_what_is_doubtful() -> None:
     """A confirming read took the place of the watch, which came back seconds later on an overbooked day."""
     watch, now = new_watch(size=220), 1.0
     watch.next_call(0.06)
@@ -160,7 +160,7 @@
     assert watch.next_call(now + 0.05).index is None
 
 
-def test_in_a_large_fleet_changes_are_confirmed_by_reading_them_again_within_a_budget() -> None:
+def test_changes_of_a_large_fleet_are_confirmed_within_a_byte_budget() -> None:
     """The whole list of 3,200 workers is half a megabyte; without a bound each change cost one."""
     verification, now, read, sizes = (
         Verification(False, 18, 0.0, 0.5),
@@ -186,7 +186,7 @@
 
 
 @pytest.mark.parametrize("cut", range(40, 400, 7))
-def test_what_a_broken_answer_told_of_leaving_workers_counts_and_nothing_else(cut: int) -> None:
+def test_broken_answer_counts_for_leaving_workers_alone(cut: int) -> None:
     body = json.dumps(
         {
             "version": 9,
@@ -212,11 +212,11 @@
         b'{"version": 1, "servers": [[[[[' * 50,
     ],
 )
-def test_what_is_no_list_yields_nothing(body: bytes) -> None:
+def test_body_that_is_no_list_yields_nothing(body: bytes) -> None:
     assert WorkerListParser([], []).parse_partial(body) is None
 
 
-def test_a_crowd_at_discovery_is_not_made_larger_by_what_can_wait() -> None:
+def test_overloaded_discovery_gets_no_reads_that_can_wait() -> None:
     """On a day of two hundred with outage and release, the further calls kept discovery from answering anybody."""
     watch = new_watch()
     watch.next_call(0.06)
@@ -231,7 +231,7 @@
     assert watch.next_call(9.5 + 16 * OVERLOAD_BACKOFF_S).index is None
 
 
-def test_a_confirming_read_that_fails_leaves_the_watch_as_it_was() -> None:
+def test_failed_confirming_read_leaves_the_watch_as_it_was() -> None:
     """It was followed by calls that do not wait, from each of two hundred, to a discovery with too many callers."""
     watch = new_watch()
     watch.next_call(0.06)
@@ -252,7 +252,7 @@
 
 
 @pytest.mark.parametrize("size", [19, 32, 60])
-def test_a_change_that_was_read_again_in_a_larger_group_is_confirmed_and_a_doubt_reads_all(size: int) -> None:
+def test_reread_change_is_confirmed_in_a_larger_group_and_doubt_reads_the_snapshot(size: int) -> None:
     """Thirty-two that confirmed by whole lists, 0.7 s each, heard late of the drains that came meanwhile."""
     watch, now = new_watch(size=size), 1.0
     for version in (6, 7):
--- a/tests/membership/test_wall_clock.py
+++ b/tests/membership/test_wall_clock.py
@@ -31,7 +31,7 @@
 
 @pytest.mark.parametrize("process_step", [-3600.0, -5.0, 0.0, 5.0, 3600.0])
 @pytest.mark.parametrize("everywhere", [True, False])
-def test_a_worker_that_has_just_started_is_cold_whatever_the_wall_clock_did(
+def test_worker_that_has_just_started_is_in_slow_start_whatever_the_wall_clock_did(
     process_step: float, everywhere: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """After a step back its age was an hour, and it was sent as much as a warm one; after a step forward it was
--- a/tests/net/test_discovery.py
+++ b/tests/net/test_discovery.py
@@ -1,4 +1,4 @@
-"""Stories of the list of workers: known, watched, malformed, refused."""
+"""The endpoint list in a running dispatcher: configured, watched, malformed, refused."""
 
 from __future__ import annotations
 
@@ -30,7 +30,7 @@
 from beaconhinge.policy.interface import AttemptOutcome, UpdateKind, WorkerState
 
 
-def test_a_list_of_version_0_is_watched_and_not_asked_for_again_and_again() -> None:
+def test_version_0_is_watched_and_not_polled_in_a_loop() -> None:
     async def scenario(harness: Harness) -> None:
         watch = await harness.discovery.seen.get()
         assert watch.start_line == "GET /discovery/hosts?index=0&wait=4000 HTTP/1.1"
@@ -40,7 +40,7 @@
     run_scenario(scenario)
 
 
-def test_a_watch_that_answers_at_once_each_time_is_asked_at_a_bounded_rate() -> None:
+def test_watches_answered_at_once_are_repeated_at_a_bounded_rate() -> None:
     async def scenario(harness: Harness) -> None:
         harness.lists = [{"version": 1, "full": True, "servers": []}] * 1000
         await asyncio.sleep(0.5)
@@ -49,7 +49,7 @@
     run_scenario(scenario)
 
 
-async def taker(harness: Harness) -> int:
+async def next_worker_with_a_job(harness: Harness) -> int:
     """The number of the worker that gets the next job."""
     waits = [asyncio.create_task(worker.seen.get()) for worker in harness.workers]
     await asyncio.wait(waits, return_when=asyncio.FIRST_COMPLETED)
@@ -59,7 +59,7 @@
     return who
 
 
-def test_a_worker_that_drains_gets_nothing_new_and_a_bad_entry_costs_itself_alone() -> None:
+def test_draining_worker_gets_no_jobs_and_malformed_entry_affects_itself_alone() -> None:
     async def scenario(harness: Harness) -> None:
         bad, leaving, third = {"id": 5}, harness.host(0, state="Terminating"), {"id": "s-2", "state": "Odd"}
         harness.lists = [
@@ -67,22 +67,22 @@
             {"version": 7, "full": True, "servers": [leaving, harness.host(1), third]},
         ]
         while "wait" in (await harness.discovery.seen.get()).start_line:
-            pass  # all is asked for once more, as an entry could not be read, and then no more
+            pass  # the snapshot is requested once, as an entry is malformed, and then no more
         watch = (await harness.discovery.seen.get()).start_line
-        assert "index=7&wait=" in watch and watched_ms(watch) >= 1500  # until the entry is looked at again
+        assert "index=7&wait=" in watch and watch_wait_ms(watch) >= 1500  # until the entry is looked at again
         taken = set()
         for number in range(8):
-            asked = asyncio.create_task(harness.post(X_Request_ID=f"r{number}"))
-            taken.add(who := await taker(harness))
+            request = asyncio.create_task(harness.post(X_Request_ID=f"r{number}"))
+            taken.add(who := await next_worker_with_a_job(harness))
             await harness.callback(who, id=f"r{number}", state="done", result="x")
-            assert (await asked).status == 200
+            assert (await request).status == 200
         assert harness.discovery.seen.empty()
         assert taken == {1, 2}  # the third's entry could not be read either: it stays as it was
 
     run_scenario(scenario, workers=3)
 
 
-def watched_ms(start: str) -> int:
+def watch_wait_ms(start: str) -> int:
     """How long a watch waits, by the first line of its call."""
     return int(start.split("wait=")[1].split()[0])
 
@@ -99,7 +99,7 @@
 }
 
 
-def test_an_entry_turns_into_a_member_with_a_number_of_32_bits() -> None:
+def test_entry_becomes_a_member_with_a_32_bit_number() -> None:
     [host] = (
         WorkerListParser(["a", "b"], ["k"]).parse({"version": 4, "full": True, "servers": [HOST]}).endpoints
     )
@@ -123,7 +123,7 @@
         {"kind": []},
     ],
 )
-def test_a_bad_entry_is_dropped_and_told(change: dict[str, object]) -> None:
+def test_malformed_entry_is_dropped_and_reported(change: dict[str, object]) -> None:
     dropped: list[str] = []
     read = WorkerListParser([], [], dropped.append).parse(
         {"version": 1, "servers": [{**HOST, **change}, HOST, 7]}
@@ -144,7 +144,7 @@
         {"version": 1, "servers": {}},
     ],
 )
-def test_a_list_that_is_none_is_an_error(content: object) -> None:
+def test_content_that_is_no_list_is_an_error(content: object) -> None:
     with pytest.raises(WorkerListError):
         WorkerListParser([], []).parse(content)
 
@@ -152,7 +152,7 @@
 @pytest.mark.parametrize(
     "answer", [reply(503), None, reply(200, b"[]"), reply(200, b"{"), b"nonsense\r\n\r\n"]
 )
-def test_a_failed_watch_keeps_the_old_list_and_is_made_again_when_the_module_says(
+def test_failed_watch_keeps_the_applied_list_and_is_retried(
     answer: bytes | None,
 ) -> None:
     async def script(_message: ReceivedMessage) -> bytes | None:
@@ -161,16 +161,16 @@
     async def scenario(harness: Harness) -> None:
         harness.discovery.script = script
         assert "wait=0" not in (await harness.discovery.seen.get()).start_line  # the watch, which fails
-        assert "wait=0" in (await harness.discovery.seen.get()).start_line  # asked anew, after a while
-        asked = asyncio.create_task(harness.post())
+        assert "wait=0" in (await harness.discovery.seen.get()).start_line  # polled after a backoff
+        request = asyncio.create_task(harness.post())
         await harness.workers[0].seen.get()
         await harness.callback(state="done", result="from the old list")
-        assert (await asked).status == 200
+        assert (await request).status == 200
 
     run_scenario(scenario)
 
 
-def test_a_discovery_that_says_nothing_holds_up_no_job_and_is_not_hammered(
+def test_silent_discovery_delays_no_job_and_is_not_called_in_a_loop(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     monkeypatch.setattr("beaconhinge.membership.discovery_watch.POLL_FIRST_BYTE_TIMEOUT_S", 0.1)
@@ -186,17 +186,17 @@
         harness.discovery.script = script
         harness.lists = [{"version": 1, "full": False, "servers": []}]
         for number in range(3):
-            asked = asyncio.create_task(harness.post(X_Request_ID=f"r{number}"))
+            request = asyncio.create_task(harness.post(X_Request_ID=f"r{number}"))
             await harness.workers[0].seen.get()
             await harness.callback(id=f"r{number}", state="done", result="from the remembered list")
-            assert (await asked).status == 200
+            assert (await request).status == 200
         assert (await harness.request(b"GET /up HTTP/1.1\r\n\r\n")).status == 200
         assert calls <= 2  # a call is out, and nobody hammers
 
     run_scenario(scenario)
 
 
-# ---- what counts as told ----------------------------------------------------------------------------------
+# ---- what counts as notified ------------------------------------------------------------------------------
 
 
 async def next_call(harness: Harness, text: str) -> str:
@@ -208,10 +208,10 @@
 async def serve_all(harness: Harness, worker: int) -> None:
     """Some jobs, each of which this worker gets."""
     for number in range(4):
-        asked = asyncio.create_task(harness.post(X_Request_ID=f"r{number}"))
+        request = asyncio.create_task(harness.post(X_Request_ID=f"r{number}"))
         await harness.workers[worker].seen.get()
         await harness.callback(worker, id=f"r{number}", state="done", result="x")
-        assert (await asked).status == 200
+        assert (await request).status == 200
 
 
 def changes(version: int, *servers: dict[str, object], full: bool = False) -> bytes:
@@ -219,10 +219,10 @@
 
 
 @pytest.mark.parametrize("pushed", [True, False])
-def test_a_watch_that_falls_silent_is_opened_anew_before_what_it_misses_counts_as_told(
+def test_silent_watch_is_reopened_before_missed_changes_count_as_notified(
     pushed: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """It was given up just as that counted as told, 2 s after its wait, and asked for anew at random after."""
+    """It was given up just as that counted as notified, 2 s after its wait, and reopened at random after."""
     monkeypatch.setattr(
         "beaconhinge.membership.discovery_watch.LONG_POLL_WAIT_S", 0.5
     )  # the part beyond it stays as it is
@@ -251,7 +251,7 @@
     run_scenario(scenario, workers=2, settings=settings)
 
 
-def test_where_lists_are_pushed_the_agent_is_asked_from_the_first_moment_and_at_its_return() -> None:
+def test_agent_is_polled_from_the_start_and_when_it_returns() -> None:
     """The module subscribes to nothing there, so that the program lived on its remembered list for ever."""
 
     async def scenario(harness: Harness) -> None:
@@ -281,7 +281,7 @@
     run_scenario(scenario, workers=2, settings={**SETTINGS, "membershipMode": "pushed"})
 
 
-def test_an_answer_without_the_list_that_was_asked_for_makes_no_list_current(
+def test_answer_without_the_requested_list_makes_no_list_current(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """It counted as discovery's word: /up said yes, and jobs went out by the configured list."""
@@ -309,7 +309,7 @@
 @pytest.mark.parametrize(
     "news", [{"state": "Gone"}, {"state": "Terminating"}, {"addr": "127.0.0.1:9"}, {"started_ms": 5}]
 )
-def test_a_job_that_waited_for_the_list_reaches_nobody_who_has_left_and_is_held_against_nobody(
+def test_job_that_waited_for_the_list_reaches_no_departed_worker_and_counts_as_no_failure(
     news: dict[str, object], monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """A connection was made to where the configured list had the worker; where it failed the worker was blamed."""
@@ -325,13 +325,13 @@
         return changes(1, harness.host(0, **news), harness.host(1), full="index" not in message.start_line)
 
     async def scenario(harness: Harness) -> None:
-        asked = asyncio.create_task(harness.post())
+        request = asyncio.create_task(harness.post())
         await next_event(module, interface.JobArrived)
         told.set()
         outcome = await next_event(module, interface.AttemptEnded)
         assert outcome.outcome == AttemptOutcome.NOT_SENT
         assert harness.workers[0].connections == 0
-        asked.cancel()
+        request.cancel()
 
     monkeypatch.setattr(Harness, "list", script)
     run_scenario(scenario, workers=2)
@@ -352,7 +352,7 @@
         ([errno.ECONNREFUSED, errno.ECONNRESET], True),
     ],
 )
-def test_only_a_discovery_that_refuses_twice_has_a_start_serve_by_its_configured_list(
+def test_only_two_refusals_have_a_start_serve_by_its_configured_list(
     codes: list[int], serves: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """One connection that failed for whatever reason, of this machine's own too, counted as discovery down."""
@@ -388,10 +388,10 @@
     uvloop.run(run())
 
 
-def test_a_job_that_comes_as_the_list_turns_unknown_waits_without_holding_up_the_rest(
+def test_job_that_arrives_as_the_list_turns_unknown_waits_without_blocking_the_loop(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Until the next look at the list its event was set still: the attempt asked again and again in one turn."""
+    """Until the next look at the list its event was set still: the attempt looped in one turn."""
     discoveries = list[Discovery]()
     original = Discovery.start_from_bootstrap
     monkeypatch.setattr(
@@ -404,7 +404,7 @@
         discovery.availability.freshness = ListFreshness(
             False, discovery.timers.now()
         )  # nothing is known from now on
-        asked = asyncio.create_task(harness.post())
+        request = asyncio.create_task(harness.post())
         began = loop.time()
         while not harness.running.done() and not discovery.metrics.counters["sends_waited_for_list"]:
             await asyncio.sleep(0)
@@ -416,12 +416,12 @@
         discovery.availability.update()
         await harness.workers[0].seen.get()
         await harness.callback(0, id="r1", state="done", result="x")
-        assert (await asked).status == 200
+        assert (await request).status == 200
 
     run_scenario(scenario)
 
 
-def test_where_lists_are_pushed_a_start_is_ready_with_the_agents_list_and_not_before(
+def test_start_is_ready_with_the_agents_list_and_not_before(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     held = asyncio.Event()
@@ -444,7 +444,7 @@
     run_scenario(scenario, workers=2, settings={**SETTINGS, "membershipMode": "pushed"})
 
 
-def test_a_start_without_its_agent_is_ready_after_a_while_with_the_list_that_it_has(
+def test_start_without_its_agent_is_ready_later_with_the_configured_list(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     async def script(harness: Harness, message: ReceivedMessage) -> bytes | None:
@@ -460,7 +460,7 @@
     run_scenario(scenario, settings={**SETTINGS, "membershipMode": "pushed"})
 
 
-def test_a_connection_that_comes_up_late_brings_nothing_to_a_worker_that_drains_by_then(
+def test_late_connection_sends_nothing_to_a_worker_that_drains_by_then(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """Within `connectTimeout` a drain may be told and its grace be over."""
@@ -474,7 +474,7 @@
 
     async def scenario(harness: Harness) -> None:
         monkeypatch.setattr("beaconhinge.net.worker_pool.connect", late)
-        asked = asyncio.create_task(harness.post())
+        request = asyncio.create_task(harness.post())
         leaving = [worker.port for worker in harness.workers].index(await begun.get())
         harness.lists = [changes(3, harness.host(leaving, state="Terminating"))]
         harness.discovery.cut()
@@ -483,7 +483,7 @@
         up.set()
         await harness.workers[1 - leaving].seen.get()  # proven never to have run, so it goes on
         await harness.callback(1 - leaving, state="done", result="x")
-        assert (await asked).status == 200
+        assert (await request).status == 200
         assert harness.workers[leaving].seen.empty()
 
     limits = {**SETTINGS["policyLimits"], "connectTimeout": 5.0}
@@ -491,7 +491,7 @@
 
 
 @pytest.mark.parametrize("wrong", ["again", "older"])
-def test_a_second_answer_puts_no_leaving_worker_back_and_is_taken_for_no_later_calls(wrong: str) -> None:
+def test_second_answer_readmits_no_leaving_worker_and_answers_no_later_call(wrong: str) -> None:
     """It came on the kept connection, and each answer from then on was read as that of the next call."""
 
     async def scenario(harness: Harness) -> None:
@@ -512,7 +512,7 @@
         await next_call(harness, "index=2&wait=")
         await serve_all(harness, 1)
         assert harness.workers[0].seen.empty()
-        assert calls == 2  # the watch came on a new connection: nothing had to be asked for again
+        assert calls == 2  # the watch came on a new connection: nothing had to be requested again
 
     run_scenario(scenario, workers=2)
 
@@ -525,7 +525,7 @@
         b"HTTP/1.1 200 X\r\nX-",
     ],
 )
-def test_an_answer_that_never_ends_costs_that_call_alone(
+def test_answer_that_never_ends_affects_that_call_alone(
     wrong: bytes, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr("beaconhinge.net.discovery_connection.BODY_IDLE_TIMEOUT_S", 0.1)
@@ -544,16 +544,17 @@
 
         harness.discovery.script = script
         harness.discovery.cut()
-        asked = asyncio.create_task(harness.post(X_Request_ID="first"))  # served by the list in use meanwhile
-        await harness.callback(await taker(harness), id="first", state="done", result="x")
-        assert (await asked).status == 200
+        # Served by the list in use meanwhile.
+        request = asyncio.create_task(harness.post(X_Request_ID="first"))
+        await harness.callback(await next_worker_with_a_job(harness), id="first", state="done", result="x")
+        assert (await request).status == 200
         await next_call(harness, "index=8")
         await serve_all(harness, 1)
 
     run_scenario(scenario, workers=2)
 
 
-def test_the_order_of_a_list_means_nothing_and_an_older_whole_list_is_what_discovery_says() -> None:
+def test_order_of_a_list_is_irrelevant_and_an_older_snapshot_is_applied() -> None:
     from helpers import members, started
 
     one, other = started(0), started(0)
