--- a/tests/membership/test_discovery_watch.py
+++ b/tests/membership/test_discovery_watch.py
@@ -64,12 +64,12 @@
     silent_from = 0.0  # in the worst case right after the call
     at = call.first_byte_timeout_s
     at += watch.fail(silent=True, jitter=jitter.random())
-    told = max(silent_from + NOTIFIED_AFTER_S, call.wait_s + NOTIFIED_AFTER_WAIT_S)
-    assert at < told + DRAIN_GRACE_S - 1.0  # a second for the call itself
+    notified_at = max(silent_from + NOTIFIED_AFTER_S, call.wait_s + NOTIFIED_AFTER_WAIT_S)
+    assert at < notified_at + DRAIN_GRACE_S - 1.0  # a second for the call itself
     again = watch.poll()
     assert again.wait_s == 0 and again.index == 5
     at += 0.2 + watch.fail(silent=False, jitter=jitter.random())  # and once more, refused
-    assert at < told + DRAIN_GRACE_S
+    assert at < notified_at + DRAIN_GRACE_S
 
 
 @pytest.mark.parametrize("size", [1, 5, 40, 230, 1024])
--- a/tests/membership/test_freshness.py
+++ b/tests/membership/test_freshness.py
@@ -46,13 +46,11 @@
 def test_service_continues_while_discovery_is_down_and_not_for_lack_of_one_answer() -> None:
     freshness = ListFreshness(False, 0.0)
     running(freshness, 0.0, 1.0)
-    freshness.handle_failure(
-        call_started_s=0.9, now=1.0, refused=False, was_watch=False
-    )  # refused in a crowd
+    # An overloaded discovery answers with 503.
+    freshness.handle_failure(call_started_s=0.9, now=1.0, refused=False, was_watch=False)
     assert freshness.state(1.0) is ListState.UNKNOWN
-    freshness.handle_failure(
-        call_started_s=0.5, now=1.0, refused=True, was_watch=True
-    )  # a watch breaks for many reasons
+    # A watch breaks for many reasons.
+    freshness.handle_failure(call_started_s=0.5, now=1.0, refused=True, was_watch=True)
     assert freshness.state(1.0) is ListState.UNKNOWN
     freshness.handle_failure(call_started_s=0.9, now=1.0, refused=True, was_watch=False)
     assert freshness.state(1.0) is ListState.UNKNOWN  # one call may have met a fault of its own
--- a/tests/net/test_discovery.py
+++ b/tests/net/test_discovery.py
@@ -284,7 +284,7 @@
 def test_answer_without_the_requested_list_makes_no_list_current(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """It counted as discovery's word: /up said yes, and jobs went out by the configured list."""
+    """It counted as an answer: /up said yes, and jobs went out by the configured list."""
     whole = asyncio.Event()
 
     async def script(harness: Harness, message: ReceivedMessage) -> bytes | None:
@@ -307,27 +307,27 @@
 
 
 @pytest.mark.parametrize(
-    "news", [{"state": "Gone"}, {"state": "Terminating"}, {"addr": "127.0.0.1:9"}, {"started_ms": 5}]
+    "change", [{"state": "Gone"}, {"state": "Terminating"}, {"addr": "127.0.0.1:9"}, {"started_ms": 5}]
 )
 def test_job_that_waited_for_the_list_reaches_no_departed_worker_and_counts_as_no_failure(
-    news: dict[str, object], monkeypatch: pytest.MonkeyPatch
+    change: dict[str, object], monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """A connection was made to where the configured list had the worker; where it failed the worker was blamed."""
-    told, module = (
+    list_ready, module = (
         asyncio.Event(),
         use_scripted_policy(monkeypatch, interface.SendAttempt(1, worker_number("s-0"))),
     )
 
     async def script(harness: Harness, message: ReceivedMessage) -> bytes | None:
-        await told.wait()
+        await list_ready.wait()
         if "wait=4000" in message.start_line:
             await asyncio.Event().wait()
-        return changes(1, harness.host(0, **news), harness.host(1), full="index" not in message.start_line)
+        return changes(1, harness.host(0, **change), harness.host(1), full="index" not in message.start_line)
 
     async def scenario(harness: Harness) -> None:
         request = asyncio.create_task(harness.post())
         await next_event(module, interface.JobArrived)
-        told.set()
+        list_ready.set()
         outcome = await next_event(module, interface.AttemptEnded)
         assert outcome.outcome == AttemptOutcome.NOT_SENT
         assert harness.workers[0].connections == 0
@@ -463,7 +463,7 @@
 def test_late_connection_sends_nothing_to_a_worker_that_drains_by_then(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Within `connectTimeout` a drain may be told and its grace be over."""
+    """Within `connectTimeout` a drain may be announced and its grace be over."""
     up = asyncio.Event()
     begun: asyncio.Queue[int] = asyncio.Queue()
 
