--- a/tests/dispatch/test_invariants.py
+++ b/tests/dispatch/test_invariants.py
@@ -14,7 +14,7 @@
 
     def __init__(self, unsafe: bool = False) -> None:
         self.found: list[InvariantRule] = []
-        self.monitor = SendMonitor(lambda rule, request, worker, why: self.found.append(rule))
+        self.monitor = SendMonitor(lambda rule, _request, _worker, _why: self.found.append(rule))
         self.monitor.list_received(listing(True, a="Ready", b="Ready"), 99.0)
         self.monitor.request_started("r1", 105.0, unsafe)
 
--- a/tests/dispatch/test_work_estimates.py
+++ b/tests/dispatch/test_work_estimates.py
@@ -28,7 +28,8 @@
     assert sum(got == work for got, work in zip(fitted, hints_s, strict=True)) > 1980
     assert estimator.estimate_s(0, 0.0, 30.0) == pytest.approx(statistics.mean(hints_s), rel=0.5)
     cheap = [estimator.estimate_s(1, 0.01, 30.0) for _ in range(20)]
-    assert cheap == [0.01] * 20 and estimator.estimate_s(1, 0.0, 30.0) == pytest.approx(0.01)
+    assert cheap == [0.01] * 20
+    assert estimator.estimate_s(1, 0.0, 30.0) == pytest.approx(0.01)
     # A class whose clients never send a hint gets the mean of all jobs.
     assert estimator.estimate_s(2, 0.0, 30.0) > 0
 
@@ -61,7 +62,8 @@
         estimator.estimate_s(0, 0.5 if (number * 7 % 20) < 20 * share else 0.0, 5.0)
         turns += estimator.in_use != before
         before = estimator.in_use
-    assert turns == 1 and not estimator.in_use
+    assert turns == 1
+    assert not estimator.in_use
 
 
 def test_policy_gets_the_clients_hint_and_malformed_hint_rejects_no_job(
@@ -85,6 +87,7 @@
         assert seen[:2] == [0.25, 0.5000005]
         assert all(0.25 <= work <= 0.51 for work in seen[2:6])  # the mean in place of what cannot be read
         assert seen[6] <= 5.0  # seconds that the client waits
-        assert counted["hint_unread"] == 3 and counted["hints_bounded"] == 1
+        assert counted["hint_unread"] == 3
+        assert counted["hints_bounded"] == 1
 
     run_scenario(scenario)
--- a/tests/membership/test_discovery_watch.py
+++ b/tests/membership/test_discovery_watch.py
@@ -67,7 +67,8 @@
     notified_at = max(silent_from + NOTIFIED_AFTER_S, call.wait_s + NOTIFIED_AFTER_WAIT_S)
     assert at < notified_at + DRAIN_GRACE_S - 1.0  # a second for the call itself
     again = watch.poll()
-    assert again.wait_s == 0 and again.index == 5
+    assert again.wait_s == 0
+    assert again.index == 5
     at += 0.2 + watch.fail(silent=False, jitter=jitter.random())  # and once more, refused
     assert at < notified_at + DRAIN_GRACE_S
 
@@ -98,7 +99,8 @@
         watch.poll()
         times.append(watch.fail(silent=False, jitter=random.Random(seed).random()))
     busiest = max(sum(start <= time < start + 0.5 for time in times) for start in (0.0, 0.5, 1.0, 1.5))
-    assert busiest < 75 and 1.9 < max(times) <= 2.0
+    assert busiest < 75
+    assert 1.9 < max(times) <= 2.0
 
 
 @pytest.mark.parametrize("size", SIZES)
@@ -181,7 +183,8 @@
     watch.poll()
     for number in range(50):
         pause = watch.fail(silent=number % 3 == 0, jitter=0.999)
-        assert 0 < pause and pause + watch.poll().first_byte_timeout_s < DRAIN_GRACE_S - 0.05
+        assert pause > 0
+        assert pause + watch.poll().first_byte_timeout_s < DRAIN_GRACE_S - 0.05
     for _ in range(200):  # by now it is not silent but slow
         assert watch.fail(silent=True, jitter=0.999) + 0.2 < DRAIN_GRACE_S
         assert watch.poll().first_byte_timeout_s <= 1.2
@@ -192,14 +195,18 @@
     watch = watching(version=9)
     watch.poll()
     decision = watch.take(answer(3, True), 0.02)  # a second answer to an earlier call, say
-    assert decision.update_kind is None and not decision.keep_connection and watch.version == 9
+    assert decision.update_kind is None
+    assert not decision.keep_connection
+    assert watch.version == 9
     assert watch.poll().index is None
     assert watch.take(answer(9, True), 0.02).update_kind == UpdateKind.SNAPSHOT
     watch.poll()
     assert watch.take(answer(2), 1.0).update_kind is None
     assert watch.poll().index is None
     decision = watch.take(answer(2, True), 0.02)  # so discovery has begun anew
-    assert decision.update_kind == UpdateKind.SNAPSHOT and decision.keep_connection and watch.version == 2
+    assert decision.update_kind == UpdateKind.SNAPSHOT
+    assert decision.keep_connection
+    assert watch.version == 2
 
 
 def test_unchanged_answer_before_the_wait_is_over_closes_the_connection() -> None:
@@ -210,9 +217,11 @@
         None, keep_connection=False, pause_s=CALL_SPACING_S, proves_current=False
     )
     call = watch.poll()
-    assert call.index == 5 and call.wait_s > 0
+    assert call.index == 5
+    assert call.wait_s > 0
     decision = watch.take(answer(5), call.wait_s)  # nothing new, in due time
-    assert decision.update_kind is None and decision.keep_connection
+    assert decision.update_kind is None
+    assert decision.keep_connection
 
 
 def test_changes_in_place_of_the_snapshot_are_not_applied() -> None:
@@ -230,7 +239,8 @@
     assert watch.poll().index is None
     assert watch.take(answer(6, True, {"id": "s-1"}), 0.02).update_kind == UpdateKind.SNAPSHOT
     call = watch.poll()
-    assert call.index == 6 and call.wait_s > 0  # it is what discovery has
+    assert call.index == 6  # it is what discovery has
+    assert call.wait_s > 0
 
 
 def test_changes_in_place_of_the_snapshot_are_answered_with_growing_pauses() -> None:
@@ -241,7 +251,8 @@
         assert watch.poll().index is None
         calls += 1
         decision = watch.take(answer(6, False, {"id": "s-1", "state": "Gone"}), 0.01)
-        assert not decision.update_kind and not decision.keep_connection
+        assert not decision.update_kind
+        assert not decision.keep_connection
         watch.now += 0.01 + decision.pause_s
     assert calls < 20
     for _ in range(2000):  # as long as that lasts
--- a/tests/membership/test_verification.py
+++ b/tests/membership/test_verification.py
@@ -55,7 +55,8 @@
     watch.next_call(0.06)
     watch.handle_answer(worker_list(6, entry("s-1", "Gone")), 0.9, now, jitter.random(), changes_workers=True)
     call = watch.next_call(now + 0.05)
-    assert call.index == 6 and 0 < call.wait_s
+    assert call.index == 6
+    assert call.wait_s > 0
     watch.handle_answer(
         worker_list(6), call.wait_s, now + 0.05 + call.wait_s, jitter.random(), changes_workers=False
     )
@@ -69,7 +70,8 @@
     watch = new_watch()
     watch.next_call(0.06)
     decision = watch.handle_answer(worker_list(6), 0.9, 1.0, 0.5, changes_workers=False)
-    assert watch.version == 5 and decision.pause_s < 0.1
+    assert watch.version == 5
+    assert decision.pause_s < 0.1
     assert watch.next_call(1.05).index is None
     watch.handle_answer(worker_list(6, entry("s-2"), full=True), 0.02, 1.07, 0.5, changes_workers=True)
     assert watch.version == 6
@@ -84,13 +86,15 @@
     decision = watch.handle_answer(
         worker_list(6, entry("s-2"), full=True), 0.02, 3.02, 0.5, changes_workers=True
     )
-    assert decision.contradicts_earlier and decision.update_kind == UpdateKind.SNAPSHOT
+    assert decision.contradicts_earlier
+    assert decision.update_kind == UpdateKind.SNAPSHOT
     assert watch.next_call(3.07).index == 6  # watched meanwhile
     assert watch.next_call(3.02 + DOUBT_BACKOFF_S).index is None
     decision = watch.handle_answer(
         worker_list(6, entry("s-2"), full=True), 0.02, 3.05 + DOUBT_BACKOFF_S, 0.5, changes_workers=False
     )
-    assert not decision.contradicts_earlier and watch.verification.unconfirmed_since_s is None
+    assert not decision.contradicts_earlier
+    assert watch.verification.unconfirmed_since_s is None
     assert watch.verification.confirmed_version == 6
 
 
@@ -111,7 +115,9 @@
         )
         now += 0.05
     waits = [later - earlier for earlier, later in zip(reads, reads[1:], strict=False)]
-    assert len(reads) < 15 and waits == sorted(waits) and waits[-1] >= RESYNC_PERIOD_S / 2
+    assert len(reads) < 15
+    assert waits == sorted(waits)
+    assert waits[-1] >= RESYNC_PERIOD_S / 2
 
 
 def test_snapshot_is_read_at_a_low_rate_though_nothing_changes() -> None:
@@ -152,7 +158,8 @@
     watch.handle_answer(worker_list(6, entry("s-1", "Gone")), 0.9, now, 0.5, changes_workers=True)
     for _ in range(60):
         call = watch.next_call(now)
-        assert call.index == 6 and call.wait_s == 4.0
+        assert call.index == 6
+        assert call.wait_s == 4.0
         now += call.wait_s + 0.05
         watch.handle_answer(worker_list(6), call.wait_s, now, 0.5, changes_workers=False)
     watch.next_call(now)
@@ -237,10 +244,13 @@
     watch.next_call(0.06)
     watch.handle_answer(worker_list(6, entry("s-1", "Gone")), 0.9, 1.0, 0.0, changes_workers=True)
     call = watch.next_call(3.0)
-    assert call.index is None and call.first_byte_timeout_s < 1.0
+    assert call.index is None
+    assert call.first_byte_timeout_s < 1.0
     assert watch.handle_failure(True, 3.7, 0.999) < 0.1
     call = watch.next_call(3.75)
-    assert call.index == 6 and call.wait_s > 1.0 and not watch.failing
+    assert call.index == 6
+    assert call.wait_s > 1.0
+    assert not watch.failing
 
 
 def test_the_first_answer_after_a_start_is_confirmed_at_once() -> None:
@@ -261,7 +271,8 @@
         while (call := watch.next_call(now)).wait_s > 0:
             now += call.wait_s + 0.05
             watch.handle_answer(worker_list(version), call.wait_s, now, 0.5, changes_workers=False)
-        assert call.index == version - 1 and call.first_byte_timeout_s < 1.0
+        assert call.index == version - 1
+        assert call.first_byte_timeout_s < 1.0
         watch.handle_answer(worker_list(version, entry("s-1", "Gone")), 0.02, now, 0.5, changes_workers=False)
         assert watch.verification.confirmed_version == version
     watch.next_call(now)
--- a/tests/net/test_discovery.py
+++ b/tests/net/test_discovery.py
@@ -69,7 +69,8 @@
         while "wait" in (await harness.discovery.seen.get()).start_line:
             pass  # the snapshot is requested once, as an entry is malformed, and then no more
         watch = (await harness.discovery.seen.get()).start_line
-        assert "index=7&wait=" in watch and watch_wait_ms(watch) >= 1500  # until the entry is looked at again
+        assert "index=7&wait=" in watch
+        assert watch_wait_ms(watch) >= 1500  # until the entry is read again
         taken = set()
         for number in range(8):
             request = asyncio.create_task(harness.post(X_Request_ID=f"r{number}"))
