--- a/beaconhinge/config/platform.py
+++ b/beaconhinge/config/platform.py
@@ -10,7 +10,7 @@
 from typing import Any
 
 from ..errors import Error
-from ..membership.inventory import Hosts, Inventory, InventoryError
+from ..membership.inventory import WorkerList, WorkerListError, WorkerListParser
 from ..policy.interface import Semantics, Settings
 
 Address = tuple[str, int]
@@ -69,7 +69,7 @@
     peer_listen: Address | None = None
     peers: tuple[Address, ...] = ()
     peers_all: Address | None = None
-    bootstrap_list: Hosts | None = None
+    bootstrap_list: WorkerList | None = None
     mgmt: Address | None = None  # where operators call
 
     def needs_key(self, cls: int) -> bool:
@@ -157,10 +157,10 @@
     return names
 
 
-def _bootstrap_list(known: Any, zones: tuple[str, ...], kinds: tuple[str, ...]) -> Hosts | None:
+def _bootstrap_list(known: Any, zones: tuple[str, ...], kinds: tuple[str, ...]) -> WorkerList | None:
     try:
-        return Inventory(zones, kinds).read(known) if known is not None else None
-    except InventoryError as error:
+        return WorkerListParser(zones, kinds).parse(known) if known is not None else None
+    except WorkerListError as error:
         raise ConfigError(f"known: {error}") from None
 
 
--- a/beaconhinge/net/recovery.py
+++ b/beaconhinge/net/recovery.py
@@ -64,7 +64,7 @@
             lambda: returning.serving,
             keys.mark_journal_stale,
         )
-    recovery.on_resumed, discovery.told = returning.process_resumed, returning.list_received
+    recovery.on_resumed, discovery.on_list_applied = returning.process_resumed, returning.list_received
     operators.phase = lambda: returning.stage_name
     listed = listener.ready
     listener.ready = lambda: listed() and returning.serving
--- a/beaconhinge/net/upgrade.py
+++ b/beaconhinge/net/upgrade.py
@@ -25,7 +25,7 @@
 from ..management import calls, handover
 from ..management.calls import OperatorCall
 from ..management.handover import HandoverError
-from ..membership.inventory import InventoryError
+from ..membership.inventory import WorkerListError
 from ..policy import interface
 from ..runtime.metrics import Metrics
 from ..runtime.timer_wheel import TimerWheel
@@ -203,11 +203,11 @@
         """Take in the state, after the start of the policy and before its first list."""
         self.budget.set_share(BUDGET_SHARE)
         try:
-            hosts = self.discovery.inventory.read(content["list"])
+            hosts = self.discovery.list_parser.parse(content["list"])
             out = [str(host_id) for host_id in content["out"]]
             here = tuple(content["discovery"]) == self.discovery.address
             module = content["module"]
-        except (InventoryError, KeyError, TypeError) as error:
+        except (WorkerListError, KeyError, TypeError) as error:
             self.metrics.count_and_log("handover_unusable", why=f"{type(error).__name__}: {error}")
             return
         try:
@@ -216,10 +216,10 @@
                 self._predecessor_slots[worker.id] = round(worker.out)
         except HandoverError as why:  # as with other settings: the list and the operators' word still hold
             self.metrics.count_and_log("handover_unusable", why=why)
-        self.discovery.inherit(hosts, here)
+        self.discovery.take_over_list(hosts, here)
         for host_id in out:
             self.operators.apply(host_id, True)
-        self.metrics.log("taken_over", workers=len(hosts.hosts), out=len(out))
+        self.metrics.log("taken_over", workers=len(hosts.endpoints), out=len(out))
 
     async def announce_serving(self) -> None:
         """Tell the predecessor that this process serves.
@@ -272,7 +272,7 @@
             {
                 "module": handover.take(self.policy_runner.dispatcher),
                 "out": sorted(self.operators.out),
-                "list": self.discovery.inventory.write(self.discovery.version or 0, self.workers.hosts()),
+                "list": self.discovery.list_parser.to_json(self.discovery.version or 0, self.workers.hosts()),
                 "discovery": self.discovery.address,
                 **{name: give() for name, (give, _) in self.parts.items()},
             }
--- /dev/null
+++ b/tests/membership/test_discovery_watch.py
@@ -0,0 +1,295 @@
+"""When discovery is called and which answers are applied: the decisions alone, in simulated time."""
+
+from __future__ import annotations
+
+import random
+
+import pytest
+
+from beaconhinge.membership.discovery_watch import (
+    CALL_SPACING_S,
+    DiscoveryCall,
+    DiscoveryWatch,
+    WatchDecision,
+)
+from beaconhinge.membership.inventory import WorkerList, WorkerListParser
+from beaconhinge.policy.interface import UpdateKind
+
+NOTIFIED_AFTER_S = 6.0  # as the operators have them
+NOTIFIED_AFTER_WAIT_S = 2.0
+DRAIN_GRACE_S = 0.4
+
+
+def answer(version: int, full: bool = False, *entries: object) -> WorkerList:
+    return WorkerListParser([], []).parse({"version": version, "full": full, "servers": list(entries)})
+
+
+class ClockedWatch(DiscoveryWatch):
+    """A watch in simulated time, which stands still but where a test moves it on."""
+
+    def __init__(self, pushed: bool, size: int, max_age_s: float, version: int | None) -> None:
+        super().__init__(pushed, size, max_age_s, version, 0.0, 0.5)
+        self.now = 0.0
+
+    def poll(self) -> DiscoveryCall:
+        return self.next_call(self.now)
+
+    def fail(self, silent: bool, jitter: float) -> float:
+        return self.handle_failure(silent, self.now, jitter)
+
+    def take(self, worker_list: WorkerList, after: float, differs: bool = True) -> WatchDecision:
+        return self.handle_answer(worker_list, after, self.now, 0.5, differs)
+
+
+def watching(
+    version: int = 5, pushed: bool = False, size: int = 200, max_age_s: float = 10.0
+) -> ClockedWatch:
+    """One that has caught up, and is about to watch."""
+    watch = ClockedWatch(pushed, size, max_age_s, version)
+    assert watch.poll().wait_s == 0
+    assert watch.take(answer(version), 0.01, differs=False).update_kind == UpdateKind.CHANGES
+    return watch
+
+
+@pytest.mark.parametrize("pushed", [False, True])
+@pytest.mark.parametrize("size", [1, 5, 40, 230, 1024])
+@pytest.mark.parametrize("max_age_s", [2.0, 10.0, 30.0])
+def test_silent_watch_is_followed_by_a_call_before_missed_changes_count_as_notified(
+    pushed: bool, size: int, max_age_s: float
+) -> None:
+    """Its call was given up just as that counted as notified, and came again up to 50 s later."""
+    watch, jitter = watching(pushed=pushed, size=size, max_age_s=max_age_s), random.Random(size)
+    call = watch.poll()
+    assert 0 < call.wait_s <= 0.4 * max_age_s
+    silent_from = 0.0  # in the worst case right after the call
+    at = call.first_byte_timeout_s
+    at += watch.fail(silent=True, jitter=jitter.random())
+    notified_at = max(silent_from + NOTIFIED_AFTER_S, call.wait_s + NOTIFIED_AFTER_WAIT_S)
+    assert at < notified_at + DRAIN_GRACE_S - 1.0  # a second for the call itself
+    again = watch.poll()
+    assert again.wait_s == 0
+    assert again.index == 5
+    at += 0.2 + watch.fail(silent=False, jitter=jitter.random())  # and once more, refused
+    assert at < notified_at + DRAIN_GRACE_S
+
+
+@pytest.mark.parametrize("size", [1, 5, 40, 230, 1024])
+def test_broken_watch_is_followed_by_a_call_before_the_maximum_age(size: int) -> None:
+    for seed in range(50):
+        watch = watching(size=size)
+        call = watch.poll()  # the last one; the watch breaks just before its end
+        pause = watch.fail(silent=False, jitter=random.Random(seed).random())
+        assert call.wait_s + pause < 10.0
+        last, at = call.wait_s + pause, call.wait_s + pause
+        for _ in range(6):  # refused again and again: four times as long from each that failed
+            watch.poll()
+            at += 1.0 + watch.fail(silent=False, jitter=1.0)
+            assert at - last < 4 * 10.0
+            last = at
+
+
+SIZES = [1, 5, 30, 230, 1024]
+
+
+def test_retries_of_a_group_after_a_common_failure_are_spread() -> None:
+    """Over as long as leaves each of them a second try before its changes count as notified, and evenly."""
+    times = []
+    for seed in range(230):
+        watch = watching(size=230)
+        watch.poll()
+        times.append(watch.fail(silent=False, jitter=random.Random(seed).random()))
+    busiest = max(sum(start <= time < start + 0.5 for time in times) for start in (0.0, 0.5, 1.0, 1.5))
+    assert busiest < 75
+    assert 1.9 < max(times) <= 2.0
+
+
+@pytest.mark.parametrize("size", SIZES)
+@pytest.mark.parametrize("max_age_s", [0.0, 2.0, 10.0, 30.0])
+@pytest.mark.parametrize("failures", [0, 1, 3, 9])
+def test_after_any_number_of_failures_the_next_call_ends_before_changes_count_as_notified(
+    size: int, max_age_s: float, failures: int
+) -> None:
+    """Calls came again in up to 10 s after a failure in a group of 200, and had 3.2 s each."""
+    watch = watching(size=size, max_age_s=max_age_s)
+    watch.poll()
+    for _ in range(failures):
+        assert watch.fail(silent=False, jitter=0.999) > 0  # nobody hammers
+        watch.poll()
+    # Discovery is back right after the beginning of this call, which it has not seen. A watch ended as it went.
+    call = watch.poll()
+    back_for = 0.0 if call.wait_s else call.first_byte_timeout_s
+    back_for += watch.fail(silent=False, jitter=1.0)
+    assert back_for + watch.poll().first_byte_timeout_s <= NOTIFIED_AFTER_S
+
+
+class SerialDiscovery:
+    """A discovery that answers in turn, so many calls a second; who has waited 2 s is refused, and a call that was
+    given up is worked on all the same.
+    """
+
+    def __init__(self, rate: float, away: tuple[float, float]) -> None:
+        self.rate, self.away = rate, away
+        self.busy_until = 0.0
+
+    def call(self, now: float, timeout_s: float) -> tuple[bool, float]:
+        """Whether it is answered, and after how long that is known."""
+        if self.away[0] <= now < self.away[1]:
+            return False, min(timeout_s, 2.0)
+        starts = max(self.busy_until, now)
+        if starts - now > 2.0:
+            return False, min(timeout_s, 2.0)
+        self.busy_until = starts + 1 / self.rate
+        waited = self.busy_until - now
+        return waited <= timeout_s, min(waited, timeout_s)
+
+
+@pytest.mark.parametrize("size", SIZES)
+@pytest.mark.parametrize("way", ["away and back", "all watches reset", "all moved"])
+def test_group_that_calls_at_once_has_its_changes_in_time(size: int, way: str) -> None:
+    """A third of the group a second, as large days have it. The last of 230 had its list 12.1 s after discovery was
+    back, and of 1,024 22 s after, while calls backed off.
+    """
+    back = 12.0 if way == "away and back" else 4.0
+    discovery, rng = SerialDiscovery(max(size / 3, 3.0), (4.0, back)), random.Random(size)
+    events = list[tuple[float, int]]()
+    group = {}
+    for number in range(size):
+        watch = group[number] = watching(size=size)
+        watch.poll()
+        moved = way == "all moved"
+        pause = (
+            watch.switch_discovery(now=0.0, jitter=rng.random())
+            if moved
+            else watch.fail(silent=False, jitter=rng.random())
+        )
+        events.append((4.0 + pause, number))
+    had, calls = dict[int, float](), 0
+    while events:
+        now, number = event = min(events)
+        events.remove(event)
+        watch, calls = group[number], calls + 1
+        answered, after = discovery.call(now, watch.poll().first_byte_timeout_s)
+        if answered:
+            had[number] = now + after
+        else:
+            events.append((now + after + watch.fail(silent=False, jitter=rng.random()), number))
+    assert max(had.values()) - back <= NOTIFIED_AFTER_S
+    assert calls <= size * (2 + (back - 4.0))  # while it is away nobody calls more than once a second
+
+
+def test_agent_is_polled_within_the_drain_grace_while_it_is_away() -> None:
+    """Silent calls had up to 1.2 s each, and what it had at its return counted at once."""
+    watch = watching(pushed=True)
+    watch.poll()
+    for number in range(50):
+        pause = watch.fail(silent=number % 3 == 0, jitter=0.999)
+        assert pause > 0
+        assert pause + watch.poll().first_byte_timeout_s < DRAIN_GRACE_S - 0.05
+    for _ in range(200):  # by now it is not silent but slow
+        assert watch.fail(silent=True, jitter=0.999) + 0.2 < DRAIN_GRACE_S
+        assert watch.poll().first_byte_timeout_s <= 1.2
+    assert watch.poll().first_byte_timeout_s > 0.5
+
+
+def test_older_list_is_not_applied_until_it_comes_twice_on_new_connections() -> None:
+    watch = watching(version=9)
+    watch.poll()
+    decision = watch.take(answer(3, True), 0.02)  # a second answer to an earlier call, say
+    assert decision.update_kind is None
+    assert not decision.keep_connection
+    assert watch.version == 9
+    assert watch.poll().index is None
+    assert watch.take(answer(9, True), 0.02).update_kind == UpdateKind.SNAPSHOT
+    watch.poll()
+    assert watch.take(answer(2), 1.0).update_kind is None
+    assert watch.poll().index is None
+    decision = watch.take(answer(2, True), 0.02)  # so discovery has begun anew
+    assert decision.update_kind == UpdateKind.SNAPSHOT
+    assert decision.keep_connection
+    assert watch.version == 2
+
+
+def test_unchanged_answer_before_the_wait_is_over_closes_the_connection() -> None:
+    watch = watching()
+    call = watch.poll()
+    decision = watch.take(answer(5), 0.1 * call.wait_s)
+    assert decision == type(decision)(
+        None, keep_connection=False, pause_s=CALL_SPACING_S, proves_current=False
+    )
+    call = watch.poll()
+    assert call.index == 5
+    assert call.wait_s > 0
+    decision = watch.take(answer(5), call.wait_s)  # nothing new, in due time
+    assert decision.update_kind is None
+    assert decision.keep_connection
+
+
+def test_changes_in_place_of_the_snapshot_are_not_applied() -> None:
+    watch = ClockedWatch(False, 3, 10.0, None)
+    assert watch.poll().index is None
+    assert watch.take(answer(4), 0.01).update_kind is None
+    assert watch.version is None
+    assert watch.take(answer(4, True), 0.01).update_kind == UpdateKind.SNAPSHOT
+
+
+def test_malformed_entry_has_the_snapshot_requested_once() -> None:
+    watch = watching()
+    watch.poll()
+    assert watch.take(answer(6, False, {"id": "s-1"}), 0.3).update_kind == UpdateKind.CHANGES
+    assert watch.poll().index is None
+    assert watch.take(answer(6, True, {"id": "s-1"}), 0.02).update_kind == UpdateKind.SNAPSHOT
+    call = watch.poll()
+    assert call.index == 6  # it is what discovery has
+    assert call.wait_s > 0
+
+
+def test_changes_in_place_of_the_snapshot_are_answered_with_growing_pauses() -> None:
+    """Each was followed by the same call 0.05 s later, for as long as discovery answered so."""
+    watch, calls = watching(), 0
+    watch.resync(snapshot=True)
+    while watch.now < 20.0:
+        assert watch.poll().index is None
+        calls += 1
+        decision = watch.take(answer(6, False, {"id": "s-1", "state": "Gone"}), 0.01)
+        assert not decision.update_kind
+        assert not decision.keep_connection
+        watch.now += 0.01 + decision.pause_s
+    assert calls < 20
+    for _ in range(2000):  # as long as that lasts
+        decision = watch.take(answer(6, False), 0.01)
+    assert decision.pause_s == 2.0
+    assert watch.take(answer(6, True), 0.01).update_kind == UpdateKind.SNAPSHOT
+    assert watch.poll().wait_s > 0
+
+
+@pytest.mark.parametrize(("size", "whole_again"), [(18, True), (19, False), (230, False)])
+def test_snapshot_of_another_discovery_is_read_twice_in_a_small_group_alone(
+    size: int, whole_again: bool
+) -> None:
+    """After SIGHUP all of a group ask for whole lists; a second time, they would keep it from answering."""
+    watch = watching(size=size)
+    watch.switch_discovery(0.0, 0.5)
+    assert watch.poll().index is None
+    watch.take(answer(3, True, {"id": "s-1", "addr": "127.0.0.1:9", "state": "Ready"}), 0.02)
+    whole = 0
+    while watch.now < 10.0:
+        call = watch.poll()
+        whole += call.index is None
+        watch.now += call.wait_s + 0.05
+        watch.take(answer(3, call.index is None), call.wait_s, differs=False)
+    assert (whole == 1) is whole_again
+
+
+@pytest.mark.parametrize(
+    ("size", "prompt"), [(1, True), (18, True), (19, False), (230, False), (1024, False)]
+)
+def test_changes_missed_before_a_start_are_confirmed_at_once_in_a_small_group(
+    size: int, prompt: bool
+) -> None:
+    """A large group that asks for whole lists as well keeps discovery from answering anybody."""
+    watch = watching(size=size)
+    watch.resync()
+    assert watch.poll().index == 5
+    watch.take(answer(7, False, {"id": "s-1", "addr": "127.0.0.1:9", "state": "Gone"}), 0.01)
+    watch.now += CALL_SPACING_S
+    assert (watch.poll().index is None) is prompt
--- a/tests/recovery/test_keys.py
+++ b/tests/recovery/test_keys.py
@@ -379,7 +379,7 @@
                 "clients.marksRetry": "true",
             }
         )
-        config = SimpleNamespace(name="n0", settings=settings, keyed=lambda cls: True)
+        config = SimpleNamespace(name="n0", settings=settings, needs_key=lambda cls: True)
         wired = IdempotencyKeyService(
             config,
             disk,
--- a/tests/recovery/test_phases.py
+++ b/tests/recovery/test_phases.py
@@ -240,7 +240,7 @@
         hands.restore(operators.apply)
         assert operators.out == {"s-1"} and "hands_foreign" in logged  # another dispatcher's stays out of it
         operators.keep = hands.write
-        call: Any = SimpleNamespace(name="disable-server", word="s-3")
+        call: Any = SimpleNamespace(name="disable-server", argument="s-3")
         assert await operators.acts["disable-server"](call) == b"SUCCESS s-3 is out\n"  # type: ignore[misc]
         assert disk.changes == [Put(b"hand/s-3", incarnations.sign_record("n0", 0, b""))]
         disk.full, call.word = True, "s-4"
