--- a/tests/recovery/test_phases.py
+++ b/tests/recovery/test_phases.py
@@ -243,7 +243,7 @@
         call: Any = SimpleNamespace(name="disable-server", argument="s-3")
         assert await operators.acts["disable-server"](call) == b"SUCCESS s-3 is out\n"  # type: ignore[misc]
         assert disk.changes == [Put(b"hand/s-3", incarnations.sign_record("n0", 0, b""))]
-        disk.full, call.word = True, "s-4"
+        disk.full, call.argument = True, "s-4"
         answer = await operators.acts["disable-server"](call)  # type: ignore[misc]
         assert (
             answer.startswith(b"FAILURE s-4 is out, but not after a restart: StoreError")
