--- a/beaconhinge/logs/summary.py
+++ b/beaconhinge/logs/summary.py
@@ -8,6 +8,8 @@
 from collections.abc import Iterable
 from dataclasses import dataclass, field
 
+from .event_names import current_name
+
 # A collector may put its own words in front, in brackets.
 _LINE = re.compile(r"(?:\[[^\]]*\]\s+)?(\d+\.\d+) (\w+)((?: \w+=.*)?)$")
 _NUMBER = re.compile(r" (\w+)=(\d+)(?= |$)")
@@ -15,6 +17,8 @@
 
 @dataclass
 class Summary:
+    """The sums of many dispatchers' logs."""
+
     first: float = 0.0  # Unix time of the earliest line, seconds
     seconds: Counter[tuple[int, str]] = field(default_factory=Counter)  # by second from there, and event
     events: Counter[tuple[str, str]] = field(default_factory=Counter)  # by dispatcher and event
@@ -30,41 +34,68 @@
         return [event for event, _ in sorted(totals.items(), key=lambda item: (-item[1], item[0]))]
 
 
-def read(line: str) -> tuple[float, str, dict[str, int]] | None:
-    """Time, event and whole-number fields of a plain or a JSON line; None for any other."""
+@dataclass(frozen=True, slots=True)
+class LogLine:
+    """One line of a log, under the names that its event and counters have now.
+
+    Attributes:
+        time: Unix time, seconds.
+        integers: Its fields that hold whole numbers.
+    """
+
+    time: float
+    event: str
+    integers: dict[str, int]
+
+
+def read(line: str) -> LogLine | None:
+    """The content of a plain or a JSON line; None for any other."""
     if line.lstrip().startswith("{"):
-        try:
-            told = json.loads(line)
-            at, event = float(told["time"]), str(told["event"])
-        except (ValueError, TypeError, KeyError, RecursionError):
-            return None
-        return at, event, {name: n for name, n in told.items() if type(n) is int}
+        return _read_json(line)
     found = _LINE.match(line.rstrip())
     if found is None:
         return None
-    return float(found[1]), found[2], {name: int(n) for name, n in _NUMBER.findall(found[3])}
+    integers = {current_name(name): int(n) for name, n in _NUMBER.findall(found[3])}
+    return LogLine(float(found[1]), current_name(found[2]), integers)
+
+
+def _read_json(line: str) -> LogLine | None:
+    try:
+        content = json.loads(line)
+        time, event = float(content["time"]), str(content["event"])
+    except (ValueError, TypeError, KeyError, RecursionError):
+        return None
+    integers = {current_name(name): n for name, n in content.items() if type(n) is int}
+    return LogLine(time, current_name(event), integers)
 
 
 def add_up(logs: Iterable[tuple[str, Iterable[str]]]) -> Summary:
-    """By name. A `counters` line replaces what the same process told before; `started` begins another."""
-    summary, seen = Summary(), list[tuple[float, str, str]]()
+    """Add up logs, each given with the name of its dispatcher.
+
+    A `counters` line replaces what the same process reported before; `started` begins another process.
+    """
+    summary, seen = Summary(), list[tuple[str, LogLine]]()
     for name, lines in logs:
-        last = dict[str, int]()
-        for line in lines:
-            told = read(line)
-            if told is None:
-                summary.unread += bool(line.strip())
-                continue
-            at, event, fields = told
-            seen.append((at, name, event))
-            if event == "started":
-                summary.counters.update(last)
-                last = {}
-            elif event == "counters":
-                last = fields
-        summary.counters.update(last)
-    summary.first = min((at for at, _, _ in seen), default=0.0)
-    for at, name, event in seen:
-        summary.seconds[int(at - summary.first), event] += 1
-        summary.events[name, event] += 1
+        content = [read(line) for line in lines if line.strip()]
+        readable = [line for line in content if line is not None]
+        summary.unread += len(content) - len(readable)
+        seen += [(name, line) for line in readable]
+        summary.counters.update(_last_counters(readable))
+    summary.first = min((line.time for _, line in seen), default=0.0)
+    for name, line in seen:
+        summary.seconds[int(line.time - summary.first), line.event] += 1
+        summary.events[name, line.event] += 1
     return summary
+
+
+def _last_counters(lines: Iterable[LogLine]) -> Counter[str]:
+    """The sum of the counters that each process of one log reported last."""
+    total, last = Counter[str](), dict[str, int]()
+    for line in lines:
+        if line.event == "started":
+            total.update(last)
+            last = {}
+        elif line.event == "counters":
+            last = line.integers
+    total.update(last)
+    return total
--- a/tests/cli/test_logs_sum.py
+++ b/tests/cli/test_logs_sum.py
@@ -9,7 +9,7 @@
 import pytest
 
 from beaconhinge.cli import main
-from beaconhinge.logs import summary, writer
+from beaconhinge.logs import event_names, summary, writer
 from beaconhinge.runtime.metrics import Metrics
 
 
@@ -59,3 +59,27 @@
 )
 def test_other_lines_are_none_of_ours(line: str) -> None:
     assert summary.read(line) is None
+
+
+def test_lines_of_old_and_new_processes_are_counted_under_the_new_names() -> None:
+    old = [
+        "1.000 started name=n0",
+        "2.000 books_restored age=1.0",
+        "3.000 counters books_written=2 reloads=1",
+    ]
+    new = [
+        "1.500 started name=n1",
+        '{"time": 2.5, "event": "quota_snapshot_restored"}',
+        "3.500 counters quota_snapshot_written=3",
+    ]
+    found = summary.add_up([("n0", old), ("n1", new)])
+    assert found.events["n0", "quota_snapshot_restored"] == found.events["n1", "quota_snapshot_restored"] == 1
+    assert found.counters == {"quota_snapshot_written": 5, "reloads": 1}
+    assert found.unread == 0
+
+
+def test_no_new_name_is_an_old_one_and_each_is_in_the_oncall_page() -> None:
+    page = (Path(__file__).resolve().parents[2] / "docs/oncall.md").read_text()
+    assert not set(event_names.NEW_NAMES) & set(event_names.NEW_NAMES.values())
+    for old, new in event_names.NEW_NAMES.items():
+        assert f"| `{old}` | `{new}` |" in page
