--- a/beaconhinge/management/handover.py
+++ b/beaconhinge/management/handover.py
@@ -28,46 +28,54 @@
 # Kinds of frames between the two processes.
 STATE, SERVING, PARTED, DONE, CALL_BACK, SLOTS, OUT, BACK, DRAIN, RESUME = range(1, 11)
 
-# Of a worker, by name: what it has taught and how it is judged. Times are Unix time, which both have.
-_WORKER = (
-    "kind",
-    "cell",
-    "zone",
-    "started_at",
-    "slow_start_from",
-    "up",
-    "connect_after",
-    "out",
-    "low",
-    "low_before",
-    "limit",
-    "pace",
-    "fail",
-    "benched_until",
-    "bench_for",
-    "bench_over",
-    "trial",
-    "last_sign",
-    "speed",
-    "speed_at",
-)
-_BOOKS = (
-    "rate",
-    "part",
-    "mean_work",
-    "pace",
-    "job_time",
-    "fleet_speed",
-    "report_after",
-    "reported",
-    "refilled",
-    "controlled",
-    "sends",
-    "fulls",
-    "send_rate",
-    "started",
-)
-_BUCKET = ("allowed", "denied", "demand", "admitted", "tokens", "rate")
+# Keys of the stored form and the attributes behind them. Keys never change: another version may read them.
+# Of a worker: what it has taught and how it is judged. Times are Unix time, which both processes have.
+_WORKER = {
+    "kind": "kind",
+    "cell": "cell",
+    "zone": "zone",
+    "started_at": "started_at",
+    "slow_start_from": "slow_start_from",
+    "up": "up",
+    "connect_after": "connect_after",
+    "out": "out",
+    "low": "low",
+    "low_before": "low_before",
+    "limit": "limit",
+    "pace": "pace",
+    "fail": "fail",
+    "benched_until": "benched_until",
+    "bench_for": "bench_for",
+    "bench_over": "bench_over",
+    "trial": "trial",
+    "last_sign": "last_sign",
+    "speed": "speed",
+    "speed_at": "speed_at",
+}
+_BOOKS = {
+    "rate": "rate",
+    "part": "part",
+    "mean_work": "mean_work",
+    "pace": "pace",
+    "job_time": "job_time",
+    "fleet_speed": "fleet_speed",
+    "report_after": "report_after",
+    "reported": "reported",
+    "refilled": "refilled",
+    "controlled": "controlled",
+    "sends": "sends",
+    "fulls": "fulls",
+    "send_rate": "send_rate",
+    "started": "started",
+}
+_BUCKET = {
+    "allowed": "allowed",
+    "denied": "denied",
+    "demand": "demand",
+    "admitted": "admitted",
+    "tokens": "tokens",
+    "rate": "rate",
+}
 _PEER = ("incarnation", "sequence", "heard", "known", "span", "admitted")
 
 
@@ -163,17 +171,19 @@
     group = module.fleet
     return {
         "settings": fingerprint(module.settings),
-        "books": {name: getattr(module, name) for name in _BOOKS},
+        "books": {stored: getattr(module, name) for stored, name in _BOOKS.items()},
         "quota": module.quota,
         "longest": module.longest,
         "limits": list(module.limits.items()),
         "most_free": list(module.most_free.items()),
         "by_hand": list(module.by_hand.items()),
-        "buckets": [[*key, [getattr(b, name) for name in _BUCKET]] for key, b in module.buckets.items()],
+        "buckets": [
+            [*key, [getattr(b, name) for name in _BUCKET.values()]] for key, b in module.buckets.items()
+        ],
         "workers": [
             [
                 w.id,
-                {name: getattr(w, name) for name in _WORKER},
+                {stored: getattr(w, name) for stored, name in _WORKER.items()},
                 list(w.sent),
                 [[classes.index(cls), *until] for cls, until in w.barred.items()],
             ]
@@ -210,7 +220,7 @@
 def _restore(module: Dispatcher, content: dict[str, Any]) -> None:
     """Everything is made before anything is put in place."""
     classes, group = module.settings.classes, module.fleet
-    books = {name: float(content["books"][name]) for name in _BOOKS}
+    books = {name: float(content["books"][stored]) for stored, name in _BOOKS.items()}
     if content["settings"] != fingerprint(module.settings):
         raise ValueError("taken under other settings or in another group")
     quota, longest = [float(q) for q in content["quota"]], [float(s) for s in content["longest"]]
@@ -223,8 +233,8 @@
     for number, fields, sent, barred in content["workers"]:
         worker = policy._Worker(int(number), codec.key(int(number)))
         fields = {"slow_start_from": fields["started_at"], **fields}  # which older forms do not have
-        for name in _WORKER:
-            setattr(worker, name, type(getattr(worker, name))(fields[name]))
+        for stored, name in _WORKER.items():
+            setattr(worker, name, type(getattr(worker, name))(fields[stored]))
         worker.sent = deque((float(at), float(load)) for at, load in sent)
         worker.barred = {classes[cls]: (float(until), float(length)) for cls, until, length in barred}
         workers[worker.id] = worker
