--- a/beaconhinge/management/figures.py
+++ b/beaconhinge/management/figures.py
@@ -48,6 +48,6 @@
         worker = dispatcher.workers.get(number)
         if worker is None:
             continue
-        benched = worker.trial and now < worker.benched_until
-        found += not worker.listed or benched or dispatcher.silent(worker)
+        benched = worker.on_probation and now < worker.ejected_until
+        found += not worker.listed or benched or dispatcher.is_silent(worker)
     return found
--- a/beaconhinge/management/handover.py
+++ b/beaconhinge/management/handover.py
@@ -36,37 +36,37 @@
     "zone": "zone",
     "started_at": "started_at",
     "slow_start_from": "slow_start_from",
-    "up": "up",
+    "up": "ready",
     "connect_after": "connect_after",
-    "out": "out",
-    "low": "low",
-    "low_before": "low_before",
-    "limit": "limit",
-    "pace": "pace",
-    "fail": "fail",
-    "benched_until": "benched_until",
-    "bench_for": "bench_for",
-    "bench_over": "bench_over",
-    "trial": "trial",
-    "last_sign": "last_sign",
-    "speed": "speed",
-    "speed_at": "speed_at",
+    "out": "in_flight",
+    "low": "min_in_flight",
+    "low_before": "previous_min_in_flight",
+    "limit": "learned_limit",
+    "pace": "seconds_per_work",
+    "fail": "failure_rate",
+    "benched_until": "ejected_until",
+    "bench_for": "ejection_s",
+    "bench_over": "ejection_ends_at",
+    "trial": "on_probation",
+    "last_sign": "last_heard_at",
+    "speed": "relative_speed",
+    "speed_at": "speed_measured_at",
 }
 _BOOKS = {
-    "rate": "rate",
-    "part": "part",
+    "rate": "fleet_rate",
+    "part": "demand_share",
     "mean_work": "mean_work",
-    "pace": "pace",
-    "job_time": "job_time",
+    "pace": "seconds_per_work",
+    "job_time": "mean_latency_s",
     "fleet_speed": "fleet_speed",
-    "report_after": "report_after",
-    "reported": "reported",
-    "refilled": "refilled",
-    "controlled": "controlled",
+    "report_after": "report_interval_s",
+    "reported": "reported_at",
+    "refilled": "refilled_at",
+    "controlled": "controlled_at",
     "sends": "sends",
-    "fulls": "fulls",
+    "fulls": "rejections",
     "send_rate": "send_rate",
-    "started": "started",
+    "started": "started_at",
 }
 _BUCKET = {
     "allowed": "allowed",
@@ -172,11 +172,11 @@
     return {
         "settings": fingerprint(module.settings),
         "books": {stored: getattr(module, name) for stored, name in _BOOKS.items()},
-        "quota": module.quota,
-        "longest": module.longest,
-        "limits": list(module.limits.items()),
-        "most_free": list(module.most_free.items()),
-        "by_hand": list(module.by_hand.items()),
+        "quota": module.quota_tokens,
+        "longest": module.max_client_timeouts,
+        "limits": list(module.kind_limits.items()),
+        "most_free": list(module.max_free_slots.items()),
+        "by_hand": list(module.in_maintenance.items()),
         "buckets": [
             [*key, [getattr(b, name) for name in _BUCKET.values()]] for key, b in module.buckets.items()
         ],
@@ -184,8 +184,8 @@
             [
                 w.id,
                 {stored: getattr(w, name) for stored, name in _WORKER.items()},
-                list(w.sent),
-                [[classes.index(cls), *until] for cls, until in w.barred.items()],
+                list(w.slow_start_sends),
+                [[classes.index(cls), *until] for cls, until in w.class_ejections.items()],
             ]
             for w in module.workers.values()
         ],
@@ -224,19 +224,22 @@
     if content["settings"] != fingerprint(module.settings):
         raise ValueError("taken under other settings or in another group")
     quota, longest = [float(q) for q in content["quota"]], [float(s) for s in content["longest"]]
-    if len(quota) != len(module.quota) or len(longest) != len(classes):
+    if len(quota) != len(module.quota_tokens) or len(longest) != len(classes):
         raise ValueError("not a figure for each tenant and class")
     buckets = {
-        (int(t), int(c)): policy._Bucket(*(float(v) for v in values)) for t, c, values in content["buckets"]
+        (int(t), int(c)): policy.TenantBucket(*(float(v) for v in values))
+        for t, c, values in content["buckets"]
     }
     workers = {}
     for number, fields, sent, barred in content["workers"]:
-        worker = policy._Worker(int(number), codec.key(int(number)))
+        worker = policy.Worker(int(number), codec.key(int(number)))
         fields = {"slow_start_from": fields["started_at"], **fields}  # which older forms do not have
         for stored, name in _WORKER.items():
             setattr(worker, name, type(getattr(worker, name))(fields[stored]))
-        worker.sent = deque((float(at), float(load)) for at, load in sent)
-        worker.barred = {classes[cls]: (float(until), float(length)) for cls, until, length in barred}
+        worker.slow_start_sends = deque((float(at), float(load)) for at, load in sent)
+        worker.class_ejections = {
+            classes[cls]: (float(until), float(length)) for cls, until, length in barred
+        }
         workers[worker.id] = worker
     told = content["fleet"]
     peers = {}
@@ -263,8 +266,13 @@
 
     for name, value in books.items():
         setattr(module, name, type(getattr(module, name))(value))
-    module.quota, module.longest, module.buckets, module.workers = quota, longest, buckets, workers
-    module.limits, module.most_free, module.by_hand = limits, most_free, by_hand
+    module.quota_tokens, module.max_client_timeouts, module.buckets, module.workers = (
+        quota,
+        longest,
+        buckets,
+        workers,
+    )
+    module.kind_limits, module.max_free_slots, module.in_maintenance = limits, most_free, by_hand
     group.peers, group.board.out, group.seen, group.hub = peers, board, seen, hub
     group.board.told = dict.fromkeys(board)  # all of it is told again in turn
     group.incarnation, group._sequence, group._hub_heard = incarnation, (sequence + AHEAD) & 0xFFFF, heard
--- a/beaconhinge/net/upgrade.py
+++ b/beaconhinge/net/upgrade.py
@@ -194,7 +194,7 @@
         try:
             handover.restore(self.policy_runner.dispatcher, module)
             for worker in self.policy_runner.dispatcher.workers.values():
-                self._inherited[worker.id] = round(worker.out)
+                self._inherited[worker.id] = round(worker.in_flight)
         except Unusable as why:  # as with other settings: the list and the operators' word still hold
             self.metrics.count_and_log("handover_unusable", why=why)
         self.discovery.inherit(hosts, here)
@@ -306,7 +306,9 @@
         self._told = out
 
     def _out(self) -> Counter[int]:
-        return Counter({w.id: round(w.out) for w in self.policy_runner.dispatcher.workers.values() if w.out})
+        return Counter(
+            {w.id: round(w.in_flight) for w in self.policy_runner.dispatcher.workers.values() if w.in_flight}
+        )
 
     # ---- both ----------------------------------------------------------------------------------------------
 
--- a/beaconhinge/quota_snapshots/record.py
+++ b/beaconhinge/quota_snapshots/record.py
@@ -64,12 +64,12 @@
         VERSION,
         now,
         fingerprint(dispatcher.settings),
-        dispatcher.rate,
-        dispatcher.part,
+        dispatcher.fleet_rate,
+        dispatcher.demand_share,
         dispatcher.mean_work,
-        dispatcher.pace,
-        dispatcher.job_time,
-        list(dispatcher.quota),
+        dispatcher.seconds_per_work,
+        dispatcher.mean_latency_s,
+        list(dispatcher.quota_tokens),
         [
             Bucket(tenant, cls, b.demand, b.admitted, b.tokens, b.rate)
             for (tenant, cls), b in dispatcher.buckets.items()
@@ -120,11 +120,13 @@
 def restore(dispatcher: Dispatcher, record: Record, now: float, age: float) -> None:
     """Fill the books of a dispatcher that has just been started at `now`, from a record that old."""
     told = dispatcher.settings
-    dispatcher.mean_work, dispatcher.pace = record.mean_work, record.pace
-    dispatcher.job_time = record.job_time
+    dispatcher.mean_work, dispatcher.seconds_per_work = record.mean_work, record.pace
+    dispatcher.mean_latency_s = record.job_time
     # Its reports carry on the smoothed figures instead of starting them anew.
-    dispatcher.smoothed_from = now - aggregation.MEMORY * dispatcher.report_after
-    dispatcher.rate = record.rate * (1 + policy.STEP) ** (age / policy.CONTROL_AFTER)
+    dispatcher.smoothing_since = now - aggregation.MEMORY * dispatcher.report_interval_s
+    dispatcher.fleet_rate = record.rate * (1 + policy.RATE_INCREASE_SHARE) ** (
+        age / policy.CONTROL_INTERVAL_S
+    )
     for peer in record.peers:
         kept = aggregation.Peer(
             peer.incarnation, peer.sequence, now - peer.silent - age, peer.known, peer.span
@@ -135,13 +137,15 @@
         if peer.number in dispatcher.fleet.mates:
             dispatcher.fleet.peers[peer.number] = kept
     for bucket in record.buckets:
-        most = max(policy.BURST * bucket.rate, policy.BURST_JOBS * record.mean_work)
+        most = max(policy.BURST_S * bucket.rate, policy.BURST_MEAN_JOBS * record.mean_work)
         tokens = 0.0 if bucket.rate == policy.INF else min(bucket.tokens + age * bucket.rate, most)
-        dispatcher.buckets[bucket.tenant, bucket.cls] = policy._Bucket(
+        dispatcher.buckets[bucket.tenant, bucket.cls] = policy.TenantBucket(
             0.0, 0.0, bucket.demand, bucket.admitted, tokens, bucket.rate
         )
-    dispatcher.part = dispatcher.own_part(dispatcher.total_demand()) if not dispatcher.many else record.part
+    dispatcher.demand_share = (
+        dispatcher.own_demand_share(dispatcher.total_demand()) if not dispatcher.large_group else record.part
+    )
     for tenant, level in enumerate(record.quota):
-        rate = told.tenants[tenant].quota_rps * dispatcher.part
-        most = max(policy.BURST_JOBS, policy.BURST * rate)
-        dispatcher.quota[tenant] = min(level + age * rate, most)
+        rate = told.tenants[tenant].quota_rps * dispatcher.demand_share
+        most = max(policy.BURST_MEAN_JOBS, policy.BURST_S * rate)
+        dispatcher.quota_tokens[tenant] = min(level + age * rate, most)
--- a/benchmarks/module.py
+++ b/benchmarks/module.py
@@ -15,7 +15,7 @@
 
 from beaconhinge.gossip import codec
 from beaconhinge.policy import interface
-from beaconhinge.policy.dispatcher import TICK, Dispatcher
+from beaconhinge.policy.dispatcher import TICK_TIMER, Dispatcher
 from beaconhinge.policy.interface import AttemptOutcome, NoticeKind, UpdateKind
 from beaconhinge.standin.fleet.plan import settings
 
@@ -73,7 +73,7 @@
         payload = codec.encode_news(codec.News(peer & 255, number & 255, news))
         feed("datagram", interface.PeerMessage(peer, payload))
         if number % 10 == 0:
-            feed("timer", interface.TimerFired(TICK))
+            feed("timer", interface.TimerFired(TICK_TIMER))
     return {kind: 1e6 * spent[kind] / max(1, counted[kind]) for kind in KINDS}
 
 
--- a/tests/management/test_handover.py
+++ b/tests/management/test_handover.py
@@ -53,7 +53,9 @@
     assert json.loads(json.dumps(got)) == json.loads(json.dumps(given))
     new.handle(130.0, interface.MembershipUpdate(UpdateKind.SNAPSHOT, 3, members(6)))
     assert not new.workers[103].listed  # out by hand, across the hand-over
-    assert sum(w.out for w in old.workers.values()) == sum(w.out for w in new.workers.values()) > 0
+    assert (
+        sum(w.in_flight for w in old.workers.values()) == sum(w.in_flight for w in new.workers.values()) > 0
+    )
 
 
 @pytest.mark.parametrize("many", ["3", "40"])
@@ -61,11 +63,11 @@
     dispatcher = started(2, groupSize=many, policyLimits__peers="true")
     worker = dispatcher.workers[100]
     dispatcher.handle(101.0, interface.SiblingLoad(100, 3.0))
-    assert dispatcher.out(worker) == worker.out == 3.0
+    assert dispatcher.slots_in_flight(worker) == worker.in_flight == 3.0
     dispatcher.handle(108.0, interface.SiblingLoad(100, 0.0))
-    assert not dispatcher.silent(worker)  # it was heard by the other
+    assert not dispatcher.is_silent(worker)  # it was heard by the other
     dispatcher.handle(109.0, interface.SiblingLoad(100, -3.0))
-    assert dispatcher.out(worker) == worker.out == 0.0
+    assert dispatcher.slots_in_flight(worker) == worker.in_flight == 0.0
     dispatcher.handle(109.0, interface.SiblingLoad(999, 1.0))  # left the list meanwhile
 
 
--- a/tests/test_asking.py
+++ b/tests/test_asking.py
@@ -7,7 +7,7 @@
 
 from beaconhinge.gossip.aggregation import Reported, Spent
 from beaconhinge.policy import interface
-from beaconhinge.policy.dispatcher import ASKED, TICK, Dispatcher
+from beaconhinge.policy.dispatcher import PROBES_PER_REQUEST, TICK_TIMER, Dispatcher
 from beaconhinge.policy.interface import AttemptOutcome
 
 ALONE = {
@@ -35,10 +35,10 @@
 @pytest.mark.parametrize("seed", range(8))
 def test_a_job_waits_for_all_that_are_asked_and_goes_to_the_one_with_room(seed: int) -> None:
     """It went with the first answer: to a full worker's neighbour, which nobody had asked."""
-    dispatcher = started(ASKED, seed, **ALONE)
+    dispatcher = started(PROBES_PER_REQUEST, seed, **ALONE)
     actions = dispatcher.handle(101.0, job(1))
     workers = asked(actions)
-    assert len(set(workers)) == ASKED and not sends(actions)
+    assert len(set(workers)) == PROBES_PER_REQUEST and not sends(actions)
     for worker in workers[:-1]:
         assert not sends(told(dispatcher, 101.002, worker, free=0.0, depth=6.0))
     assert [s.worker for s in sends(told(dispatcher, 101.003, workers[-1], free=3.0))] == [workers[-1]]
@@ -48,7 +48,9 @@
     dispatcher = started(20, **ALONE)
     workers = asked(dispatcher.handle(101.0, job(1)))
     assert not sends(told(dispatcher, 101.002, workers[0], free=3.0))
-    assert [s.worker for s in sends(dispatcher.handle(101.1, interface.TimerFired(TICK)))] == [workers[0]]
+    assert [s.worker for s in sends(dispatcher.handle(101.1, interface.TimerFired(TICK_TIMER)))] == [
+        workers[0]
+    ]
     assert asked(dispatcher.handle(101.2, job(2)))  # and the next one is asked for anew
     late = [told(dispatcher, 101.25, worker, free=0.0) for worker in workers[1:]]
     assert all(len(sends(actions)) <= 1 for actions in late)
@@ -70,7 +72,7 @@
     ends = [
         a
         for at in range(25)
-        for a in dispatcher.handle(101.0 + at / 10, interface.TimerFired(TICK))
+        for a in dispatcher.handle(101.0 + at / 10, interface.TimerFired(TICK_TIMER))
         if isinstance(a, (interface.Reject, interface.Fail))
     ]
     assert len(ends) == 1
@@ -89,10 +91,10 @@
 
 def test_a_job_withdrawn_without_a_word_from_its_worker_counts_against_that() -> None:
     dispatcher = started(4, groupSize="1")
-    dispatcher.job_time = 0.5
+    dispatcher.mean_latency_s = 0.5
     [send] = sends(dispatcher.handle(101.0, job(1)))
     dispatcher.handle(103.0, outcome(1, send.worker, AttemptOutcome.CANCELLED))
-    assert dispatcher.workers[send.worker].fail > 0
+    assert dispatcher.workers[send.worker].failure_rate > 0
 
 
 def test_the_part_of_a_class_is_told_where_it_is_small() -> None:
@@ -113,13 +115,15 @@
         dispatcher = started(200, groupSize=size, requestClasses__0__aim="0.2")
         short, long = dispatcher.settings.classes[0], dispatcher.settings.classes[1]
         for _ in range(100):
-            dispatcher.spent.note(short, 0, 1.0, 1.0)
-            dispatcher.spent.note(long, 0, 9.0, 1.0)
+            dispatcher.work_by_class.note(short, 0, 1.0, 1.0)
+            dispatcher.work_by_class.note(long, 0, 9.0, 1.0)
         wishes = []
         for number, cls in enumerate((0, 1)):
             dispatcher.handle(101.0, job(number, cls))
             request = dispatcher.requests[number]
-            wishes.append([dispatcher.suits(worker, request) for worker in dispatcher.workers.values()])
+            wishes.append(
+                [dispatcher.class_affinity(worker, request) for worker in dispatcher.workers.values()]
+            )
         return wishes[0], wishes[1]
 
     for_short, for_long = bias("200")
--- a/tests/test_large_groups.py
+++ b/tests/test_large_groups.py
@@ -40,7 +40,7 @@
             for number, dispatcher in enumerate(self.members):
                 if number in self.silent:
                     continue
-                dispatcher.handle(self.now, interface.TimerFired(policy.TICK))
+                dispatcher.handle(self.now, interface.TimerFired(policy.TICK_TIMER))
                 if self.random.random() < rate * 0.1:
                     self.jobs += 1
                     for send in self.carry(number, dispatcher.handle(self.now, job(self.jobs))):
@@ -51,11 +51,11 @@
                             ),
                         )
                 if self.now >= self.report_at[number]:
-                    actions = dispatcher.handle(self.now, interface.TimerFired(policy.REPORT))
+                    actions = dispatcher.handle(self.now, interface.TimerFired(policy.REPORT_TIMER))
                     timers = [
                         a.after
                         for a in actions
-                        if isinstance(a, interface.SetTimer) and a.token == policy.REPORT
+                        if isinstance(a, interface.SetTimer) and a.token == policy.REPORT_TIMER
                     ]
                     self.report_at[number] = self.now + timers[0]
                     self.carry(number, actions)
@@ -86,7 +86,7 @@
     group.run(12.0, rate=2.0)
     group.bytes = group.jobs = 0
     group.run(15.0, rate=2.0)
-    assert 0 < group.bytes / group.jobs < 1.3 * policy.REPORT_BYTES
+    assert 0 < group.bytes / group.jobs < 1.3 * policy.REPORT_BYTES_PER_JOB
 
 
 @pytest.mark.parametrize("size, loss", [(20, 0.0), (150, 0.0), (150, 0.3)])
@@ -96,7 +96,7 @@
     real = group.jobs * 0.5 / 20.0  # hinted work a second
     seen = sorted(sum(m.total_demand().values()) for m in group.members)
     assert 0.7 * real < seen[size // 10] and seen[-size // 10] < 1.4 * real
-    parts = [m.own_part(m.total_demand()) for m in group.members]
+    parts = [m.own_demand_share(m.total_demand()) for m in group.members]
     assert sum(parts) == pytest.approx(1.0, rel=0.25)
 
 
@@ -111,13 +111,13 @@
     group.silent = set()
     group.members = [member(150, number) for number in range(150)]
     group.run(25.0, rate=2.0)
-    parts = [m.own_part(m.total_demand()) for m in group.members]
+    parts = [m.own_demand_share(m.total_demand()) for m in group.members]
     assert sum(parts) == pytest.approx(1.0, rel=0.3)
 
 
 def test_unheard_peers_leave_one_nth_and_jobs_are_still_placed() -> None:
     for dispatcher in (member(150), member(150, policyLimits__peers="false")):
-        assert dispatcher.own_part(dispatcher.total_demand()) == 1 / 150
+        assert dispatcher.own_demand_share(dispatcher.total_demand()) == 1 / 150
         assert sends(dispatcher.handle(100.1, job(1)))
 
 
@@ -142,8 +142,8 @@
             now,
             interface.MembershipUpdate(UpdateKind.SNAPSHOT, 2, members(1, started_at=now - age)),
         )
-        dispatcher.workers[100].limit = slots
-        dispatcher.pace = 1.0
+        dispatcher.workers[100].learned_limit = slots
+        dispatcher.seconds_per_work = 1.0
         dispatcher.mean_work = hint
     for step in range(20):
         for dispatcher in group:
@@ -173,24 +173,24 @@
     dispatcher.handle(100.1, outcome(1, first, AttemptOutcome.SERVED))
     for n, worker in enumerate(dispatcher.workers.values(), 2):  # a further, new connection to each fails
         request = n
-        dispatcher.workers[200 - worker.id + 1].benched_until = 200.0
-        worker.benched_until, open_ones, worker.idle = 0.0, worker.idle, []
+        dispatcher.workers[200 - worker.id + 1].ejected_until = 200.0
+        worker.ejected_until, open_ones, worker.idle_connections = 0.0, worker.idle_connections, []
         assert sends(dispatcher.handle(100.2, job(request)))[0].worker == worker.id
-        worker.idle = open_ones
+        worker.idle_connections = open_ones
         dispatcher.handle(100.2, interface.ClientDisconnected(request))
         dispatcher.handle(100.26, outcome(request, worker.id, AttemptOutcome.NO_CONNECTION))
     for worker in dispatcher.workers.values():
-        worker.benched_until = 0.0
+        worker.ejected_until = 0.0
     assert sends(dispatcher.handle(100.3, job(9)))[0].worker == first
     assert not sends(dispatcher.handle(100.3, job(10)))  # the open one is taken, no new one is tried yet
 
 
 def test_an_early_time_out_of_an_impatient_client_does_not_blame() -> None:
     dispatcher = member(150)
-    dispatcher.job_time = 1.0
+    dispatcher.mean_latency_s = 1.0
     worker = sends(dispatcher.handle(100.0, job(1, 2, remaining=0.4)))[0].worker
     dispatcher.handle(100.4, outcome(1, worker, AttemptOutcome.TIMEOUT))
-    assert dispatcher.workers[worker].fail == 0.0
+    assert dispatcher.workers[worker].failure_rate == 0.0
 
 
 @pytest.mark.parametrize("flags, refused", [(0, False), (RETRY_FLAG, True)])
@@ -215,32 +215,34 @@
         news = codec.encode_news(codec.News(5, 1 + step, signs))
         for event in (
             interface.PeerMessage(1, news),
-            interface.TimerFired(policy.TICK),
+            interface.TimerFired(policy.TICK_TIMER),
             interface.TimerFired(17),
             interface.TimerFired(18),
         ):
             assert not sends(dispatcher.handle(100.0 + step / 10, event))
     assert [len(r.attempts) for r in dispatcher.requests.values()] == [1, 1]
-    later = [dispatcher.handle(103.0 + step / 10, interface.TimerFired(policy.TICK)) for step in range(20)]
+    later = [
+        dispatcher.handle(103.0 + step / 10, interface.TimerFired(policy.TICK_TIMER)) for step in range(20)
+    ]
     assert any(sends(actions) for actions in later)  # from a worker that has fallen silent they are fetched
 
 
 def test_the_work_of_one_job_does_not_grow_with_the_fleet(monkeypatch: pytest.MonkeyPatch) -> None:
     looked = []
-    able = Dispatcher.able
-    monkeypatch.setattr(Dispatcher, "able", lambda self, w, r: looked.append(w) or able(self, w, r))
+    able = Dispatcher.is_eligible
+    monkeypatch.setattr(Dispatcher, "is_eligible", lambda self, w, r: looked.append(w) or able(self, w, r))
     dispatcher = member(150, workers=400)
     dispatcher.handle(100.0, job(1))
-    assert 0 < len(looked) <= 2 * policy.SAMPLE
+    assert 0 < len(looked) <= 2 * policy.SAMPLE_SIZE
 
 
 def test_a_small_clump_of_a_tenant_within_its_quota_is_not_over_it() -> None:
     dispatcher = member(150, orgs__count="1", orgs__0__quotaRps="30", orgs__0__share="1")
     for step in range(200):  # twenty seconds without a job fill the quota's bucket
-        dispatcher.handle(100.0 + step * 0.1, interface.TimerFired(policy.TICK))
+        dispatcher.handle(100.0 + step * 0.1, interface.TimerFired(policy.TICK_TIMER))
     for n in range(1, 5):
         dispatcher.handle(120.0, job(n))
-    assert [dispatcher.requests[n].over for n in range(1, 5)] == [False] * 4
+    assert [dispatcher.requests[n].over_quota for n in range(1, 5)] == [False] * 4
 
 
 def asked(group: list[Dispatcher], refused: bool, seconds: float) -> list[float]:
@@ -253,7 +255,7 @@
             now = 100.0 + step / 10
             if any(
                 isinstance(a, interface.SubscribeMembership)
-                for a in dispatcher.handle(now, interface.TimerFired(policy.TICK))
+                for a in dispatcher.handle(now, interface.TimerFired(policy.TICK_TIMER))
             ):
                 times.append(now)
                 dispatcher.handle(now, interface.MembershipUpdate(UpdateKind.CHANGES, 1))
@@ -274,15 +276,15 @@
     dispatcher, now, waits = member(40, membershipMode="on_request"), 100.0, []
     for _ in range(60):
         dispatcher.handle(now, interface.MembershipUpdate(UpdateKind.REFUSED))
-        waits.append(dispatcher.ask_at - now)
-        now = dispatcher.ask_at
+        waits.append(dispatcher.fetch_at - now)
+        now = dispatcher.fetch_at
         assert any(
             isinstance(a, interface.SubscribeMembership)
-            for a in dispatcher.handle(now, interface.TimerFired(policy.TICK))
+            for a in dispatcher.handle(now, interface.TimerFired(policy.TICK_TIMER))
         )
     assert max(waits) <= 2 * dispatcher.settings.membership_max_age_s and sum(waits[20:]) / 40 > 0.8 * sum(
         waits[:1]
     )
     dispatcher.handle(now, interface.MembershipUpdate(UpdateKind.CHANGES, 2))
     dispatcher.handle(now, interface.MembershipUpdate(UpdateKind.REFUSED))
-    assert dispatcher.ask_at <= now + policy.ASK_SPREAD * 40
+    assert dispatcher.fetch_at <= now + policy.FETCH_SPREAD_S * 40
--- a/tests/test_other_deployments.py
+++ b/tests/test_other_deployments.py
@@ -10,7 +10,7 @@
 from helpers import job, members, settings
 
 from beaconhinge.policy import interface
-from beaconhinge.policy.dispatcher import BENCH_MOST, Dispatcher
+from beaconhinge.policy.dispatcher import MAX_EJECTION_S, Dispatcher
 from beaconhinge.policy.interface import RETRY_FLAG, AttemptOutcome, UpdateKind
 
 HANGING, WORKERS = 100, 9
@@ -117,7 +117,7 @@
         1 <= len(first) <= 4
     )  # of up to 225: two slots before any worker has taught better, and those it seems to gain
     assert (
-        len(there) - len(first) <= len(first) + (60.0 - WAITS) / BENCH_MOST
+        len(there) - len(first) <= len(first) + (60.0 - WAITS) / MAX_EJECTION_S
     )  # then one at a time, ever rarer
     assert max(Counter(request for _, _, request in play.sent).values()) == 1  # none has been sent twice
     assert not play.ended["Refuse"] and not play.ended["Abort"]  # the others had room for all
