--- a/beaconhinge/management/handover.py
+++ b/beaconhinge/management/handover.py
@@ -15,9 +15,10 @@
 from typing import Any
 
 from ..gossip import aggregation, codec
-from ..policy import dispatcher as policy
+from ..policy.admission import TenantBucket
 from ..policy.dispatcher import Dispatcher
 from ..policy.interface import Semantics, Settings
+from ..policy.workers import Worker
 
 VERSION = 1
 AHEAD = 16  # numbers that the old process may have used up after it took the form
@@ -52,21 +53,22 @@
     "speed": "relative_speed",
     "speed_at": "speed_measured_at",
 }
+# Of the parts of the policy: the part, and its attribute.
 _BOOKS = {
-    "rate": "fleet_rate",
-    "part": "demand_share",
-    "mean_work": "mean_work",
-    "pace": "seconds_per_work",
-    "job_time": "mean_latency_s",
-    "fleet_speed": "fleet_speed",
-    "report_after": "report_interval_s",
-    "reported": "reported_at",
-    "refilled": "refilled_at",
-    "controlled": "controlled_at",
-    "sends": "sends",
-    "fulls": "rejections",
-    "send_rate": "send_rate",
-    "started": "started_at",
+    "rate": ("admission", "fleet_rate"),
+    "part": ("admission", "demand_share"),
+    "mean_work": ("estimates", "mean_work"),
+    "pace": ("estimates", "seconds_per_work"),
+    "job_time": ("estimates", "mean_latency_s"),
+    "fleet_speed": ("stalls", "fleet_speed"),
+    "report_after": ("reports", "interval_s"),
+    "reported": ("reports", "reported_at"),
+    "refilled": ("admission", "refilled_at"),
+    "controlled": ("admission", "adjusted_at"),
+    "sends": ("admission", "sends"),
+    "fulls": ("admission", "rejections"),
+    "send_rate": ("admission", "send_rate"),
+    "started": ("slow_start", "dispatcher_started_at"),
 }
 _BUCKET = {
     "allowed": "allowed",
@@ -171,14 +173,15 @@
     group = module.fleet
     return {
         "settings": fingerprint(module.settings),
-        "books": {stored: getattr(module, name) for stored, name in _BOOKS.items()},
-        "quota": module.quota_tokens,
-        "longest": module.max_client_timeouts,
-        "limits": list(module.kind_limits.items()),
-        "most_free": list(module.max_free_slots.items()),
-        "by_hand": list(module.in_maintenance.items()),
+        "books": {stored: getattr(getattr(module, part), name) for stored, (part, name) in _BOOKS.items()},
+        "quota": module.quotas.tokens,
+        "longest": module.arrivals.max_client_timeouts,
+        "limits": list(module.limits.by_kind.items()),
+        "most_free": list(module.limits.max_free_slots.items()),
+        "by_hand": list(module.membership.in_maintenance.items()),
         "buckets": [
-            [*key, [getattr(b, name) for name in _BUCKET.values()]] for key, b in module.buckets.items()
+            [*key, [getattr(b, name) for name in _BUCKET.values()]]
+            for key, b in module.admission.buckets.items()
         ],
         "workers": [
             [
@@ -220,19 +223,18 @@
 def _restore(module: Dispatcher, content: dict[str, Any]) -> None:
     """Everything is made before anything is put in place."""
     classes, group = module.settings.classes, module.fleet
-    books = {name: float(content["books"][stored]) for stored, name in _BOOKS.items()}
+    books = {stored: float(content["books"][stored]) for stored in _BOOKS}
     if content["settings"] != fingerprint(module.settings):
         raise ValueError("taken under other settings or in another group")
     quota, longest = [float(q) for q in content["quota"]], [float(s) for s in content["longest"]]
-    if len(quota) != len(module.quota_tokens) or len(longest) != len(classes):
+    if len(quota) != len(module.quotas.tokens) or len(longest) != len(classes):
         raise ValueError("not a figure for each tenant and class")
     buckets = {
-        (int(t), int(c)): policy.TenantBucket(*(float(v) for v in values))
-        for t, c, values in content["buckets"]
+        (int(t), int(c)): TenantBucket(*(float(v) for v in values)) for t, c, values in content["buckets"]
     }
     workers = {}
     for number, fields, sent, barred in content["workers"]:
-        worker = policy.Worker(int(number), codec.key(int(number)))
+        worker = Worker(int(number), codec.key(int(number)))
         fields = {"slow_start_from": fields["started_at"], **fields}  # which older forms do not have
         for stored, name in _WORKER.items():
             setattr(worker, name, type(getattr(worker, name))(fields[stored]))
@@ -264,15 +266,14 @@
     most_free = {int(kind): float(free) for kind, free in content["most_free"]}
     by_hand = {int(number): float(since) for number, since in content["by_hand"]}
 
-    for name, value in books.items():
-        setattr(module, name, type(getattr(module, name))(value))
-    module.quota_tokens, module.max_client_timeouts, module.buckets, module.workers = (
-        quota,
-        longest,
-        buckets,
-        workers,
-    )
-    module.kind_limits, module.max_free_slots, module.in_maintenance = limits, most_free, by_hand
+    for stored, value in books.items():
+        part, name = _BOOKS[stored]
+        owner = getattr(module, part)
+        setattr(owner, name, type(getattr(owner, name))(value))
+    module.quotas.tokens, module.arrivals.max_client_timeouts = quota, longest
+    module.admission.buckets, module.worker_table.by_id = buckets, workers
+    module.limits.by_kind, module.limits.max_free_slots = limits, most_free
+    module.membership.in_maintenance = by_hand
     group.peers, group.board.out, group.seen, group.hub = peers, board, seen, hub
     group.board.told = dict.fromkeys(board)  # all of it is told again in turn
     group.incarnation, group._sequence, group._hub_heard = incarnation, (sequence + AHEAD) & 0xFFFF, heard
--- /dev/null
+++ b/beaconhinge/policy/peer_reports.py
@@ -0,0 +1,92 @@
+"""Reports of demand and slots to the dispatchers of the group, at an interval that spares bytes."""
+
+from ..gossip import codec
+from ..gossip.aggregation import MEMORY, Fleet
+from . import interface
+from .admission import Admission
+from .concurrency_limits import ConcurrencyLimits
+from .context import Context
+from .work_estimates import WorkEstimates
+from .workers import WorkerTable
+
+REPORT_INTERVAL_S = 0.5
+"""Seconds between reports, jittered, lest timers stay in step."""
+
+MAX_REPORT_INTERVAL_S = 8.0
+
+REPORT_BYTES_PER_JOB = 40
+"""Delivered bytes of reports for each own job."""
+
+
+class PeerReports:
+    """When peers are told what, and what was counted since.
+
+    Attributes:
+        interval_s: Seconds between reports.
+        reported_at: When the last report was made.
+        smoothing_since: From when on demand is smoothed.
+    """
+
+    def __init__(
+        self,
+        context: Context,
+        fleet: Fleet,
+        workers: WorkerTable,
+        admission: Admission,
+        limits: ConcurrencyLimits,
+        estimates: WorkEstimates,
+    ) -> None:
+        """Report what these parts have counted."""
+        self._context = context
+        self._fleet = fleet
+        self._workers = workers
+        self._admission = admission
+        self._limits = limits
+        self._estimates = estimates
+        self.interval_s = REPORT_INTERVAL_S
+        self.reported_at = 0.0
+        self.smoothing_since = 0.0
+
+    def start(self) -> None:
+        """Count time from now on."""
+        self.smoothing_since = self.reported_at = self._context.now
+
+    def announce_bucket(self) -> None:
+        """A new bucket is reported at once, in a large group only when a report is due."""
+        if self._context.settings.peer_messages and (
+            not self._context.large_group or self._context.now - self.reported_at >= self.interval_s
+        ):
+            self.report()
+
+    def report(self) -> None:
+        """Send counts to peers and reset them."""
+        span = self._context.now - self.reported_at
+        entries = self._admission.entries()
+        delivered = self._fleet.report(self._own_report(span, entries))
+        if self._context.large_group:
+            work = sum(allowed + denied for _, _, allowed, denied in entries)
+            jobs = work / self._estimates.mean_work
+            after = delivered * span / (REPORT_BYTES_PER_JOB * max(jobs, 0.5))
+            wanted = max(REPORT_INTERVAL_S, (self.interval_s + after) / 2)
+            self.interval_s = min(wanted, MAX_REPORT_INTERVAL_S)
+        self.reported_at = self._context.now
+        memory = min(MEMORY * self.interval_s, self._context.now - span - self.smoothing_since)
+        self._admission.roll_report_window(span, memory)
+
+    def next_interval_s(self) -> float:
+        """Seconds until the next report, drawn anew each time."""
+        return self.interval_s * (0.75 + 0.5 * self._context.random.random())
+
+    def flush_gossip(self) -> None:
+        """Send what waits for peers."""
+        fleet = self._fleet
+        fleet.turn(self._context.now)
+        if fleet.introduce:
+            fleet.introduce = False
+            fleet.report(self._own_report(0.0, []), -1 if fleet.hub is None else fleet.hub)
+        self._context.actions += [interface.SendToPeer(payload, number) for number, payload in fleet.outbox]
+        fleet.outbox.clear()
+
+    def _own_report(self, span: float, entries: list[tuple[int, int, float, float]]) -> codec.Report:
+        out = [(w.key, round(w.in_flight)) for w in self._workers.by_id.values() if w.in_flight >= 0.5]
+        return codec.Report(0, 0, span, entries, list(self._limits.by_kind.items()), out)
--- a/beaconhinge/quota_snapshots/record.py
+++ b/beaconhinge/quota_snapshots/record.py
@@ -12,7 +12,8 @@
 
 from ..gossip import aggregation
 from ..management.handover import fingerprint
-from ..policy import dispatcher as policy
+from ..policy.admission import CONTROL_INTERVAL_S, RATE_INCREASE_SHARE, TenantBucket
+from ..policy.context import INF
 from ..policy.dispatcher import Dispatcher
 from ..policy.interface import Settings
 
@@ -64,15 +65,15 @@
         VERSION,
         now,
         fingerprint(dispatcher.settings),
-        dispatcher.fleet_rate,
-        dispatcher.demand_share,
-        dispatcher.mean_work,
-        dispatcher.seconds_per_work,
-        dispatcher.mean_latency_s,
-        list(dispatcher.quota_tokens),
+        dispatcher.admission.fleet_rate,
+        dispatcher.admission.demand_share,
+        dispatcher.estimates.mean_work,
+        dispatcher.estimates.seconds_per_work,
+        dispatcher.estimates.mean_latency_s,
+        list(dispatcher.quotas.tokens),
         [
             Bucket(tenant, cls, b.demand, b.admitted, b.tokens, b.rate)
-            for (tenant, cls), b in dispatcher.buckets.items()
+            for (tenant, cls), b in dispatcher.admission.buckets.items()
         ],
         [
             Peer(
@@ -119,14 +120,12 @@
 
 def restore(dispatcher: Dispatcher, record: Record, now: float, age: float) -> None:
     """Fill the books of a dispatcher that has just been started at `now`, from a record that old."""
-    told = dispatcher.settings
-    dispatcher.mean_work, dispatcher.seconds_per_work = record.mean_work, record.pace
-    dispatcher.mean_latency_s = record.job_time
+    admission, estimates, reports = dispatcher.admission, dispatcher.estimates, dispatcher.reports
+    estimates.mean_work, estimates.seconds_per_work = record.mean_work, record.pace
+    estimates.mean_latency_s = record.job_time
     # Its reports carry on the smoothed figures instead of starting them anew.
-    dispatcher.smoothing_since = now - aggregation.MEMORY * dispatcher.report_interval_s
-    dispatcher.fleet_rate = record.rate * (1 + policy.RATE_INCREASE_SHARE) ** (
-        age / policy.CONTROL_INTERVAL_S
-    )
+    reports.smoothing_since = now - aggregation.MEMORY * reports.interval_s
+    admission.fleet_rate = record.rate * (1 + RATE_INCREASE_SHARE) ** (age / CONTROL_INTERVAL_S)
     for peer in record.peers:
         kept = aggregation.Peer(
             peer.incarnation, peer.sequence, now - peer.silent - age, peer.known, peer.span
@@ -137,15 +136,11 @@
         if peer.number in dispatcher.fleet.mates:
             dispatcher.fleet.peers[peer.number] = kept
     for bucket in record.buckets:
-        most = max(policy.BURST_S * bucket.rate, policy.BURST_MEAN_JOBS * record.mean_work)
-        tokens = 0.0 if bucket.rate == policy.INF else min(bucket.tokens + age * bucket.rate, most)
-        dispatcher.buckets[bucket.tenant, bucket.cls] = policy.TenantBucket(
+        most = admission.max_tokens(bucket.rate)
+        tokens = 0.0 if bucket.rate == INF else min(bucket.tokens + age * bucket.rate, most)
+        admission.buckets[bucket.tenant, bucket.cls] = TenantBucket(
             0.0, 0.0, bucket.demand, bucket.admitted, tokens, bucket.rate
         )
-    dispatcher.demand_share = (
-        dispatcher.own_demand_share(dispatcher.total_demand()) if not dispatcher.large_group else record.part
-    )
-    for tenant, level in enumerate(record.quota):
-        rate = told.tenants[tenant].quota_rps * dispatcher.demand_share
-        most = max(policy.BURST_MEAN_JOBS, policy.BURST_S * rate)
-        dispatcher.quota_tokens[tenant] = min(level + age * rate, most)
+    own_share = admission.own_demand_share(admission.total_demand())
+    admission.demand_share = record.part if dispatcher.context.large_group else own_share
+    dispatcher.quotas.restore(record.quota, age, admission.demand_share)
--- a/tests/books/test_books.py
+++ b/tests/books/test_books.py
@@ -14,8 +14,9 @@
 from world import GROUP, PAIRS, World
 
 from beaconhinge.gossip import aggregation
-from beaconhinge.policy import dispatcher as policy
 from beaconhinge.policy import interface
+from beaconhinge.policy.admission import TenantBucket
+from beaconhinge.policy.context import INF
 from beaconhinge.policy.dispatcher import Dispatcher
 from beaconhinge.quota_snapshots import record
 from beaconhinge.quota_snapshots.writer import KEY, SnapshotWriter
@@ -70,12 +71,12 @@
 def busy(now: float = 1000.0) -> Dispatcher:
     dispatcher = Dispatcher(settings(), 1)
     dispatcher.handle(now, interface.Start())
-    dispatcher.fleet_rate = 50.0
-    dispatcher.buckets[0, 0] = policy.TenantBucket(0.0, 0.0, 12.0, 9.0, 0.5, 4.0)
-    dispatcher.buckets[2, 0] = policy.TenantBucket(0.0, 0.0, 3.0, 3.0, 0.0, policy.INF)
+    dispatcher.admission.fleet_rate = 50.0
+    dispatcher.admission.buckets[0, 0] = TenantBucket(0.0, 0.0, 12.0, 9.0, 0.5, 4.0)
+    dispatcher.admission.buckets[2, 0] = TenantBucket(0.0, 0.0, 3.0, 3.0, 0.0, INF)
     for number, heard in ((1, now - 0.2), (2, now - 2.0)):
         dispatcher.fleet.peers[number] = aggregation.Peer(7, 5, heard, 2.0, 0.5, {(0, 0): 6.0}, 4.0)
-    dispatcher.quota_tokens = [0.5, 1.0, 1.0]
+    dispatcher.quotas.tokens = [0.5, 1.0, 1.0]
     return dispatcher
 
 
@@ -96,11 +97,11 @@
 
 def test_books_age_by_the_time_passed() -> None:
     dispatcher = restored(1.0)
-    assert dispatcher.buckets[0, 0].tokens == 4.5  # half a job and a second's four
-    assert dispatcher.fleet_rate == pytest.approx(55.0)  # a cut fades as it would have
-    assert dispatcher.quota_tokens[0] > 0.5
+    assert dispatcher.admission.buckets[0, 0].tokens == 4.5  # half a job and a second's four
+    assert dispatcher.admission.fleet_rate == pytest.approx(55.0)  # a cut fades as it would have
+    assert dispatcher.quotas.tokens[0] > 0.5
     assert dispatcher.fleet.peers[1].demand and not dispatcher.fleet.peers[2].demand  # silent for 3 s by now
-    assert restored(25.0).buckets[0, 0].tokens == 12.0  # a bucket holds no more than its burst
+    assert restored(25.0).admission.buckets[0, 0].tokens == 12.0  # a bucket holds no more than its burst
 
 
 @pytest.mark.parametrize(
@@ -147,7 +148,9 @@
         fresh = Dispatcher(settings(), 2)
         fresh.handle(now[0], interface.Start())
         assert SnapshotWriter(store, fresh, timers, metrics, 0.5, 30.0).restore()
-        assert fresh.fleet_rate == pytest.approx(55.0) and "books_restored age=1.000" in log.getvalue()
+        assert (
+            fresh.admission.fleet_rate == pytest.approx(55.0) and "books_restored age=1.000" in log.getvalue()
+        )
         await store.commit([Put(KEY, b"rubbish")])
         assert not SnapshotWriter(store, fresh, timers, metrics, 0.5, 30.0).restore()
         assert "books_dropped" in log.getvalue() and metrics.counters["books_dropped"] == 1
--- a/tests/management/test_handover.py
+++ b/tests/management/test_handover.py
@@ -63,11 +63,11 @@
     dispatcher = started(2, groupSize=many, policyLimits__peers="true")
     worker = dispatcher.workers[100]
     dispatcher.handle(101.0, interface.SiblingLoad(100, 3.0))
-    assert dispatcher.slots_in_flight(worker) == worker.in_flight == 3.0
+    assert dispatcher.limits.slots_in_flight(worker) == worker.in_flight == 3.0
     dispatcher.handle(108.0, interface.SiblingLoad(100, 0.0))
     assert not dispatcher.is_silent(worker)  # it was heard by the other
     dispatcher.handle(109.0, interface.SiblingLoad(100, -3.0))
-    assert dispatcher.slots_in_flight(worker) == worker.in_flight == 0.0
+    assert dispatcher.limits.slots_in_flight(worker) == worker.in_flight == 0.0
     dispatcher.handle(109.0, interface.SiblingLoad(999, 1.0))  # left the list meanwhile
 
 
--- a/tests/management/test_management.py
+++ b/tests/management/test_management.py
@@ -221,11 +221,11 @@
             dispatcher.handle(103.0, interface.AttemptEnded(n, 101, 0, AttemptOutcome.CANCELLED, True))
     dispatcher.handle(104.0, interface.MaintenanceMode(100, False))
     back = dispatcher.workers[100]
-    assert back.listed and back.started_at == 102.0 and dispatcher.is_cold(back)
+    assert back.listed and back.started_at == 102.0 and dispatcher.slow_start.is_cold(back)
     dispatcher.handle(105.0, interface.MaintenanceMode(101, True))
     dispatcher.handle(106.0, interface.MaintenanceMode(101, False))
     assert dispatcher.workers[101].slow_start_from == 106.0  # no list has told of a restart
-    assert dispatcher.is_cold(dispatcher.workers[101])
+    assert dispatcher.slow_start.is_cold(dispatcher.workers[101])
 
 
 def test_idle_connections_to_a_worker_out_by_hand_are_closed() -> None:
--- a/tests/recovery/test_stall.py
+++ b/tests/recovery/test_stall.py
@@ -112,11 +112,11 @@
     slept, awake = dispatcher(1), dispatcher(1)
     for module in (slept, awake):
         module.handle(100.1, interface.JobArrived(request=1, class_index=0, tenant=0, remaining=7.5))
-        sent = next(iter(module.requests.values())).attempts[0].worker
-        module.mean_latency_s = 0.2
+        sent = next(iter(module.requests.by_id.values())).attempts[0].worker
+        module.estimates.mean_latency_s = 0.2
         if module is slept:
             module.handle(106.0, interface.ProcessStalled(5.8))
-        module.now = 106.0
+        module.context.now = 106.0
         assert module.is_silent(sent) == (module is awake)
 
 
--- a/tests/test_asking.py
+++ b/tests/test_asking.py
@@ -7,8 +7,9 @@
 
 from beaconhinge.gossip.aggregation import Reported, Spent
 from beaconhinge.policy import interface
-from beaconhinge.policy.dispatcher import PROBES_PER_REQUEST, TICK_TIMER, Dispatcher
+from beaconhinge.policy.dispatcher import TICK_TIMER, Dispatcher
 from beaconhinge.policy.interface import AttemptOutcome
+from beaconhinge.policy.load_probing import PROBES_PER_REQUEST
 
 ALONE = {
     "groupSize": "6",
@@ -91,7 +92,7 @@
 
 def test_a_job_withdrawn_without_a_word_from_its_worker_counts_against_that() -> None:
     dispatcher = started(4, groupSize="1")
-    dispatcher.mean_latency_s = 0.5
+    dispatcher.estimates.mean_latency_s = 0.5
     [send] = sends(dispatcher.handle(101.0, job(1)))
     dispatcher.handle(103.0, outcome(1, send.worker, AttemptOutcome.CANCELLED))
     assert dispatcher.workers[send.worker].failure_rate > 0
@@ -115,14 +116,14 @@
         dispatcher = started(200, groupSize=size, requestClasses__0__aim="0.2")
         short, long = dispatcher.settings.classes[0], dispatcher.settings.classes[1]
         for _ in range(100):
-            dispatcher.work_by_class.note(short, 0, 1.0, 1.0)
-            dispatcher.work_by_class.note(long, 0, 9.0, 1.0)
+            dispatcher.estimates.work_by_class.note(short, 0, 1.0, 1.0)
+            dispatcher.estimates.work_by_class.note(long, 0, 9.0, 1.0)
         wishes = []
         for number, cls in enumerate((0, 1)):
             dispatcher.handle(101.0, job(number, cls))
-            request = dispatcher.requests[number]
+            request = dispatcher.requests.by_id[number]
             wishes.append(
-                [dispatcher.class_affinity(worker, request) for worker in dispatcher.workers.values()]
+                [dispatcher.router.class_affinity(worker, request) for worker in dispatcher.workers.values()]
             )
         return wishes[0], wishes[1]
 
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -552,7 +552,9 @@
     one.handle(101.0, interface.MembershipUpdate(UpdateKind.SNAPSHOT, 7, members(9)))
     other.handle(101.0, interface.MembershipUpdate(UpdateKind.SNAPSHOT, 7, members(9)[::-1]))
     assert (
-        {w.id for w in one.listed[-1]} == {w.id for w in other.listed[-1]} == {m.worker for m in members(9)}
+        {w.id for w in one.worker_table.listed[-1]}
+        == {w.id for w in other.worker_table.listed[-1]}
+        == {m.worker for m in members(9)}
     )
     one.handle(102.0, interface.MembershipUpdate(UpdateKind.SNAPSHOT, 3, members(2)))
-    assert {w.id for w in one.listed[-1]} == {m.worker for m in members(2)}
+    assert {w.id for w in one.worker_table.listed[-1]} == {m.worker for m in members(2)}
--- a/tests/test_large_groups.py
+++ b/tests/test_large_groups.py
@@ -9,10 +9,13 @@
 from helpers import job, members, outcome, sends, started
 
 from beaconhinge.gossip import codec
-from beaconhinge.policy import dispatcher as policy
 from beaconhinge.policy import interface
-from beaconhinge.policy.dispatcher import Dispatcher
+from beaconhinge.policy.dispatcher import REPORT_TIMER, TICK_TIMER, Dispatcher
 from beaconhinge.policy.interface import RETRY_FLAG, AttemptOutcome, UpdateKind
+from beaconhinge.policy.membership import FETCH_SPREAD_S
+from beaconhinge.policy.peer_reports import REPORT_BYTES_PER_JOB
+from beaconhinge.policy.routing import Router
+from beaconhinge.policy.workers import SAMPLE_SIZE
 
 
 def member(size: int, number: int = 0, workers: int = 4, **changes: str) -> Dispatcher:
@@ -40,7 +43,7 @@
             for number, dispatcher in enumerate(self.members):
                 if number in self.silent:
                     continue
-                dispatcher.handle(self.now, interface.TimerFired(policy.TICK_TIMER))
+                dispatcher.handle(self.now, interface.TimerFired(TICK_TIMER))
                 if self.random.random() < rate * 0.1:
                     self.jobs += 1
                     for send in self.carry(number, dispatcher.handle(self.now, job(self.jobs))):
@@ -51,11 +54,11 @@
                             ),
                         )
                 if self.now >= self.report_at[number]:
-                    actions = dispatcher.handle(self.now, interface.TimerFired(policy.REPORT_TIMER))
+                    actions = dispatcher.handle(self.now, interface.TimerFired(REPORT_TIMER))
                     timers = [
                         a.after
                         for a in actions
-                        if isinstance(a, interface.SetTimer) and a.token == policy.REPORT_TIMER
+                        if isinstance(a, interface.SetTimer) and a.token == REPORT_TIMER
                     ]
                     self.report_at[number] = self.now + timers[0]
                     self.carry(number, actions)
@@ -86,7 +89,7 @@
     group.run(12.0, rate=2.0)
     group.bytes = group.jobs = 0
     group.run(15.0, rate=2.0)
-    assert 0 < group.bytes / group.jobs < 1.3 * policy.REPORT_BYTES_PER_JOB
+    assert 0 < group.bytes / group.jobs < 1.3 * REPORT_BYTES_PER_JOB
 
 
 @pytest.mark.parametrize("size, loss", [(20, 0.0), (150, 0.0), (150, 0.3)])
@@ -94,9 +97,9 @@
     group = Group(size, loss)
     group.run(20.0, rate=2.0)
     real = group.jobs * 0.5 / 20.0  # hinted work a second
-    seen = sorted(sum(m.total_demand().values()) for m in group.members)
+    seen = sorted(sum(m.admission.total_demand().values()) for m in group.members)
     assert 0.7 * real < seen[size // 10] and seen[-size // 10] < 1.4 * real
-    parts = [m.own_demand_share(m.total_demand()) for m in group.members]
+    parts = [m.admission.own_demand_share(m.admission.total_demand()) for m in group.members]
     assert sum(parts) == pytest.approx(1.0, rel=0.25)
 
 
@@ -107,17 +110,19 @@
     group.run(45.0, rate=2.0)
     heard = [m for n, m in enumerate(group.members) if n not in group.silent]
     # A third of each circle is silent and asks for nothing: so does a third of the fleet.
-    assert sum(sum(m.total_demand().values()) for m in heard) / len(heard) == pytest.approx(100.0, rel=0.25)
+    assert sum(sum(m.admission.total_demand().values()) for m in heard) / len(heard) == pytest.approx(
+        100.0, rel=0.25
+    )
     group.silent = set()
     group.members = [member(150, number) for number in range(150)]
     group.run(25.0, rate=2.0)
-    parts = [m.own_demand_share(m.total_demand()) for m in group.members]
+    parts = [m.admission.own_demand_share(m.admission.total_demand()) for m in group.members]
     assert sum(parts) == pytest.approx(1.0, rel=0.3)
 
 
 def test_unheard_peers_leave_one_nth_and_jobs_are_still_placed() -> None:
     for dispatcher in (member(150), member(150, policyLimits__peers="false")):
-        assert dispatcher.own_demand_share(dispatcher.total_demand()) == 1 / 150
+        assert dispatcher.admission.own_demand_share(dispatcher.admission.total_demand()) == 1 / 150
         assert sends(dispatcher.handle(100.1, job(1)))
 
 
@@ -128,7 +133,7 @@
     former = struct.pack(">HBBIHHBB", 0x6F73, 2, 1, 5, 1, 500, 0, 0)
     for peer, payload in ((outside, good), (1, former), (0, good), (900, b""), (1, good + good)):
         dispatcher.handle(100.1, interface.PeerMessage(peer, payload))
-    assert dispatcher.fleet.peers == {} and dispatcher.total_demand() == {}
+    assert dispatcher.fleet.peers == {} and dispatcher.admission.total_demand() == {}
 
 
 @pytest.mark.parametrize("size", [2, 20, 150])
@@ -143,15 +148,15 @@
             interface.MembershipUpdate(UpdateKind.SNAPSHOT, 2, members(1, started_at=now - age)),
         )
         dispatcher.workers[100].learned_limit = slots
-        dispatcher.seconds_per_work = 1.0
-        dispatcher.mean_work = hint
+        dispatcher.estimates.seconds_per_work = 1.0
+        dispatcher.estimates.mean_work = hint
     for step in range(20):
         for dispatcher in group:
             number = 1000 * step + 1
             for send in sends(dispatcher.handle(now, job(number, size_hint=hint))):
                 sent.append((now, hint))
                 dispatcher.handle(now, outcome(send.request, send.worker, AttemptOutcome.SERVED))
-            if number in dispatcher.requests:
+            if number in dispatcher.requests.by_id:
                 dispatcher.handle(now, interface.ClientDisconnected(number))
         now += 0.1
     given = group[0].settings
@@ -187,7 +192,7 @@
 
 def test_an_early_time_out_of_an_impatient_client_does_not_blame() -> None:
     dispatcher = member(150)
-    dispatcher.mean_latency_s = 1.0
+    dispatcher.estimates.mean_latency_s = 1.0
     worker = sends(dispatcher.handle(100.0, job(1, 2, remaining=0.4)))[0].worker
     dispatcher.handle(100.4, outcome(1, worker, AttemptOutcome.TIMEOUT))
     assert dispatcher.workers[worker].failure_rate == 0.0
@@ -215,34 +220,32 @@
         news = codec.encode_news(codec.News(5, 1 + step, signs))
         for event in (
             interface.PeerMessage(1, news),
-            interface.TimerFired(policy.TICK_TIMER),
+            interface.TimerFired(TICK_TIMER),
             interface.TimerFired(17),
             interface.TimerFired(18),
         ):
             assert not sends(dispatcher.handle(100.0 + step / 10, event))
-    assert [len(r.attempts) for r in dispatcher.requests.values()] == [1, 1]
-    later = [
-        dispatcher.handle(103.0 + step / 10, interface.TimerFired(policy.TICK_TIMER)) for step in range(20)
-    ]
+    assert [len(r.attempts) for r in dispatcher.requests.by_id.values()] == [1, 1]
+    later = [dispatcher.handle(103.0 + step / 10, interface.TimerFired(TICK_TIMER)) for step in range(20)]
     assert any(sends(actions) for actions in later)  # from a worker that has fallen silent they are fetched
 
 
 def test_the_work_of_one_job_does_not_grow_with_the_fleet(monkeypatch: pytest.MonkeyPatch) -> None:
     looked = []
-    able = Dispatcher.is_eligible
-    monkeypatch.setattr(Dispatcher, "is_eligible", lambda self, w, r: looked.append(w) or able(self, w, r))
+    able = Router.is_eligible
+    monkeypatch.setattr(Router, "is_eligible", lambda self, w, r: looked.append(w) or able(self, w, r))
     dispatcher = member(150, workers=400)
     dispatcher.handle(100.0, job(1))
-    assert 0 < len(looked) <= 2 * policy.SAMPLE_SIZE
+    assert 0 < len(looked) <= 2 * SAMPLE_SIZE
 
 
 def test_a_small_clump_of_a_tenant_within_its_quota_is_not_over_it() -> None:
     dispatcher = member(150, orgs__count="1", orgs__0__quotaRps="30", orgs__0__share="1")
     for step in range(200):  # twenty seconds without a job fill the quota's bucket
-        dispatcher.handle(100.0 + step * 0.1, interface.TimerFired(policy.TICK_TIMER))
+        dispatcher.handle(100.0 + step * 0.1, interface.TimerFired(TICK_TIMER))
     for n in range(1, 5):
         dispatcher.handle(120.0, job(n))
-    assert [dispatcher.requests[n].over_quota for n in range(1, 5)] == [False] * 4
+    assert [dispatcher.requests.by_id[n].over_quota for n in range(1, 5)] == [False] * 4
 
 
 def asked(group: list[Dispatcher], refused: bool, seconds: float) -> list[float]:
@@ -255,7 +258,7 @@
             now = 100.0 + step / 10
             if any(
                 isinstance(a, interface.SubscribeMembership)
-                for a in dispatcher.handle(now, interface.TimerFired(policy.TICK_TIMER))
+                for a in dispatcher.handle(now, interface.TimerFired(TICK_TIMER))
             ):
                 times.append(now)
                 dispatcher.handle(now, interface.MembershipUpdate(UpdateKind.CHANGES, 1))
@@ -276,15 +279,15 @@
     dispatcher, now, waits = member(40, membershipMode="on_request"), 100.0, []
     for _ in range(60):
         dispatcher.handle(now, interface.MembershipUpdate(UpdateKind.REFUSED))
-        waits.append(dispatcher.fetch_at - now)
-        now = dispatcher.fetch_at
+        waits.append(dispatcher.membership.fetch_at - now)
+        now = dispatcher.membership.fetch_at
         assert any(
             isinstance(a, interface.SubscribeMembership)
-            for a in dispatcher.handle(now, interface.TimerFired(policy.TICK_TIMER))
+            for a in dispatcher.handle(now, interface.TimerFired(TICK_TIMER))
         )
     assert max(waits) <= 2 * dispatcher.settings.membership_max_age_s and sum(waits[20:]) / 40 > 0.8 * sum(
         waits[:1]
     )
     dispatcher.handle(now, interface.MembershipUpdate(UpdateKind.CHANGES, 2))
     dispatcher.handle(now, interface.MembershipUpdate(UpdateKind.REFUSED))
-    assert dispatcher.fetch_at <= now + policy.FETCH_SPREAD_S * 40
+    assert dispatcher.membership.fetch_at <= now + FETCH_SPREAD_S * 40
--- a/tests/test_mechanism.py
+++ b/tests/test_mechanism.py
@@ -8,10 +8,9 @@
 from hypothesis import strategies as st
 
 from beaconhinge.gossip import codec
-from beaconhinge.gossip.aggregation import smooth
-from beaconhinge.policy import dispatcher as policy
+from beaconhinge.gossip.aggregation import max_min, smooth
 from beaconhinge.policy import interface
-from beaconhinge.policy.dispatcher import Dispatcher, max_min
+from beaconhinge.policy.dispatcher import REPORT_TIMER, TICK_TIMER, Dispatcher
 from beaconhinge.policy.interface import (
     RETRY_FLAG,
     AttemptOutcome,
@@ -20,6 +19,7 @@
     UpdateKind,
     WorkerState,
 )
+from beaconhinge.policy.stall_detection import MIN_RELATIVE_SPEED
 from beaconhinge.quota_snapshots import record
 
 
@@ -51,16 +51,16 @@
     dispatcher = started()
     for number in range(1, 9):
         dispatcher.handle(100.0 + number * 0.1, job(number))
-    dispatcher.rejections, dispatcher.sends = 5, 8
-    dispatcher.handle(101.5, interface.TimerFired(policy.TICK_TIMER))
-    first = dispatcher.fleet_rate
+    dispatcher.admission.rejections, dispatcher.admission.sends = 5, 8
+    dispatcher.handle(101.5, interface.TimerFired(TICK_TIMER))
+    first = dispatcher.admission.fleet_rate
     assert first < float("inf")
-    dispatcher.rejections, dispatcher.sends = 5, 8
-    dispatcher.handle(101.6, interface.TimerFired(policy.TICK_TIMER))
-    assert dispatcher.fleet_rate == first
-    dispatcher.rejections = 0
-    dispatcher.handle(102.6, interface.TimerFired(policy.TICK_TIMER))
-    assert dispatcher.fleet_rate > first
+    dispatcher.admission.rejections, dispatcher.admission.sends = 5, 8
+    dispatcher.handle(101.6, interface.TimerFired(TICK_TIMER))
+    assert dispatcher.admission.fleet_rate == first
+    dispatcher.admission.rejections = 0
+    dispatcher.handle(102.6, interface.TimerFired(TICK_TIMER))
+    assert dispatcher.admission.fleet_rate > first
 
 
 def test_over_rate_tenant_is_refused_unsent_and_the_other_is_not() -> None:
@@ -68,14 +68,14 @@
     for number in range(1, 40):
         dispatcher.handle(100.0, job(number, tenant=0))
     dispatcher.handle(100.0, job(40, tenant=1))
-    dispatcher.fleet_rate = 4.0
-    dispatcher.report()
-    dispatcher.allocate_rates({(0, 0): 20.0, (1, 0): 0.5})
-    for bucket in dispatcher.buckets.values():
-        bucket.demand = {0: 20.0, 1: 0.5}[0 if bucket is dispatcher.buckets[(0, 0)] else 1]
-    dispatcher.allocate_rates({(0, 0): 20.0, (1, 0): 0.5})
-    dispatcher.buckets[(0, 0)].tokens = 0.0
-    dispatcher.buckets[(1, 0)].tokens = 1.0
+    dispatcher.admission.fleet_rate = 4.0
+    dispatcher.reports.report()
+    dispatcher.admission.allocate_rates({(0, 0): 20.0, (1, 0): 0.5})
+    for bucket in dispatcher.admission.buckets.values():
+        bucket.demand = {0: 20.0, 1: 0.5}[0 if bucket is dispatcher.admission.buckets[(0, 0)] else 1]
+    dispatcher.admission.allocate_rates({(0, 0): 20.0, (1, 0): 0.5})
+    dispatcher.admission.buckets[(0, 0)].tokens = 0.0
+    dispatcher.admission.buckets[(1, 0)].tokens = 1.0
     refused = dispatcher.handle(100.1, job(41, tenant=0))
     assert finals(refused) == [interface.Reject] and not sends(refused)
     assert finals(dispatcher.handle(100.1, job(42, tenant=1))) == []
@@ -124,10 +124,10 @@
 def test_one_nth_until_the_peer_is_heard_then_by_demand() -> None:
     dispatcher = group(1, 0)
     dispatcher.handle(100.0, job(1))
-    dispatcher.handle(100.5, interface.TimerFired(policy.REPORT_TIMER))
-    assert dispatcher.own_demand_share(dispatcher.total_demand()) == 0.5
+    dispatcher.handle(100.5, interface.TimerFired(REPORT_TIMER))
+    assert dispatcher.admission.own_demand_share(dispatcher.admission.total_demand()) == 0.5
     dispatcher.handle(100.6, report(5, 1, 50.0))
-    assert dispatcher.own_demand_share(dispatcher.total_demand()) < 0.1
+    assert dispatcher.admission.own_demand_share(dispatcher.admission.total_demand()) < 0.1
 
 
 def test_stale_repeated_and_foreign_reports_change_nothing() -> None:
@@ -154,14 +154,17 @@
 def test_a_silent_peer_is_aged_out_with_its_slots() -> None:
     dispatcher = group(1, 0)
     dispatcher.handle(100.0, report(5, 1, 5.0, out=3))
-    assert dispatcher.slots_in_flight(dispatcher.workers[100]) == 3
-    dispatcher.handle(110.0, interface.TimerFired(policy.TICK_TIMER))
-    assert dispatcher.slots_in_flight(dispatcher.workers[100]) == 0 and not dispatcher.fleet.peers[1].demand
+    assert dispatcher.limits.slots_in_flight(dispatcher.workers[100]) == 3
+    dispatcher.handle(110.0, interface.TimerFired(TICK_TIMER))
+    assert (
+        dispatcher.limits.slots_in_flight(dispatcher.workers[100]) == 0
+        and not dispatcher.fleet.peers[1].demand
+    )
 
 
 def test_news_count_what_a_peer_has_out_and_a_report_mends_what_was_lost() -> None:
     dispatcher, worker = group(1, 0), 100
-    out = lambda: dispatcher.slots_in_flight(dispatcher.workers[worker])  # noqa: E731
+    out = lambda: dispatcher.limits.slots_in_flight(dispatcher.workers[worker])  # noqa: E731
     dispatcher.handle(100.0, news(5, 1, (worker, codec.SENT)))
     assert out() == 1
     dispatcher.handle(100.0, report(5, 2, 1.0, out=1))
@@ -239,7 +242,7 @@
         worker.learned_limit = 2.0
     placed = [sends(dispatcher.handle(100.0, job(n))) for n in range(1, 6)]
     assert [len(p) for p in placed] == [1, 1, 1, 1, 0]
-    assert dispatcher.queues[-1]
+    assert dispatcher.placement.queue.by_kind[-1]
 
 
 def test_a_freed_slot_goes_to_the_held_job() -> None:
@@ -262,7 +265,7 @@
     for n in range(2, 6):
         dispatcher.handle(101.0, job(n))
     dispatcher.handle(101.1, outcome(5, 100, AttemptOutcome.REJECTED, latency=0.001))
-    assert dispatcher.workers[100].learned_limit == 3.0 and dispatcher.rejections == 1
+    assert dispatcher.workers[100].learned_limit == 3.0 and dispatcher.admission.rejections == 1
 
 
 def test_a_cold_worker_gets_less_than_a_warm_one_from_its_first_second() -> None:
@@ -272,8 +275,8 @@
             102.0,
             interface.MembershipUpdate(UpdateKind.SNAPSHOT, 2, members(1, started_at=started_at)),
         )
-        dispatcher.workers[100].learned_limit = dispatcher.kind_limits[0] = 8.0
-        dispatcher.seconds_per_work = 1.0
+        dispatcher.workers[100].learned_limit = dispatcher.limits.by_kind[0] = 8.0
+        dispatcher.estimates.seconds_per_work = 1.0
         return sum(bool(sends(dispatcher.handle(102.0, job(n, size_hint=hint)))) for n in range(1, 20))
 
     # A third of 0.75 of fall_multiple x ramp x slots x tip_after is the work that may be sent in any second.
@@ -290,11 +293,11 @@
         dispatcher.handle(
             102.0, interface.MembershipUpdate(UpdateKind.SNAPSHOT, 2, members(1, started_at=98.0))
         )
-        dispatcher.workers[100].learned_limit = dispatcher.kind_limits[0] = 8.0
-        dispatcher.seconds_per_work = 0.4
+        dispatcher.workers[100].learned_limit = dispatcher.limits.by_kind[0] = 8.0
+        dispatcher.estimates.seconds_per_work = 0.4
         for kind, work in ((0, seconds), (1, 0.1)):
             for _ in range(6):
-                dispatcher.work_by_class.note(dispatcher.settings.classes[cls], kind, work, 1.0)
+                dispatcher.estimates.work_by_class.note(dispatcher.settings.classes[cls], kind, work, 1.0)
         return sum(bool(sends(dispatcher.handle(102.0, job(n, cls, size_hint=0.0)))) for n in range(1, 20))
 
     assert placed(cls=0, seconds=0.1) == 7  # at the mean of all, 0.4 s, of 3.1 s
@@ -305,7 +308,11 @@
 def test_a_cold_workers_budget_goes_by_its_kinds_slots_where_its_own_seem_more() -> None:
     dispatcher = started(count=0)
     dispatcher.handle(102.0, interface.MembershipUpdate(UpdateKind.SNAPSHOT, 2, members(1, started_at=98.0)))
-    dispatcher.workers[100].learned_limit, dispatcher.kind_limits[0], dispatcher.seconds_per_work = (
+    (
+        dispatcher.workers[100].learned_limit,
+        dispatcher.limits.by_kind[0],
+        dispatcher.estimates.seconds_per_work,
+    ) = (
         8.0,
         2.0,
         1.0,
@@ -324,14 +331,14 @@
     dispatcher = started(count=0)  # at 100.0; the budget is over 1 s
     if books:
         record.restore(dispatcher, record.take(dispatcher, 100.0), 100.0, 0.0)
-        dispatcher.quota_tokens = [99.0] * len(dispatcher.quota_tokens)
+        dispatcher.quotas.tokens = [99.0] * len(dispatcher.quotas.tokens)
     for now, started_at, expected in ((100.9, 99.0, False), (100.95, 100.5, True), (101.1, 99.0, True)):
         dispatcher.handle(
             now,
             interface.MembershipUpdate(UpdateKind.SNAPSHOT, 2, members(1, started_at=started_at)),
         )
         dispatcher.workers[100].started_at = started_at
-        dispatcher.workers[100].learned_limit = dispatcher.kind_limits[0] = 8.0
+        dispatcher.workers[100].learned_limit = dispatcher.limits.by_kind[0] = 8.0
         assert bool(sends(dispatcher.handle(now, job(int(now * 100), size_hint=0.1)))) is expected
 
 
@@ -382,7 +389,7 @@
     dispatcher.handle(now, interface.MembershipUpdate(UpdateKind.REFUSED))
     while now < 140.0:
         now += 0.1
-        actions = dispatcher.handle(now, interface.TimerFired(policy.TICK_TIMER))
+        actions = dispatcher.handle(now, interface.TimerFired(TICK_TIMER))
         if interface.SubscribeMembership(True) in actions:
             asked.append(now)
             dispatcher.handle(now, interface.MembershipUpdate(UpdateKind.REFUSED))
@@ -452,7 +459,7 @@
         worker.learned_limit = 4.0
     first = sends(dispatcher.handle(100.0, job(1)))[0].worker
     dispatcher.handle(100.0, outcome(1, first, AttemptOutcome.REJECTED, latency=0.001))
-    assert dispatcher.workers[first].on_probation and dispatcher.rejections == 0
+    assert dispatcher.workers[first].on_probation and dispatcher.admission.rejections == 0
 
 
 def test_a_time_out_blames_only_a_worker_that_was_silent() -> None:
@@ -511,7 +518,7 @@
 
 def test_a_worker_that_stands_still_is_passed_over_and_its_time_outs_blame_it() -> None:
     dispatcher = started(count=2)
-    dispatcher.mean_latency_s = 0.5
+    dispatcher.estimates.mean_latency_s = 0.5
     stalled = sends(dispatcher.handle(100.0, job(1, remaining=2.0)))[0].worker
     placed = []
     for step in range(1, 9):
@@ -520,7 +527,9 @@
             if step * 0.25 > 2.0 - 1e-9 or send.worker != stalled:
                 placed.append(send.worker)
                 dispatcher.handle(100.0 + step * 0.25, outcome(1 + step, send.worker, AttemptOutcome.SERVED))
-    for request in [r for r in list(dispatcher.requests) if dispatcher.requests[r].attempts_in_flight]:
+    for request in [
+        r for r in list(dispatcher.requests.by_id) if dispatcher.requests.by_id[r].attempts_in_flight
+    ]:
         dispatcher.handle(104.0, outcome(request, stalled, AttemptOutcome.TIMEOUT))
     assert dispatcher.workers[stalled].on_probation
     assert {s.worker for n in range(50, 55) for s in sends(dispatcher.handle(104.0, job(n)))} != {stalled}
@@ -549,14 +558,14 @@
     for step, share in enumerate((0.2, 0.4, 0.44, 0.48, 0.5, 0.52)):
         notice(dispatcher, 101.0 + step, 1, slow, share)
         notice(dispatcher, 101.0 + step, 1, slow, share)  # told again: no news
-    assert dispatcher.speed_of(dispatcher.workers[slow]) < policy.MIN_RELATIVE_SPEED
+    assert dispatcher.stalls.speed_of(dispatcher.workers[slow]) < MIN_RELATIVE_SPEED
     placed = [send for n in range(2, 8) for send in sends(dispatcher.handle(106.0, job(n, remaining=60.0)))]
     assert placed and slow not in {send.worker for send in placed}
     for n in range(2, 8):
         dispatcher.handle(106.5, interface.ClientDisconnected(n))
     for step in range(1, 5):
         notice(dispatcher, 106.0 + step, 1, slow, 0.52 + 0.1 * step)
-    assert dispatcher.speed_of(dispatcher.workers[slow]) > policy.MIN_RELATIVE_SPEED
+    assert dispatcher.stalls.speed_of(dispatcher.workers[slow]) > MIN_RELATIVE_SPEED
 
 
 @pytest.mark.parametrize(
@@ -575,7 +584,7 @@
     notice(dispatcher, 100.0, 1, first)
     for step, share in enumerate(shares):
         notice(dispatcher, 101.0 + step, 1, first, share)
-    again = sends(dispatcher.handle(103.1, interface.TimerFired(policy.TICK_TIMER)))
+    again = sends(dispatcher.handle(103.1, interface.TimerFired(TICK_TIMER)))
     assert [send.request for send in again if send.worker != first] == [1] * copied
 
 
@@ -589,8 +598,8 @@
     first = sends(dispatcher.handle(100.0, job(1, cls)))[0].worker
     if noticed:
         notice(dispatcher, 100.0, 1, first)
-    assert not sends(dispatcher.handle(100.9, interface.TimerFired(policy.TICK_TIMER)))
-    assert len(sends(dispatcher.handle(101.1, interface.TimerFired(policy.TICK_TIMER)))) == copied
+    assert not sends(dispatcher.handle(100.9, interface.TimerFired(TICK_TIMER)))
+    assert len(sends(dispatcher.handle(101.1, interface.TimerFired(TICK_TIMER)))) == copied
 
 
 def full(request: int, worker: int, free: float) -> interface.AttemptEnded:
@@ -602,19 +611,22 @@
         count=2, report__names="x0", report__source="answers", familyInfo__reportX0="free_slots"
     )
     worker = sends(dispatcher.handle(100.0, job(1)))[0].worker
-    rate, limit = dispatcher.fleet_rate, dispatcher.limit_of(dispatcher.workers[worker])
+    rate, limit = dispatcher.admission.fleet_rate, dispatcher.limits.limit_of(dispatcher.workers[worker])
     again = sends(dispatcher.handle(100.1, full(1, worker, 3.0)))
     assert [send.worker for send in again] == [201 - worker]
     placed = [send.worker for n in range(2, 5) for send in sends(dispatcher.handle(100.2, job(n)))]
     assert placed and worker not in placed  # jobs of that class go elsewhere
     others = [send.worker for n in range(5, 11) for send in sends(dispatcher.handle(100.2, job(n, 1)))]
     assert worker in others  # and those of others do not
-    assert (dispatcher.fleet_rate, dispatcher.rejections) == (rate, 0) and dispatcher.limit_of(
-        dispatcher.workers[worker]
-    ) >= limit
+    assert (dispatcher.admission.fleet_rate, dispatcher.admission.rejections) == (
+        rate,
+        0,
+    ) and dispatcher.limits.limit_of(dispatcher.workers[worker]) >= limit
     for n in range(1, 11):
         dispatcher.handle(100.3, interface.ClientDisconnected(n))
-        for attempt, send in enumerate(dispatcher.requests[n].attempts if n in dispatcher.requests else ()):
+        for attempt, send in enumerate(
+            dispatcher.requests.by_id[n].attempts if n in dispatcher.requests.by_id else ()
+        ):
             dispatcher.handle(100.3, outcome(n, send.worker.id, AttemptOutcome.CANCELLED, attempt))
     later = [send.worker for n in range(20, 26) for send in sends(dispatcher.handle(101.0, job(n)))]
     assert worker in later
@@ -648,7 +660,7 @@
         interface.Fail(request=1)
     ]
     assert (dispatcher.workers[worker].failure_rate, dispatcher.workers[worker].on_probation) == (0.0, False)
-    assert 1 not in dispatcher.requests
+    assert 1 not in dispatcher.requests.by_id
 
 
 # ---- repeats
@@ -659,7 +671,7 @@
 
     def repeated(at: float) -> bool:
         dispatcher = started(count=3, policyLimits__connectTimeout="0.25")  # 100 and 102 share a cell
-        dispatcher.kind_limits[0] = 20.0
+        dispatcher.limits.by_kind[0] = 20.0
         [first] = [
             send
             for n in range(1, 9)
@@ -694,8 +706,8 @@
             clients__marksRetry=marks,
             policyLimits__connectTimeout="0.25",
         )
-        dispatcher.kind_limits[0] = 20.0
-        dispatcher.max_client_timeouts[1] = 4.0  # so that 3 s left tell of a first try a second ago
+        dispatcher.limits.by_kind[0] = 20.0
+        dispatcher.arrivals.max_client_timeouts[1] = 4.0  # so that 3 s left tell of a first try a second ago
         [first] = [
             send
             for n in range(1, 9)
@@ -720,7 +732,7 @@
         for attempt in range(3):
             at += 0.3
             again = sends(dispatcher.handle(at, outcome(1, taken[-1], AttemptOutcome.NO_CONNECTION, attempt)))
-            again = again or sends(dispatcher.handle(at + 0.2, interface.TimerFired(policy.TICK_TIMER)))
+            again = again or sends(dispatcher.handle(at + 0.2, interface.TimerFired(TICK_TIMER)))
             if not again:
                 break
             taken.append(again[0].worker)
@@ -748,7 +760,7 @@
 def test_a_process_that_ends_refuses_at_once_what_would_outlast_it_and_only_then() -> None:
     """Taken, it would be lost with the process, and may have run: another dispatcher can still have it."""
     dispatcher = started(clients__marksRetry="true")
-    dispatcher.seconds_per_work = 1.0
+    dispatcher.estimates.seconds_per_work = 1.0
     assert finals(dispatcher.handle(100.0, job(1, remaining=1.0, size_hint=2.0, client_timeout=4.0))) == [
         interface.Reject
     ]
@@ -764,5 +776,5 @@
     ):
         member = interface.MemberEntry(100, started_at=told, slow_start_from=own)
         dispatcher.handle(100.0, interface.MembershipUpdate(UpdateKind.CHANGES, version, [member]))
-        assert dispatcher.is_cold(dispatcher.workers[100])
+        assert dispatcher.slow_start.is_cold(dispatcher.workers[100])
     assert dispatcher.workers[100].slow_start_from == 99.5
--- a/tests/test_other_deployments.py
+++ b/tests/test_other_deployments.py
@@ -10,8 +10,9 @@
 from helpers import job, members, settings
 
 from beaconhinge.policy import interface
-from beaconhinge.policy.dispatcher import MAX_EJECTION_S, Dispatcher
+from beaconhinge.policy.dispatcher import Dispatcher
 from beaconhinge.policy.interface import RETRY_FLAG, AttemptOutcome, UpdateKind
+from beaconhinge.policy.outlier_detection import MAX_EJECTION_S
 
 HANGING, WORKERS = 100, 9
 UNSAFE, WAITS = 2, 25.0  # the class, and the seconds that its clients wait
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -78,7 +78,7 @@
     driver = PolicyDriver(chosen, dispatcher.handle)
     play(driver, steps)
     assert driver.checker.broken == []
-    assert not [r for r in dispatcher.requests.values() if r.attempts_in_flight == 0 and not r.queued]
+    assert not [r for r in dispatcher.requests.by_id.values() if r.attempts_in_flight == 0 and not r.queued]
 
 
 @hypothesis_settings(derandomize=True, max_examples=40, deadline=None)
--- a/tests/test_wall_clock.py
+++ b/tests/test_wall_clock.py
@@ -69,8 +69,8 @@
         while not module.workers[number].started_at:
             await asyncio.sleep(0)
         worker = module.workers[number]
-        assert module.is_cold(worker)
-        module.now += WARM_WITHIN + 1.0
-        assert not module.is_cold(worker)
+        assert module.slow_start.is_cold(worker)
+        module.context.now += WARM_WITHIN + 1.0
+        assert not module.slow_start.is_cold(worker)
 
     run_scenario(scenario, settings={**SETTINGS, "rules": {**SETTINGS["rules"], **SLOW_START}})
