--- a/beaconhinge/policy/dispatcher.py
+++ b/beaconhinge/policy/dispatcher.py
@@ -18,12 +18,13 @@
 from .concurrency_limits import ConcurrencyLimits
 from .context import Context
 from .hedging import Hedging
-from .interface import PROVEN_UNRUN, AttemptOutcome, NoticeKind
+from .interface import PROVEN_UNRUN, AttemptOutcome
 from .load_probing import LoadProbing
 from .membership import Membership
 from .outlier_detection import PEER_FAILURE_WEIGHT, OutlierDetection
 from .peer_reports import REPORT_INTERVAL_S, PeerReports
 from .placement import Placement
+from .progress_notices import ProgressRecorder
 from .quotas import TenantQuotas
 from .request_table import RequestTable
 from .retries import RetryPolicy
@@ -73,6 +74,7 @@
             context, fleet, requests, admission, limits, slow_start, retries, router
         )
         self.hedging = Hedging(context, requests, admission, stalls, retries, placement)
+        self.progress = ProgressRecorder(context, workers, requests, admission, limits, stalls)
         self.outcomes = OutcomeRecorder(context, workers, admission, limits, estimates, slow_start, outliers)
 
     @property
@@ -94,8 +96,8 @@
         Returns:
             Actions to be done in that order.
         """
-        self.context.now = now
-        self.context.actions = actions = list[interface.Action]()
+        actions: list[interface.Action] = []
+        self.context.now, self.context.actions = now, actions
         if type(event) in self.HANDLERS:
             self.HANDLERS[type(event)](self, event)
         if self.settings.peer_messages and self.fleet.mates:
@@ -127,13 +129,9 @@
     def on_sibling_load(self, event: interface.SiblingLoad) -> None:
         """Another process of this dispatcher has more or fewer slots in use on a worker."""
         worker = self.workers.get(event.worker)
-        if worker is None:
-            return
-        worker.in_flight, worker.last_heard_at = max(0.0, worker.in_flight + event.slots), self.context.now
-        if event.slots:
-            what = codec.SENT if event.slots > 0 else codec.ENDED
-            self.fleet.note(self.context.now, worker.key, what, abs(round(event.slots)))
-        self.placement.serve_queued()
+        if worker is not None:
+            self.placement.record_sibling_load(worker, event.slots)
+            self.placement.serve_queued()
 
     def on_job(self, job: interface.JobArrived) -> None:
         """Admit a job or reject it; place it, or probe workers first."""
@@ -186,26 +184,7 @@
 
     def on_progress(self, event: interface.ProgressNotice) -> None:
         """A worker reports the start or the progress of a job."""
-        worker = self.workers.get(event.worker)
-        if worker is not None:
-            worker.last_heard_at = self.context.now
-        found = self.requests.find_attempt(event.request, event.attempt)
-        if found is None:
-            return
-        request, attempt = found
-        if event.kind == NoticeKind.STARTED:
-            self.stalls.record_start(attempt)
-            if not attempt.start_seen:
-                self.limits.learn_from_start_delay(attempt)
-                # As full as if it had rejected the job, though its queue is not.
-                late = self.context.now > request.start_by
-                self.admission.rejections += self.context.large_group and late
-            attempt.progress_at = self.context.now
-        elif worker is not None:
-            self.stalls.record_progress(attempt, worker, event.fraction_done)
-        if not any(a.start_seen for a in request.attempts):
-            self.requests.cancel_attempts(request, keep=attempt)
-        attempt.start_seen = True
+        self.progress.record(event)
 
     def on_request_over(self, event: interface.ClientDisconnected | interface.StreamStarted) -> None:
         """Nobody waits for an answer any more; what is in flight still has its outcome."""
--- a/beaconhinge/policy/placement.py
+++ b/beaconhinge/policy/placement.py
@@ -70,6 +70,14 @@
         request.attempts_in_flight += 1
         self._context.actions.append(interface.SendAttempt(request.id, worker.id))
 
+    def record_sibling_load(self, worker: Worker, slots: float) -> None:
+        """Count slots that another process of this dispatcher has taken on a worker, or given back."""
+        worker.in_flight = max(0.0, worker.in_flight + slots)
+        worker.last_heard_at = self._context.now
+        if slots:
+            what = codec.SENT if slots > 0 else codec.ENDED
+            self._fleet.note(self._context.now, worker.key, what, abs(round(slots)))
+
     def enqueue(self, request: Request) -> None:
         """Have a request wait for a slot, or end it if too little time is left to serve it."""
         if not self.queue.add(request):
