--- a/beaconhinge/management/handover.py
+++ b/beaconhinge/management/handover.py
@@ -11,13 +11,14 @@
 import json
 import struct
 from collections import Counter, deque
-from collections.abc import Iterator
+from collections.abc import Iterator, Sequence
+from dataclasses import dataclass
 from typing import Any
 
 from ..gossip import aggregation, codec
 from ..policy.admission import TenantBucket
 from ..policy.dispatcher import Dispatcher
-from ..policy.interface import Semantics, Settings
+from ..policy.interface import RequestClass, Semantics, Settings
 from ..policy.workers import Worker
 
 VERSION = 1
@@ -86,6 +87,7 @@
 
 
 def seal(content: dict[str, Any]) -> bytes:
+    """The form that is handed over: a line with version and checksum, then JSON."""
     body = json.dumps(content, separators=(",", ":")).encode()
     return _MAGIC + hashlib.blake2s(body, digest_size=16).hexdigest().encode() + b"\n" + body
 
@@ -104,6 +106,7 @@
 
 
 def frame(kind: int, payload: bytes = b"") -> bytes:
+    """One frame as bytes."""
     return _HEAD.pack(len(payload), kind) + payload
 
 
@@ -167,113 +170,196 @@
     return hashlib.blake2s(named.encode(), digest_size=8).hexdigest()
 
 
-def take(module: Dispatcher) -> dict[str, Any]:
-    """What the module knows, without its jobs: these stay where they are. Changes nothing."""
-    classes = module.settings.classes
-    group = module.fleet
+def take(dispatcher: Dispatcher) -> dict[str, Any]:
+    """What the dispatcher knows, without its jobs: these stay where they are. Changes nothing."""
+    classes = dispatcher.settings.classes
+    limits = dispatcher.limits
     return {
-        "settings": fingerprint(module.settings),
-        "books": {stored: getattr(getattr(module, part), name) for stored, (part, name) in _BOOKS.items()},
-        "quota": module.quotas.tokens,
-        "longest": module.arrivals.max_client_timeouts,
-        "limits": list(module.limits.by_kind.items()),
-        "most_free": list(module.limits.max_free_slots.items()),
-        "by_hand": list(module.membership.in_maintenance.items()),
+        "settings": fingerprint(dispatcher.settings),
+        "books": {
+            stored: getattr(getattr(dispatcher, part), name) for stored, (part, name) in _BOOKS.items()
+        },
+        "quota": dispatcher.quotas.tokens,
+        "longest": dispatcher.arrivals.max_client_timeouts,
+        "limits": list(limits.by_kind.items()),
+        "most_free": list(limits.max_free_slots.items()),
+        "by_hand": list(dispatcher.membership.in_maintenance.items()),
         "buckets": [
             [*key, [getattr(b, name) for name in _BUCKET.values()]]
-            for key, b in module.admission.buckets.items()
+            for key, b in dispatcher.admission.buckets.items()
         ],
-        "workers": [
+        "workers": [_take_worker(worker, classes) for worker in dispatcher.workers.values()],
+        "fleet": _take_fleet(dispatcher.fleet),
+    }
+
+
+def _take_worker(worker: Worker, classes: Sequence[RequestClass]) -> list[Any]:
+    return [
+        worker.id,
+        {stored: getattr(worker, name) for stored, name in _WORKER.items()},
+        list(worker.slow_start_sends),
+        [[classes.index(cls), *until] for cls, until in worker.class_ejections.items()],
+    ]
+
+
+def _take_fleet(group: aggregation.Fleet) -> dict[str, Any]:
+    return {
+        "incarnation": group.incarnation,
+        "sequence": group._sequence,
+        "hub": group.hub,
+        "board": list(group.board.out.items()),
+        "seen": list(group.seen.items()),
+        "hub_heard": group._hub_heard,
+        "peers": [
             [
-                w.id,
-                {stored: getattr(w, name) for stored, name in _WORKER.items()},
-                list(w.slow_start_sends),
-                [[classes.index(cls), *until] for cls, until in w.class_ejections.items()],
+                number,
+                {name: getattr(p, name) for name in _PEER},
+                [[*key, rate] for key, rate in p.demand.items()],
+                list(p.out.items()),
             ]
-            for w in module.workers.values()
+            for number, p in group.peers.items()
         ],
-        "fleet": {
-            "incarnation": group.incarnation,
-            "sequence": group._sequence,
-            "hub": group.hub,
-            "board": list(group.board.out.items()),
-            "seen": list(group.seen.items()),
-            "hub_heard": group._hub_heard,
-            "peers": [
-                [
-                    number,
-                    {name: getattr(p, name) for name in _PEER},
-                    [[*key, rate] for key, rate in p.demand.items()],
-                    list(p.out.items()),
-                ]
-                for number, p in group.peers.items()
-            ],
-        },
     }
 
 
-def restore(module: Dispatcher, content: dict[str, Any]) -> None:
-    """Into a module that has just been started. Raises Unusable, and has changed nothing then."""
+def restore(dispatcher: Dispatcher, content: dict[str, Any]) -> None:
+    """Fill a dispatcher that has just been started.
+
+    Raises:
+        Unusable: The state is torn or of other settings; nothing has been changed then.
+    """
     try:
-        _restore(module, content)
+        restored = _read_state(dispatcher, content)
+        group = _read_group(dispatcher.fleet, content["fleet"])
     except (KeyError, TypeError, ValueError, IndexError, AttributeError) as error:
         raise Unusable(f"{type(error).__name__}: {error}") from None
+    _put_state(dispatcher, restored)
+    _put_group(dispatcher.fleet, group)
 
 
-def _restore(module: Dispatcher, content: dict[str, Any]) -> None:
-    """Everything is made before anything is put in place."""
-    classes, group = module.settings.classes, module.fleet
-    books = {stored: float(content["books"][stored]) for stored in _BOOKS}
-    if content["settings"] != fingerprint(module.settings):
+@dataclass(slots=True)
+class _State:
+    """State of the parts of a dispatcher, read and checked, before any of it is put in place."""
+
+    figures: dict[str, float]
+    quota_tokens: list[float]
+    max_client_timeouts: list[float]
+    buckets: dict[tuple[int, int], TenantBucket]
+    workers: dict[int, Worker]
+    limits: dict[int, float]
+    max_free_slots: dict[int, float]
+    in_maintenance: dict[int, float]
+
+
+@dataclass(slots=True)
+class _Group:
+    """The same of what is known of the group."""
+
+    peers: dict[int, aggregation.Peer]
+    board: Counter[int]
+    seen: Counter[int]
+    hub: int | None
+    incarnation: int
+    sequence: int
+    hub_heard: float
+
+
+def _read_state(dispatcher: Dispatcher, content: dict[str, Any]) -> _State:
+    settings = dispatcher.settings
+    figures = {stored: _figure_type(dispatcher, stored)(float(content["books"][stored])) for stored in _BOOKS}
+    if content["settings"] != fingerprint(settings):
         raise ValueError("taken under other settings or in another group")
-    quota, longest = [float(q) for q in content["quota"]], [float(s) for s in content["longest"]]
-    if len(quota) != len(module.quotas.tokens) or len(longest) != len(classes):
+    quota_tokens = [float(tokens) for tokens in content["quota"]]
+    max_client_timeouts = [float(seconds) for seconds in content["longest"]]
+    expected = len(settings.tenants), len(settings.classes)
+    if (len(quota_tokens), len(max_client_timeouts)) != expected:
         raise ValueError("not a figure for each tenant and class")
-    buckets = {
-        (int(t), int(c)): TenantBucket(*(float(v) for v in values)) for t, c, values in content["buckets"]
-    }
-    workers = {}
-    for number, fields, sent, barred in content["workers"]:
-        worker = Worker(int(number), codec.key(int(number)))
-        fields = {"slow_start_from": fields["started_at"], **fields}  # which older forms do not have
-        for stored, name in _WORKER.items():
-            setattr(worker, name, type(getattr(worker, name))(fields[stored]))
-        worker.slow_start_sends = deque((float(at), float(load)) for at, load in sent)
-        worker.class_ejections = {
-            classes[cls]: (float(until), float(length)) for cls, until, length in barred
-        }
-        workers[worker.id] = worker
-    told = content["fleet"]
-    peers = {}
-    for number, fields, demand, out in told["peers"]:
-        peer = aggregation.Peer(
-            int(fields["incarnation"]),
-            int(fields["sequence"]),
-            float(fields["heard"]),
-            float(fields["known"]),
-            float(fields["span"]),
-        )
-        peer.admitted = float(fields["admitted"])
-        peer.demand = {(int(t), int(c)): float(rate) for t, c, rate in demand}
-        peer.out = Counter({int(key): int(slots) for key, slots in out})
-        if number in group.mates:
-            peers[int(number)] = peer
-    board = Counter({int(key): int(slots) for key, slots in told["board"]})
-    seen = Counter({int(key): int(slots) for key, slots in told["seen"]})
-    hub = None if told["hub"] is None else int(told["hub"])
-    incarnation, sequence, heard = int(told["incarnation"]), int(told["sequence"]), float(told["hub_heard"])
-    limits = {int(kind): float(limit) for kind, limit in content["limits"]}
-    most_free = {int(kind): float(free) for kind, free in content["most_free"]}
-    by_hand = {int(number): float(since) for number, since in content["by_hand"]}
-
-    for stored, value in books.items():
+    return _State(
+        figures=figures,
+        quota_tokens=quota_tokens,
+        max_client_timeouts=max_client_timeouts,
+        buckets={
+            (int(tenant), int(cls)): TenantBucket(*(float(v) for v in values))
+            for tenant, cls, values in content["buckets"]
+        },
+        workers={int(entry[0]): _read_worker(settings.classes, *entry) for entry in content["workers"]},
+        limits={int(kind): float(limit) for kind, limit in content["limits"]},
+        max_free_slots={int(kind): float(free) for kind, free in content["most_free"]},
+        in_maintenance={int(number): float(since) for number, since in content["by_hand"]},
+    )
+
+
+def _figure_type(dispatcher: Dispatcher, stored: str) -> type[float]:
+    """The type of a figure in its part: counts are whole numbers."""
+    part, name = _BOOKS[stored]
+    return type(getattr(getattr(dispatcher, part), name))
+
+
+def _read_worker(
+    classes: Sequence[RequestClass],
+    number: int,
+    fields: dict[str, Any],
+    sends: list[list[float]],
+    ejections: list[list[Any]],
+) -> Worker:
+    worker = Worker(int(number), codec.key(int(number)))
+    fields = {"slow_start_from": fields["started_at"], **fields}  # which older forms do not have
+    for stored, name in _WORKER.items():
+        setattr(worker, name, type(getattr(worker, name))(fields[stored]))
+    worker.slow_start_sends = deque((float(at), float(load)) for at, load in sends)
+    worker.class_ejections = {classes[cls]: (float(until), float(length)) for cls, until, length in ejections}
+    return worker
+
+
+def _read_peer(
+    fields: dict[str, Any], demand: list[list[Any]], in_flight: list[list[int]]
+) -> aggregation.Peer:
+    peer = aggregation.Peer(
+        int(fields["incarnation"]),
+        int(fields["sequence"]),
+        float(fields["heard"]),
+        float(fields["known"]),
+        float(fields["span"]),
+    )
+    peer.admitted = float(fields["admitted"])
+    peer.demand = {(int(tenant), int(cls)): float(rate) for tenant, cls, rate in demand}
+    peer.out = _read_slots(in_flight)
+    return peer
+
+
+def _read_slots(entries: list[list[int]]) -> Counter[int]:
+    return Counter({int(key): int(slots) for key, slots in entries})
+
+
+def _read_group(group: aggregation.Fleet, stored: dict[str, Any]) -> _Group:
+    peers = {int(entry[0]): _read_peer(*entry[1:]) for entry in stored["peers"]}
+    return _Group(
+        peers={number: peer for number, peer in peers.items() if number in group.mates},
+        board=_read_slots(stored["board"]),
+        seen=_read_slots(stored["seen"]),
+        hub=None if stored["hub"] is None else int(stored["hub"]),
+        incarnation=int(stored["incarnation"]),
+        sequence=int(stored["sequence"]),
+        hub_heard=float(stored["hub_heard"]),
+    )
+
+
+def _put_state(dispatcher: Dispatcher, state: _State) -> None:
+    for stored, value in state.figures.items():
         part, name = _BOOKS[stored]
-        owner = getattr(module, part)
-        setattr(owner, name, type(getattr(owner, name))(value))
-    module.quotas.tokens, module.arrivals.max_client_timeouts = quota, longest
-    module.admission.buckets, module.worker_table.by_id = buckets, workers
-    module.limits.by_kind, module.limits.max_free_slots = limits, most_free
-    module.membership.in_maintenance = by_hand
-    group.peers, group.board.out, group.seen, group.hub = peers, board, seen, hub
-    group.board.told = dict.fromkeys(board)  # all of it is told again in turn
-    group.incarnation, group._sequence, group._hub_heard = incarnation, (sequence + AHEAD) & 0xFFFF, heard
+        setattr(getattr(dispatcher, part), name, value)
+    dispatcher.quotas.tokens = state.quota_tokens
+    dispatcher.arrivals.max_client_timeouts = state.max_client_timeouts
+    dispatcher.admission.buckets = state.buckets
+    dispatcher.worker_table.by_id = state.workers
+    dispatcher.limits.by_kind = state.limits
+    dispatcher.limits.max_free_slots = state.max_free_slots
+    dispatcher.membership.in_maintenance = state.in_maintenance
+
+
+def _put_group(group: aggregation.Fleet, restored: _Group) -> None:
+    group.peers, group.seen, group.hub = restored.peers, restored.seen, restored.hub
+    group.board.out = restored.board
+    group.board.told = dict.fromkeys(restored.board)  # all of it is told again in turn
+    group.incarnation, group._hub_heard = restored.incarnation, restored.hub_heard
+    group._sequence = (restored.sequence + AHEAD) & 0xFFFF
--- a/beaconhinge/policy/admission.py
+++ b/beaconhinge/policy/admission.py
@@ -87,6 +87,14 @@
         """Count time from now on."""
         self.adjusted_at = self.refilled_at = self._context.now
 
+    def get_or_add_bucket(self, tenant: int, class_index: int) -> tuple[TenantBucket, bool]:
+        """The bucket of a tenant and class, and whether it is new."""
+        bucket = self.buckets.get((tenant, class_index))
+        if bucket is not None:
+            return bucket, False
+        bucket = self.buckets[tenant, class_index] = TenantBucket()
+        return bucket, True
+
     def admit(self, bucket: TenantBucket, cost: float) -> bool:
         """Take the cost of a job from its bucket, or refuse it."""
         if bucket.rate < INF and bucket.tokens <= 0:
--- a/beaconhinge/policy/attempt_outcomes.py
+++ b/beaconhinge/policy/attempt_outcomes.py
@@ -1,5 +1,6 @@
 """What the end of an attempt teaches of its worker."""
 
+from ..gossip import codec
 from . import interface
 from .admission import Admission
 from .concurrency_limits import ConcurrencyLimits
@@ -44,8 +45,8 @@
         self._slow_start = slow_start
         self._outliers = outliers
 
-    def record(self, attempt: Attempt, request: Request, event: interface.AttemptEnded) -> bool:
-        """Learn from the end of an attempt. Returns whether the worker failed."""
+    def record(self, attempt: Attempt, request: Request, event: interface.AttemptEnded) -> int:
+        """Learn from the end of an attempt. Returns what peers are told of it, as the codec numbers it."""
         worker = attempt.worker
         previous_rate = worker.failure_rate
         silent_since_send = worker.last_heard_at <= attempt.sent_at
@@ -63,7 +64,10 @@
             self._record_rejected(worker, request, event.latency, in_flight, free)
         else:
             self._record_failure(attempt, event.outcome, silent_since_send)
-        return worker.failure_rate > previous_rate or event.outcome == AttemptOutcome.CONNECTION_LOST
+        if event.outcome == AttemptOutcome.SERVED:
+            return codec.SERVED
+        failed = worker.failure_rate > previous_rate or event.outcome == AttemptOutcome.CONNECTION_LOST
+        return codec.FAILED if failed else codec.ENDED
 
     def _free_slots(self, event: interface.AttemptEnded) -> float | None:
         return event.load.get(self._context.settings.free_slots_field) if event.load else None
--- a/beaconhinge/policy/dispatcher.py
+++ b/beaconhinge/policy/dispatcher.py
@@ -12,7 +12,7 @@
 from ..gossip import codec
 from ..gossip.aggregation import Fleet
 from . import interface
-from .admission import CONTROL_INTERVAL_S, Admission, TenantBucket
+from .admission import CONTROL_INTERVAL_S, Admission
 from .arrivals import Arrivals
 from .attempt_outcomes import OutcomeRecorder
 from .concurrency_limits import ConcurrencyLimits
@@ -21,7 +21,7 @@
 from .interface import PROVEN_UNRUN, AttemptOutcome
 from .load_probing import LoadProbing
 from .membership import Membership
-from .outlier_detection import PEER_FAILURE_WEIGHT, OutlierDetection
+from .outlier_detection import OutlierDetection
 from .peer_reports import REPORT_INTERVAL_S, PeerReports
 from .placement import Placement
 from .progress_notices import ProgressRecorder
@@ -142,9 +142,8 @@
             return
         tenant = self.quotas.known_tenant(job.tenant)
         request.over_quota = self.quotas.spend(tenant)
-        bucket = self.admission.buckets.get((tenant, job.class_index))
-        if bucket is None:
-            bucket = self.admission.buckets[tenant, job.class_index] = TenantBucket()
+        bucket, is_new = self.admission.get_or_add_bucket(tenant, job.class_index)
+        if is_new:
             self.reports.announce_bucket()
         self.estimates.record_arrival(request.work)
         if not self.admission.admit(bucket, request.work * request.slots):
@@ -163,10 +162,7 @@
         attempt.in_flight, request.attempts_in_flight = False, request.attempts_in_flight - 1
         worker = attempt.worker
         worker.in_flight = max(0.0, worker.in_flight - request.slots)
-        failed = self.outcomes.record(attempt, request, event)
-        ended = codec.FAILED if failed else codec.ENDED
-        if event.outcome == AttemptOutcome.SERVED:
-            ended = codec.SERVED
+        ended = self.outcomes.record(attempt, request, event)
         self.fleet.note(self.context.now, worker.key, ended, round(request.slots))
         self.membership.close_idle_connections(worker)
         attempt.never_ran = event.outcome in PROVEN_UNRUN
@@ -201,11 +197,7 @@
             if worker is None:
                 continue
             self.limits.note_in_flight(worker)
-            for _ in range(news.failures):
-                self.outliers.raise_failure_rate(worker, PEER_FAILURE_WEIGHT)
-            if news.served:
-                worker.last_heard_at = self.context.now
-                self.outliers.decay_failure_rate(worker, PEER_FAILURE_WEIGHT)
+            self.outliers.record_peer_outcomes(worker, news.failures, served=bool(news.served))
 
     def on_process_stalled(self, event: interface.ProcessStalled) -> None:
         """This process itself did not run for a while."""
--- a/beaconhinge/policy/outlier_detection.py
+++ b/beaconhinge/policy/outlier_detection.py
@@ -68,6 +68,14 @@
         # Lest all dispatchers try it at once.
         worker.ejected_until = worker.ejection_ends_at + self._context.random.random() * spread
 
+    def record_peer_outcomes(self, worker: Worker, failures: int, *, served: bool) -> None:
+        """Count what a peer reports of its attempts on a worker."""
+        for _ in range(failures):
+            self.raise_failure_rate(worker, PEER_FAILURE_WEIGHT)
+        if served:
+            worker.last_heard_at = self._context.now
+            self.decay_failure_rate(worker, PEER_FAILURE_WEIGHT)
+
     def eject_for_class(self, worker: Worker, request_class: interface.RequestClass) -> None:
         """Keep jobs of one class from a worker which rejects them, and may well run others."""
         previous = worker.class_ejections.get(request_class, (0.0, BASE_EJECTION_S / 2))[1]
--- a/beaconhinge/policy/peer_reports.py
+++ b/beaconhinge/policy/peer_reports.py
@@ -17,6 +17,9 @@
 REPORT_BYTES_PER_JOB = 40
 """Delivered bytes of reports for each own job."""
 
+MIN_REPORTED_SLOTS = 0.5
+"""Workers with fewer slots in use are left out of a report."""
+
 
 class PeerReports:
     """When peers are told what, and what was counted since.
@@ -88,5 +91,6 @@
         fleet.outbox.clear()
 
     def _own_report(self, span: float, entries: list[tuple[int, int, float, float]]) -> codec.Report:
-        out = [(w.key, round(w.in_flight)) for w in self._workers.by_id.values() if w.in_flight >= 0.5]
-        return codec.Report(0, 0, span, entries, list(self._limits.by_kind.items()), out)
+        busy = [w for w in self._workers.by_id.values() if w.in_flight >= MIN_REPORTED_SLOTS]
+        in_flight = [(w.key, round(w.in_flight)) for w in busy]
+        return codec.Report(0, 0, span, entries, list(self._limits.by_kind.items()), in_flight)
--- a/beaconhinge/quota_snapshots/__init__.py
+++ b/beaconhinge/quota_snapshots/__init__.py
@@ -1,5 +1,4 @@
-"""A dispatcher's books, kept over a restart: what tenants used, what the fleet takes, what others were heard
-to say.
+"""Snapshots that outlast a restart: what tenants used, what the fleet takes, what peers were heard to say.
 
-`record` turns the module's books into a versioned record and back, without I/O; `keeper` writes and reads it.
+`record` turns that state of the policy into a versioned record and back, without I/O; `writer` stores it.
 """
--- a/beaconhinge/quota_snapshots/record.py
+++ b/beaconhinge/quota_snapshots/record.py
@@ -1,7 +1,7 @@
-"""The books of the decision module as a versioned record, and back. Pure: times are arguments.
+"""Demand, quotas and the fleet rate of the policy as a versioned record, and back. Pure: times are arguments.
 
-A dispatcher that starts with empty books takes one Nth of each share, while the others still count what it
-used before, and admits without a limit until it has seen a full fleet by itself. With its books it goes on
+A dispatcher that starts without them takes one Nth of each share, while the others still count what it
+used before, and admits without a limit until it has seen a full fleet by itself. With a record it goes on
 where it was, aged by the time that has passed: allowances grow as they would have, a cut of the fleet rate
 fades at the pace at which the rate rises, and others that have been silent for too long are not counted.
 """
@@ -17,15 +17,17 @@
 from ..policy.dispatcher import Dispatcher
 from ..policy.interface import Settings
 
-VERSION = 1
-FUTURE = 1.0  # seconds by which a record may lie ahead of the clock: clocks are set now and then
+RECORD_VERSION = 1
+MAX_CLOCK_SKEW_S = 1.0  # seconds by which a record may lie ahead of the clock: clocks are set now and then
 
 
-class Stale(Exception):
+class StaleRecordError(Exception):
     """A record that must not be used; the text says why."""
 
 
-class Bucket(msgspec.Struct, array_like=True, frozen=True):
+class BucketRecord(msgspec.Struct, array_like=True, frozen=True):
+    """The bucket of a tenant and class."""
+
     tenant: int
     cls: int
     demand: float  # work a second
@@ -34,7 +36,9 @@
     rate: float
 
 
-class Peer(msgspec.Struct, array_like=True, frozen=True):
+class PeerRecord(msgspec.Struct, array_like=True, frozen=True):
+    """What a peer was last heard to say."""
+
     number: int
     incarnation: int
     sequence: int
@@ -46,23 +50,26 @@
 
 
 class Record(msgspec.Struct, frozen=True):
+    """State of the policy as it is stored. `name=` gives the stored key where the field has another name."""
+
     version: int
     taken_at: float  # Unix time, seconds
-    settings: str  # of what the books depend on
-    rate: float  # work a second that the fleet admits; infinite while there is no cut
-    part: float
+    settings_fingerprint: str = msgspec.field(name="settings")
+    # Work a second that the fleet admits; infinite while there is no cut.
+    fleet_rate: float = msgspec.field(name="rate")
+    demand_share: float = msgspec.field(name="part")
     mean_work: float
-    pace: float
-    job_time: float
-    quota: list[float]
-    buckets: list[Bucket]
-    peers: list[Peer]
+    seconds_per_work: float = msgspec.field(name="pace")
+    mean_latency_s: float = msgspec.field(name="job_time")
+    quota_tokens: list[float] = msgspec.field(name="quota")
+    buckets: list[BucketRecord]
+    peers: list[PeerRecord]
 
 
 def take(dispatcher: Dispatcher, now: float) -> Record:
-    """The books as they stand. Changes nothing."""
+    """The record of a dispatcher as it stands. Changes nothing."""
     return Record(
-        VERSION,
+        RECORD_VERSION,
         now,
         fingerprint(dispatcher.settings),
         dispatcher.admission.fleet_rate,
@@ -72,11 +79,11 @@
         dispatcher.estimates.mean_latency_s,
         list(dispatcher.quotas.tokens),
         [
-            Bucket(tenant, cls, b.demand, b.admitted, b.tokens, b.rate)
+            BucketRecord(tenant, cls, b.demand, b.admitted, b.tokens, b.rate)
             for (tenant, cls), b in dispatcher.admission.buckets.items()
         ],
         [
-            Peer(
+            PeerRecord(
                 number,
                 p.incarnation,
                 p.sequence,
@@ -92,40 +99,49 @@
 
 
 def encode(record: Record) -> bytes:
+    """The stored form."""
     return msgspec.msgpack.encode(record)
 
 
 def decode(data: bytes) -> Record:
-    """Raises Stale for what is no record, or one of another version."""
+    """Read the stored form.
+
+    Raises:
+        StaleRecordError: It is no record, or one of another version.
+    """
     try:
         version = msgspec.msgpack.decode(data, type=dict[str, msgspec.Raw]).get("version")
-        if version is None or msgspec.msgpack.decode(version, type=int) != VERSION:
-            raise Stale("written in another version of the record")
+        if version is None or msgspec.msgpack.decode(version, type=int) != RECORD_VERSION:
+            raise StaleRecordError("written in another version of the record")
         return msgspec.msgpack.decode(data, type=Record)
     except (msgspec.DecodeError, msgspec.ValidationError) as error:
-        raise Stale(f"unreadable: {error}") from None
+        raise StaleRecordError(f"unreadable: {error}") from None
 
 
 def check(record: Record, settings: Settings, now: float, max_age: float) -> float:
-    """Seconds that the record is old. Raises Stale."""
+    """Seconds that the record is old.
+
+    Raises:
+        StaleRecordError: It is too old, ahead of the clock, or of other settings.
+    """
     age = now - record.taken_at
-    if age < -FUTURE:
-        raise Stale(f"taken {-age:.1f} s in the future")
+    if age < -MAX_CLOCK_SKEW_S:
+        raise StaleRecordError(f"taken {-age:.1f} s in the future")
     if not age <= max_age:
-        raise Stale(f"{age:.1f} s old, more than {max_age:g}")
-    if record.settings != fingerprint(settings):
-        raise Stale("taken under other settings or in another group")
+        raise StaleRecordError(f"{age:.1f} s old, more than {max_age:g}")
+    if record.settings_fingerprint != fingerprint(settings):
+        raise StaleRecordError("taken under other settings or in another group")
     return max(age, 0.0)
 
 
 def restore(dispatcher: Dispatcher, record: Record, now: float, age: float) -> None:
-    """Fill the books of a dispatcher that has just been started at `now`, from a record that old."""
+    """Fill a dispatcher that has just been started at `now` from a record that is `age` seconds old."""
     admission, estimates, reports = dispatcher.admission, dispatcher.estimates, dispatcher.reports
-    estimates.mean_work, estimates.seconds_per_work = record.mean_work, record.pace
-    estimates.mean_latency_s = record.job_time
+    estimates.mean_work, estimates.seconds_per_work = record.mean_work, record.seconds_per_work
+    estimates.mean_latency_s = record.mean_latency_s
     # Its reports carry on the smoothed figures instead of starting them anew.
     reports.smoothing_since = now - aggregation.MEMORY * reports.interval_s
-    admission.fleet_rate = record.rate * (1 + RATE_INCREASE_SHARE) ** (age / CONTROL_INTERVAL_S)
+    admission.fleet_rate = record.fleet_rate * (1 + RATE_INCREASE_SHARE) ** (age / CONTROL_INTERVAL_S)
     for peer in record.peers:
         kept = aggregation.Peer(
             peer.incarnation, peer.sequence, now - peer.silent - age, peer.known, peer.span
@@ -142,5 +158,5 @@
             0.0, 0.0, bucket.demand, bucket.admitted, tokens, bucket.rate
         )
     own_share = admission.own_demand_share(admission.total_demand())
-    admission.demand_share = record.part if dispatcher.context.large_group else own_share
-    dispatcher.quotas.restore(record.quota, age, admission.demand_share)
+    admission.demand_share = record.demand_share if dispatcher.context.large_group else own_share
+    dispatcher.quotas.restore(record.quota_tokens, age, admission.demand_share)
--- a/beaconhinge/quota_snapshots/writer.py
+++ b/beaconhinge/quota_snapshots/writer.py
@@ -1,4 +1,4 @@
-"""Writes the books into the store at an interval and at an orderly stop, and reads them at a start."""
+"""Writes snapshots into the store at an interval and at an orderly stop, and reads one at a start."""
 
 from __future__ import annotations
 
@@ -12,6 +12,8 @@
 
 
 class SnapshotWriter:
+    """Keeps the stored snapshot of one dispatcher up to date."""
+
     def __init__(
         self,
         store: Store,
@@ -21,6 +23,7 @@
         interval_s: float,
         max_age_s: float,
     ) -> None:
+        """Write at an interval of `interval_s`; restore nothing older than `max_age_s`."""
         self.store = store
         self.dispatcher = dispatcher
         self.timers = timers
@@ -29,7 +32,11 @@
         self.max_age_s = max_age_s
 
     def restore(self) -> bool:
-        """After the module has been started and before it is fed anything else."""
+        """Restore the snapshot, after the dispatcher was started and before it is fed anything else.
+
+        Returns:
+            Whether there was one that may be used.
+        """
         try:
             data = self.store.get(KEY)
             if data is None:
@@ -37,24 +44,25 @@
             now = self.timers.now()
             found = record.decode(data)
             age = record.check(found, self.dispatcher.settings, now, self.max_age_s)
-        except (record.Stale, StoreError) as why:
+        except (record.StaleRecordError, StoreError) as why:
             self.metrics.count_and_log("books_dropped", why=why)
             return False
         record.restore(self.dispatcher, found, now, age)
         self.metrics.count("books_restored")
-        self.metrics.log("books_restored", age=age, tenants=len(found.quota), others=len(found.peers))
+        self.metrics.log("books_restored", age=age, tenants=len(found.quota_tokens), others=len(found.peers))
         return True
 
     def keep(self) -> None:
-        """Write them from now on, at the interval."""
+        """Write from now on, at the interval."""
         self.timers.after(self.interval_s, lambda: self.metrics.spawn(self._again(), "books"))
 
     async def _again(self) -> None:
         await self.write()
-        if self.store.failure is None:  # read-only for good: told once, and there is nothing more to try
+        if self.store.failure is None:  # read-only for good: logged once, and there is nothing more to try
             self.keep()
 
     async def write(self) -> None:
+        """Write the snapshot once; a failure of the store is logged."""
         taken = record.encode(record.take(self.dispatcher, self.timers.now()))
         try:
             await self.store.commit([Put(KEY, taken)])
--- a/tests/books/test_books.py
+++ b/tests/books/test_books.py
@@ -57,7 +57,7 @@
 
 def test_a_record_of_another_configuration_is_dropped_and_the_start_goes_on() -> None:
     def edit(data: bytes) -> bytes:
-        return record.encode(msgspec.structs.replace(record.decode(data), settings="other"))
+        return record.encode(msgspec.structs.replace(record.decode(data), settings_fingerprint="other"))
 
     world = World(1, 2.0, True, edit=edit)
     world.run(4.0)
@@ -92,7 +92,7 @@
     dispatcher = restored(0.0)
     right = record.take(busy(), 1000.0)
     # Its part of the demand is worked out anew: 15 of the 27 jobs a second that it knows of.
-    assert record.take(dispatcher, 1000.0) == msgspec.structs.replace(right, part=15 / 27)
+    assert record.take(dispatcher, 1000.0) == msgspec.structs.replace(right, demand_share=15 / 27)
 
 
 def test_books_age_by_the_time_passed() -> None:
@@ -116,23 +116,23 @@
 )
 def test_what_is_stale_or_from_elsewhere_is_refused(age: float, changes: dict[str, str], why: str) -> None:
     taken = record.take(busy(), 1000.0)
-    with pytest.raises(record.Stale, match=why):
+    with pytest.raises(record.StaleRecordError, match=why):
         record.check(taken, settings(**changes), 1000.0 + age, 30.0)
 
 
 @given(st.binary(max_size=60))
 def test_no_bytes_but_a_record_are_taken_for_one(data: bytes) -> None:
-    with pytest.raises(record.Stale):
+    with pytest.raises(record.StaleRecordError):
         record.decode(data)
 
 
 def test_another_version_is_refused_and_each_cut_of_a_record_too() -> None:
     taken = record.take(busy(), 1000.0)
-    with pytest.raises(record.Stale, match="version"):
+    with pytest.raises(record.StaleRecordError, match="version"):
         record.decode(record.encode(msgspec.structs.replace(taken, version=2)))
     data = record.encode(taken)
     for size in range(len(data)):
-        with pytest.raises(record.Stale):
+        with pytest.raises(record.StaleRecordError):
             record.decode(data[:size])
 
 
--- a/tests/books/world.py
+++ b/tests/books/world.py
@@ -96,7 +96,7 @@
                 record.restore(
                     node.dispatcher, found, self.now, record.check(found, settings, self.now, 30.0)
                 )
-            except record.Stale as why:
+            except record.StaleRecordError as why:
                 self.dropped.append(str(why))
         self.feed(
             node,
