--- a/tests/books/test_books.py
+++ b/tests/quota_snapshots/test_quota_snapshots.py
@@ -11,7 +11,7 @@
 import pytest
 from hypothesis import given
 from hypothesis import strategies as st
-from world import GROUP, PAIRS, World
+from snapshot_world import GROUP, PAIRS, World
 
 from beaconhinge.gossip import aggregation
 from beaconhinge.policy import interface
