--- a/beaconhinge/net/upgrade.py
+++ b/beaconhinge/net/upgrade.py
@@ -213,7 +213,7 @@
         try:
             handover.restore(self.policy_runner.dispatcher, module)
             for worker in self.policy_runner.dispatcher.workers.values():
-                self._predecessor_slots[worker.id] = round(worker.out)
+                self._predecessor_slots[worker.id] = round(worker.in_flight)
         except HandoverError as why:  # as with other settings: the list and the operators' word still hold
             self.metrics.count_and_log("handover_unusable", why=why)
         self.discovery.take_over_list(hosts, here)
@@ -335,7 +335,8 @@
         self._reported_slots = out
 
     def _slots_in_flight(self) -> Counter[int]:
-        return Counter({w.id: round(w.out) for w in self.policy_runner.dispatcher.workers.values() if w.out})
+        workers = self.policy_runner.dispatcher.workers.values()
+        return Counter({worker.id: round(worker.in_flight) for worker in workers if worker.in_flight})
 
     # ---- both ----------------------------------------------------------------------------------------------
 
--- a/tests/books/test_books.py
+++ b/tests/quota_snapshots/test_quota_snapshots.py
@@ -11,11 +11,12 @@
 import pytest
 from hypothesis import given
 from hypothesis import strategies as st
-from world import GROUP, PAIRS, World
+from snapshot_world import GROUP, PAIRS, World
 
 from beaconhinge.gossip import aggregation
-from beaconhinge.policy import dispatcher as policy
 from beaconhinge.policy import interface
+from beaconhinge.policy.admission import TenantBucket
+from beaconhinge.policy.context import INF
 from beaconhinge.policy.dispatcher import Dispatcher
 from beaconhinge.quota_snapshots import record
 from beaconhinge.quota_snapshots.writer import KEY, SnapshotWriter
@@ -56,7 +57,7 @@
 
 def test_a_record_of_another_configuration_is_dropped_and_the_start_goes_on() -> None:
     def edit(data: bytes) -> bytes:
-        return record.encode(msgspec.structs.replace(record.decode(data), settings="other"))
+        return record.encode(msgspec.structs.replace(record.decode(data), settings_fingerprint="other"))
 
     world = World(1, 2.0, True, edit=edit)
     world.run(4.0)
@@ -70,12 +71,12 @@
 def busy(now: float = 1000.0) -> Dispatcher:
     dispatcher = Dispatcher(settings(), 1)
     dispatcher.handle(now, interface.Start())
-    dispatcher.rate = 50.0
-    dispatcher.buckets[0, 0] = policy._Bucket(0.0, 0.0, 12.0, 9.0, 0.5, 4.0)
-    dispatcher.buckets[2, 0] = policy._Bucket(0.0, 0.0, 3.0, 3.0, 0.0, policy.INF)
+    dispatcher.admission.fleet_rate = 50.0
+    dispatcher.admission.buckets[0, 0] = TenantBucket(0.0, 0.0, 12.0, 9.0, 0.5, 4.0)
+    dispatcher.admission.buckets[2, 0] = TenantBucket(0.0, 0.0, 3.0, 3.0, 0.0, INF)
     for number, heard in ((1, now - 0.2), (2, now - 2.0)):
         dispatcher.fleet.peers[number] = aggregation.Peer(7, 5, heard, 2.0, 0.5, {(0, 0): 6.0}, 4.0)
-    dispatcher.quota = [0.5, 1.0, 1.0]
+    dispatcher.quotas.tokens = [0.5, 1.0, 1.0]
     return dispatcher
 
 
@@ -91,16 +92,16 @@
     dispatcher = restored(0.0)
     right = record.take(busy(), 1000.0)
     # Its part of the demand is worked out anew: 15 of the 27 jobs a second that it knows of.
-    assert record.take(dispatcher, 1000.0) == msgspec.structs.replace(right, part=15 / 27)
+    assert record.take(dispatcher, 1000.0) == msgspec.structs.replace(right, demand_share=15 / 27)
 
 
 def test_books_age_by_the_time_passed() -> None:
     dispatcher = restored(1.0)
-    assert dispatcher.buckets[0, 0].tokens == 4.5  # half a job and a second's four
-    assert dispatcher.rate == pytest.approx(55.0)  # a cut fades as it would have
-    assert dispatcher.quota[0] > 0.5
+    assert dispatcher.admission.buckets[0, 0].tokens == 4.5  # half a job and a second's four
+    assert dispatcher.admission.fleet_rate == pytest.approx(55.0)  # a cut fades as it would have
+    assert dispatcher.quotas.tokens[0] > 0.5
     assert dispatcher.fleet.peers[1].demand and not dispatcher.fleet.peers[2].demand  # silent for 3 s by now
-    assert restored(25.0).buckets[0, 0].tokens == 12.0  # a bucket holds no more than its burst
+    assert restored(25.0).admission.buckets[0, 0].tokens == 12.0  # a bucket holds no more than its burst
 
 
 @pytest.mark.parametrize(
@@ -115,23 +116,23 @@
 )
 def test_what_is_stale_or_from_elsewhere_is_refused(age: float, changes: dict[str, str], why: str) -> None:
     taken = record.take(busy(), 1000.0)
-    with pytest.raises(record.Stale, match=why):
+    with pytest.raises(record.StaleRecordError, match=why):
         record.check(taken, settings(**changes), 1000.0 + age, 30.0)
 
 
 @given(st.binary(max_size=60))
 def test_no_bytes_but_a_record_are_taken_for_one(data: bytes) -> None:
-    with pytest.raises(record.Stale):
+    with pytest.raises(record.StaleRecordError):
         record.decode(data)
 
 
 def test_another_version_is_refused_and_each_cut_of_a_record_too() -> None:
     taken = record.take(busy(), 1000.0)
-    with pytest.raises(record.Stale, match="version"):
+    with pytest.raises(record.StaleRecordError, match="version"):
         record.decode(record.encode(msgspec.structs.replace(taken, version=2)))
     data = record.encode(taken)
     for size in range(len(data)):
-        with pytest.raises(record.Stale):
+        with pytest.raises(record.StaleRecordError):
             record.decode(data[:size])
 
 
@@ -147,7 +148,9 @@
         fresh = Dispatcher(settings(), 2)
         fresh.handle(now[0], interface.Start())
         assert SnapshotWriter(store, fresh, timers, metrics, 0.5, 30.0).restore()
-        assert fresh.rate == pytest.approx(55.0) and "books_restored age=1.000" in log.getvalue()
+        assert (
+            fresh.admission.fleet_rate == pytest.approx(55.0) and "books_restored age=1.000" in log.getvalue()
+        )
         await store.commit([Put(KEY, b"rubbish")])
         assert not SnapshotWriter(store, fresh, timers, metrics, 0.5, 30.0).restore()
         assert "books_dropped" in log.getvalue() and metrics.counters["books_dropped"] == 1
