--- a/beaconhinge/dispatch/request.py
+++ b/beaconhinge/dispatch/request.py
@@ -30,7 +30,7 @@
     id: str
     cls: int
     tenant: int
-    remaining: float  # seconds from `taken_at`, the arrival of its last byte, until it must have its answer
+    remaining_s: float  # seconds from `taken_at`, the arrival of its last byte, until it must have its answer
     taken_at: float
     target: bytes  # path and query, passed on unchanged
     body: bytes
@@ -38,13 +38,15 @@
     route_key: str = ""
     slots: float = 1.0
     memory: float = 0.0
-    repeat: bool = False
-    work: float = 0.0  # seconds of a standard core that it may take; 0: not known
-    patience: float = 0.0  # seconds from `taken_at` that its client waits; 0: `remaining`, and no more
+    is_retry: bool = False
+    work_s: float = 0.0  # seconds of a standard core that it may take; 0: not known
+    client_timeout_s: float = (
+        0.0  # seconds from `taken_at` that its client waits; 0: `remaining`, and no more
+    )
 
     @property
     def deadline(self) -> float:
-        return self.taken_at + self.remaining
+        return self.taken_at + self.remaining_s
 
 
 @dataclass(slots=True, frozen=True)
@@ -55,24 +57,24 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Known:
+class KeyStatus:
     """What is known of a job's key before it is started."""
 
-    doubted: bool = False  # it may have run elsewhere, or may be about to
+    may_run_elsewhere: bool = False  # it may have run elsewhere, or may be about to
     result: bytes | None = None
-    entered: bool = False  # it is in the book now, and `left` is due
+    registered: bool = False  # it is in the book now, and `left` is due
 
 
-class KeyBook(Protocol):
+class IdempotencyKeys(Protocol):
     """Knows which keys are, or were lately, at this or another dispatcher."""
 
-    async def enter(self, job: Job) -> Known: ...
+    async def enter(self, job: Job) -> KeyStatus: ...
 
     def left(self, job: Job, may_have_run: bool, result: bytes | None) -> None: ...
 
 
 @dataclass(slots=True, frozen=True)
-class Ended:
+class AttemptFinished:
     """An attempt has its outcome."""
 
     attempt: Attempt
@@ -82,11 +84,11 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Told:
+class AttemptProgress:
     """A worker tells of an attempt in flight."""
 
     attempt: Attempt
-    what: int
+    kind: int
     share: float
 
 
@@ -110,15 +112,15 @@
     | interface.Reject
     | interface.Fail
     | interface.CancelAttempt
-    | Ended
-    | Told
+    | AttemptFinished
+    | AttemptProgress
     | ClientLeft
     | Overdue
     | Admitted
 )
 
 
-class Watcher(Protocol):
+class RequestObserver(Protocol):
     """Follows a request on its way; the answer comes by itself. Attempts are named by their numbers."""
 
     def accepted(self) -> None:
@@ -132,11 +134,11 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Others:
+class SiblingAttempts:
     """The other attempts of an attempt's request."""
 
     at_worker: int  # out at the same worker
-    out: int  # out anywhere
+    in_flight: int  # out anywhere
     may_have_run: bool  # one of those that have ended
 
 
@@ -152,7 +154,7 @@
         until: float,
         tell: Callable[[Step], None],
         wanted: Callable[[], bool],
-        others: Callable[[Attempt], Others],
+        others: Callable[[Attempt], SiblingAttempts],
     ) -> None:
         self.job = job
         self.number = number
@@ -160,21 +162,21 @@
         self.sent_at = sent_at
         self.until = until  # when it ends without an answer
         self.open = True
-        self.begun = False  # its first byte may have been written
-        self.released: Callable[[AttemptOutcome], None] = lambda outcome: None  # set by who carries it
+        self.may_be_written = False  # its first byte may have been written
+        self.on_end: Callable[[AttemptOutcome], None] = lambda outcome: None  # set by who carries it
         self.timer: Timer | None = None
-        self._tell = tell
-        self._wanted = wanted
-        self._others = others
+        self._post = tell
+        self._client_is_waiting = wanted
+        self._siblings = others
 
-    def wanted(self) -> bool:
+    def client_is_waiting(self) -> bool:
         """Whether somebody waits for an answer, as far as can be seen this moment. A connection may come up,
         or a turn of the loop be due, long after the client has gone.
         """
-        return self._wanted()
+        return self._client_is_waiting()
 
-    def others(self) -> Others:
-        return self._others(self)
+    def siblings(self) -> SiblingAttempts:
+        return self._siblings(self)
 
     def end(
         self, outcome: AttemptOutcome, body: bytes = b"", load: Mapping[str, float] | None = None
@@ -183,15 +185,15 @@
             self.open = False
             if self.timer is not None:
                 self.timer.cancel()
-            self.released(outcome)
-            self._tell(Ended(self, outcome, body, load))
+            self.on_end(outcome)
+            self._post(AttemptFinished(self, outcome, body, load))
 
-    def told(self, what: int, share: float = 0.0) -> None:
+    def report_progress(self, what: int, share: float = 0.0) -> None:
         if self.open:
-            self._tell(Told(self, what, share))
+            self._post(AttemptProgress(self, what, share))
 
 
-class Carrier(Protocol):
+class AttemptTransport(Protocol):
     """Brings attempts to workers."""
 
     def start(self, attempt: Attempt) -> None: ...
@@ -203,7 +205,7 @@
     def __init__(
         self,
         policy_runner: PolicyRunner,
-        carrier: Carrier,
+        transport: AttemptTransport,
         timers: TimerWheel,
         metrics: Metrics,
         settings: interface.Settings,
@@ -211,54 +213,58 @@
     ) -> None:
         self.class_names = class_names
         self.policy_runner = policy_runner
-        self.carrier = carrier
+        self.transport = transport
         self.timers = timers
         self.metrics = metrics
         self.settings = settings
-        self.in_hand: dict[str, Request] = {}
-        self._last = 0
+        self.requests: dict[str, Request] = {}
+        self._last_number = 0
         # What an attempt's end is told to the module as, and the time of it in which this process ran.
-        self.excuse: Callable[[Attempt, AttemptOutcome], AttemptOutcome] = lambda attempt, outcome: outcome
+        self.reported_outcome: Callable[[Attempt, AttemptOutcome], AttemptOutcome] = lambda _, outcome: (
+            outcome
+        )
         self.own_seconds: Callable[[float, float], float] = lambda since, now: max(now - since, 0.0)
-        self.before: Callable[[], Awaitable[None]] | None = None  # a new job waits for it, if bounded
-        self.keys: KeyBook | None = None
+        self.wait_before_admission: Callable[[], Awaitable[None]] | None = (
+            None  # a new job waits for it, if bounded
+        )
+        self.keys: IdempotencyKeys | None = None
 
     @property
     def full(self) -> bool:
-        return len(self.in_hand) >= self.settings.max_queued
+        return len(self.requests) >= self.settings.max_queued
 
     @property
-    def owed(self) -> int:
+    def unanswered(self) -> int:
         """Jobs taken whose end has not come yet."""
-        return sum(not request.answer.done() for request in self.in_hand.values())
+        return sum(not request.answer.done() for request in self.requests.values())
 
-    def turn_away(self, job: Job) -> Answer:
+    def reject(self, job: Job) -> Answer:
         """Refuse a job without the module's word: there is no room for it, or no time."""
         self.metrics.count(figures.counter(figures.BUSY, self.class_names[job.cls]))
         return Answer(REFUSED, retry_after=self.settings.max_retry_after_s)
 
     def take(
-        self, job: Job, watcher: Watcher | None = None, has_left: Callable[[], bool] = lambda: False
+        self, job: Job, watcher: RequestObserver | None = None, has_left: Callable[[], bool] = lambda: False
     ) -> Request:
         """`has_left` tells whether the client has gone, as far as can be seen this moment."""
         # Numbers stay under 2^32 like the simulator's; the module adds to them for its timers.
-        self._last = self._last % 0xFFFF0000 + 1
-        request = self.in_hand[job.id] = Request(self, self._last, job, watcher, has_left)
+        self._last_number = self._last_number % 0xFFFF0000 + 1
+        request = self.requests[job.id] = Request(self, self._last_number, job, watcher, has_left)
         self.metrics.count("requests_taken")
-        self.metrics.spawn(request.live(), "request")
+        self.metrics.spawn(request.run(), "request")
         return request
 
 
 class Request:
     def __init__(
         self,
-        all_of_them: RequestTable,
+        table: RequestTable,
         number: int,
         job: Job,
-        watcher: Watcher | None,
+        watcher: RequestObserver | None,
         has_left: Callable[[], bool],
     ) -> None:
-        self.all = all_of_them
+        self.table = table
         self.number = number
         self.job = job
         self.watcher = watcher
@@ -266,37 +272,37 @@
         self._steps: asyncio.Queue[Step] = asyncio.Queue()
         self._attempts: list[Attempt] = []
         self._may_have_run = False
-        self._has_left = has_left
-        self._left = False
+        self._has_client_left = has_left
+        self._client_left = False
 
     def client_left(self) -> None:
-        if not self._left:
-            self._left = True
-            self.all.policy_runner.monitor.client_left(self.job.id, self.all.timers.now())
+        if not self._client_left:
+            self._client_left = True
+            self.table.policy_runner.monitor.client_left(self.job.id, self.table.timers.now())
             self._steps.put_nowait(ClientLeft())
 
-    def wanted(self) -> bool:
+    def client_is_waiting(self) -> bool:
         """Whether somebody waits for the answer still."""
-        if not self._left and self._has_left():
+        if not self._client_left and self._has_client_left():
             self.client_left()
-        return not self._left and not self.answer.done()
+        return not self._client_left and not self.answer.done()
 
-    async def live(self) -> None:
-        policy_runner, metrics, job = self.all.policy_runner, self.all.metrics, self.job
+    async def run(self) -> None:
+        policy_runner, metrics, job = self.table.policy_runner, self.table.metrics, self.job
         policy_runner.request_handlers[self.number] = self._steps.put_nowait
-        unsafe = self.all.settings.classes[job.cls].semantics == Semantics.UNSAFE
+        unsafe = self.table.settings.classes[job.cls].semantics == Semantics.UNSAFE
         policy_runner.monitor.request_taken(job.id, job.deadline, unsafe)
-        late = job.remaining + self.all.settings.answer_grace_s / 2
-        backstop = self.all.timers.after(late, lambda: self._steps.put_nowait(Overdue()))
-        known, spent = Known(), 0.0
+        late = job.remaining_s + self.table.settings.answer_grace_s / 2
+        backstop = self.table.timers.after(late, lambda: self._steps.put_nowait(Overdue()))
+        known, spent = KeyStatus(), 0.0
         try:
-            if self.all.before is not None or self.all.keys is not None and job.dedup_key:
-                known = await self._known()
-                spent = self.all.timers.now() - job.taken_at  # that took time
+            if self.table.wait_before_admission is not None or self.table.keys is not None and job.dedup_key:
+                known = await self._look_up_key()
+                spent = self.table.timers.now() - job.taken_at  # that took time
             if known.result is not None:
                 self._finish(Answer(AttemptOutcome.SERVED, known.result))
                 return
-            left, patience = (max(span - spent, 0.0) for span in (job.remaining, job.patience))
+            left, patience = (max(span - spent, 0.0) for span in (job.remaining_s, job.client_timeout_s))
             policy_runner.feed(
                 interface.JobArrived(
                     self.number,
@@ -304,11 +310,11 @@
                     job.tenant,
                     left,
                     job.route_key,
-                    size_hint=job.work,
+                    size_hint=job.work_s,
                     slots=job.slots,
                     memory=job.memory,
-                    flags=RETRY_FLAG if job.repeat else 0,
-                    may_run_elsewhere=known.doubted,
+                    flags=RETRY_FLAG if job.is_retry else 0,
+                    may_run_elsewhere=known.may_run_elsewhere,
                     client_timeout=patience,
                 )
             )
@@ -319,7 +325,7 @@
                 step = await self._steps.get()
                 match step:
                     case interface.SendAttempt():
-                        self._send(step)
+                        self._start_attempt(step)
                     case interface.CancelAttempt():
                         self._attempts[step.attempt].end(AttemptOutcome.CANCELLED)
                     case interface.Reject():
@@ -329,15 +335,15 @@
                     case Admitted():
                         if self.watcher is not None and not self.answer.done():
                             self.watcher.accepted()
-                    case Told():
-                        self._show(step)
+                    case AttemptProgress():
+                        self._notify_observer(step)
                         policy_runner.feed(
                             interface.ProgressNotice(
-                                self.number, step.attempt.worker, step.attempt.number, step.what, step.share
+                                self.number, step.attempt.worker, step.attempt.number, step.kind, step.share
                             )
                         )
-                    case Ended():
-                        self._ended(step)
+                    case AttemptFinished():
+                        self._on_attempt_finished(step)
                     case ClientLeft():
                         if self._finish(Answer(GONE)):
                             policy_runner.feed(interface.ClientDisconnected(self.number))
@@ -352,32 +358,32 @@
         finally:
             backstop.cancel()
             self._finish(Answer(FAILED))  # only if something above has failed: the client gets its answer
-            if known.entered and self.all.keys is not None:
+            if known.registered and self.table.keys is not None:
                 answer = self.answer.result()
                 may_have_run = self._may_have_run or any(a.open for a in self._attempts)
-                self.all.keys.left(
+                self.table.keys.left(
                     job, may_have_run, answer.body if answer.end == AttemptOutcome.SERVED else None
                 )
             policy_runner.request_handlers.pop(self.number, None)
             policy_runner.monitor.request_over(job.id)
-            del self.all.in_hand[job.id]
+            del self.table.requests[job.id]
 
-    async def _known(self) -> Known:
+    async def _look_up_key(self) -> KeyStatus:
         """What is found out before the module hears of the job, in half of its time at most: a slow disk, or
         dispatchers that do not answer, must not cost it its answer.
         """
         try:
-            async with self.all.timers.timeout(self.job.remaining / 2):
-                if self.all.before is not None:
-                    await self.all.before()
-                if self.all.keys is not None and self.job.dedup_key:
-                    return await self.all.keys.enter(self.job)
-                return Known()
+            async with self.table.timers.timeout(self.job.remaining_s / 2):
+                if self.table.wait_before_admission is not None:
+                    await self.table.wait_before_admission()
+                if self.table.keys is not None and self.job.dedup_key:
+                    return await self.table.keys.enter(self.job)
+                return KeyStatus()
         except TimeoutError:
-            return Known(doubted=bool(self.job.dedup_key))
+            return KeyStatus(may_run_elsewhere=bool(self.job.dedup_key))
 
-    def _send(self, order: interface.SendAttempt) -> None:
-        now = self.all.timers.now()
+    def _start_attempt(self, order: interface.SendAttempt) -> None:
+        now = self.table.timers.now()
         until = min(self.job.deadline, now + order.timeout if order.timeout > 0 else self.job.deadline)
         attempt = Attempt(
             self.job,
@@ -386,41 +392,45 @@
             now,
             until,
             self._steps.put_nowait,
-            self.wanted,
-            self._others,
+            self.client_is_waiting,
+            self._siblings_of,
         )
         busy = any(a.open and a.worker == order.worker for a in self._attempts)
         self._attempts.append(attempt)
-        self.all.metrics.count("attempts")
-        one_at_a_time = self.all.metrics.check(not busy, "one_attempt_per_worker")
-        if not self.wanted() or until <= now or not one_at_a_time:
+        self.table.metrics.count("attempts")
+        one_at_a_time = self.table.metrics.check(not busy, "one_attempt_per_worker")
+        if not self.client_is_waiting() or until <= now or not one_at_a_time:
             attempt.end(AttemptOutcome.NOT_SENT)
             return
-        attempt.timer = self.all.timers.after(until - now, lambda: attempt.end(AttemptOutcome.TIMEOUT))
-        self.all.metrics.trace(
+        attempt.timer = self.table.timers.after(until - now, lambda: attempt.end(AttemptOutcome.TIMEOUT))
+        self.table.metrics.trace(
             "attempts", "attempt", request=self.job.id, worker=order.worker, number=attempt.number
         )
-        self.all.carrier.start(attempt)
-
-    def _others(self, attempt: Attempt) -> Others:
-        out = [other for other in self._attempts if other is not attempt and other.open and other.begun]
-        return Others(sum(other.worker == attempt.worker for other in out), len(out), self._may_have_run)
+        self.table.transport.start(attempt)
+
+    def _siblings_of(self, attempt: Attempt) -> SiblingAttempts:
+        out = [
+            other for other in self._attempts if other is not attempt and other.open and other.may_be_written
+        ]
+        return SiblingAttempts(
+            sum(other.worker == attempt.worker for other in out), len(out), self._may_have_run
+        )
 
-    def _show(self, step: Told) -> None:
+    def _notify_observer(self, step: AttemptProgress) -> None:
         if self.watcher is None:
             return
-        if step.what == NoticeKind.STARTED:
+        if step.kind == NoticeKind.STARTED:
             self.watcher.started(step.attempt.number)
         else:
             self.watcher.progress(step.attempt.number, step.share)
 
-    def _ended(self, step: Ended) -> None:
+    def _on_attempt_finished(self, step: AttemptFinished) -> None:
         attempt = step.attempt
         self._may_have_run = self._may_have_run or step.outcome not in PROVEN_UNRUN
         if self.watcher is not None and step.outcome != AttemptOutcome.SERVED:
             self.watcher.lost(attempt.number)
-        self.all.metrics.count("outcome_" + step.outcome)
-        self.all.metrics.trace(
+        self.table.metrics.count("outcome_" + step.outcome)
+        self.table.metrics.trace(
             "attempts",
             "attempt_ended",
             request=self.job.id,
@@ -430,13 +440,13 @@
         )
         if step.outcome == AttemptOutcome.SERVED:
             self._finish(Answer(AttemptOutcome.SERVED, step.body))
-        latency = self.all.own_seconds(attempt.sent_at, self.all.timers.now())
-        self.all.policy_runner.feed(
+        latency = self.table.own_seconds(attempt.sent_at, self.table.timers.now())
+        self.table.policy_runner.feed(
             interface.AttemptEnded(
                 self.number,
                 attempt.worker,
                 attempt.number,
-                self.all.excuse(attempt, step.outcome),
+                self.table.reported_outcome(attempt, step.outcome),
                 self.answer.done(),
                 latency,
                 step.load,
@@ -450,12 +460,14 @@
         self.answer.set_result(answer)
         self.job.body = b""  # attempts under way hold it as long as they need it
         for attempt in self._attempts:
-            if not attempt.begun:  # it waits for its connection, and nobody for it
+            if not attempt.may_be_written:  # it waits for its connection, and nobody for it
                 attempt.end(AttemptOutcome.NOT_SENT)
-        self.all.metrics.count("answer_" + answer.end)
-        self.all.metrics.trace(
+        self.table.metrics.count("answer_" + answer.end)
+        self.table.metrics.trace(
             "attempts", "answered", request=self.job.id, end=answer.end, attempts=len(self._attempts)
         )
         if answer.end in FIGURE:
-            self.all.metrics.count(figures.counter(FIGURE[answer.end], self.all.class_names[self.job.cls]))
+            self.table.metrics.count(
+                figures.counter(FIGURE[answer.end], self.table.class_names[self.job.cls])
+            )
         return True
--- a/beaconhinge/net/keys.py
+++ b/beaconhinge/net/keys.py
@@ -8,7 +8,7 @@
 from collections.abc import Callable
 
 from ..config import Config
-from ..dispatch.request import Job, Known
+from ..dispatch.request import Job, KeyStatus
 from ..recovery import keys
 from ..recovery.keys import (
     HERE,
@@ -139,17 +139,17 @@
 
     # ---- a request -----------------------------------------------------------------------------------------
 
-    async def enter(self, job: Job) -> Known:
+    async def enter(self, job: Job) -> KeyStatus:
         """Before the module hears of a job with a key: whether it may have run elsewhere, or its result."""
         now, name = self.timers.now(), keys.name(job.cls, job.tenant, job.dedup_key)
         result = self.book.result(now, name)
         if result is not None:
             self.metrics.count("keys_answered")
-            return Known(result=result)
+            return KeyStatus(result=result)
         if self.book.word(now, name) == HERE:
             self.metrics.count("keys_here")
-            return Known(doubted=True)
-        ask = job.repeat or not self.config.settings.clients_mark_retries or self.book.claimed(now, name)
+            return KeyStatus(may_run_elsewhere=True)
+        ask = job.is_retry or not self.config.settings.clients_mark_retries or self.book.claimed(now, name)
         self.book.take(now, name, job.id)
         entered = False
         try:
@@ -161,12 +161,12 @@
                     verdict = UNKNOWN
                 self.metrics.count(ASKED_FOR[verdict])
                 if verdict == KEPT:
-                    return Known(doubted=True, result=await self._fetch(inquiry.keeper, name))
+                    return KeyStatus(may_run_elsewhere=True, result=await self._fetch(inquiry.keeper, name))
             entered = verdict == NOT_HERE and await self._write(name, job)
         finally:  # it may be given up for want of time
             if not entered:
                 self.book.leave(self.timers.now(), name, False, None)
-        return Known(doubted=not entered, entered=entered)
+        return KeyStatus(may_run_elsewhere=not entered, registered=entered)
 
     def left(self, job: Job, may_have_run: bool, result: bytes | None) -> None:
         """The request that `enter` let in has ended."""
--- a/beaconhinge/net/listener.py
+++ b/beaconhinge/net/listener.py
@@ -264,11 +264,11 @@
         except BadMessage as error:
             self.metrics.count_and_log("client_request_refused", status=error.status, why=error)
             return _problem(error.status, str(error), close), close
-        if self.refusing or job.remaining <= 0:
-            return written(self.requests.turn_away(job), True), True
+        if self.refusing or job.remaining_s <= 0:
+            return written(self.requests.reject(job), True), True
         if self.requests.full:
-            self.metrics.count_and_log("requests_over_limit", held=len(self.requests.in_hand))
-            return written(self.requests.turn_away(job), close), close
+            self.metrics.count_and_log("requests_over_limit", held=len(self.requests.requests))
+            return written(self.requests.reject(job), close), close
         if self.streams is not None and self.streams.asked_for(message):
             close = close or peer.connection.version != "1.1"  # which knows no chunks
             outcome = await self.streams.answer(peer.connection, job, close)
@@ -305,7 +305,7 @@
             raise BadMessage(400, "X-Request-ID is missing")
         if len(name) > 128 or not name.isascii() or not name.replace("-", "").replace("_", "").isalnum():
             raise BadMessage(400, "X-Request-ID: up to 128 letters, digits, - and _ are taken")
-        if name in self.requests.in_hand:
+        if name in self.requests.requests:
             raise BadMessage(409, "X-Request-ID: a request with this id is in work")
         tenant = 0
         if self.tenants:
--- a/beaconhinge/net/operator_calls.py
+++ b/beaconhinge/net/operator_calls.py
@@ -62,7 +62,7 @@
             figures.show(
                 self.policy_runner.metrics.counters,
                 self.config.class_names,
-                self.requests.owed,
+                self.requests.unanswered,
                 len(listed),
                 down,
                 self.phase() if self.phase else "",
--- a/beaconhinge/net/recovery.py
+++ b/beaconhinge/net/recovery.py
@@ -101,7 +101,7 @@
         self._held_until = 0.0  # for timers
         timers.postponed_for = self._held_for
         policy_runner.check_for_stall = peers.woken = self.look
-        requests.excuse = self._excuse
+        requests.reported_outcome = self._excuse
         requests.own_seconds = self.watch.own_seconds
 
     def look(self) -> bool:
@@ -144,7 +144,7 @@
             self._holds.discard(why)
             if not self._holds:
                 self._settled.set()
-        self.requests.before = self._list_first if self._holds else None
+        self.requests.wait_before_admission = self._list_first if self._holds else None
 
     async def _list_first(self) -> None:
         try:
--- a/beaconhinge/net/worker_pool.py
+++ b/beaconhinge/net/worker_pool.py
@@ -210,7 +210,7 @@
             return
         carried = _Carried(attempt, worker.host)
         self.carried[attempt.job.id, worker.host.id] = carried
-        attempt.released = lambda outcome: self._release(carried, outcome)
+        attempt.on_end = lambda outcome: self._release(carried, outcome)
         carried.task = self.metrics.spawn(self._carry(carried), "attempt")
 
     def _release(self, carried: _Carried, outcome: AttemptOutcome) -> None:
@@ -222,7 +222,7 @@
         given_up = outcome in (AttemptOutcome.CANCELLED, AttemptOutcome.TIMEOUT)
         if task is not None and not carried.taken:
             # A result may come before its 202, for which the connection waits a little.
-            if given_up or not carried.attempt.begun:
+            if given_up or not carried.attempt.may_be_written:
                 task.cancel()
             else:
                 self.timers.after(LATE_REPLY, task.cancel)
@@ -244,7 +244,7 @@
                 self._refuse(carried, why)
                 self._rest(carried.host, connection)
                 return
-            attempt.begun = True
+            attempt.may_be_written = True
             idle_for = self.timers.now() - connection.used_at if connection.used_at else 0.0
             left = max(int((attempt.until - self.timers.now()) * 1000), 1)
             headers = {
@@ -294,7 +294,7 @@
 
     def _refusal(self, carried: _Carried) -> Refusal | None:
         """The guard's answer for this moment: what is written next is written in this turn of the loop."""
-        attempt, others = carried.attempt, carried.attempt.others()
+        attempt, others = carried.attempt, carried.attempt.siblings()
         worker = self.workers.get(attempt.worker)
         return refusal(
             SendState(
@@ -304,10 +304,10 @@
                 same_address=worker is not None and worker.host.address == carried.host.address,
                 out_by_hand=self.out_by_hand(carried.host.id),
                 open=attempt.open,
-                wanted=attempt.wanted(),
+                wanted=attempt.client_is_waiting(),
                 time_left=attempt.until - self.timers.now(),
                 others_at_worker=others.at_worker,
-                others_out=others.out,
+                others_out=others.in_flight,
                 may_have_run=others.may_have_run,
                 unsafe=self.config.settings.classes[attempt.job.cls].semantics == Semantics.UNSAFE,
             )
@@ -398,9 +398,9 @@
     def _told(self, attempt: Attempt, state: str, content: Mapping[str, Any]) -> None:
         load = self._load(content.get("load"))
         if state == "started":
-            attempt.told(NoticeKind.STARTED)
+            attempt.report_progress(NoticeKind.STARTED)
         elif state == "running":
-            attempt.told(NoticeKind.PROGRESS, float(content["share"]))
+            attempt.report_progress(NoticeKind.PROGRESS, float(content["share"]))
         elif state == "done":
             # The client gets what the worker made and nothing else: a result that is no text is not served.
             attempt.end(AttemptOutcome.SERVED, content["result"].encode(), load)
--- a/tests/recovery/test_keys.py
+++ b/tests/recovery/test_keys.py
@@ -345,9 +345,9 @@
             metrics,
         )  # type: ignore[arg-type]
         first, second = (Job(name, 0, 0, 9.0, 100.0, b"/", b"", dedup_key="k") for name in ("a", "b"))
-        assert (await wired.enter(first)).entered
+        assert (await wired.enter(first)).registered
         wired.left(first, False, None)  # spawns the delete
-        assert (await wired.enter(second)).entered
+        assert (await wired.enter(second)).registered
         await asyncio.sleep(0)
         await asyncio.sleep(0)
         return disk.changes
--- a/tests/recovery/test_requests.py
+++ b/tests/recovery/test_requests.py
@@ -8,7 +8,7 @@
 import pytest
 
 from beaconhinge.dispatch.policy_runner import PolicyRunner
-from beaconhinge.dispatch.request import Job, Known, RequestTable
+from beaconhinge.dispatch.request import Job, KeyStatus, RequestTable
 from beaconhinge.policy import Settings, interface
 from beaconhinge.runtime.metrics import Metrics
 from beaconhinge.runtime.timer_wheel import TimerWheel
@@ -32,9 +32,9 @@
         self.wait = wait
         self.ended: list[bool] = []
 
-    async def enter(self, job: Job) -> Known:
+    async def enter(self, job: Job) -> KeyStatus:
         await self.wait()
-        return Known(entered=True)
+        return KeyStatus(registered=True)
 
     def left(self, job: Job, may_have_run: bool, result: bytes | None) -> None:
         self.ended.append(may_have_run)
