--- a/beaconhinge/dispatch/request.py
+++ b/beaconhinge/dispatch/request.py
@@ -1,9 +1,9 @@
-"""The life of one request, without a word of HTTP: taken, attempted as the module says, answered once."""
+"""The life of one request, whatever its protocol: taken, attempted as the policy decides, answered once."""
 
 from __future__ import annotations
 
 import asyncio
-from collections.abc import Awaitable, Callable, Mapping, Sequence
+from collections.abc import Awaitable, Callable, Sequence
 from dataclasses import dataclass
 from typing import Protocol, TypeAlias
 
@@ -11,100 +11,35 @@
 from ..policy import interface
 from ..policy.interface import PROVEN_UNRUN, RETRY_FLAG, AttemptOutcome, NoticeKind, Semantics
 from ..runtime.metrics import Metrics
-from ..runtime.timer_wheel import Timer, TimerWheel
+from ..runtime.timer_wheel import TimerWheel
+from .attempt import Attempt, AttemptFinished, AttemptProgress, AttemptTransport, SiblingAttempts
+from .job import Answer, IdempotencyKeys, Job, KeyStatus, RequestEnd
 from .policy_runner import PolicyRunner
 
-REFUSED, FAILED, GONE = (
-    "refused",
-    "failed",
-    "gone",
-)  # besides AttemptOutcome.SERVED: the ends of a request
-# One whose client left is in no figure.
-FIGURE = {AttemptOutcome.SERVED: figures.SUCCESS, REFUSED: figures.BUSY, FAILED: figures.FAILURE}
-
-
-@dataclass(slots=True)
-class Job:
-    """What a client hands in, whatever protocol it speaks."""
-
-    id: str
-    cls: int
-    tenant: int
-    remaining_s: float  # seconds from `taken_at`, the arrival of its last byte, until it must have its answer
-    taken_at: float
-    target: bytes  # path and query, passed on unchanged
-    body: bytes
-    dedup_key: str = ""
-    route_key: str = ""
-    slots: float = 1.0
-    memory: float = 0.0
-    is_retry: bool = False
-    work_s: float = 0.0  # seconds of a standard core that it may take; 0: not known
-    client_timeout_s: float = (
-        0.0  # seconds from `taken_at` that its client waits; 0: `remaining`, and no more
-    )
+# Operators' figure for each end; a request whose client left is in none.
+FIGURE_OF_END = {
+    RequestEnd.SERVED: figures.SUCCESS,
+    RequestEnd.REJECTED: figures.BUSY,
+    RequestEnd.FAILED: figures.FAILURE,
+}
 
-    @property
-    def deadline(self) -> float:
-        return self.taken_at + self.remaining_s
-
-
-@dataclass(slots=True, frozen=True)
-class Answer:
-    end: str
-    body: bytes = b""
-    retry_after: float = 0.0
-
-
-@dataclass(slots=True, frozen=True)
-class KeyStatus:
-    """What is known of a job's key before it is started."""
-
-    may_run_elsewhere: bool = False  # it may have run elsewhere, or may be about to
-    result: bytes | None = None
-    registered: bool = False  # it is in the book now, and `left` is due
-
-
-class IdempotencyKeys(Protocol):
-    """Knows which keys are, or were lately, at this or another dispatcher."""
-
-    async def enter(self, job: Job) -> KeyStatus: ...
-
-    def left(self, job: Job, may_have_run: bool, result: bytes | None) -> None: ...
-
-
-@dataclass(slots=True, frozen=True)
-class AttemptFinished:
-    """An attempt has its outcome."""
-
-    attempt: Attempt
-    outcome: AttemptOutcome
-    body: bytes = b""
-    load: Mapping[str, float] | None = None
-
-
-@dataclass(slots=True, frozen=True)
-class AttemptProgress:
-    """A worker tells of an attempt in flight."""
-
-    attempt: Attempt
-    kind: int
-    share: float
+# Request numbers stay under 2^32 like the simulator's; the policy adds to them for its timers.
+REQUEST_NUMBERS = 0xFFFF0000
 
 
 @dataclass(slots=True, frozen=True)
 class ClientLeft:
-    pass
+    """The client has closed its connection."""
 
 
 @dataclass(slots=True, frozen=True)
 class Overdue:
-    pass
+    """The deadline is past, and the time that the policy has to answer after it."""
 
 
 @dataclass(slots=True, frozen=True)
 class Admitted:
-    """The module has heard of the job, and what it said at once stands before this."""
+    """The policy knows of the job; what it decided at once stands before this in the queue."""
 
 
 Step: TypeAlias = (
@@ -124,83 +59,40 @@
     """Follows a request on its way; the answer comes by itself. Attempts are named by their numbers."""
 
     def accepted(self) -> None:
-        """The module has not turned it down at once."""
-
-    def started(self, attempt: int) -> None: ...
-
-    def progress(self, attempt: int, share: float) -> None: ...
-
-    def lost(self, attempt: int) -> None: ...
+        """The policy has not rejected the request at once."""
 
+    def started(self, attempt: int) -> None:
+        """The worker has begun with the job."""
 
-@dataclass(slots=True, frozen=True)
-class SiblingAttempts:
-    """The other attempts of an attempt's request."""
-
-    at_worker: int  # out at the same worker
-    in_flight: int  # out anywhere
-    may_have_run: bool  # one of those that have ended
-
-
-class Attempt:
-    """One send to one worker. The first end counts, whoever reports it; all later ones are passed over."""
-
-    def __init__(
-        self,
-        job: Job,
-        number: int,
-        worker: int,
-        sent_at: float,
-        until: float,
-        tell: Callable[[Step], None],
-        wanted: Callable[[], bool],
-        others: Callable[[Attempt], SiblingAttempts],
-    ) -> None:
-        self.job = job
-        self.number = number
-        self.worker = worker
-        self.sent_at = sent_at
-        self.until = until  # when it ends without an answer
-        self.open = True
-        self.may_be_written = False  # its first byte may have been written
-        self.on_end: Callable[[AttemptOutcome], None] = lambda outcome: None  # set by who carries it
-        self.timer: Timer | None = None
-        self._post = tell
-        self._client_is_waiting = wanted
-        self._siblings = others
+    def progress(self, attempt: int, share: float) -> None:
+        """The worker has done so much of the job, from 0 to 1."""
 
-    def client_is_waiting(self) -> bool:
-        """Whether somebody waits for an answer, as far as can be seen this moment. A connection may come up,
-        or a turn of the loop be due, long after the client has gone.
-        """
-        return self._client_is_waiting()
+    def lost(self, attempt: int) -> None:
+        """The attempt ended without a result."""
 
-    def siblings(self) -> SiblingAttempts:
-        return self._siblings(self)
 
-    def end(
-        self, outcome: AttemptOutcome, body: bytes = b"", load: Mapping[str, float] | None = None
-    ) -> None:
-        if self.open:
-            self.open = False
-            if self.timer is not None:
-                self.timer.cancel()
-            self.on_end(outcome)
-            self._post(AttemptFinished(self, outcome, body, load))
+def _outcome_as_is(_attempt: Attempt, outcome: AttemptOutcome) -> AttemptOutcome:
+    return outcome
 
-    def report_progress(self, what: int, share: float = 0.0) -> None:
-        if self.open:
-            self._post(AttemptProgress(self, what, share))
 
+def _whole_span(since: float, now: float) -> float:
+    return max(now - since, 0.0)
 
-class AttemptTransport(Protocol):
-    """Brings attempts to workers."""
 
-    def start(self, attempt: Attempt) -> None: ...
+def _client_stays() -> bool:
+    return False
 
 
 class RequestTable:
-    """All requests in hand."""
+    """All requests that have no end yet, or have attempts without one.
+
+    Attributes:
+        requests: by the id that the client gave.
+        reported_outcome: what an attempt's outcome is reported to the policy as.
+        own_seconds: the part of a span of time in which this process ran.
+        wait_before_admission: a new job waits for it, for a bounded time.
+        keys: idempotency keys, where they are kept.
+    """
 
     def __init__(
         self,
@@ -211,6 +103,7 @@
         settings: interface.Settings,
         class_names: Sequence[str],
     ) -> None:
+        """Make an empty table whose attempts are sent by `transport`."""
         self.class_names = class_names
         self.policy_runner = policy_runner
         self.transport = transport
@@ -219,63 +112,76 @@
         self.settings = settings
         self.requests: dict[str, Request] = {}
         self._last_number = 0
-        # What an attempt's end is told to the module as, and the time of it in which this process ran.
-        self.reported_outcome: Callable[[Attempt, AttemptOutcome], AttemptOutcome] = lambda _, outcome: (
-            outcome
-        )
-        self.own_seconds: Callable[[float, float], float] = lambda since, now: max(now - since, 0.0)
-        self.wait_before_admission: Callable[[], Awaitable[None]] | None = (
-            None  # a new job waits for it, if bounded
-        )
+        self.reported_outcome: Callable[[Attempt, AttemptOutcome], AttemptOutcome] = _outcome_as_is
+        self.own_seconds: Callable[[float, float], float] = _whole_span
+        self.wait_before_admission: Callable[[], Awaitable[None]] | None = None
         self.keys: IdempotencyKeys | None = None
 
     @property
     def full(self) -> bool:
+        """Whether there is no room for another request."""
         return len(self.requests) >= self.settings.max_queued
 
     @property
     def unanswered(self) -> int:
-        """Jobs taken whose end has not come yet."""
+        """Number of requests whose end has not come yet."""
         return sum(not request.answer.done() for request in self.requests.values())
 
     def reject(self, job: Job) -> Answer:
-        """Refuse a job without the module's word: there is no room for it, or no time."""
+        """Reject a job without asking the policy: there is no room for it, or no time."""
         self.metrics.count(figures.counter(figures.BUSY, self.class_names[job.cls]))
-        return Answer(REFUSED, retry_after=self.settings.max_retry_after_s)
+        return Answer(RequestEnd.REJECTED, retry_after=self.settings.max_retry_after_s)
 
     def take(
-        self, job: Job, watcher: RequestObserver | None = None, has_left: Callable[[], bool] = lambda: False
+        self,
+        job: Job,
+        observer: RequestObserver | None = None,
+        has_client_left: Callable[[], bool] = _client_stays,
     ) -> Request:
-        """`has_left` tells whether the client has gone, as far as can be seen this moment."""
-        # Numbers stay under 2^32 like the simulator's; the module adds to them for its timers.
-        self._last_number = self._last_number % 0xFFFF0000 + 1
-        request = self.requests[job.id] = Request(self, self._last_number, job, watcher, has_left)
+        """Start a request in a task of its own.
+
+        Args:
+            job: what the client handed in.
+            observer: hears of each step, for a streamed answer.
+            has_client_left: whether the client has gone, as far as can be seen this moment.
+        """
+        self._last_number = self._last_number % REQUEST_NUMBERS + 1
+        request = self.requests[job.id] = Request(self, self._last_number, job, observer, has_client_left)
         self.metrics.count("requests_taken")
         self.metrics.spawn(request.run(), "request")
         return request
 
 
 class Request:
+    """One request with its attempts. Everything that happens to it is a step in one queue.
+
+    Attributes:
+        number: its number in events and actions of the policy.
+        answer: done once the client's answer is settled.
+    """
+
     def __init__(
         self,
         table: RequestTable,
         number: int,
         job: Job,
-        watcher: RequestObserver | None,
-        has_left: Callable[[], bool],
+        observer: RequestObserver | None,
+        has_client_left: Callable[[], bool],
     ) -> None:
+        """Called by `RequestTable.take`, which also starts `run`."""
         self.table = table
         self.number = number
         self.job = job
-        self.watcher = watcher
+        self.observer = observer
         self.answer: asyncio.Future[Answer] = asyncio.get_running_loop().create_future()
         self._steps: asyncio.Queue[Step] = asyncio.Queue()
         self._attempts: list[Attempt] = []
         self._may_have_run = False
-        self._has_client_left = has_left
+        self._has_client_left = has_client_left
         self._client_left = False
 
     def client_left(self) -> None:
+        """Take note that the client has gone; later calls change nothing."""
         if not self._client_left:
             self._client_left = True
             self.table.policy_runner.monitor.client_left(self.job.id, self.table.timers.now())
@@ -288,89 +194,86 @@
         return not self._client_left and not self.answer.done()
 
     async def run(self) -> None:
-        policy_runner, metrics, job = self.table.policy_runner, self.table.metrics, self.job
-        policy_runner.request_handlers[self.number] = self._steps.put_nowait
-        unsafe = self.table.settings.classes[job.cls].semantics == Semantics.UNSAFE
-        policy_runner.monitor.request_taken(job.id, job.deadline, unsafe)
-        late = job.remaining_s + self.table.settings.answer_grace_s / 2
-        backstop = self.table.timers.after(late, lambda: self._steps.put_nowait(Overdue()))
-        known, spent = KeyStatus(), 0.0
+        """Serve the request from its admission until the last attempt has its outcome."""
+        table, job = self.table, self.job
+        table.policy_runner.request_handlers[self.number] = self._steps.put_nowait
+        unsafe = table.settings.classes[job.cls].semantics == Semantics.UNSAFE
+        table.policy_runner.monitor.request_taken(job.id, job.deadline, unsafe)
+        overdue_after_s = job.remaining_s + table.settings.answer_grace_s / 2
+        backstop = table.timers.after(overdue_after_s, lambda: self._steps.put_nowait(Overdue()))
+        key, spent_s = KeyStatus(), 0.0
         try:
-            if self.table.wait_before_admission is not None or self.table.keys is not None and job.dedup_key:
-                known = await self._look_up_key()
-                spent = self.table.timers.now() - job.taken_at  # that took time
-            if known.result is not None:
-                self._finish(Answer(AttemptOutcome.SERVED, known.result))
+            if table.wait_before_admission is not None or table.keys is not None and job.dedup_key:
+                key = await self._look_up_key()
+                spent_s = table.timers.now() - job.taken_at
+            if key.result is not None:
+                self._finish(Answer(RequestEnd.SERVED, key.result))
                 return
-            left, patience = (max(span - spent, 0.0) for span in (job.remaining_s, job.client_timeout_s))
-            policy_runner.feed(
-                interface.JobArrived(
-                    self.number,
-                    job.cls,
-                    job.tenant,
-                    left,
-                    job.route_key,
-                    size_hint=job.work_s,
-                    slots=job.slots,
-                    memory=job.memory,
-                    flags=RETRY_FLAG if job.is_retry else 0,
-                    may_run_elsewhere=known.may_run_elsewhere,
-                    client_timeout=patience,
-                )
-            )
-            if self.watcher is not None:
-                self._steps.put_nowait(Admitted())
-            # The last steps count as well: each send is due its outcome, and the module each outcome.
+            self._submit(key, spent_s)
+            # The last steps count as well: each send is due its outcome, and the policy each outcome.
             while not self.answer.done() or not self._steps.empty() or any(a.open for a in self._attempts):
-                step = await self._steps.get()
-                match step:
-                    case interface.SendAttempt():
-                        self._start_attempt(step)
-                    case interface.CancelAttempt():
-                        self._attempts[step.attempt].end(AttemptOutcome.CANCELLED)
-                    case interface.Reject():
-                        self._finish(Answer(REFUSED, retry_after=step.retry_after))
-                    case interface.Fail():
-                        self._finish(Answer(FAILED))
-                    case Admitted():
-                        if self.watcher is not None and not self.answer.done():
-                            self.watcher.accepted()
-                    case AttemptProgress():
-                        self._notify_observer(step)
-                        policy_runner.feed(
-                            interface.ProgressNotice(
-                                self.number, step.attempt.worker, step.attempt.number, step.kind, step.share
-                            )
-                        )
-                    case AttemptFinished():
-                        self._on_attempt_finished(step)
-                    case ClientLeft():
-                        if self._finish(Answer(GONE)):
-                            policy_runner.feed(interface.ClientDisconnected(self.number))
-                    case Overdue() if not self._steps.empty():
-                        # The loop was late: the module's answer may wait behind the outcome at the deadline.
-                        self._steps.put_nowait(step)
-                    case Overdue():
-                        # The module answers before this; if it fails to, the client gets an answer still.
-                        if not metrics.check(self.answer.done(), "answered_by_deadline"):
-                            self._finish(Answer(FAILED))
-                            policy_runner.feed(interface.ClientDisconnected(self.number))
+                self._handle(await self._steps.get())
         finally:
             backstop.cancel()
-            self._finish(Answer(FAILED))  # only if something above has failed: the client gets its answer
-            if known.registered and self.table.keys is not None:
-                answer = self.answer.result()
-                may_have_run = self._may_have_run or any(a.open for a in self._attempts)
-                self.table.keys.left(
-                    job, may_have_run, answer.body if answer.end == AttemptOutcome.SERVED else None
-                )
-            policy_runner.request_handlers.pop(self.number, None)
-            policy_runner.monitor.request_over(job.id)
-            del self.table.requests[job.id]
+            self._finish(Answer(RequestEnd.FAILED))  # only if something above has failed
+            self._leave_table(key)
+
+    def _submit(self, key: KeyStatus, spent_s: float) -> None:
+        """Let the policy decide on the job, `spent_s` after its arrival."""
+        job = self.job
+        self.table.policy_runner.feed(
+            interface.JobArrived(
+                self.number,
+                job.cls,
+                job.tenant,
+                max(job.remaining_s - spent_s, 0.0),
+                job.route_key,
+                size_hint=job.work_s,
+                slots=job.slots,
+                memory=job.memory,
+                flags=RETRY_FLAG if job.is_retry else 0,
+                may_run_elsewhere=key.may_run_elsewhere,
+                client_timeout=max(job.client_timeout_s - spent_s, 0.0),
+            )
+        )
+        if self.observer is not None:
+            self._steps.put_nowait(Admitted())
+
+    def _handle(self, step: Step) -> None:
+        match step:
+            case interface.SendAttempt():
+                self._start_attempt(step)
+            case interface.CancelAttempt():
+                self._attempts[step.attempt].end(AttemptOutcome.CANCELLED)
+            case interface.Reject():
+                self._finish(Answer(RequestEnd.REJECTED, retry_after=step.retry_after))
+            case interface.Fail():
+                self._finish(Answer(RequestEnd.FAILED))
+            case Admitted():
+                self._on_admitted()
+            case AttemptProgress():
+                self._on_attempt_progress(step)
+            case AttemptFinished():
+                self._on_attempt_finished(step)
+            case ClientLeft():
+                self._on_client_left()
+            case Overdue():
+                self._on_overdue(step)
+
+    def _leave_table(self, key: KeyStatus) -> None:
+        if key.registered and self.table.keys is not None:
+            answer = self.answer.result()
+            may_have_run = self._may_have_run or any(a.open for a in self._attempts)
+            result = answer.body if answer.end is RequestEnd.SERVED else None
+            self.table.keys.left(self.job, may_have_run, result)
+        self.table.policy_runner.request_handlers.pop(self.number, None)
+        self.table.policy_runner.monitor.request_over(self.job.id)
+        del self.table.requests[self.job.id]
 
     async def _look_up_key(self) -> KeyStatus:
-        """What is found out before the module hears of the job, in half of its time at most: a slow disk, or
-        dispatchers that do not answer, must not cost it its answer.
+        """What is found out before the policy knows of the job, in half of the job's time at most.
+
+        A slow disk, or dispatchers that do not answer, must not cost it its answer.
         """
         try:
             async with self.table.timers.timeout(self.job.remaining_s / 2):
@@ -416,19 +319,40 @@
             sum(other.worker == attempt.worker for other in out), len(out), self._may_have_run
         )
 
-    def _notify_observer(self, step: AttemptProgress) -> None:
-        if self.watcher is None:
+    def _on_admitted(self) -> None:
+        if self.observer is not None and not self.answer.done():
+            self.observer.accepted()
+
+    def _on_attempt_progress(self, step: AttemptProgress) -> None:
+        attempt = step.attempt
+        if self.observer is not None:
+            if step.kind == NoticeKind.STARTED:
+                self.observer.started(attempt.number)
+            else:
+                self.observer.progress(attempt.number, step.share)
+        self.table.policy_runner.feed(
+            interface.ProgressNotice(self.number, attempt.worker, attempt.number, step.kind, step.share)
+        )
+
+    def _on_client_left(self) -> None:
+        if self._finish(Answer(RequestEnd.CLIENT_GONE)):
+            self.table.policy_runner.feed(interface.ClientDisconnected(self.number))
+
+    def _on_overdue(self, step: Overdue) -> None:
+        if not self._steps.empty():
+            # The loop was late: the policy's answer may wait behind the outcome at the deadline.
+            self._steps.put_nowait(step)
             return
-        if step.kind == NoticeKind.STARTED:
-            self.watcher.started(step.attempt.number)
-        else:
-            self.watcher.progress(step.attempt.number, step.share)
+        # The policy answers before this; if it fails to, the client gets an answer still.
+        if not self.table.metrics.check(self.answer.done(), "answered_by_deadline"):
+            self._finish(Answer(RequestEnd.FAILED))
+            self.table.policy_runner.feed(interface.ClientDisconnected(self.number))
 
     def _on_attempt_finished(self, step: AttemptFinished) -> None:
         attempt = step.attempt
         self._may_have_run = self._may_have_run or step.outcome not in PROVEN_UNRUN
-        if self.watcher is not None and step.outcome != AttemptOutcome.SERVED:
-            self.watcher.lost(attempt.number)
+        if self.observer is not None and step.outcome != AttemptOutcome.SERVED:
+            self.observer.lost(attempt.number)
         self.table.metrics.count("outcome_" + step.outcome)
         self.table.metrics.trace(
             "attempts",
@@ -439,7 +363,7 @@
             outcome=step.outcome,
         )
         if step.outcome == AttemptOutcome.SERVED:
-            self._finish(Answer(AttemptOutcome.SERVED, step.body))
+            self._finish(Answer(RequestEnd.SERVED, step.body))
         latency = self.table.own_seconds(attempt.sent_at, self.table.timers.now())
         self.table.policy_runner.feed(
             interface.AttemptEnded(
@@ -454,7 +378,7 @@
         )
 
     def _finish(self, answer: Answer) -> bool:
-        """The first final answer stands."""
+        """Settle the answer. The first one stands; returns whether this is it."""
         if self.answer.done():
             return False
         self.answer.set_result(answer)
@@ -466,8 +390,8 @@
         self.table.metrics.trace(
             "attempts", "answered", request=self.job.id, end=answer.end, attempts=len(self._attempts)
         )
-        if answer.end in FIGURE:
+        if answer.end in FIGURE_OF_END:
             self.table.metrics.count(
-                figures.counter(FIGURE[answer.end], self.table.class_names[self.job.cls])
+                figures.counter(FIGURE_OF_END[answer.end], self.table.class_names[self.job.cls])
             )
         return True
--- a/beaconhinge/net/keys.py
+++ b/beaconhinge/net/keys.py
@@ -8,7 +8,7 @@
 from collections.abc import Callable
 
 from ..config import Config
-from ..dispatch.request import Job, KeyStatus
+from ..dispatch.job import Job, KeyStatus
 from ..recovery import keys
 from ..recovery.keys import (
     HERE,
--- a/beaconhinge/net/listener.py
+++ b/beaconhinge/net/listener.py
@@ -13,9 +13,9 @@
 from urllib.parse import unquote
 
 from ..config import Config
-from ..dispatch.request import FAILED, GONE, REFUSED, Answer, Job, Request, RequestTable
+from ..dispatch.job import Answer, Job, RequestEnd
+from ..dispatch.request import Request, RequestTable
 from ..dispatch.work_estimates import Hints
-from ..policy.interface import AttemptOutcome
 from ..runtime.metrics import Metrics
 from ..runtime.timer_wheel import TimerWheel
 from .http1 import BadMessage, Closed, Connection, Message, response
@@ -274,7 +274,7 @@
             outcome = await self.streams.answer(peer.connection, job, close)
             close = close or self.parting
             return b"" if outcome is None else written(outcome, close), close
-        answer = await self._answer(peer, self.requests.take(job, has_left=peer.connection.ended))
+        answer = await self._answer(peer, self.requests.take(job, has_client_left=peer.connection.ended))
         close = self.parting or not message.keep_alive
         return written(answer, close), close
 
@@ -287,7 +287,7 @@
                 request.client_left()
                 await request.answer
         answer = request.answer.result()
-        if answer.end == GONE:
+        if answer.end == RequestEnd.CLIENT_GONE:
             raise Closed
         return answer
 
@@ -519,10 +519,10 @@
 
 
 def written(answer: Answer, close: bool) -> bytes:
-    if answer.end == AttemptOutcome.SERVED:
+    if answer.end == RequestEnd.SERVED:
         return response(200, answer.body, close=close)
-    if answer.end == REFUSED:
+    if answer.end == RequestEnd.REJECTED:
         after = {"Retry-After": f"{answer.retry_after:.3f}"} if answer.retry_after > 0 else {}
         return response(503, b"refused: try again later\n", after, close)
-    assert answer.end == FAILED
+    assert answer.end == RequestEnd.FAILED
     return response(502, b"failed: the job may have run\n", close=close)
--- a/beaconhinge/net/recovery.py
+++ b/beaconhinge/net/recovery.py
@@ -8,8 +8,9 @@
 
 from ..config import Config
 from ..config.local import Recovery as Settings
+from ..dispatch.attempt import Attempt
 from ..dispatch.policy_runner import PolicyRunner
-from ..dispatch.request import Attempt, RequestTable
+from ..dispatch.request import RequestTable
 from ..policy import interface
 from ..policy.interface import AttemptOutcome
 from ..recovery.stall import Stall, StallWatch
--- a/beaconhinge/net/streams.py
+++ b/beaconhinge/net/streams.py
@@ -15,8 +15,8 @@
 
 from ..config import Config
 from ..config.local import Progress
-from ..dispatch.request import REFUSED, Answer, Job, Request, RequestTable
-from ..policy.interface import AttemptOutcome
+from ..dispatch.job import Answer, Job, RequestEnd
+from ..dispatch.request import Request, RequestTable
 from ..progress import codec
 from ..progress.feed import ACCEPTED, Feed, Reader
 from ..progress.registry import Entry, Registry
@@ -98,7 +98,7 @@
         refusal. Raises Closed when the client has gone, or takes nothing.
         """
         if self._full(job.tenant):
-            return Answer(REFUSED, retry_after=self.config.settings.max_retry_after_s)
+            return Answer(RequestEnd.REJECTED, retry_after=self.config.settings.max_retry_after_s)
         self.open[job.tenant] += 1
         try:
             watch = _Watch(job, self.config.class_names[job.cls])
@@ -265,8 +265,8 @@
 
 
 def _content(answer: Answer) -> Mapping[str, Any]:
-    if answer.end == AttemptOutcome.SERVED:
+    if answer.end == RequestEnd.SERVED:
         return {"status": 200, "result": answer.body.decode("utf-8", "replace")}
-    if answer.end == REFUSED:
+    if answer.end == RequestEnd.REJECTED:
         return {"status": 503, "retry_after": round(answer.retry_after, 3)}
     return {"status": 502}
--- a/beaconhinge/net/worker_pool.py
+++ b/beaconhinge/net/worker_pool.py
@@ -8,8 +8,8 @@
 from typing import Any
 
 from ..config import Config
+from ..dispatch.attempt import Attempt
 from ..dispatch.policy_runner import PolicyRunner
-from ..dispatch.request import Attempt
 from ..dispatch.send_guard import Refusal, SendState, refusal
 from ..management.figures import BACKEND_CALLS
 from ..membership.inventory import Host, Hosts, worker_number
--- a/tests/progress/test_streams.py
+++ b/tests/progress/test_streams.py
@@ -16,7 +16,7 @@
 from beaconhinge import __main__ as program
 from beaconhinge.config import Limits
 from beaconhinge.config.local import LocalConfig, Progress
-from beaconhinge.dispatch.request import Answer, Job
+from beaconhinge.dispatch.job import Answer, Job
 from beaconhinge.net.http1 import Closed, Connection
 from beaconhinge.net.streams import Streams
 from beaconhinge.policy import interface
--- a/tests/recovery/test_keys.py
+++ b/tests/recovery/test_keys.py
@@ -10,7 +10,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from beaconhinge.dispatch.request import Job
+from beaconhinge.dispatch.job import Job
 from beaconhinge.net.keys import Keys
 from beaconhinge.policy import Settings
 from beaconhinge.recovery import keys
--- a/tests/recovery/test_requests.py
+++ b/tests/recovery/test_requests.py
@@ -7,8 +7,9 @@
 
 import pytest
 
+from beaconhinge.dispatch.job import Job, KeyStatus
 from beaconhinge.dispatch.policy_runner import PolicyRunner
-from beaconhinge.dispatch.request import Job, KeyStatus, RequestTable
+from beaconhinge.dispatch.request import RequestTable
 from beaconhinge.policy import Settings, interface
 from beaconhinge.runtime.metrics import Metrics
 from beaconhinge.runtime.timer_wheel import TimerWheel
