--- /dev/null
+++ b/beaconhinge/net/job_parsing.py
@@ -0,0 +1,142 @@
+"""Reads a client's message as a job: every 4xx that a job can get, and the guess of its work. No sockets."""
+
+from __future__ import annotations
+
+from collections.abc import Callable, Container
+from urllib.parse import unquote
+
+from ..config import Config
+from ..dispatch.job import Job
+from ..dispatch.work_estimates import Hints
+from ..runtime.metrics import Metrics
+from .http1 import BadMessage, Message
+
+MAX_TIMEOUT_S = 3600.0  # the longest time that a client may ask to wait
+MAX_TIMEOUT_DIGITS = 9  # of X-Timeout-Ms
+MAX_REQUEST_ID_CHARS = 128
+MAX_COST_CHARS = 32  # of X-Cost
+MAX_ATTRIBUTE = 1e6  # of slots and of memory in X-Attrs
+COSTS_PER_S = 1e6  # X-Cost counts microseconds of a standard core
+
+
+class JobParser:
+    """Makes jobs of messages; a message that is none is refused with a status that no client retries."""
+
+    def __init__(
+        self,
+        config: Config,
+        now: Callable[[], float],
+        earliest_arrival: Callable[[float], float],
+        metrics: Metrics,
+    ) -> None:
+        """`earliest_arrival` tells from when on what is read now may have waited in the socket."""
+        self.config = config
+        self.metrics = metrics
+        self.classes = {name: i for i, name in enumerate(config.class_names)}
+        self.tenants = {name: i for i, name in enumerate(config.tenant_names)}
+        self.hints = Hints()
+        self._now = now
+        self._earliest_arrival = earliest_arrival
+
+    def class_of(self, path: str) -> int | None:
+        """The number of the class that a path names."""
+        return self.classes.get(unquote(path.split("/", 2)[1]) if path.startswith("/") else "")
+
+    def parse(self, path: str, message: Message, in_work: Container[str], answer_by: float) -> Job:
+        """Make a job of a message.
+
+        Args:
+            path: the message's target without its query.
+            message: a POST.
+            in_work: ids of the requests that are not over.
+            answer_by: the time by which this process answers whatever it takes.
+
+        Raises:
+            BadMessage: names what is wrong with it.
+        """
+        headers = message.headers
+        class_index = self.class_of(path)
+        if class_index is None:
+            raise BadMessage(404, f"{path}: no such class of jobs")
+        request_id = _request_id(headers.get("x-request-id", ""), in_work)
+        tenant = self._tenant(headers.get("x-tenant-id", ""))
+        client_timeout_s = _timeout_s(headers.get("x-timeout-ms", ""))
+        key = headers.get("idempotency-key", "")
+        if self.config.keyed(class_index) and not key:
+            raise BadMessage(400, "Idempotency-Key is missing, which jobs of this class carry")
+        attributes = _attributes(headers.get("x-attrs", ""))
+        now = self._now()
+        arrived_at = self._earliest_arrival(now)
+        return Job(
+            request_id,
+            class_index,
+            tenant,
+            min(arrived_at + client_timeout_s, answer_by) - now,
+            now,
+            message.target,
+            message.body,
+            key,
+            headers.get("x-route-key", ""),
+            attributes.get("slots", 1.0),
+            attributes.get("memory", 0.0),
+            headers.get("x-retried") == "1",
+            self._work_s(class_index, headers.get("x-cost", ""), client_timeout_s),
+            client_timeout_s,
+        )
+
+    def _tenant(self, name: str) -> int:
+        if not self.tenants:
+            return 0
+        if name not in self.tenants:
+            raise BadMessage(400, f"X-Tenant-Id: {name[:64]!r} is missing or not known")
+        return self.tenants[name]
+
+    def _work_s(self, class_index: int, cost: str, client_timeout_s: float) -> float:
+        """Seconds that the job may take by its client's guess. A bad guess costs no job: it is counted."""
+        hint_s = 0.0
+        if cost.isascii() and len(cost) <= MAX_COST_CHARS and cost.replace(".", "", 1).isdigit():
+            hint_s = float(cost) / COSTS_PER_S
+        elif cost:
+            self.metrics.count_and_log("hint_unread", cost=cost)
+        bounded = self.hints.bounded
+        work_s = self.hints.fit(class_index, hint_s, client_timeout_s)
+        if self.hints.bounded > bounded:
+            self.metrics.count("hints_bounded")
+        return work_s
+
+
+def _request_id(text: str, in_work: Container[str]) -> str:
+    if not text:
+        raise BadMessage(400, "X-Request-ID is missing")
+    word = text.replace("-", "").replace("_", "")
+    if len(text) > MAX_REQUEST_ID_CHARS or not text.isascii() or not word.isalnum():
+        raise BadMessage(
+            400, f"X-Request-ID: up to {MAX_REQUEST_ID_CHARS} letters, digits, - and _ are taken"
+        )
+    if text in in_work:
+        raise BadMessage(409, "X-Request-ID: a request with this id is in work")
+    return text
+
+
+def _timeout_s(text: str) -> float:
+    digits = text.isascii() and text.isdigit() and len(text) <= MAX_TIMEOUT_DIGITS
+    if not digits or not 0 < int(text) <= MAX_TIMEOUT_S * 1000:
+        raise BadMessage(
+            400, f"X-Timeout-Ms: whole milliseconds, 1 to {MAX_TIMEOUT_S * 1000:.0f}, are needed"
+        )
+    return int(text) / 1000
+
+
+def _attributes(text: str) -> dict[str, float]:
+    """Figures in X-Attrs; those of another kind are passed over."""
+    attributes = {}
+    for part in filter(None, text.split(",")):
+        name, _, value = part.partition("=")
+        try:
+            attributes[name.strip()] = float(value)
+        except ValueError:
+            continue
+    for name in ("slots", "memory"):
+        if not 0.0 <= attributes.get(name, 0.0) < MAX_ATTRIBUTE:
+            raise BadMessage(400, f"X-Attrs: {name} is out of range")
+    return attributes
--- a/tests/management/test_management.py
+++ b/tests/management/test_management.py
@@ -238,7 +238,7 @@
 
 
 def test_drain_sends_clients_away_and_resume_takes_them_back(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr("beaconhinge.net.listener.PART_AFTER", 0.05)
+    monkeypatch.setattr("beaconhinge.net.shutdown.CLOSE_IDLE_AFTER_S", 0.05)
     module = ScriptedPolicy([interface.SendAttempt(1, FIRST)])
     monkeypatch.setattr("beaconhinge.__main__.Dispatcher", lambda settings, seed: module)
 
@@ -271,8 +271,8 @@
 
 
 def test_a_drained_dispatcher_holds_no_client_with_a_new_job(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr("beaconhinge.net.listener.PART_AFTER", 0.02)
-    monkeypatch.setattr("beaconhinge.net.listener.REFUSE_DRAINED", 0.0)
+    monkeypatch.setattr("beaconhinge.net.shutdown.CLOSE_IDLE_AFTER_S", 0.02)
+    monkeypatch.setattr("beaconhinge.net.shutdown.DRAINED_REJECT_AFTER_S", 0.0)
 
     async def scenario(harness: Harness, operator: Operator) -> None:
         harness.send_peer_datagram()
@@ -290,7 +290,7 @@
 
 
 def test_sigterm_ends_a_drained_dispatcher(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr("beaconhinge.net.listener.PART_AFTER", 0.02)
+    monkeypatch.setattr("beaconhinge.net.shutdown.CLOSE_IDLE_AFTER_S", 0.02)
 
     async def scenario(harness: Harness, operator: Operator) -> None:
         harness.send_peer_datagram()
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -31,6 +31,7 @@
 )
 
 from beaconhinge.membership.inventory import worker_number
+from beaconhinge.net.client_table import ClientTable
 from beaconhinge.net.http1 import Connection
 from beaconhinge.net.listener import Listener
 from beaconhinge.net.sockets import connect
@@ -236,7 +237,7 @@
         await asyncio.sleep(0.05)
         assert sock.recv(4096).startswith(b"HTTP/1.1 200")
         if first == "request":
-            before(monkeypatch, Listener, "_close_idle_clients", lambda: sock.sendall(job_bytes()))
+            before(monkeypatch, ClientTable, "end_idle", lambda: sock.sendall(job_bytes()))
         else:
             after(monkeypatch, Connection, "end", lambda _: sock.sendall(job_bytes()))
         await harness.stop()
@@ -265,7 +266,7 @@
         await asyncio.sleep(0.7)  # clients are refused by now
         sock = client(harness)
         await asyncio.sleep(0.05)
-        after(monkeypatch, Listener, "_see_off", lambda _: sock.sendall(job_bytes(X_Request_ID="r2")))
+        after(monkeypatch, ClientTable, "end", lambda _: sock.sendall(job_bytes(X_Request_ID="r2")))
         await harness.callback(state="done", result="kept")
         assert (await asked).body == b"kept"
         assert await answer_to(sock) == b""
@@ -281,7 +282,7 @@
 
     async def scenario(harness: Harness) -> None:
         late = list[socket.socket]()
-        before(monkeypatch, Listener, "_stop_listening", lambda: late.append(client(harness)))
+        before(monkeypatch, Listener, "stop_listening", lambda: late.append(client(harness)))
         await harness.stop()
         while not late:
             await asyncio.sleep(0.005)
@@ -298,7 +299,7 @@
 def test_the_end_waits_for_clients_that_never_close_no_longer_than_its_bound(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr("beaconhinge.net.listener.LINGER", 0.2)
+    monkeypatch.setattr("beaconhinge.net.client_table.LINGER_S", 0.2)
 
     async def scenario(harness: Harness) -> None:
         sock = client(harness)
@@ -318,7 +319,7 @@
     async def scenario(harness: Harness) -> None:
         crowd = [client(harness) for _ in range(29)]  # 64 descriptors leave 30 to clients
         await asyncio.sleep(0.2)  # none of them is fresh any more
-        before(monkeypatch, Listener, "_close_one", lambda: crowd[0].sendall(job_bytes(X_Timeout_Ms="300")))
+        before(monkeypatch, ClientTable, "close_one", lambda: crowd[0].sendall(job_bytes(X_Timeout_Ms="300")))
         newcomer = asyncio.create_task(harness.post("/render", X_Request_ID="r2", X_Timeout_Ms="300"))
         got = await answer_to(crowd[1])  # the next one had to go
         assert got == b""
@@ -336,7 +337,7 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """The timer for it was due first, and the connection was closed over the unread request."""
-    monkeypatch.setattr("beaconhinge.net.listener.FIRST_MESSAGE", 0.1)
+    monkeypatch.setattr("beaconhinge.net.client_connection.FIRST_MESSAGE_TIMEOUT_S", 0.1)
 
     async def scenario(harness: Harness) -> None:
         sock = client(harness)
@@ -556,7 +557,7 @@
         for number, sock in enumerate(waiting):
             sock.sendall(job_bytes(X_Request_ID=f"r{number}", Connection="close"))
         listeners[0].failures = [code, code]
-        frontends[0]._stop_listening()
+        frontends[0].stop_listening()
         async with asyncio.timeout(2.0):
             taken = [await harness.workers[0].seen.get() for _ in waiting]
         assert {message.headers["x-request-id"] for message in taken} == {"r0", "r1"}
--- a/tests/test_serving.py
+++ b/tests/test_serving.py
@@ -287,7 +287,7 @@
     monkeypatch: pytest.MonkeyPatch, before: bool
 ) -> None:
     """Once a job had come with all its time, the less of a process that ends was taken for a repeat, and refused."""
-    monkeypatch.setattr("beaconhinge.net.listener.LONGEST", 1.5)
+    monkeypatch.setattr("beaconhinge.net.shutdown.MAX_DEADLINE_S", 1.5)
 
     async def scenario(harness: Harness) -> None:
         (reader, writer), (slow_reader, slow_writer) = await harness.open(), await harness.open()
@@ -321,7 +321,7 @@
 def test_half_a_message_or_none_does_not_hold_a_socket_for_long(
     monkeypatch: pytest.MonkeyPatch, sent: bytes, answer: int | None
 ) -> None:
-    monkeypatch.setattr("beaconhinge.net.listener.FIRST_MESSAGE", 0.1)
+    monkeypatch.setattr("beaconhinge.net.client_connection.FIRST_MESSAGE_TIMEOUT_S", 0.1)
 
     async def scenario(harness: Harness) -> None:
         reader, writer = await harness.open()
@@ -371,7 +371,7 @@
 
 
 def test_a_defect_in_the_frontend_is_answered_with_a_500(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr("beaconhinge.net.listener._extras", lambda text: 1 / 0)
+    monkeypatch.setattr("beaconhinge.net.job_parsing._attributes", lambda text: 1 / 0)
 
     async def scenario(harness: Harness) -> None:
         assert (await harness.post()).status == 500
