--- a/beaconhinge/net/worker_pool.py
+++ b/beaconhinge/net/worker_pool.py
@@ -1,52 +1,54 @@
-"""Workers: their connections, the attempts sent to them, what they tell of these, and probes."""
+"""The list of workers, and connections to them: dialled, kept, used again, closed."""
 
 from __future__ import annotations
 
 import asyncio
-import json
-from collections.abc import Awaitable, Callable, Iterable, Mapping
-from typing import Any
+from collections.abc import Awaitable, Callable, Iterable
 
 from ..config import Config
 from ..dispatch.attempt import Attempt
 from ..dispatch.policy_runner import PolicyRunner
-from ..dispatch.send_guard import Refusal, SendState, refusal
-from ..management.figures import BACKEND_CALLS
 from ..membership.inventory import Host, Hosts, worker_number
 from ..policy import interface
-from ..policy.interface import PROVEN_UNRUN, AttemptOutcome, NoticeKind, Semantics, WorkerState
+from ..policy.interface import AttemptOutcome, WorkerState
 from ..runtime.metrics import Metrics
 from ..runtime.timer_wheel import TimerWheel
 from . import http1
+from .attempts import WORKER_SERVICE, AttemptSender
+from .callbacks import CallbackReceiver
 from .http1 import BadMessage, Closed, Connection, Message
+from .load_reports import LoadReportParser
+from .probes import Prober
 from .sockets import DescriptorBudget, connect
 
-SWEEP = 0.25  # seconds between looks for connections idle for too long
-NEAR_CLOSE = 0.8  # part of the told idle time after which a connection is not used again
-DISTRUST, TRUST = 0.7, 1.02  # a kept connection that breaks cuts that time below its own, a good one adds
-LATE_REPLY = 1.0  # seconds that an answer may take whose attempt is over already
-SERVICE = "service.internal"
-ASIDE = 0.5  # seconds for a probe or a withdrawal
+IDLE_SWEEP_INTERVAL_S = 0.25  # between looks for connections idle for too long
+REUSE_PART = 0.8  # of the workers' idle time-out, after which a connection is not used again
+REUSE_CUT = 0.7  # a kept connection that breaks cuts that time to this part of its own idle time
+REUSE_GROWTH = 1.02  # one that does not break lets it grow again
+EXCHANGE_TIMEOUT_S = 0.5  # for a probe or a withdrawal
 
 
 class _Worker:
     def __init__(self, host: Host) -> None:
         self.host = host
-        self.idle: list[Connection] = []
-
-
-class _Carried:
-    """An attempt on its way: its task, and whether the worker has taken the job with a 202."""
-
-    def __init__(self, attempt: Attempt, host: Host) -> None:
-        self.attempt = attempt
-        self.host = host
-        self.taken = False
-        self.body = attempt.job.body  # which an answered request lets go of while this may still connect
-        self.task: asyncio.Task[None] | None = None
+        self.idle: list[Connection] = []  # in the order of their last use
 
 
 class WorkerPool:
+    """All workers that the list names, with the idle connections to each.
+
+    Attributes:
+        workers: by number.
+        attempts: sends attempts to them.
+        reuse_within: seconds for which an idle connection may be used again.
+        elsewhere: hears of call-backs for which no attempt is open here: body, worker's number.
+        result_late: hears of a result for which no attempt is open: the request's id, the result.
+        orphan: hears of a job under way for which no attempt is open: the request's id, worker's number.
+        list_usable: whether the list may be acted on.
+        list_usable_again: a wait until it may.
+        out_by_hand: whether an operator has taken out the worker with that id.
+    """
+
     def __init__(
         self,
         config: Config,
@@ -55,37 +57,50 @@
         budget: DescriptorBudget,
         metrics: Metrics,
     ) -> None:
+        """Begin without a list, and with the parts that talk to workers."""
         self.config = config
         self.policy_runner = policy_runner
         self.timers = timers
         self.budget = budget
         self.metrics = metrics
-        self.reuse_told = self.reuse_within = NEAR_CLOSE * config.settings.idle_timeout_s
+        self.max_reuse_s = self.reuse_within = REUSE_PART * config.settings.idle_timeout_s
         self.workers: dict[int, _Worker] = {}
-        self.carried: dict[tuple[str, str], _Carried] = {}  # open attempts by request id and worker id
-        # Who else may have the attempt that a call-back is for, given the worker's number.
-        self.elsewhere: Callable[[bytes, int], None] = lambda body, worker: None
-        # Who may want the result of a job that no attempt is open for, by the request's id.
-        self.result_late: Callable[[str, str], None] = lambda request, result: None
-        # Who hears of a job that is under way though no attempt is open for it, by request and worker.
-        self.orphan: Callable[[str, int], None] = lambda request, worker: None
-        # Whether the list may be acted on, and a wait until it may; who is out by hand, by id.
+        self.elsewhere: Callable[[bytes, int], None] = lambda _body, _worker: None
+        self.result_late: Callable[[str, str], None] = lambda _request, _result: None
+        self.orphan: Callable[[str, int], None] = lambda _request, _worker: None
         self.list_usable: Callable[[], bool] = lambda: True
         self.list_usable_again: Callable[[], Awaitable[object]] = lambda: asyncio.sleep(0)
-        self.out_by_hand: Callable[[str], bool] = lambda host_id: False
+        self.out_by_hand: Callable[[str], bool] = lambda _host_id: False
+        load_reports = LoadReportParser(bool(config.report_names), metrics)
+        self.attempts = AttemptSender(config, self, load_reports, policy_runner, timers, metrics)
+        self.callbacks = CallbackReceiver(self.attempts.find, self, load_reports, metrics)
         budget.reclaimers.append(self.close_one_idle)
-        policy_runner.action_handlers[interface.ProbeWorker] = lambda action: metrics.spawn(
-            self._probe(action.worker), "probe"
-        )
+        self.prober = Prober(self.host_of, self.exchange, load_reports, policy_runner, timers, metrics)
         policy_runner.action_handlers[interface.CloseIdleConnections] = lambda action: self.disconnect(
             action.worker
         )
-        timers.after(SWEEP, self._sweep)
+        timers.after(IDLE_SWEEP_INTERVAL_S, self._sweep)
+
+    # ---- what others ask for -------------------------------------------------------------------------------
+
+    def start(self, attempt: Attempt) -> None:
+        """Send an attempt."""
+        self.attempts.start(attempt)
+
+    def news(self, body: bytes, elsewhere: Callable[[bytes, int], None] | None = None) -> None:
+        """Take a call-back of a worker; `elsewhere` hears of it if no attempt is open for it here."""
+        self.callbacks.receive(body, elsewhere)
+
+    async def withdraw(self, request: str, number: int) -> None:
+        """Withdraw a job that an earlier process of this dispatcher sent."""
+        host = self.host_of(number)
+        if host is not None and request.isascii() and request.isprintable() and " " not in request:
+            await self.attempts.withdraw(host, request)
 
     # ---- the list ------------------------------------------------------------------------------------------
 
     def update(self, hosts: Hosts) -> None:
-        """Before the module hears of it, so that it never sends to a worker unknown here."""
+        """Take a list or changes, before the policy knows of it: it never sends to a worker unknown here."""
         named = {host.member.worker for host in hosts.hosts if host.member.state != WorkerState.GONE}
         for number in [n for n in self.workers if n not in named] if hosts.full else []:
             self._forget(number)
@@ -99,8 +114,7 @@
             worker.host = host
 
     def differs(self, hosts: Hosts) -> bool:
-        """Whether the workers that are known are others with this list than without it; weights don't
-        count."""
+        """Whether this list names others than the workers that are known; weights don't count."""
         named = set()
         for host in hosts.hosts:
             number, known = host.member.worker, self.workers.get(host.member.worker)
@@ -112,17 +126,23 @@
                 return True
         return hosts.full and named != self.workers.keys()
 
+    def host_of(self, number: int) -> Host | None:
+        """The worker with that number, if the list names it."""
+        worker = self.workers.get(number)
+        return None if worker is None else worker.host
+
     def lists(self, host_id: str) -> bool:
-        """Whether the list names that worker."""
+        """Whether the list names the worker with that id."""
         worker = self.workers.get(worker_number(host_id))
         return worker is not None and worker.host.id == host_id
 
     def named(self, host_ids: Iterable[str]) -> list[Host]:
-        """Those of them that are known."""
+        """Those of the workers with these ids that are known."""
         known = {worker.host.id: worker.host for worker in self.workers.values()}
         return [known[host_id] for host_id in host_ids if host_id in known]
 
     def hosts(self) -> list[Host]:
+        """All workers that the list names."""
         return [worker.host for worker in self.workers.values()]
 
     def _forget(self, number: int) -> None:
@@ -132,6 +152,7 @@
     # ---- connections ---------------------------------------------------------------------------------------
 
     def disconnect(self, number: int) -> None:
+        """Close the idle connections to a worker."""
         worker = self.workers.get(number)
         while worker is not None and worker.idle:
             worker.idle.pop().close()
@@ -145,7 +166,7 @@
         return True
 
     def _sweep(self) -> None:
-        self.timers.after(SWEEP, self._sweep)
+        self.timers.after(IDLE_SWEEP_INTERVAL_S, self._sweep)
         oldest = self.timers.now() - self.reuse_within
         for worker in self.workers.values():
             while worker.idle and worker.idle[0].used_at < oldest:
@@ -161,7 +182,12 @@
             connection.close()
         return None
 
-    async def _connection(self, host: Host) -> Connection:
+    async def connection(self, host: Host) -> Connection:
+        """An idle connection to a worker, or a new one.
+
+        Raises:
+            OSError: there is none in time, or no descriptor for it.
+        """
         connection = self._idle(host)
         if connection is not None:
             return connection
@@ -177,23 +203,29 @@
         self.metrics.count("worker_connections")
         return Connection(sock, requests=False, closed=self.budget.release)
 
-    def _kept_well(self, idle_for: float, well: bool) -> None:
-        """Guards against workers, or what stands before them, that drop idle connections long before the told
-        time and do not say so: each request on such a one is lost. A new connection costs little beside that.
+    def record_reuse(self, idle_for_s: float, well: bool) -> None:
+        """Take note whether a connection was still good after it had been idle.
+
+        Guards against workers, or what stands before them, that drop idle connections long before their
+        time-out and do not say so: each request on such a one is lost. A new connection costs little beside.
         """
         if well:
-            self.reuse_within = min(self.reuse_within * TRUST, self.reuse_told)
+            self.reuse_within = min(self.reuse_within * REUSE_GROWTH, self.max_reuse_s)
         else:
-            self.reuse_within = DISTRUST * min(self.reuse_within, idle_for)
-            self.metrics.count_and_log("kept_connection_stale", idle=idle_for, reuse_within=self.reuse_within)
+            self.reuse_within = REUSE_CUT * min(self.reuse_within, idle_for_s)
+            self.metrics.count_and_log(
+                "kept_connection_stale", idle=idle_for_s, reuse_within=self.reuse_within
+            )
 
-    def _keep(self, host: Host, connection: Connection, message: Message) -> None:
+    def keep(self, host: Host, connection: Connection, message: Message) -> None:
+        """Put a connection back after its answer, or close it if the worker won't keep it."""
         if message.keep_alive:
-            self._rest(host, connection)
+            self.put_back(host, connection)
         else:
             connection.close()
 
-    def _rest(self, host: Host, connection: Connection) -> None:
+    def put_back(self, host: Host, connection: Connection) -> None:
+        """Keep a connection for the next attempt, if the worker is still listed at that address."""
         worker = self.workers.get(host.member.worker)
         if worker is not None and worker.host.address == host.address:
             connection.used_at = self.timers.now()
@@ -201,168 +233,15 @@
         else:
             connection.close()
 
-    # ---- attempts ------------------------------------------------------------------------------------------
-
-    def start(self, attempt: Attempt) -> None:
-        worker = self.workers.get(attempt.worker)
-        if worker is None:  # it left the list before the instruction was carried out
-            attempt.end(AttemptOutcome.NO_CONNECTION)
-            return
-        carried = _Carried(attempt, worker.host)
-        self.carried[attempt.job.id, worker.host.id] = carried
-        attempt.on_end = lambda outcome: self._release(carried, outcome)
-        carried.task = self.metrics.spawn(self._carry(carried), "attempt")
-
-    def _release(self, carried: _Carried, outcome: AttemptOutcome) -> None:
-        """Given up before the 202, the connection closes, up or not; after it, the job is withdrawn."""
-        self.carried.pop((carried.attempt.job.id, carried.host.id), None)
-        unrun = outcome in PROVEN_UNRUN
-        self.policy_runner.monitor.ended(carried.attempt.job.id, carried.host.id, unrun)
-        task = carried.task
-        given_up = outcome in (AttemptOutcome.CANCELLED, AttemptOutcome.TIMEOUT)
-        if task is not None and not carried.taken:
-            # A result may come before its 202, for which the connection waits a little.
-            if given_up or not carried.attempt.may_be_written:
-                task.cancel()
-            else:
-                self.timers.after(LATE_REPLY, task.cancel)
-        elif given_up:
-            self.metrics.spawn(self._withdraw(carried), "withdrawal")
-
-    async def _carry(self, carried: _Carried) -> None:
-        """Send the job and read the answer to that; its result comes later, by a call-back."""
-        attempt, job, written = carried.attempt, carried.attempt.job, False
-        connection: Connection | None = None
-        idle_for = 0.0
-        try:
-            # A connection to a worker that has left meanwhile would fail, and be held against it.
-            if (why := await self._settled_refusal(carried)) is not None:
-                self._refuse(carried, why)
-                return
-            connection = await self._connection(carried.host)
-            if (why := await self._settled_refusal(carried)) is not None:
-                self._refuse(carried, why)
-                self._rest(carried.host, connection)
-                return
-            attempt.may_be_written = True
-            idle_for = self.timers.now() - connection.used_at if connection.used_at else 0.0
-            left = max(int((attempt.until - self.timers.now()) * 1000), 1)
-            headers = {
-                "Host": SERVICE,
-                "X-Request-ID": job.id,
-                "X-Timeout-Ms": str(left),
-                "Content-Length": str(len(carried.body)),
-            }
-            if job.dedup_key:
-                headers["Idempotency-Key"] = job.dedup_key
-            self.policy_runner.monitor.written(job.id, carried.host.id, self.timers.now(), left)
-            await connection.send(http1.request("POST", job.target, headers, carried.body))
-            written = True
-            self.metrics.count(BACKEND_CALLS)
-            message = await connection.next()
-        except (OSError, TimeoutError, Closed, BadMessage) as error:
-            # Whether the last byte was written decides whether the job may have run. It is not sent again
-            # from here, on a stale connection either: that is the module's choice.
-            if isinstance(error, BadMessage):
-                self.metrics.count_and_log("worker_answer_malformed", worker=carried.host.id, why=error)
-            attempt.end(AttemptOutcome.CONNECTION_LOST if written else AttemptOutcome.NO_CONNECTION)
-            if connection is not None:
-                connection.close()
-            if idle_for:
-                self._kept_well(idle_for, False)
-            return
-        except asyncio.CancelledError:  # given up
-            if connection is not None:
-                connection.close()
-            raise
-        carried.taken = message.status == 202
-        if idle_for:
-            self._kept_well(idle_for, True)
-        self._keep(carried.host, connection, message)
-        if not carried.taken:
-            self._answered(attempt, message)
-
-    async def _settled_refusal(self, carried: _Carried) -> Refusal | None:
-        """The guard's answer for the moment in which this returns, once the list may be acted on."""
-        why = self._refusal(carried)
-        if why is Refusal.LIST_UNKNOWN:
-            self.metrics.count("sends_waited_for_list")
-        while why is Refusal.LIST_UNKNOWN:
-            await self.list_usable_again()
-            why = self._refusal(carried)
-        return why
-
-    def _refusal(self, carried: _Carried) -> Refusal | None:
-        """The guard's answer for this moment: what is written next is written in this turn of the loop."""
-        attempt, others = carried.attempt, carried.attempt.siblings()
-        worker = self.workers.get(attempt.worker)
-        return refusal(
-            SendState(
-                list_usable=self.list_usable(),
-                chosen=carried.host.member,
-                listed=None if worker is None else worker.host.member,
-                same_address=worker is not None and worker.host.address == carried.host.address,
-                out_by_hand=self.out_by_hand(carried.host.id),
-                open=attempt.open,
-                wanted=attempt.client_is_waiting(),
-                time_left=attempt.until - self.timers.now(),
-                others_at_worker=others.at_worker,
-                others_out=others.in_flight,
-                may_have_run=others.may_have_run,
-                unsafe=self.config.settings.classes[attempt.job.cls].semantics == Semantics.UNSAFE,
-            )
-        )
-
-    def _refuse(self, carried: _Carried, why: Refusal) -> None:
-        self.metrics.count(f"send_refused_{why.value}")
-        self.metrics.trace(
-            "attempts", "send_refused", request=carried.attempt.job.id, worker=carried.host.id, why=why.value
-        )
-        carried.attempt.end(AttemptOutcome.NOT_SENT)
-
-    def _answered(self, attempt: Attempt, message: Message) -> None:
-        status = message.status
-        unrun = status in (503, 504) and message.headers.get("x-not-processed") == "1"
-        # Blamed on the worker, a faulty request went to three of them and had each of these left out.
-        unusable = 400 <= status < 500 and status not in (408, 429)  # those two speak of the moment
-        if not unrun and status != 500:
-            self.metrics.count_and_log(
-                "worker_answer_unexpected",
-                worker=attempt.worker,
-                status=status,
-                request=attempt.job.id,
-                target=attempt.job.target,
-                why=message.body,
-            )
-        outcome = (
-            AttemptOutcome.REJECTED
-            if unrun
-            else AttemptOutcome.INVALID_REQUEST
-            if unusable
-            else AttemptOutcome.SERVER_ERROR
-        )
-        attempt.end(outcome, load=self._load(message.headers.get("x-server-load")))
-
-    async def _withdraw(self, carried: _Carried) -> None:
-        await self._aside(carried.host, "DELETE", f"/jobs/{carried.attempt.job.id}".encode("latin-1"))
-
-    async def withdraw(self, request: str, number: int) -> None:
-        """Give up a job that an earlier life sent."""
-        worker = self.workers.get(number)
-        if worker is not None and request.isascii() and request.isprintable() and " " not in request:
-            await self._aside(worker.host, "DELETE", f"/jobs/{request}".encode())
-
-    async def _aside(self, host: Host, method: str, target: bytes) -> Message | AttemptOutcome:
-        """A short exchange beside the attempts: the answer, or why there is none."""
+    async def exchange(self, host: Host, method: str, target: bytes) -> Message | AttemptOutcome:
+        """Send a short request beside the attempts; returns the answer, or why there is none."""
         connection, why = None, AttemptOutcome.NO_CONNECTION
         try:
-            async with self.timers.timeout(ASIDE):
-                connection = await self._connection(host)
-                await connection.send(http1.request(method, target, {"Host": SERVICE}))
+            async with self.timers.timeout(EXCHANGE_TIMEOUT_S):
+                connection = await self.connection(host)
+                await connection.send(http1.request(method, target, {"Host": WORKER_SERVICE}))
                 why = AttemptOutcome.CONNECTION_LOST
                 message = await connection.next()
-            self._keep(host, connection, message)
-            return message
         except (OSError, Closed, BadMessage) as error:
             if connection is not None:
                 connection.close()
@@ -373,73 +252,5 @@
             if connection is not None:
                 connection.close()
             raise
-
-    # ---- call-backs ----------------------------------------------------------------------------------------
-
-    def news(self, body: bytes, elsewhere: Callable[[bytes, int], None] | None = None) -> None:
-        """What a worker tells of a job; it may come early, late, twice or for an earlier life of ours."""
-        self.metrics.count("callbacks")
-        try:
-            content = json.loads(body)
-            key, state = (content["id"], content["from"]), content["state"]
-            carried = self.carried.get(key)
-            if carried is None:
-                self.metrics.count("callbacks_unmatched")
-                if state == "done":
-                    self.result_late(str(key[0]), str(content["result"]))
-                elif state in ("started", "running"):
-                    self.orphan(str(key[0]), worker_number(key[1]))
-                (elsewhere or self.elsewhere)(body, worker_number(key[1]))
-                return
-            self._told(carried.attempt, state, content)
-        except (ValueError, TypeError, KeyError, AttributeError, RecursionError) as error:
-            self.metrics.count_and_log("callback_malformed", why=f"{type(error).__name__}: {error}")
-
-    def _told(self, attempt: Attempt, state: str, content: Mapping[str, Any]) -> None:
-        load = self._load(content.get("load"))
-        if state == "started":
-            attempt.report_progress(NoticeKind.STARTED)
-        elif state == "running":
-            attempt.report_progress(NoticeKind.PROGRESS, float(content["share"]))
-        elif state == "done":
-            # The client gets what the worker made and nothing else: a result that is no text is not served.
-            attempt.end(AttemptOutcome.SERVED, content["result"].encode(), load)
-        elif state == "failed":
-            attempt.end(AttemptOutcome.SERVER_ERROR, load=load)
-        elif state == "returned":
-            attempt.end(AttemptOutcome.REJECTED, load=load)
-        elif state == "lost":
-            attempt.end(AttemptOutcome.CONNECTION_LOST, load=load)
-        else:
-            raise ValueError(f"state {state!r} is not known")
-
-    def _load(self, given: Any) -> dict[str, float] | None:
-        """A load report, from a header or an object; a broken one is as good as none."""
-        if given is None or not self.config.report_names:
-            return None
-        try:
-            pairs = given.items() if isinstance(given, Mapping) else [p.split("=") for p in given.split(",")]
-            load = {name.strip(): float(value) for name, value in pairs}
-            if any(value - value != 0.0 for value in load.values()):
-                raise ValueError("a figure is not finite")
-            self.metrics.count("load_reports")
-            return load
-        except (ValueError, TypeError, AttributeError, OverflowError) as error:
-            self.metrics.count_and_log("load_malformed", why=error)
-            return None
-
-    # ---- probes --------------------------------------------------------------------------------------------
-
-    async def _probe(self, number: int) -> None:
-        worker, sent_at = self.workers.get(number), self.timers.now()
-        outcome, load = AttemptOutcome.NO_CONNECTION, None
-        if worker is not None:
-            target = b"/metrics/load" if self.config.report_names else b"/alive"
-            answer = await self._aside(worker.host, "GET", target)
-            if isinstance(answer, str):
-                outcome = answer
-            else:
-                outcome = AttemptOutcome.SERVED if answer.status == 200 else AttemptOutcome.SERVER_ERROR
-                load = self._load(answer.body.decode("latin-1") or None)
-        self.metrics.count("probes")
-        self.policy_runner.feed(interface.ProbeResult(number, outcome, self.timers.now() - sent_at, load))
+        self.keep(host, connection, message)
+        return message
