--- a/tests/harness.py
+++ b/tests/harness.py
@@ -16,7 +16,7 @@
 import pytest
 import uvloop
 
-from beaconhinge.__main__ import serve
+from beaconhinge.application import serve
 from beaconhinge.config import Config, parse
 from beaconhinge.config.local import LocalConfig
 from beaconhinge.policy import interface
@@ -313,7 +313,7 @@
     module = ScriptedPolicy(
         list(on_job), {getattr(interface, name): actions for name, actions in then.items()}
     )
-    monkeypatch.setattr("beaconhinge.__main__.Dispatcher", lambda settings, seed: module)
+    monkeypatch.setattr("beaconhinge.application.Dispatcher", lambda settings, seed: module)
     return module
 
 
--- a/tests/management/test_management.py
+++ b/tests/management/test_management.py
@@ -240,7 +240,7 @@
 def test_drain_sends_clients_away_and_resume_takes_them_back(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr("beaconhinge.net.shutdown.CLOSE_IDLE_AFTER_S", 0.05)
     module = ScriptedPolicy([interface.SendAttempt(1, FIRST)])
-    monkeypatch.setattr("beaconhinge.__main__.Dispatcher", lambda settings, seed: module)
+    monkeypatch.setattr("beaconhinge.application.Dispatcher", lambda settings, seed: module)
 
     async def scenario(harness: Harness, operator: Operator) -> None:
         harness.send_peer_datagram()
--- a/tests/management/test_upgrade.py
+++ b/tests/management/test_upgrade.py
@@ -109,7 +109,7 @@
 ) -> None:
     module = ScriptedPolicy([interface.SendAttempt(1, FIRST)])
     module.take = lambda: {}  # type: ignore[attr-defined]
-    monkeypatch.setattr("beaconhinge.__main__.Dispatcher", lambda settings, seed: module)
+    monkeypatch.setattr("beaconhinge.application.Dispatcher", lambda settings, seed: module)
     monkeypatch.setattr("beaconhinge.management.handover.take", lambda module: {})
     module.workers = {}  # type: ignore[attr-defined]
 
--- a/tests/progress/test_streams.py
+++ b/tests/progress/test_streams.py
@@ -13,7 +13,7 @@
 from harness import Harness, ReceivedMessage, ScriptedPolicy, job_bytes, read_message, run_scenario
 from httpx_sse._decoders import SSEDecoder
 
-from beaconhinge import __main__ as program
+from beaconhinge import application as program
 from beaconhinge.config import Limits
 from beaconhinge.config.local import LocalConfig, Progress
 from beaconhinge.dispatch.job import Answer, Job
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -18,7 +18,7 @@
     monkeypatch: pytest.MonkeyPatch, target: int, arrives: bool
 ) -> None:
     module = ScriptedPolicy([interface.SendToPeer(b"hello", target), interface.Reject(1)])
-    monkeypatch.setattr("beaconhinge.__main__.Dispatcher", lambda settings, seed: module)
+    monkeypatch.setattr("beaconhinge.application.Dispatcher", lambda settings, seed: module)
 
     async def scenario(harness: Harness) -> None:
         with (
@@ -52,7 +52,7 @@
 
 def test_a_dispatcher_that_stops_tells_nothing_more(monkeypatch: pytest.MonkeyPatch) -> None:
     module = ScriptedPolicy([interface.SendToPeer(b"before", 1), interface.Reject(1)])
-    monkeypatch.setattr("beaconhinge.__main__.Dispatcher", lambda settings, seed: module)
+    monkeypatch.setattr("beaconhinge.application.Dispatcher", lambda settings, seed: module)
 
     async def scenario(harness: Harness) -> None:
         with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as peer:
--- a/tests/test_wall_clock.py
+++ b/tests/test_wall_clock.py
@@ -43,7 +43,7 @@
         modules.append(Dispatcher(settings, seed))
         return modules[0]
 
-    monkeypatch.setattr("beaconhinge.__main__.Dispatcher", made)
+    monkeypatch.setattr("beaconhinge.application.Dispatcher", made)
 
     async def scenario(harness: Harness) -> None:
         answered = asyncio.Event()
