--- a/beaconhinge/application.py
+++ b/beaconhinge/application.py
@@ -15,7 +15,7 @@
 from .dispatch.request import RequestTable
 from .net.discovery import Discovery
 from .net.listener import Listener
-from .net.management import CALLERS, Management
+from .net.management import MAX_CALLERS, Management
 from .net.operator_calls import OperatorCalls
 from .net.peers import PeerSocket
 from .net.sockets import RESERVED_DESCRIPTORS, DescriptorBudget
@@ -92,7 +92,7 @@
         dispatcher = Dispatcher(config.settings, config.seed)
         policy_runner = self.policy_runner = PolicyRunner(dispatcher, timers, metrics)
         # Beside the operators' descriptors a second process needs its own to start with.
-        reserved = 2 * (CALLERS + 1) + RESERVED_DESCRIPTORS if config.mgmt else 0
+        reserved = 2 * (MAX_CALLERS + 1) + RESERVED_DESCRIPTORS if config.mgmt else 0
         budget = DescriptorBudget(config.limits.sockets, config.limits.body_bytes, reserved)
         self.workers = WorkerPool(config, policy_runner, timers, budget, metrics)
         self.discovery = Discovery(config, policy_runner, self.workers, timers, metrics, clock.wall_time)
--- a/beaconhinge/net/http1.py
+++ b/beaconhinge/net/http1.py
@@ -15,11 +15,13 @@
 
 from . import sockets
 
-MAX_HEAD = 16 * 1024
-MAX_BODY = 64 * 1024
-MAX_MESSAGE = MAX_HEAD + 8 * MAX_BODY  # raw bytes of one message, chunk framing and trailers included
-MAX_INBOX = 4  # messages read ahead on a connection
-READ, READ_FIRST = 16 * 1024, 2 * 1024  # a buffer is small until a peer has filled it: most stay that way
+MAX_HEAD_BYTES = 16 * 1024
+MAX_BODY_BYTES = 64 * 1024
+# One message raw, chunk framing and trailers included.
+MAX_MESSAGE_BYTES = MAX_HEAD_BYTES + 8 * MAX_BODY_BYTES
+MAX_MESSAGES_AHEAD = 4  # messages read ahead on a connection
+READ_BYTES = 16 * 1024  # the buffer of a peer that has filled the first one
+FIRST_READ_BYTES = 2 * 1024  # the first buffer of each connection: most need no other
 
 
 class BadMessage(Exception):
@@ -51,21 +53,21 @@
         self,
         sock: socket.socket,
         requests: bool,
-        closed: Callable[[], None],
-        max_body: int = MAX_BODY,
-        hold: Callable[[int], bool] = lambda count: True,
+        on_close: Callable[[], None],
+        max_body_bytes: int = MAX_BODY_BYTES,
+        reserve_bytes: Callable[[int], bool] = lambda count: True,
     ) -> None:
         self.sock = sock
         self.inbox: deque[Message] = deque()
         self.partial = False  # a message has begun and is not whole
         self.used_at = 0.0
-        self._max_body = max_body
-        self._max_raw = max(MAX_MESSAGE, MAX_HEAD + 2 * max_body)
-        self._closed = closed
+        self._max_body_bytes = max_body_bytes
+        self._max_raw_bytes = max(MAX_MESSAGE_BYTES, MAX_HEAD_BYTES + 2 * max_body_bytes)
+        self._on_close = on_close
         self._open = True
-        self._hold = hold
-        self._held = 0  # bytes of bodies for which there is room taken
-        self._buffer = bytearray(READ_FIRST)
+        self._reserve_bytes = reserve_bytes
+        self._reserved_bytes = 0  # bytes of bodies for which there is room taken
+        self._buffer = bytearray(FIRST_READ_BYTES)
         self._view = memoryview(self._buffer)
         self._parser: Any = (httptools.HttpRequestParser if requests else httptools.HttpResponseParser)(self)
         self._requests = requests
@@ -73,14 +75,14 @@
         self._message = Message()
         self._chunks: list[bytes] = []
         self._in_head = False
-        self._raw = self._size = 0
+        self._raw_bytes = self._body_bytes = 0
         self._reading: asyncio.Task[bool] | None = None
 
     # ---- called by httptools; what is raised in here would come out garbled, so faults are kept ----------
 
     def on_message_begin(self) -> None:
         self._message, self._chunks = Message(), []
-        self._raw = self._size = 0
+        self._raw_bytes = self._body_bytes = 0
         self.partial = self._in_head = True
 
     def on_url(self, part: bytes) -> None:
@@ -99,16 +101,16 @@
         else:
             self._message.status = self._parser.get_status_code()
         length = self._message.headers.get("content-length", "")
-        if length.isdigit() and int(length) > self._max_body:
-            self._fail(413, f"body over {self._max_body} bytes")
+        if length.isdigit() and int(length) > self._max_body_bytes:
+            self._fail(413, f"body over {self._max_body_bytes} bytes")
 
     def on_body(self, part: bytes) -> None:
-        self._size += len(part)
-        if self._size > self._max_body:
-            self._fail(413, f"body over {self._max_body} bytes")
+        self._body_bytes += len(part)
+        if self._body_bytes > self._max_body_bytes:
+            self._fail(413, f"body over {self._max_body_bytes} bytes")
         elif self._fault is None:
-            if self._hold(len(part)):
-                self._held += len(part)
+            if self._reserve_bytes(len(part)):
+                self._reserved_bytes += len(part)
                 self._chunks.append(part)
             else:
                 self._fail(503, "too many bodies in hand: try again later")
@@ -129,8 +131,8 @@
     def release(self) -> None:
         """The bodies read so far have been dealt with."""
         if not self.partial and not self.inbox:
-            self._hold(-self._held)
-            self._held = 0
+            self._reserve_bytes(-self._reserved_bytes)
+            self._reserved_bytes = 0
 
     # ---- reading and writing ---------------------------------------------------------------------------
 
@@ -143,8 +145,8 @@
         if count == 0:
             self._take_end()
             return False
-        self._raw += count
-        full = count == len(self._buffer) < READ
+        self._raw_bytes += count
+        full = count == len(self._buffer) < READ_BYTES
         try:
             self._parser.feed_data(self._view[:count])
         except httptools.HttpParserUpgrade:
@@ -152,13 +154,13 @@
         except httptools.HttpParserError as error:
             self._fail(400, f"malformed message: {error}")
         if full:
-            self._buffer = bytearray(READ)
+            self._buffer = bytearray(READ_BYTES)
             self._view = memoryview(self._buffer)
-        if self._in_head and self._raw > MAX_HEAD:
-            self._fail(431, f"head over {MAX_HEAD} bytes")
-        elif self._raw > self._max_raw:
+        if self._in_head and self._raw_bytes > MAX_HEAD_BYTES:
+            self._fail(431, f"head over {MAX_HEAD_BYTES} bytes")
+        elif self._raw_bytes > self._max_raw_bytes:
             self._fail(413, "message too long")
-        elif len(self.inbox) > MAX_INBOX:
+        elif len(self.inbox) > MAX_MESSAGES_AHEAD:
             self._fail(400, "too many requests sent ahead")
         return True
 
@@ -186,7 +188,7 @@
     @property
     def received(self) -> int:
         """Raw bytes of the message that is being read, or was read last."""
-        return self._raw
+        return self._raw_bytes
 
     def unfinished_body(self) -> bytes:
         """What has come of the body of a message that is not whole."""
@@ -217,13 +219,13 @@
 
     def silent(self) -> bool:
         """Nothing waits to be read, not even the peer's end of the connection."""
-        return not self.inbox and self._waiting() is None
+        return not self.inbox and self._peek() is None
 
     def ended(self) -> bool:
         """Whether the peer has gone, though the task that reads here may not have run since."""
-        return not self._open or self._waiting() == b""
+        return not self._open or self._peek() == b""
 
-    def _waiting(self) -> bytes | None:
+    def _peek(self) -> bytes | None:
         """The first unread byte; none if the peer has ended or broken the connection, None if it rests."""
         try:
             return self.sock.recv(1, socket.MSG_PEEK)
@@ -241,7 +243,7 @@
         """Let the peer read a last answer: closing on its unread bytes would reset that away."""
         self.end()
         try:
-            for _ in range(2 * MAX_BODY // len(self._buffer)):
+            for _ in range(2 * MAX_BODY_BYTES // len(self._buffer)):
                 if not await self.reading():
                     return
         except OSError:
@@ -253,8 +255,8 @@
             if self._reading is not None:
                 self._reading.cancel()
             sockets.close(self.sock)
-            self._hold(-self._held)
-            self._closed()
+            self._reserve_bytes(-self._reserved_bytes)
+            self._on_close()
 
 
 def response(
--- a/beaconhinge/net/listener.py
+++ b/beaconhinge/net/listener.py
@@ -204,7 +204,12 @@
         sock.setblocking(False)
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         client = Client(
-            Connection(sock, requests=True, closed=self.budget.release, hold=self.budget.reserve_body_bytes)
+            Connection(
+                sock,
+                requests=True,
+                on_close=self.budget.release,
+                reserve_bytes=self.budget.reserve_body_bytes,
+            )
         )
         self.clients.add(client)
         self.metrics.count("connections_accepted")
--- a/beaconhinge/net/management.py
+++ b/beaconhinge/net/management.py
@@ -14,9 +14,9 @@
 from ..runtime.timer_wheel import TimerWheel
 from .sockets import tcp_listener
 
-CALLERS = 8  # descriptors set aside; with as many callers the one that has been silent longest goes
-WHOLE = 5.0  # seconds that a caller has for its line: some keep a connection 4 s without one
-ANSWER = 1.0  # seconds it has to take the answer, and to close
+MAX_CALLERS = 8  # descriptors set aside; with as many callers the one that has been silent longest goes
+CALL_TIMEOUT_S = 5.0  # seconds that a caller has for its line: some keep a connection 4 s without one
+ANSWER_TIMEOUT_S = 1.0  # seconds it has to take the answer, and to close
 
 
 class Management:
@@ -48,13 +48,15 @@
                 self.metrics.count_and_log("management_accept_failed", why=error)
                 await asyncio.sleep(0.01)
                 continue
-            if len(self._callers) >= CALLERS:  # a whole call is answered at once: the first has not made one
-                self._part(next(iter(self._callers)))
+            if (
+                len(self._callers) >= MAX_CALLERS
+            ):  # a whole call is answered at once: the first has not made one
+                self._close_caller(next(iter(self._callers)))
             sock.setblocking(False)
             task = self._callers[sock] = self.metrics.spawn(self._serve(sock), "management call")
             task.add_done_callback(partial(self._done, sock))
 
-    def _part(self, sock: socket.socket) -> None:
+    def _close_caller(self, sock: socket.socket) -> None:
         self.metrics.count("management_callers_parted")
         try:
             sock.send(calls.failure("too many callers; this one had made no call yet"))
@@ -65,14 +67,14 @@
     async def _serve(self, sock: socket.socket) -> None:
         loop = asyncio.get_running_loop()
         try:
-            async with self.timers.timeout(WHOLE):
-                line = await self._line(sock)
+            async with self.timers.timeout(CALL_TIMEOUT_S):
+                line = await self._read_line(sock)
             answer = self._answer(line, sock) if line else b""
             if not isinstance(answer, bytes):
                 answer = await answer
             if not answer:
                 return
-            async with self.timers.timeout(ANSWER):
+            async with self.timers.timeout(ANSWER_TIMEOUT_S):
                 await loop.sock_sendall(sock, answer)
                 sock.shutdown(socket.SHUT_WR)
                 while await loop.sock_recv(sock, 1024):  # closing on unread bytes would reset the answer away
@@ -87,7 +89,7 @@
         else:
             sock.close()
 
-    async def _line(self, sock: socket.socket) -> bytes:
+    async def _read_line(self, sock: socket.socket) -> bytes:
         """Up to the end of the line or of the stream; one byte over the bound is enough to refuse it."""
         line = b""
         while b"\n" not in line and len(line) <= calls.MAX_LINE:
--- a/beaconhinge/net/peers.py
+++ b/beaconhinge/net/peers.py
@@ -13,9 +13,9 @@
 from ..runtime.metrics import Metrics
 from ..runtime.timer_wheel import TimerWheel
 
-MAX_BYTES = 256
-MOST_WAITING = 4096  # datagrams dropped at once; what a socket holds by default is fewer
-HEARD_WITHIN = 1.5  # seconds without a datagram after which no other dispatcher counts as there
+MAX_DATAGRAM_BYTES = 256
+MAX_DROPPED_DATAGRAMS = 4096  # datagrams dropped at once; what a socket holds by default is fewer
+HEARD_WITHIN_S = 1.5  # seconds without a datagram after which no other dispatcher counts as there
 
 
 class PeerSocket:
@@ -33,7 +33,7 @@
         # Who takes datagrams that begin with that byte, given the sender's number; the rest are the module's.
         self.talk: dict[int, Callable[[int, bytes], None]] = {}
         self.woken: Callable[[], bool] = lambda: False  # whether the process has just gone on after a stall
-        policy_runner.action_handlers[interface.SendToPeer] = self._tell
+        policy_runner.action_handlers[interface.SendToPeer] = self._on_send
 
     def move(self, config: Config) -> None:
         """Reach the others at these addresses from now on."""
@@ -67,7 +67,7 @@
         """Whether another dispatcher was heard lately; where they cannot be heard, whether there are any."""
         if self._sock is None:
             return self.config.settings.group_size > 1
-        return self.timers.now() - self._heard_at < HEARD_WITHIN
+        return self.timers.now() - self._heard_at < HEARD_WITHIN_S
 
     def _read(self) -> None:
         assert self._sock is not None
@@ -75,14 +75,14 @@
             return  # nothing that waited is news
         for _ in range(64):  # then others have their turn
             try:
-                payload, sender = self._sock.recvfrom(MAX_BYTES + 1)
+                payload, sender = self._sock.recvfrom(MAX_DATAGRAM_BYTES + 1)
             except BlockingIOError:
                 return
             except OSError as error:  # an earlier datagram found nobody: no fault of the socket
                 self.metrics.count_and_log("datagram_failed", why=error)
                 return
             number = self.numbers.get(sender)
-            if number is None or len(payload) > MAX_BYTES:
+            if number is None or len(payload) > MAX_DATAGRAM_BYTES:
                 self.metrics.count_and_log("datagram_malformed", sender=sender[0], bytes=len(payload))
                 continue
             self.metrics.count("datagrams_received")
@@ -95,16 +95,16 @@
 
     def forget_waiting(self) -> int:
         """Drop what waits to be read; how many datagrams that were."""
-        for dropped in range(MOST_WAITING):
+        for dropped in range(MAX_DROPPED_DATAGRAMS):
             try:
                 if self._sock is None:
                     return dropped
                 self._sock.recv(1)
             except OSError:
                 return dropped
-        return MOST_WAITING
+        return MAX_DROPPED_DATAGRAMS
 
-    def _tell(self, action: interface.SendToPeer) -> None:
+    def _on_send(self, action: interface.SendToPeer) -> None:
         self.send(action.peer, action.payload)
 
     def send(self, number: int, payload: bytes) -> None:
@@ -118,7 +118,7 @@
         if (
             self._sock is None
             or target is None
-            or not self.metrics.check(len(payload) <= MAX_BYTES, "datagram_within_bound")
+            or not self.metrics.check(len(payload) <= MAX_DATAGRAM_BYTES, "datagram_within_bound")
         ):
             self.metrics.count("datagrams_without_way")
             return
--- a/beaconhinge/net/request_router.py
+++ b/beaconhinge/net/request_router.py
@@ -108,7 +108,7 @@
         if self.requests.full:
             self.metrics.count_and_log("requests_over_limit", held=len(self.requests.requests))
             return Reply(answer_bytes(self.requests.reject(job), close), close)
-        if self.streams is not None and self.streams.asked_for(message):
+        if self.streams is not None and self.streams.wants_stream(message):
             close = close or client.connection.version != "1.1"  # which knows no chunks
             outcome = await self.streams.answer(client.connection, job, close)
             close = close or self.state.closing_connections
--- a/beaconhinge/net/streams.py
+++ b/beaconhinge/net/streams.py
@@ -24,36 +24,36 @@
 from ..runtime.timer_wheel import TimerWheel
 from .http1 import Closed, Connection, Message
 
-KEPT_PART = 0.25  # of the room for bodies: outcomes kept for those who come back
-LOOK = 0.25  # seconds between looks for what has been detached or kept for long enough
-TOKEN = 16  # bytes of randomness
+KEPT_OUTCOMES_PART = 0.25  # of the room for bodies: outcomes kept for those who come back
+EXPIRY_INTERVAL_S = 0.25  # seconds between looks for what has been detached or kept for long enough
+TOKEN_BYTES = 16  # bytes of randomness
 
 
-class _Watch:
+class StreamedRequest:
     """Feeds what becomes of a request, and wakes who writes its stream."""
 
     def __init__(self, job: Job, class_name: str) -> None:
         self.feed = Feed()
         self.job = job
         self.class_name = class_name
-        self.token = secrets.token_urlsafe(TOKEN)
+        self.token = secrets.token_urlsafe(TOKEN_BYTES)
         self.request: Request
-        self._news: set[asyncio.Future[None]] = set()
+        self._waiters: set[asyncio.Future[None]] = set()
 
-    def news(self) -> asyncio.Future[None]:
+    def next_change(self) -> asyncio.Future[None]:
         """Done once something more has been told. Two readers may wait at once, while one takes over."""
         future: asyncio.Future[None] = asyncio.get_running_loop().create_future()
-        self._news.add(future)
+        self._waiters.add(future)
         return future
 
-    def forget(self, news: asyncio.Future[None]) -> None:
-        self._news.discard(news)
+    def forget_waiter(self, news: asyncio.Future[None]) -> None:
+        self._waiters.discard(news)
 
     def wake(self) -> None:
-        for future in self._news:
+        for future in self._waiters:
             if not future.done():
                 future.set_result(None)
-        self._news.clear()
+        self._waiters.clear()
 
     def accepted(self) -> None:
         self.feed.accepted({"id": self.job.id, "class": self.class_name, "token": self.token})
@@ -73,21 +73,24 @@
 
 class Streams:
     def __init__(
-        self, told: Progress, config: Config, requests: RequestTable, timers: TimerWheel, metrics: Metrics
+        self, settings: Progress, config: Config, requests: RequestTable, timers: TimerWheel, metrics: Metrics
     ) -> None:
-        self.told = told
+        self.settings = settings
         self.config = config
         self.requests = requests
         self.timers = timers
         self.metrics = metrics
-        self.open: Counter[int] = Counter()  # streams by tenant
-        self.watches: dict[str, _Watch] = {}  # by job, as long as the registry knows it
+        self.open_by_tenant: Counter[int] = Counter()  # streams by tenant
+        self.streamed: dict[str, StreamedRequest] = {}  # by job, as long as the registry knows it
         self.registry = Registry(
-            told.detached_s, told.keep_outcome_s, told.max_detached, int(KEPT_PART * config.limits.body_bytes)
+            settings.detached_s,
+            settings.keep_outcome_s,
+            settings.max_detached,
+            int(KEPT_OUTCOMES_PART * config.limits.body_bytes),
         )
-        timers.after(LOOK, self._look)
+        timers.after(EXPIRY_INTERVAL_S, self._expire)
 
-    def asked_for(self, message: Message) -> bool:
+    def wants_stream(self, message: Message) -> bool:
         accept = message.headers.get("accept", "")
         return codec.MEDIA_TYPE in accept.lower() and codec.accepts(accept)
 
@@ -97,27 +100,27 @@
         An answer that comes before the job is admitted is returned, to be written plainly: a refusal stays a
         refusal. Raises Closed when the client has gone, or takes nothing.
         """
-        if self._full(job.tenant):
+        if self._is_full(job.tenant):
             return Answer(RequestEnd.REJECTED, retry_after=self.config.settings.max_retry_after_s)
-        self.open[job.tenant] += 1
+        self.open_by_tenant[job.tenant] += 1
         try:
-            watch = _Watch(job, self.config.class_names[job.cls])
-            request = watch.request = self.requests.take(job, watch)
-            while not watch.feed.milestones:
+            streamed = StreamedRequest(job, self.config.class_names[job.cls])
+            request = streamed.request = self.requests.take(job, streamed)
+            while not streamed.feed.milestones:
                 if request.answer.done():
                     return request.answer.result()
-                reading = await self._wait(connection, watch, None)
+                reading = await self._wait_for_change(connection, streamed, None)
                 if reading.done() and not reading.result():
-                    await self._give_up(request)
+                    await self._client_left(request)
                     raise Closed
             self.metrics.count("streams")
-            entry = self.registry.add(job.id, job.tenant, watch.token, watch.feed)
-            self.watches[job.id] = watch
-            request.answer.add_done_callback(lambda answer: self._answered(entry, watch, answer.result()))
-            await self._read(connection, entry, watch, 0, close)
+            entry = self.registry.add(job.id, job.tenant, streamed.token, streamed.feed)
+            self.streamed[job.id] = streamed
+            request.answer.add_done_callback(lambda answer: self._answered(entry, streamed, answer.result()))
+            await self._stream_to(connection, entry, streamed, 0, close)
             return None
         finally:
-            self.open[job.tenant] -= 1
+            self.open_by_tenant[job.tenant] -= 1
 
     async def attach(self, connection: Connection, message: Message, tenant: int | None, close: bool) -> bool:
         """Go on with a stream at `GET /jobs/ID/events`; False when nothing there is for who asks.
@@ -128,69 +131,77 @@
         parts = path.split("/")
         given = _token(query) or message.headers.get("authorization", "").removeprefix("Bearer ").strip()
         entry = self.registry.find(parts[2], given, tenant) if parts[3:] == ["events"] else None
-        if entry is None or self._full(entry.tenant):
+        if entry is None or self._is_full(entry.tenant):
             self.metrics.count("streams_not_found")
             return False
         seen = codec.last_event_id(message.headers.get("last-event-id", "")) or 0
         self.metrics.count("streams_attached")
-        self.open[entry.tenant] += 1
+        self.open_by_tenant[entry.tenant] += 1
         try:
-            await self._read(connection, entry, self.watches[entry.id], seen, close)
+            await self._stream_to(connection, entry, self.streamed[entry.id], seen, close)
         finally:
-            self.open[entry.tenant] -= 1
+            self.open_by_tenant[entry.tenant] -= 1
         return True
 
-    def _answered(self, entry: Entry, watch: _Watch, answer: Answer) -> None:
-        watch.feed.outcome(_content(answer))
-        watch.wake()
+    def _answered(self, entry: Entry, streamed: StreamedRequest, answer: Answer) -> None:
+        streamed.feed.outcome(_content(answer))
+        streamed.wake()
         self.registry.ended(entry, len(answer.body), self.timers.now())
 
-    def _look(self) -> None:
-        self.timers.after(LOOK, self._look)
+    def _expire(self) -> None:
+        self.timers.after(EXPIRY_INTERVAL_S, self._expire)
         for entry in self.registry.expire(self.timers.now()):
             self.metrics.count("streams_given_up")
-            self.watches[entry.id].request.client_left()
-        for job in [job for job in self.watches if job not in self.registry.entries]:
-            del self.watches[job]
+            self.streamed[entry.id].request.client_left()
+        for job in [job for job in self.streamed if job not in self.registry.entries]:
+            del self.streamed[job]
 
     @property
     def detached(self) -> int:
         """Jobs in work whose readers may come back: the door stays open for them."""
         return self.registry.detached
 
-    def _full(self, tenant: int) -> bool:
-        if self.open.total() >= self.told.max_streams:
+    def _is_full(self, tenant: int) -> bool:
+        if self.open_by_tenant.total() >= self.settings.max_streams:
             self.metrics.count_and_log("streams_over_limit", limit="max_streams")
             return True
-        if self.open[tenant] >= self.told.max_streams_tenant:
+        if self.open_by_tenant[tenant] >= self.settings.max_streams_tenant:
             self.metrics.count_and_log("streams_over_limit", limit="max_streams_tenant", tenant=tenant)
             return True
         return False
 
-    async def _read(
-        self, connection: Connection, entry: Entry, watch: _Watch, seen: int, close: bool
+    async def _stream_to(
+        self, connection: Connection, entry: Entry, streamed: StreamedRequest, seen: int, close: bool
     ) -> None:
         """Write a stream to one reader, to its outcome or until a newer reader takes over."""
         number = self.registry.attach(entry)
-        watch.wake()  # the one before sees that it has been taken over from
+        streamed.wake()  # the one before sees that it has been taken over from
         try:
-            await self._write(connection, entry, watch, number, seen, close)
+            await self._write_events(connection, entry, streamed, number, seen, close)
         except (Closed, OSError):
             self.metrics.count("streams_left")
             if self.registry.left(entry, number, self.timers.now()):
-                await self._give_up(watch.request)
+                await self._client_left(streamed.request)
             raise Closed from None
         except BaseException:  # a defect, or the end of the program: the job must not count as read for ever
             if self.registry.left(entry, number, self.timers.now()):
-                watch.request.client_left()
+                streamed.request.client_left()
             raise
         self.registry.left(entry, number, self.timers.now())
 
-    async def _write(
-        self, connection: Connection, entry: Entry, watch: _Watch, number: int, seen: int, close: bool
+    async def _write_events(
+        self,
+        connection: Connection,
+        entry: Entry,
+        streamed: StreamedRequest,
+        number: int,
+        seen: int,
+        close: bool,
     ) -> None:
         chunked = not close  # a connection that ends with its stream needs no chunks
-        reader = Reader(watch.feed, self.timers.now(), seen, self.told.events_per_s, self.told.keep_alive_s)
+        reader = Reader(
+            streamed.feed, self.timers.now(), seen, self.settings.events_per_s, self.settings.keep_alive_s
+        )
         data = _head(close)
         while True:
             now = self.timers.now()
@@ -198,7 +209,10 @@
             said = [] if taken_over else reader.take(now)
             text = b"".join(
                 codec.json_event(
-                    one.name, one.number, one.content, self.told.retry_ms if one.name == ACCEPTED else None
+                    one.name,
+                    one.number,
+                    one.content,
+                    self.settings.retry_ms if one.name == ACCEPTED else None,
                 )
                 for one in said
             )
@@ -212,35 +226,37 @@
             if last and chunked:
                 data += b"0\r\n\r\n"
             if data:
-                await self._send(connection, data, watch.job.id)
+                await self._send(connection, data, streamed.job.id)
                 data = b""
             if last:
                 return
             if entry.reader != number:  # taken over from while the last event was being written
                 continue
-            reading = await self._wait(connection, watch, reader.wait(self.timers.now()))
+            reading = await self._wait_for_change(connection, streamed, reader.wait(self.timers.now()))
             if reading.done() and not reading.result():
                 raise Closed
 
     async def _send(self, connection: Connection, data: bytes, job: str) -> None:
         try:
-            async with self.timers.timeout(self.told.stalled_s):
+            async with self.timers.timeout(self.settings.stalled_s):
                 await connection.send(data)
         except TimeoutError:
             self.metrics.count_and_log("stream_stalled", request=job)
             raise
 
-    async def _wait(self, connection: Connection, watch: _Watch, most: float | None) -> asyncio.Task[bool]:
+    async def _wait_for_change(
+        self, connection: Connection, streamed: StreamedRequest, most: float | None
+    ) -> asyncio.Task[bool]:
         """Until there is news, the answer is there, the client sends or leaves, or `most` s have passed."""
-        reading, news = connection.reading(), watch.news()
+        reading, news = connection.reading(), streamed.next_change()
         waits: set[asyncio.Future[Any]] = {news, reading}
-        if not watch.feed.milestones:
-            waits.add(watch.request.answer)  # from the first event on the answer is told like all else
+        if not streamed.feed.milestones:
+            waits.add(streamed.request.answer)  # from the first event on the answer is told like all else
         await asyncio.wait(waits, timeout=most, return_when=asyncio.FIRST_COMPLETED)
-        watch.forget(news)
+        streamed.forget_waiter(news)
         return reading
 
-    async def _give_up(self, request: Request) -> None:
+    async def _client_left(self, request: Request) -> None:
         """Nobody waits for it any more: the module hears of that once, if it had not answered before."""
         if not request.answer.done():
             request.client_left()
--- a/beaconhinge/net/worker_pool.py
+++ b/beaconhinge/net/worker_pool.py
@@ -201,7 +201,7 @@
             self.budget.release()
             raise
         self.metrics.count("worker_connections")
-        return Connection(sock, requests=False, closed=self.budget.release)
+        return Connection(sock, requests=False, on_close=self.budget.release)
 
     def record_reuse(self, idle_for_s: float, well: bool) -> None:
         """Take note whether a connection was still good after it had been idle.
--- a/beaconhinge/runtime/metrics.py
+++ b/beaconhinge/runtime/metrics.py
@@ -70,10 +70,10 @@
     def spawn(self, coroutine: Coroutine[Any, Any, None], name: str) -> asyncio.Task[None]:
         task = asyncio.get_running_loop().create_task(coroutine, name=name)
         self.tasks.add(task)
-        task.add_done_callback(self._ended)
+        task.add_done_callback(self._on_task_done)
         return task
 
-    def _ended(self, task: asyncio.Task[Any]) -> None:
+    def _on_task_done(self, task: asyncio.Task[Any]) -> None:
         self.tasks.discard(task)
         if not task.cancelled() and (error := task.exception()) is not None:
             self.log_exception(task.get_name(), error)
--- a/beaconhinge/runtime/timer_wheel.py
+++ b/beaconhinge/runtime/timer_wheel.py
@@ -27,7 +27,7 @@
 
     def __init__(self, now: Callable[[], float], on_error: Callable[[str, BaseException], None]) -> None:
         self.now = now
-        self.failed = on_error
+        self.on_error = on_error
         self._slots: list[list[Timer]] = [[] for _ in range(SLOTS)]
         self._origin = now()
         self._last_tick = 0  # the last tick whose slot was emptied
@@ -75,7 +75,7 @@
                 try:
                     call()
                 except Exception as error:  # one timer's failure must not lose the others
-                    self.failed("timer", error)
+                    self.on_error("timer", error)
         self._firing = False
         if self._count:
             self._schedule_wakeup()
@@ -96,13 +96,13 @@
     """`async with wheel.limit(seconds)`: the body gets that long, then TimeoutError is raised."""
 
     def __init__(self, timers: TimerWheel, seconds: float) -> None:
-        self._wheel = timers
+        self._timers = timers
         self._seconds = seconds
         self._expired = False
 
     async def __aenter__(self) -> Timeout:
         self._task = asyncio.current_task()
-        self._timer = self._wheel.after(self._seconds, self._expire)
+        self._timer = self._timers.after(self._seconds, self._expire)
         return self
 
     def _expire(self) -> None:
--- a/tests/management/test_management.py
+++ b/tests/management/test_management.py
@@ -99,7 +99,8 @@
     async def scenario(harness: Harness, operator: Operator) -> None:
         clients = [await harness.open() for _ in range(64)]
         mute = [
-            await asyncio.open_connection("127.0.0.1", operator.port) for _ in range(2 * management.CALLERS)
+            await asyncio.open_connection("127.0.0.1", operator.port)
+            for _ in range(2 * management.MAX_CALLERS)
         ]
         assert await operator.call("ready") == "SUCCESS ready\n"
         assert (await mute[0][0].read()).startswith(b"FAILURE too many callers")
--- a/tests/progress/test_streams.py
+++ b/tests/progress/test_streams.py
@@ -398,7 +398,7 @@
         assert (
             left == [True] and metrics.counters["stream_stalled"] == 1 and "stream_stalled" in log.getvalue()
         )
-        assert streams.open.total() == 0
+        assert streams.open_by_tenant.total() == 0
         connection.close()
         there.close()
 
--- a/tests/test_http1.py
+++ b/tests/test_http1.py
@@ -42,7 +42,7 @@
     near, far = socket.socketpair()
     near.setblocking(False)
     far.setblocking(False)
-    connection, seen = Connection(near, requests=requests, closed=lambda: None), []
+    connection, seen = Connection(near, requests=requests, on_close=lambda: None), []
     write = asyncio.ensure_future(
         _write(far, [data[a:b] for a, b in zip([0, *cuts], [*cuts, None], strict=True)])
     )
