--- a/beaconhinge/dispatch/request.py
+++ b/beaconhinge/dispatch/request.py
@@ -1,9 +1,9 @@
-"""The life of one request, without a word of HTTP: taken, attempted as the module says, answered once."""
+"""The life of one request, whatever its protocol: taken, attempted as the policy decides, answered once."""
 
 from __future__ import annotations
 
 import asyncio
-from collections.abc import Awaitable, Callable, Mapping, Sequence
+from collections.abc import Awaitable, Callable, Sequence
 from dataclasses import dataclass
 from typing import Protocol, TypeAlias
 
@@ -11,98 +11,35 @@
 from ..policy import interface
 from ..policy.interface import PROVEN_UNRUN, RETRY_FLAG, AttemptOutcome, NoticeKind, Semantics
 from ..runtime.metrics import Metrics
-from ..runtime.timer_wheel import Timer, TimerWheel
+from ..runtime.timer_wheel import TimerWheel
+from .attempt import Attempt, AttemptFinished, AttemptProgress, AttemptTransport, SiblingAttempts
+from .job import Answer, IdempotencyKeys, Job, KeyStatus, RequestEnd
 from .policy_runner import PolicyRunner
 
-REFUSED, FAILED, GONE = (
-    "refused",
-    "failed",
-    "gone",
-)  # besides AttemptOutcome.SERVED: the ends of a request
-# One whose client left is in no figure.
-FIGURE = {AttemptOutcome.SERVED: figures.SUCCESS, REFUSED: figures.BUSY, FAILED: figures.FAILURE}
-
-
-@dataclass(slots=True)
-class Job:
-    """What a client hands in, whatever protocol it speaks."""
-
-    id: str
-    cls: int
-    tenant: int
-    remaining: float  # seconds from `taken_at`, the arrival of its last byte, until it must have its answer
-    taken_at: float
-    target: bytes  # path and query, passed on unchanged
-    body: bytes
-    dedup_key: str = ""
-    route_key: str = ""
-    slots: float = 1.0
-    memory: float = 0.0
-    repeat: bool = False
-    work: float = 0.0  # seconds of a standard core that it may take; 0: not known
-    patience: float = 0.0  # seconds from `taken_at` that its client waits; 0: `remaining`, and no more
-
-    @property
-    def deadline(self) -> float:
-        return self.taken_at + self.remaining
-
-
-@dataclass(slots=True, frozen=True)
-class Answer:
-    end: str
-    body: bytes = b""
-    retry_after: float = 0.0
-
-
-@dataclass(slots=True, frozen=True)
-class Known:
-    """What is known of a job's key before it is started."""
-
-    doubted: bool = False  # it may have run elsewhere, or may be about to
-    result: bytes | None = None
-    entered: bool = False  # it is in the book now, and `left` is due
-
-
-class KeyBook(Protocol):
-    """Knows which keys are, or were lately, at this or another dispatcher."""
-
-    async def enter(self, job: Job) -> Known: ...
-
-    def left(self, job: Job, may_have_run: bool, result: bytes | None) -> None: ...
+# Operators' figure for each end; a request whose client left is in none.
+FIGURE_OF_END = {
+    RequestEnd.SERVED: figures.SUCCESS,
+    RequestEnd.REJECTED: figures.BUSY,
+    RequestEnd.FAILED: figures.FAILURE,
+}
 
-
-@dataclass(slots=True, frozen=True)
-class Ended:
-    """An attempt has its outcome."""
-
-    attempt: Attempt
-    outcome: AttemptOutcome
-    body: bytes = b""
-    load: Mapping[str, float] | None = None
-
-
-@dataclass(slots=True, frozen=True)
-class Told:
-    """A worker tells of an attempt in flight."""
-
-    attempt: Attempt
-    what: int
-    share: float
+# Request numbers stay under 2^32 like the simulator's; the policy adds to them for its timers.
+REQUEST_NUMBERS = 0xFFFF0000
 
 
 @dataclass(slots=True, frozen=True)
 class ClientLeft:
-    pass
+    """The client has closed its connection."""
 
 
 @dataclass(slots=True, frozen=True)
 class Overdue:
-    pass
+    """The deadline is past, and the time that the policy has to answer after it."""
 
 
 @dataclass(slots=True, frozen=True)
 class Admitted:
-    """The module has heard of the job, and what it said at once stands before this."""
+    """The policy knows of the job; what it decided at once stands before this in the queue."""
 
 
 Step: TypeAlias = (
@@ -110,274 +47,246 @@
     | interface.Reject
     | interface.Fail
     | interface.CancelAttempt
-    | Ended
-    | Told
+    | AttemptFinished
+    | AttemptProgress
     | ClientLeft
     | Overdue
     | Admitted
 )
 
 
-class Watcher(Protocol):
+class RequestObserver(Protocol):
     """Follows a request on its way; the answer comes by itself. Attempts are named by their numbers."""
 
     def accepted(self) -> None:
-        """The module has not turned it down at once."""
-
-    def started(self, attempt: int) -> None: ...
-
-    def progress(self, attempt: int, share: float) -> None: ...
-
-    def lost(self, attempt: int) -> None: ...
-
-
-@dataclass(slots=True, frozen=True)
-class Others:
-    """The other attempts of an attempt's request."""
+        """The policy has not rejected the request at once."""
 
-    at_worker: int  # out at the same worker
-    out: int  # out anywhere
-    may_have_run: bool  # one of those that have ended
+    def started(self, attempt: int) -> None:
+        """The worker has begun with the job."""
 
+    def progress(self, attempt: int, share: float) -> None:
+        """The worker has done so much of the job, from 0 to 1."""
 
-class Attempt:
-    """One send to one worker. The first end counts, whoever reports it; all later ones are passed over."""
+    def lost(self, attempt: int) -> None:
+        """The attempt ended without a result."""
 
-    def __init__(
-        self,
-        job: Job,
-        number: int,
-        worker: int,
-        sent_at: float,
-        until: float,
-        tell: Callable[[Step], None],
-        wanted: Callable[[], bool],
-        others: Callable[[Attempt], Others],
-    ) -> None:
-        self.job = job
-        self.number = number
-        self.worker = worker
-        self.sent_at = sent_at
-        self.until = until  # when it ends without an answer
-        self.open = True
-        self.begun = False  # its first byte may have been written
-        self.released: Callable[[AttemptOutcome], None] = lambda outcome: None  # set by who carries it
-        self.timer: Timer | None = None
-        self._tell = tell
-        self._wanted = wanted
-        self._others = others
-
-    def wanted(self) -> bool:
-        """Whether somebody waits for an answer, as far as can be seen this moment. A connection may come up,
-        or a turn of the loop be due, long after the client has gone.
-        """
-        return self._wanted()
-
-    def others(self) -> Others:
-        return self._others(self)
 
-    def end(
-        self, outcome: AttemptOutcome, body: bytes = b"", load: Mapping[str, float] | None = None
-    ) -> None:
-        if self.open:
-            self.open = False
-            if self.timer is not None:
-                self.timer.cancel()
-            self.released(outcome)
-            self._tell(Ended(self, outcome, body, load))
+def _outcome_as_is(_attempt: Attempt, outcome: AttemptOutcome) -> AttemptOutcome:
+    return outcome
 
-    def told(self, what: int, share: float = 0.0) -> None:
-        if self.open:
-            self._tell(Told(self, what, share))
 
+def _whole_span(since: float, now: float) -> float:
+    return max(now - since, 0.0)
 
-class Carrier(Protocol):
-    """Brings attempts to workers."""
 
-    def start(self, attempt: Attempt) -> None: ...
+def _client_stays() -> bool:
+    return False
 
 
 class RequestTable:
-    """All requests in hand."""
+    """All requests that have no end yet, or have attempts without one.
+
+    Attributes:
+        requests: by the id that the client gave.
+        reported_outcome: what an attempt's outcome is reported to the policy as.
+        own_seconds: the part of a span of time in which this process ran.
+        wait_before_admission: a new job waits for it, for a bounded time.
+        keys: idempotency keys, where they are kept.
+    """
 
     def __init__(
         self,
         policy_runner: PolicyRunner,
-        carrier: Carrier,
+        transport: AttemptTransport,
         timers: TimerWheel,
         metrics: Metrics,
         settings: interface.Settings,
         class_names: Sequence[str],
     ) -> None:
+        """Make an empty table whose attempts are sent by `transport`."""
         self.class_names = class_names
         self.policy_runner = policy_runner
-        self.carrier = carrier
+        self.transport = transport
         self.timers = timers
         self.metrics = metrics
         self.settings = settings
-        self.in_hand: dict[str, Request] = {}
-        self._last = 0
-        # What an attempt's end is told to the module as, and the time of it in which this process ran.
-        self.excuse: Callable[[Attempt, AttemptOutcome], AttemptOutcome] = lambda attempt, outcome: outcome
-        self.own_seconds: Callable[[float, float], float] = lambda since, now: max(now - since, 0.0)
-        self.before: Callable[[], Awaitable[None]] | None = None  # a new job waits for it, if bounded
-        self.keys: KeyBook | None = None
+        self.requests: dict[str, Request] = {}
+        self._last_number = 0
+        self.reported_outcome: Callable[[Attempt, AttemptOutcome], AttemptOutcome] = _outcome_as_is
+        self.own_seconds: Callable[[float, float], float] = _whole_span
+        self.wait_before_admission: Callable[[], Awaitable[None]] | None = None
+        self.keys: IdempotencyKeys | None = None
 
     @property
     def full(self) -> bool:
-        return len(self.in_hand) >= self.settings.max_queued
+        """Whether there is no room for another request."""
+        return len(self.requests) >= self.settings.max_queued
 
     @property
-    def owed(self) -> int:
-        """Jobs taken whose end has not come yet."""
-        return sum(not request.answer.done() for request in self.in_hand.values())
+    def unanswered(self) -> int:
+        """Number of requests whose end has not come yet."""
+        return sum(not request.answer.done() for request in self.requests.values())
 
-    def turn_away(self, job: Job) -> Answer:
-        """Refuse a job without the module's word: there is no room for it, or no time."""
+    def reject(self, job: Job) -> Answer:
+        """Reject a job without asking the policy: there is no room for it, or no time."""
         self.metrics.count(figures.counter_name(figures.BUSY, self.class_names[job.cls]))
-        return Answer(REFUSED, retry_after=self.settings.max_retry_after_s)
+        return Answer(RequestEnd.REJECTED, retry_after=self.settings.max_retry_after_s)
 
     def take(
-        self, job: Job, watcher: Watcher | None = None, has_left: Callable[[], bool] = lambda: False
+        self,
+        job: Job,
+        observer: RequestObserver | None = None,
+        has_client_left: Callable[[], bool] = _client_stays,
     ) -> Request:
-        """`has_left` tells whether the client has gone, as far as can be seen this moment."""
-        # Numbers stay under 2^32 like the simulator's; the module adds to them for its timers.
-        self._last = self._last % 0xFFFF0000 + 1
-        request = self.in_hand[job.id] = Request(self, self._last, job, watcher, has_left)
+        """Start a request in a task of its own.
+
+        Args:
+            job: what the client handed in.
+            observer: hears of each step, for a streamed answer.
+            has_client_left: whether the client has gone, as far as can be seen this moment.
+        """
+        self._last_number = self._last_number % REQUEST_NUMBERS + 1
+        request = self.requests[job.id] = Request(self, self._last_number, job, observer, has_client_left)
         self.metrics.count("requests_taken")
-        self.metrics.spawn(request.live(), "request")
+        self.metrics.spawn(request.run(), "request")
         return request
 
 
 class Request:
+    """One request with its attempts. Everything that happens to it is a step in one queue.
+
+    Attributes:
+        number: its number in events and actions of the policy.
+        answer: done once the client's answer is settled.
+    """
+
     def __init__(
         self,
-        all_of_them: RequestTable,
+        table: RequestTable,
         number: int,
         job: Job,
-        watcher: Watcher | None,
-        has_left: Callable[[], bool],
+        observer: RequestObserver | None,
+        has_client_left: Callable[[], bool],
     ) -> None:
-        self.all = all_of_them
+        """Called by `RequestTable.take`, which also starts `run`."""
+        self.table = table
         self.number = number
         self.job = job
-        self.watcher = watcher
+        self.observer = observer
         self.answer: asyncio.Future[Answer] = asyncio.get_running_loop().create_future()
         self._steps: asyncio.Queue[Step] = asyncio.Queue()
         self._attempts: list[Attempt] = []
         self._may_have_run = False
-        self._has_left = has_left
-        self._left = False
+        self._has_client_left = has_client_left
+        self._client_left = False
 
     def client_left(self) -> None:
-        if not self._left:
-            self._left = True
-            self.all.policy_runner.monitor.client_disconnected(self.job.id, self.all.timers.now())
+        """Take note that the client has gone; later calls change nothing."""
+        if not self._client_left:
+            self._client_left = True
+            self.table.policy_runner.monitor.client_disconnected(self.job.id, self.table.timers.now())
             self._steps.put_nowait(ClientLeft())
 
-    def wanted(self) -> bool:
+    def client_is_waiting(self) -> bool:
         """Whether somebody waits for the answer still."""
-        if not self._left and self._has_left():
+        if not self._client_left and self._has_client_left():
             self.client_left()
-        return not self._left and not self.answer.done()
-
-    async def live(self) -> None:
-        policy_runner, metrics, job = self.all.policy_runner, self.all.metrics, self.job
-        policy_runner.request_handlers[self.number] = self._steps.put_nowait
-        unsafe = self.all.settings.classes[job.cls].semantics == Semantics.UNSAFE
-        policy_runner.monitor.request_started(job.id, job.deadline, unsafe)
-        late = job.remaining + self.all.settings.answer_grace_s / 2
-        backstop = self.all.timers.after(late, lambda: self._steps.put_nowait(Overdue()))
-        known, spent = Known(), 0.0
+        return not self._client_left and not self.answer.done()
+
+    async def run(self) -> None:
+        """Serve the request from its admission until the last attempt has its outcome."""
+        table, job = self.table, self.job
+        table.policy_runner.request_handlers[self.number] = self._steps.put_nowait
+        unsafe = table.settings.classes[job.cls].semantics == Semantics.UNSAFE
+        table.policy_runner.monitor.request_started(job.id, job.deadline, unsafe)
+        overdue_after_s = job.remaining_s + table.settings.answer_grace_s / 2
+        backstop = table.timers.after(overdue_after_s, lambda: self._steps.put_nowait(Overdue()))
+        key, spent_s = KeyStatus(), 0.0
         try:
-            if self.all.before is not None or self.all.keys is not None and job.dedup_key:
-                known = await self._known()
-                spent = self.all.timers.now() - job.taken_at  # that took time
-            if known.result is not None:
-                self._finish(Answer(AttemptOutcome.SERVED, known.result))
+            if table.wait_before_admission is not None or table.keys is not None and job.dedup_key:
+                key = await self._look_up_key()
+                spent_s = table.timers.now() - job.taken_at
+            if key.result is not None:
+                self._finish(Answer(RequestEnd.SERVED, key.result))
                 return
-            left, patience = (max(span - spent, 0.0) for span in (job.remaining, job.patience))
-            policy_runner.feed(
-                interface.JobArrived(
-                    self.number,
-                    job.cls,
-                    job.tenant,
-                    left,
-                    job.route_key,
-                    size_hint=job.work,
-                    slots=job.slots,
-                    memory=job.memory,
-                    flags=RETRY_FLAG if job.repeat else 0,
-                    may_run_elsewhere=known.doubted,
-                    client_timeout=patience,
-                )
-            )
-            if self.watcher is not None:
-                self._steps.put_nowait(Admitted())
-            # The last steps count as well: each send is due its outcome, and the module each outcome.
+            self._submit(key, spent_s)
+            # The last steps count as well: each send is due its outcome, and the policy each outcome.
             while not self.answer.done() or not self._steps.empty() or any(a.open for a in self._attempts):
-                step = await self._steps.get()
-                match step:
-                    case interface.SendAttempt():
-                        self._send(step)
-                    case interface.CancelAttempt():
-                        self._attempts[step.attempt].end(AttemptOutcome.CANCELLED)
-                    case interface.Reject():
-                        self._finish(Answer(REFUSED, retry_after=step.retry_after))
-                    case interface.Fail():
-                        self._finish(Answer(FAILED))
-                    case Admitted():
-                        if self.watcher is not None and not self.answer.done():
-                            self.watcher.accepted()
-                    case Told():
-                        self._show(step)
-                        policy_runner.feed(
-                            interface.ProgressNotice(
-                                self.number, step.attempt.worker, step.attempt.number, step.what, step.share
-                            )
-                        )
-                    case Ended():
-                        self._ended(step)
-                    case ClientLeft():
-                        if self._finish(Answer(GONE)):
-                            policy_runner.feed(interface.ClientDisconnected(self.number))
-                    case Overdue() if not self._steps.empty():
-                        # The loop was late: the module's answer may wait behind the outcome at the deadline.
-                        self._steps.put_nowait(step)
-                    case Overdue():
-                        # The module answers before this; if it fails to, the client gets an answer still.
-                        if not metrics.check(self.answer.done(), "answered_by_deadline"):
-                            self._finish(Answer(FAILED))
-                            policy_runner.feed(interface.ClientDisconnected(self.number))
+                self._handle(await self._steps.get())
         finally:
             backstop.cancel()
-            self._finish(Answer(FAILED))  # only if something above has failed: the client gets its answer
-            if known.entered and self.all.keys is not None:
-                answer = self.answer.result()
-                may_have_run = self._may_have_run or any(a.open for a in self._attempts)
-                self.all.keys.left(
-                    job, may_have_run, answer.body if answer.end == AttemptOutcome.SERVED else None
-                )
-            policy_runner.request_handlers.pop(self.number, None)
-            policy_runner.monitor.request_finished(job.id)
-            del self.all.in_hand[job.id]
-
-    async def _known(self) -> Known:
-        """What is found out before the module hears of the job, in half of its time at most: a slow disk, or
-        dispatchers that do not answer, must not cost it its answer.
+            self._finish(Answer(RequestEnd.FAILED))  # only if something above has failed
+            self._leave_table(key)
+
+    def _submit(self, key: KeyStatus, spent_s: float) -> None:
+        """Let the policy decide on the job, `spent_s` after its arrival."""
+        job = self.job
+        self.table.policy_runner.feed(
+            interface.JobArrived(
+                self.number,
+                job.cls,
+                job.tenant,
+                max(job.remaining_s - spent_s, 0.0),
+                job.route_key,
+                size_hint=job.work_s,
+                slots=job.slots,
+                memory=job.memory,
+                flags=RETRY_FLAG if job.is_retry else 0,
+                may_run_elsewhere=key.may_run_elsewhere,
+                client_timeout=max(job.client_timeout_s - spent_s, 0.0),
+            )
+        )
+        if self.observer is not None:
+            self._steps.put_nowait(Admitted())
+
+    def _handle(self, step: Step) -> None:
+        match step:
+            case interface.SendAttempt():
+                self._start_attempt(step)
+            case interface.CancelAttempt():
+                self._attempts[step.attempt].end(AttemptOutcome.CANCELLED)
+            case interface.Reject():
+                self._finish(Answer(RequestEnd.REJECTED, retry_after=step.retry_after))
+            case interface.Fail():
+                self._finish(Answer(RequestEnd.FAILED))
+            case Admitted():
+                self._on_admitted()
+            case AttemptProgress():
+                self._on_attempt_progress(step)
+            case AttemptFinished():
+                self._on_attempt_finished(step)
+            case ClientLeft():
+                self._on_client_left()
+            case Overdue():
+                self._on_overdue(step)
+
+    def _leave_table(self, key: KeyStatus) -> None:
+        if key.registered and self.table.keys is not None:
+            answer = self.answer.result()
+            may_have_run = self._may_have_run or any(a.open for a in self._attempts)
+            result = answer.body if answer.end is RequestEnd.SERVED else None
+            self.table.keys.left(self.job, may_have_run, result)
+        self.table.policy_runner.request_handlers.pop(self.number, None)
+        self.table.policy_runner.monitor.request_finished(self.job.id)
+        del self.table.requests[self.job.id]
+
+    async def _look_up_key(self) -> KeyStatus:
+        """What is found out before the policy knows of the job, in half of the job's time at most.
+
+        A slow disk, or dispatchers that do not answer, must not cost it its answer.
         """
         try:
-            async with self.all.timers.timeout(self.job.remaining / 2):
-                if self.all.before is not None:
-                    await self.all.before()
-                if self.all.keys is not None and self.job.dedup_key:
-                    return await self.all.keys.enter(self.job)
-                return Known()
+            async with self.table.timers.timeout(self.job.remaining_s / 2):
+                if self.table.wait_before_admission is not None:
+                    await self.table.wait_before_admission()
+                if self.table.keys is not None and self.job.dedup_key:
+                    return await self.table.keys.enter(self.job)
+                return KeyStatus()
         except TimeoutError:
-            return Known(doubted=bool(self.job.dedup_key))
+            return KeyStatus(may_run_elsewhere=bool(self.job.dedup_key))
 
-    def _send(self, order: interface.SendAttempt) -> None:
-        now = self.all.timers.now()
+    def _start_attempt(self, order: interface.SendAttempt) -> None:
+        now = self.table.timers.now()
         until = min(self.job.deadline, now + order.timeout if order.timeout > 0 else self.job.deadline)
         attempt = Attempt(
             self.job,
@@ -386,41 +295,66 @@
             now,
             until,
             self._steps.put_nowait,
-            self.wanted,
-            self._others,
+            self.client_is_waiting,
+            self._siblings_of,
         )
         busy = any(a.open and a.worker == order.worker for a in self._attempts)
         self._attempts.append(attempt)
-        self.all.metrics.count("attempts")
-        one_at_a_time = self.all.metrics.check(not busy, "one_attempt_per_worker")
-        if not self.wanted() or until <= now or not one_at_a_time:
+        self.table.metrics.count("attempts")
+        one_at_a_time = self.table.metrics.check(not busy, "one_attempt_per_worker")
+        if not self.client_is_waiting() or until <= now or not one_at_a_time:
             attempt.end(AttemptOutcome.NOT_SENT)
             return
-        attempt.timer = self.all.timers.after(until - now, lambda: attempt.end(AttemptOutcome.TIMEOUT))
-        self.all.metrics.trace(
+        attempt.timer = self.table.timers.after(until - now, lambda: attempt.end(AttemptOutcome.TIMEOUT))
+        self.table.metrics.trace(
             "attempts", "attempt", request=self.job.id, worker=order.worker, number=attempt.number
         )
-        self.all.carrier.start(attempt)
+        self.table.transport.start(attempt)
+
+    def _siblings_of(self, attempt: Attempt) -> SiblingAttempts:
+        out = [
+            other for other in self._attempts if other is not attempt and other.open and other.may_be_written
+        ]
+        return SiblingAttempts(
+            sum(other.worker == attempt.worker for other in out), len(out), self._may_have_run
+        )
+
+    def _on_admitted(self) -> None:
+        if self.observer is not None and not self.answer.done():
+            self.observer.accepted()
+
+    def _on_attempt_progress(self, step: AttemptProgress) -> None:
+        attempt = step.attempt
+        if self.observer is not None:
+            if step.kind == NoticeKind.STARTED:
+                self.observer.started(attempt.number)
+            else:
+                self.observer.progress(attempt.number, step.share)
+        self.table.policy_runner.feed(
+            interface.ProgressNotice(self.number, attempt.worker, attempt.number, step.kind, step.share)
+        )
 
-    def _others(self, attempt: Attempt) -> Others:
-        out = [other for other in self._attempts if other is not attempt and other.open and other.begun]
-        return Others(sum(other.worker == attempt.worker for other in out), len(out), self._may_have_run)
+    def _on_client_left(self) -> None:
+        if self._finish(Answer(RequestEnd.CLIENT_GONE)):
+            self.table.policy_runner.feed(interface.ClientDisconnected(self.number))
 
-    def _show(self, step: Told) -> None:
-        if self.watcher is None:
+    def _on_overdue(self, step: Overdue) -> None:
+        if not self._steps.empty():
+            # The loop was late: the policy's answer may wait behind the outcome at the deadline.
+            self._steps.put_nowait(step)
             return
-        if step.what == NoticeKind.STARTED:
-            self.watcher.started(step.attempt.number)
-        else:
-            self.watcher.progress(step.attempt.number, step.share)
+        # The policy answers before this; if it fails to, the client gets an answer still.
+        if not self.table.metrics.check(self.answer.done(), "answered_by_deadline"):
+            self._finish(Answer(RequestEnd.FAILED))
+            self.table.policy_runner.feed(interface.ClientDisconnected(self.number))
 
-    def _ended(self, step: Ended) -> None:
+    def _on_attempt_finished(self, step: AttemptFinished) -> None:
         attempt = step.attempt
         self._may_have_run = self._may_have_run or step.outcome not in PROVEN_UNRUN
-        if self.watcher is not None and step.outcome != AttemptOutcome.SERVED:
-            self.watcher.lost(attempt.number)
-        self.all.metrics.count("outcome_" + step.outcome)
-        self.all.metrics.trace(
+        if self.observer is not None and step.outcome != AttemptOutcome.SERVED:
+            self.observer.lost(attempt.number)
+        self.table.metrics.count("outcome_" + step.outcome)
+        self.table.metrics.trace(
             "attempts",
             "attempt_ended",
             request=self.job.id,
@@ -429,14 +363,14 @@
             outcome=step.outcome,
         )
         if step.outcome == AttemptOutcome.SERVED:
-            self._finish(Answer(AttemptOutcome.SERVED, step.body))
-        latency = self.all.own_seconds(attempt.sent_at, self.all.timers.now())
-        self.all.policy_runner.feed(
+            self._finish(Answer(RequestEnd.SERVED, step.body))
+        latency = self.table.own_seconds(attempt.sent_at, self.table.timers.now())
+        self.table.policy_runner.feed(
             interface.AttemptEnded(
                 self.number,
                 attempt.worker,
                 attempt.number,
-                self.all.excuse(attempt, step.outcome),
+                self.table.reported_outcome(attempt, step.outcome),
                 self.answer.done(),
                 latency,
                 step.load,
@@ -444,20 +378,20 @@
         )
 
     def _finish(self, answer: Answer) -> bool:
-        """The first final answer stands."""
+        """Settle the answer. The first one stands; returns whether this is it."""
         if self.answer.done():
             return False
         self.answer.set_result(answer)
         self.job.body = b""  # attempts under way hold it as long as they need it
         for attempt in self._attempts:
-            if not attempt.begun:  # it waits for its connection, and nobody for it
+            if not attempt.may_be_written:  # it waits for its connection, and nobody for it
                 attempt.end(AttemptOutcome.NOT_SENT)
-        self.all.metrics.count("answer_" + answer.end)
-        self.all.metrics.trace(
+        self.table.metrics.count("answer_" + answer.end)
+        self.table.metrics.trace(
             "attempts", "answered", request=self.job.id, end=answer.end, attempts=len(self._attempts)
         )
-        if answer.end in FIGURE:
-            self.all.metrics.count(
-                figures.counter_name(FIGURE[answer.end], self.all.class_names[self.job.cls])
+        if answer.end in FIGURE_OF_END:
+            self.table.metrics.count(
+                figures.counter_name(FIGURE_OF_END[answer.end], self.table.class_names[self.job.cls])
             )
         return True
--- a/beaconhinge/net/keys.py
+++ b/beaconhinge/net/keys.py
@@ -8,7 +8,7 @@
 from collections.abc import Callable
 
 from ..config import Config
-from ..dispatch.request import Job, Known
+from ..dispatch.job import Job, KeyStatus
 from ..recovery import key_messages, key_records
 from ..recovery.key_inquiry import KeyInquiry, ResultAssembly
 from ..recovery.key_messages import FetchResultPart, KeyAnswer, KeyQuery, KeyState, ResultPart
@@ -147,7 +147,7 @@
 
     # ---- a request -----------------------------------------------------------------------------------------
 
-    async def enter(self, job: Job) -> Known:
+    async def enter(self, job: Job) -> KeyStatus:
         """Find out what is known of a job's key, before the policy hears of it.
 
         Returns:
@@ -157,12 +157,14 @@
         result = self.registry.result(now, name)
         if result is not None:
             self.metrics.count("keys_answered")
-            return Known(result=result)
+            return KeyStatus(result=result)
         if self.registry.state(now, name) == KeyState.PRESENT:
             self.metrics.count("keys_here")
-            return Known(doubted=True)
+            return KeyStatus(may_run_elsewhere=True)
         ask = (
-            job.repeat or not self.config.settings.clients_mark_retries or self.registry.is_claimed(now, name)
+            job.is_retry
+            or not self.config.settings.clients_mark_retries
+            or self.registry.is_claimed(now, name)
         )
         self.registry.begin(now, name, job.id)
         entered = False
@@ -177,12 +179,14 @@
                     verdict = KeyState.UNKNOWN
                 self.metrics.count(COUNTER_BY_STATE[verdict])
                 if verdict == KeyState.RESULT_CACHED:
-                    return Known(doubted=True, result=await self._fetch(inquiry.result_holder, name))
+                    return KeyStatus(
+                        may_run_elsewhere=True, result=await self._fetch(inquiry.result_holder, name)
+                    )
             entered = verdict == KeyState.ABSENT and await self._write_record(name, job)
         finally:  # it may be given up for want of time
             if not entered:
                 self.registry.end(self.timers.now(), name, False, None)
-        return Known(doubted=not entered, entered=entered)
+        return KeyStatus(may_run_elsewhere=not entered, registered=entered)
 
     def left(self, job: Job, may_have_run: bool, result: bytes | None) -> None:
         """The request that `enter` let in has ended."""
--- a/beaconhinge/net/recovery.py
+++ b/beaconhinge/net/recovery.py
@@ -8,8 +8,9 @@
 
 from ..config import Config
 from ..config.local import RecoveryOptions
+from ..dispatch.attempt import Attempt
 from ..dispatch.policy_runner import PolicyRunner
-from ..dispatch.request import Attempt, RequestTable
+from ..dispatch.request import RequestTable
 from ..policy import interface
 from ..policy.interface import AttemptOutcome
 from ..recovery.stall import Stall, StallDetector
@@ -114,7 +115,7 @@
         self._timers_postponed_until = 0.0  # for timers
         timers.postponed_for = self._timers_postponed_for
         policy_runner.check_for_stall = peers.woken = self.check
-        requests.excuse = self._excuse
+        requests.reported_outcome = self._excuse
         requests.own_seconds = self.detector.running_seconds
 
     def check(self) -> bool:
@@ -158,7 +159,7 @@
             self._delay_reasons.discard(why)
             if not self._delay_reasons:
                 self._settled.set()
-        self.requests.before = self._wait_for_list if self._delay_reasons else None
+        self.requests.wait_before_admission = self._wait_for_list if self._delay_reasons else None
 
     async def _wait_for_list(self) -> None:
         try:
--- a/tests/progress/test_streams.py
+++ b/tests/progress/test_streams.py
@@ -13,10 +13,10 @@
 from harness import Harness, ReceivedMessage, ScriptedPolicy, job_bytes, read_message, run_scenario
 from httpx_sse._decoders import SSEDecoder
 
-from beaconhinge import __main__ as program
+from beaconhinge import application as program
 from beaconhinge.config import Limits
 from beaconhinge.config.local import LocalConfig, ProgressOptions
-from beaconhinge.dispatch.request import Answer, Job
+from beaconhinge.dispatch.job import Answer, Job
 from beaconhinge.net.http1 import Closed, Connection
 from beaconhinge.net.streams import Streams
 from beaconhinge.policy import interface
@@ -398,7 +398,7 @@
         assert (
             left == [True] and metrics.counters["stream_stalled"] == 1 and "stream_stalled" in log.getvalue()
         )
-        assert streams.open.total() == 0
+        assert streams.open_by_tenant.total() == 0
         connection.close()
         there.close()
 
