--- /dev/null
+++ b/tests/policy/test_admission.py
@@ -0,0 +1,79 @@
+"""Decisions on shares and rate."""
+
+from __future__ import annotations
+
+import pytest
+from decision_helpers import finals
+from helpers import job, sends, started
+
+from beaconhinge.gossip.aggregation import max_min, smooth
+from beaconhinge.policy import interface
+from beaconhinge.policy.dispatcher import TICK_TIMER
+
+
+def test_max_min_lends_unused_share() -> None:
+    assert max_min(10, [2, 20, 20], [1, 1, 1]) == pytest.approx([10 / 3, 4, 4])
+
+
+def test_max_min_keeps_the_whole_share_of_a_quiet_tenant_as_its_limit() -> None:
+    assert max_min(10, [1, 1], [1, 1]) == pytest.approx([5, 5])
+
+
+def test_max_min_by_told_shares() -> None:
+    assert max_min(10, [50, 50], [3, 1]) == pytest.approx([7.5, 2.5])
+
+
+def test_first_rate_estimate_is_not_biased_low() -> None:
+    assert smooth(0.0, 10.0, 1.0, 0.0) == pytest.approx(10.0)
+    assert smooth(10.0, 10.0, 1.0, 2.0) == pytest.approx(10.0)
+
+
+def test_rate_is_cut_once_an_interval_and_rises_again() -> None:
+    dispatcher = started()
+    for number in range(1, 9):
+        dispatcher.handle(100.0 + number * 0.1, job(number))
+    dispatcher.admission.rejections, dispatcher.admission.sends = 5, 8
+    dispatcher.handle(101.5, interface.TimerFired(TICK_TIMER))
+    first = dispatcher.admission.fleet_rate
+    assert first < float("inf")
+    dispatcher.admission.rejections, dispatcher.admission.sends = 5, 8
+    dispatcher.handle(101.6, interface.TimerFired(TICK_TIMER))
+    assert dispatcher.admission.fleet_rate == first
+    dispatcher.admission.rejections = 0
+    dispatcher.handle(102.6, interface.TimerFired(TICK_TIMER))
+    assert dispatcher.admission.fleet_rate > first
+
+
+def test_over_rate_tenant_is_refused_unsent_and_the_other_is_not() -> None:
+    dispatcher = started(orgs__count="2", orgs__0__share="0.5", orgs__1__share="0.5")
+    for number in range(1, 40):
+        dispatcher.handle(100.0, job(number, tenant=0))
+    dispatcher.handle(100.0, job(40, tenant=1))
+    dispatcher.admission.fleet_rate = 4.0
+    dispatcher.reports.report()
+    dispatcher.admission.allocate_rates({(0, 0): 20.0, (1, 0): 0.5})
+    for bucket in dispatcher.admission.buckets.values():
+        bucket.demand = {0: 20.0, 1: 0.5}[0 if bucket is dispatcher.admission.buckets[(0, 0)] else 1]
+    dispatcher.admission.allocate_rates({(0, 0): 20.0, (1, 0): 0.5})
+    dispatcher.admission.buckets[(0, 0)].tokens = 0.0
+    dispatcher.admission.buckets[(1, 0)].tokens = 1.0
+    refused = dispatcher.handle(100.1, job(41, tenant=0))
+    assert finals(refused) == [interface.Reject] and not sends(refused)
+    assert finals(dispatcher.handle(100.1, job(42, tenant=1))) == []
+
+
+def test_retry_after_spreads_clients() -> None:
+    dispatcher = started(count=0)
+    advice = set()
+    for number in range(1, 20):
+        for action in dispatcher.handle(100.0, job(number, remaining=0.05)):
+            if isinstance(action, interface.Reject):
+                advice.add(action.retry_after)
+    assert len(advice) == 19 and all(1.0 <= a <= 2.0 for a in advice)
+
+
+def test_a_repeat_past_its_worth_is_refused_at_arrival() -> None:
+    dispatcher = started()
+    assert sends(dispatcher.handle(100.0, job(1)))
+    late = dispatcher.handle(103.0, job(2, remaining=0.8))
+    assert finals(late) == [interface.Reject] and not sends(late)
--- /dev/null
+++ b/tests/policy/test_placement.py
@@ -0,0 +1,177 @@
+"""Decisions on placement."""
+
+from __future__ import annotations
+
+import pytest
+from helpers import job, members, outcome, sends, settings, started
+
+from beaconhinge.policy import interface
+from beaconhinge.policy.dispatcher import TICK_TIMER, Dispatcher
+from beaconhinge.policy.interface import (
+    AttemptOutcome,
+    UpdateKind,
+    WorkerState,
+)
+from beaconhinge.quota_snapshots import record
+
+
+def test_width_and_threshold_are_respected() -> None:
+    dispatcher = started(count=2)
+    for worker in dispatcher.workers.values():
+        worker.learned_limit = 2.0
+    placed = [sends(dispatcher.handle(100.0, job(n))) for n in range(1, 6)]
+    assert [len(p) for p in placed] == [1, 1, 1, 1, 0]
+    assert dispatcher.placement.queue.by_kind[-1]
+
+
+def test_a_freed_slot_goes_to_the_held_job() -> None:
+    dispatcher = started(count=1)
+    dispatcher.workers[100].learned_limit = 1.0
+    dispatcher.handle(100.0, job(1))
+    assert not sends(dispatcher.handle(100.0, job(2)))
+    assert [s.request for s in sends(dispatcher.handle(100.3, outcome(1, 100, AttemptOutcome.SERVED)))] == [2]
+
+
+def test_threshold_learns_from_free_slots_and_from_full() -> None:
+    dispatcher = started(
+        count=1, report__source="answers", report__names="tps,x0", familyInfo__reportX0="free_slots"
+    )
+    dispatcher.handle(100.0, job(1))
+    done = outcome(1, 100, AttemptOutcome.SERVED)
+    done.load = {"x0": 4.1}
+    dispatcher.handle(100.5, done)
+    assert dispatcher.workers[100].learned_limit == 4.0
+    for n in range(2, 6):
+        dispatcher.handle(101.0, job(n))
+    dispatcher.handle(101.1, outcome(5, 100, AttemptOutcome.REJECTED, latency=0.001))
+    assert dispatcher.workers[100].learned_limit == 3.0 and dispatcher.admission.rejections == 1
+
+
+def test_a_cold_worker_gets_less_than_a_warm_one_from_its_first_second() -> None:
+    def placed(started_at: float, hint: float) -> int:
+        dispatcher = started(count=0, groupSize="3")
+        dispatcher.handle(
+            102.0,
+            interface.MembershipUpdate(UpdateKind.SNAPSHOT, 2, members(1, started_at=started_at)),
+        )
+        dispatcher.workers[100].learned_limit = dispatcher.limits.by_kind[0] = 8.0
+        dispatcher.estimates.seconds_per_work = 1.0
+        return sum(bool(sends(dispatcher.handle(102.0, job(n, size_hint=hint)))) for n in range(1, 20))
+
+    # A third of 0.75 of fall_multiple x ramp x slots x tip_after is the work that may be sent in any second.
+    assert placed(started_at=101.99, hint=0.1) == 8  # 0.8 s: light jobs fill the slots
+    assert placed(started_at=98.0, hint=0.4) == 7  # 3.1 s
+    assert placed(started_at=0.0, hint=0.4) == 8
+
+
+def test_a_cold_workers_budget_counts_a_class_by_what_its_jobs_take_on_that_kind() -> None:
+    """All classes were counted at the mean of all, weighed to short ones: long jobs pushed it over threefold."""
+
+    def placed(cls: int, seconds: float) -> int:
+        dispatcher = started(count=0, groupSize="3")
+        dispatcher.handle(
+            102.0, interface.MembershipUpdate(UpdateKind.SNAPSHOT, 2, members(1, started_at=98.0))
+        )
+        dispatcher.workers[100].learned_limit = dispatcher.limits.by_kind[0] = 8.0
+        dispatcher.estimates.seconds_per_work = 0.4
+        for kind, work in ((0, seconds), (1, 0.1)):
+            for _ in range(6):
+                dispatcher.estimates.work_by_class.note(dispatcher.settings.classes[cls], kind, work, 1.0)
+        return sum(bool(sends(dispatcher.handle(102.0, job(n, cls, size_hint=0.0)))) for n in range(1, 20))
+
+    assert placed(cls=0, seconds=0.1) == 7  # at the mean of all, 0.4 s, of 3.1 s
+    assert placed(cls=0, seconds=1.0) == placed(cls=2, seconds=1.0) == 3
+    assert placed(cls=2, seconds=4.0) == 0
+
+
+def test_a_cold_workers_budget_goes_by_its_kinds_slots_where_its_own_seem_more() -> None:
+    dispatcher = started(count=0)
+    dispatcher.handle(102.0, interface.MembershipUpdate(UpdateKind.SNAPSHOT, 2, members(1, started_at=98.0)))
+    (
+        dispatcher.workers[100].learned_limit,
+        dispatcher.limits.by_kind[0],
+        dispatcher.estimates.seconds_per_work,
+    ) = (
+        8.0,
+        2.0,
+        1.0,
+    )
+    # 0.75 x 3 x 0.52 x 2 slots x 1 s: 2.3 s
+    assert sum(bool(sends(dispatcher.handle(102.0, job(n, size_hint=0.4)))) for n in range(1, 20)) == 5
+
+
+@pytest.mark.parametrize("books", [False, True])
+def test_what_an_earlier_life_may_have_sent_to_a_cold_worker_counts_until_its_time_is_over(
+    books: bool,
+) -> None:
+    """A process that was killed and came back in time had its budget anew; with books, which say nothing of that,
+    also after this was mended: they moved the start back by which it is known.
+    """
+    dispatcher = started(count=0)  # at 100.0; the budget is over 1 s
+    if books:
+        record.restore(dispatcher, record.take(dispatcher, 100.0), 100.0, 0.0)
+        dispatcher.quotas.tokens = [99.0] * len(dispatcher.quotas.tokens)
+    for now, started_at, expected in ((100.9, 99.0, False), (100.95, 100.5, True), (101.1, 99.0, True)):
+        dispatcher.handle(
+            now,
+            interface.MembershipUpdate(UpdateKind.SNAPSHOT, 2, members(1, started_at=started_at)),
+        )
+        dispatcher.workers[100].started_at = started_at
+        dispatcher.workers[100].learned_limit = dispatcher.limits.by_kind[0] = 8.0
+        assert bool(sends(dispatcher.handle(now, job(int(now * 100), size_hint=0.1)))) is expected
+
+
+def test_a_restart_under_the_same_id_is_cold_again() -> None:
+    dispatcher = started(count=1)
+    dispatcher.workers[100].failure_rate = 0.9
+    dispatcher.handle(105.0, interface.MembershipUpdate(UpdateKind.CHANGES, 2, members(1, started_at=105.0)))
+    worker = dispatcher.workers[100]
+    assert worker.failure_rate == 0.0 and worker.started_at == 105.0
+
+
+def test_drained_and_missing_workers_get_nothing_at_once() -> None:
+    dispatcher = started(count=2)
+    dispatcher.handle(
+        100.0,
+        interface.MembershipUpdate(UpdateKind.CHANGES, 2, [interface.MemberEntry(100, WorkerState.DRAINING)]),
+    )
+    assert {s.worker for n in range(1, 9) for s in sends(dispatcher.handle(100.0, job(n)))} == {101}
+    dispatcher.handle(100.0, interface.MembershipUpdate(UpdateKind.SNAPSHOT, 3, []))
+    assert not sends(dispatcher.handle(100.0, job(9)))
+
+
+@pytest.mark.parametrize("how", [UpdateKind.CHANGES, UpdateKind.SNAPSHOT, UpdateKind.BOOTSTRAP])
+def test_idle_connections_to_a_leaving_worker_are_given_back(how: str) -> None:
+    dispatcher = started(count=1, rules__drainRelease="0.8")
+    dispatcher.handle(100.0, job(1))
+    leaving = [interface.MemberEntry(100, WorkerState.DRAINING)]
+    assert interface.CloseIdleConnections(100) in dispatcher.handle(
+        101.0, interface.MembershipUpdate(how, 2, leaving)
+    )
+    assert interface.CloseIdleConnections(100) in dispatcher.handle(
+        102.0, outcome(1, 100, AttemptOutcome.SERVED)
+    )
+    dispatcher.handle(103.0, interface.MembershipUpdate(UpdateKind.CHANGES, 3, members(1)))
+    dispatcher.handle(103.0, job(2))
+    assert interface.CloseIdleConnections(100) not in dispatcher.handle(
+        104.0, outcome(2, 100, AttemptOutcome.SERVED)
+    )
+    assert interface.CloseIdleConnections(100) in dispatcher.handle(
+        105.0, interface.MembershipUpdate(UpdateKind.SNAPSHOT, 4, [])
+    )
+
+
+def test_subscription_is_asked_again_with_back_off_inside_the_limit() -> None:
+    dispatcher = Dispatcher(settings(membershipMode="on_request", rules__mustAskIn="8"), 3)
+    assert interface.SubscribeMembership(True) in dispatcher.handle(100.0, interface.Start())
+    asked, now = [100.0], 100.0
+    dispatcher.handle(now, interface.MembershipUpdate(UpdateKind.REFUSED))
+    while now < 140.0:
+        now += 0.1
+        actions = dispatcher.handle(now, interface.TimerFired(TICK_TIMER))
+        if interface.SubscribeMembership(True) in actions:
+            asked.append(now)
+            dispatcher.handle(now, interface.MembershipUpdate(UpdateKind.REFUSED))
+    gaps = [b - a for a, b in zip(asked, asked[1:], strict=False)]
+    # Not asking counts as knowing after four times 8 s when a call was refused; half of that is kept free.
+    assert len(gaps) > 5 and max(gaps) <= 16.2 and sum(gaps[:3]) < sum(gaps[-3:])
--- /dev/null
+++ b/tests/policy/test_worker_faults.py
@@ -0,0 +1,158 @@
+"""Workers that stand still, slow down or reject, and copies of the jobs on them."""
+
+from __future__ import annotations
+
+import pytest
+from decision_helpers import full, group
+from helpers import job, outcome, sends, started
+
+from beaconhinge.policy import interface
+from beaconhinge.policy.dispatcher import TICK_TIMER, Dispatcher
+from beaconhinge.policy.interface import (
+    AttemptOutcome,
+    NoticeKind,
+)
+from beaconhinge.policy.stall_detection import MIN_RELATIVE_SPEED
+
+
+def test_a_worker_that_stands_still_is_passed_over_and_its_time_outs_blame_it() -> None:
+    dispatcher = started(count=2)
+    dispatcher.estimates.mean_latency_s = 0.5
+    stalled = sends(dispatcher.handle(100.0, job(1, remaining=2.0)))[0].worker
+    placed = []
+    for step in range(1, 9):
+        actions = dispatcher.handle(100.0 + step * 0.25, job(1 + step))
+        for send in sends(actions):
+            if step * 0.25 > 2.0 - 1e-9 or send.worker != stalled:
+                placed.append(send.worker)
+                dispatcher.handle(100.0 + step * 0.25, outcome(1 + step, send.worker, AttemptOutcome.SERVED))
+    for request in [
+        r for r in list(dispatcher.requests.by_id) if dispatcher.requests.by_id[r].attempts_in_flight
+    ]:
+        dispatcher.handle(104.0, outcome(request, stalled, AttemptOutcome.TIMEOUT))
+    assert dispatcher.workers[stalled].on_probation
+    assert {s.worker for n in range(50, 55) for s in sends(dispatcher.handle(104.0, job(n)))} != {stalled}
+
+
+def test_a_dispatcher_with_its_part_of_all_slots_does_not_queue_on_full_workers() -> None:
+    dispatcher = group(1, 0)
+    for worker in dispatcher.workers.values():
+        worker.learned_limit, worker.in_flight, dispatcher.fleet.board.out[worker.key] = 4.0, 3.0, 7
+    dispatcher.workers[100].in_flight, dispatcher.fleet.board.out[dispatcher.workers[100].key] = 0.0, 4
+    assert not sends(dispatcher.handle(100.0, job(1)))
+
+
+def notice(dispatcher: Dispatcher, now: float, request: int, worker: int, share: float | None = None) -> None:
+    what = NoticeKind.STARTED if share is None else NoticeKind.PROGRESS
+    dispatcher.handle(now, interface.ProgressNotice(request, worker, 0, what, share or 0.0))
+
+
+NOTED = {"familyInfo__tellsStart": "true", "familyInfo__progress": "1", "policyLimits__mayDuplicate": "true"}
+
+
+def test_a_worker_whose_jobs_go_on_ever_slower_is_passed_over_and_comes_back() -> None:
+    dispatcher = started(count=3, **NOTED)
+    slow = sends(dispatcher.handle(100.0, job(1, remaining=60.0)))[0].worker
+    notice(dispatcher, 100.0, 1, slow)
+    for step, share in enumerate((0.2, 0.4, 0.44, 0.48, 0.5, 0.52)):
+        notice(dispatcher, 101.0 + step, 1, slow, share)
+        notice(dispatcher, 101.0 + step, 1, slow, share)  # told again: no news
+    assert dispatcher.stalls.speed_of(dispatcher.workers[slow]) < MIN_RELATIVE_SPEED
+    placed = [send for n in range(2, 8) for send in sends(dispatcher.handle(106.0, job(n, remaining=60.0)))]
+    assert placed and slow not in {send.worker for send in placed}
+    for n in range(2, 8):
+        dispatcher.handle(106.5, interface.ClientDisconnected(n))
+    for step in range(1, 5):
+        notice(dispatcher, 106.0 + step, 1, slow, 0.52 + 0.1 * step)
+    assert dispatcher.stalls.speed_of(dispatcher.workers[slow]) > MIN_RELATIVE_SPEED
+
+
+@pytest.mark.parametrize(
+    ("shares", "copied"),
+    [
+        ((), True),  # started, then silent
+        ((0.3, 0.6, 0.9), False),
+        ((0.3, 0.31, 0.32), True),  # 100 s to go here, 3 elsewhere
+    ],
+)
+def test_a_job_that_will_be_late_where_it_is_gets_a_copy_where_a_slot_is_free(
+    shares: tuple[float, ...], copied: bool
+) -> None:
+    dispatcher = started(count=2, requestClasses__0__aim="8", familyInfo__classStretch="0,0,0", **NOTED)
+    first = sends(dispatcher.handle(100.0, job(1, remaining=60.0)))[0].worker
+    notice(dispatcher, 100.0, 1, first)
+    for step, share in enumerate(shares):
+        notice(dispatcher, 101.0 + step, 1, first, share)
+    again = sends(dispatcher.handle(103.1, interface.TimerFired(TICK_TIMER)))
+    assert [send.request for send in again if send.worker != first] == [1] * copied
+
+
+@pytest.mark.parametrize(
+    ("noticed", "cls", "copied"), [(False, 0, True), (True, 0, False), (False, 2, False)]
+)
+def test_a_job_without_a_start_notice_gets_a_copy_where_a_repeat_is_harmless(
+    noticed: bool, cls: int, copied: bool
+) -> None:
+    dispatcher = started(count=2, **NOTED)
+    first = sends(dispatcher.handle(100.0, job(1, cls)))[0].worker
+    if noticed:
+        notice(dispatcher, 100.0, 1, first)
+    assert not sends(dispatcher.handle(100.9, interface.TimerFired(TICK_TIMER)))
+    assert len(sends(dispatcher.handle(101.1, interface.TimerFired(TICK_TIMER)))) == copied
+
+
+def test_a_class_that_a_worker_with_free_slots_turns_away_is_barred_there_alone() -> None:
+    dispatcher = started(
+        count=2, report__names="x0", report__source="answers", familyInfo__reportX0="free_slots"
+    )
+    worker = sends(dispatcher.handle(100.0, job(1)))[0].worker
+    rate, limit = dispatcher.admission.fleet_rate, dispatcher.limits.limit_of(dispatcher.workers[worker])
+    again = sends(dispatcher.handle(100.1, full(1, worker, 3.0)))
+    assert [send.worker for send in again] == [201 - worker]
+    placed = [send.worker for n in range(2, 5) for send in sends(dispatcher.handle(100.2, job(n)))]
+    assert placed and worker not in placed  # jobs of that class go elsewhere
+    others = [send.worker for n in range(5, 11) for send in sends(dispatcher.handle(100.2, job(n, 1)))]
+    assert worker in others  # and those of others do not
+    assert (dispatcher.admission.fleet_rate, dispatcher.admission.rejections) == (
+        rate,
+        0,
+    ) and dispatcher.limits.limit_of(dispatcher.workers[worker]) >= limit
+    for n in range(1, 11):
+        dispatcher.handle(100.3, interface.ClientDisconnected(n))
+        for attempt, send in enumerate(
+            dispatcher.requests.by_id[n].attempts if n in dispatcher.requests.by_id else ()
+        ):
+            dispatcher.handle(100.3, outcome(n, send.worker.id, AttemptOutcome.CANCELLED, attempt))
+    later = [send.worker for n in range(20, 26) for send in sends(dispatcher.handle(101.0, job(n)))]
+    assert worker in later
+
+
+@pytest.mark.parametrize(
+    ("breaks", "sign", "benched"), [(1, False, False), (2, False, True), (2, True, False)]
+)
+def test_a_single_broken_connection_does_not_bench_a_worker_that_works(
+    breaks: int, sign: bool, benched: bool
+) -> None:
+    dispatcher = started(count=3)
+    placed: dict[int, int] = {}
+    for n in range(1, 7):
+        for send in sends(dispatcher.handle(100.0, job(n))):
+            placed[n] = send.worker
+    worker = max(placed.values(), key=list(placed.values()).count)
+    mine = [n for n, at in placed.items() if at == worker]
+    assert len(mine) >= 2
+    for n in mine[:breaks]:
+        dispatcher.handle(100.5, outcome(n, worker, AttemptOutcome.CONNECTION_LOST))
+        if sign:
+            notice(dispatcher, 100.6, n, worker)
+    assert dispatcher.workers[worker].on_probation == benched
+
+
+def test_a_request_that_a_worker_finds_faulty_is_failed_at_once_and_nobody_is_blamed() -> None:
+    dispatcher = started(count=3)
+    worker = sends(dispatcher.handle(100.0, job(1)))[0].worker
+    assert dispatcher.handle(100.1, outcome(1, worker, AttemptOutcome.INVALID_REQUEST)) == [
+        interface.Fail(request=1)
+    ]
+    assert (dispatcher.workers[worker].failure_rate, dispatcher.workers[worker].on_probation) == (0.0, False)
+    assert 1 not in dispatcher.requests.by_id
--- a/tests/quota_snapshots/test_quota_snapshots.py
+++ b/tests/quota_snapshots/test_quota_snapshots.py
@@ -19,7 +19,7 @@
 from beaconhinge.policy.context import INF
 from beaconhinge.policy.dispatcher import Dispatcher
 from beaconhinge.quota_snapshots import record
-from beaconhinge.quota_snapshots.writer import KEY, SnapshotWriter
+from beaconhinge.quota_snapshots.writer import SNAPSHOT_KEY, SnapshotWriter
 from beaconhinge.runtime.metrics import Metrics
 from beaconhinge.runtime.timer_wheel import TimerWheel
 from beaconhinge.standin.disk import SimDisk, failing
@@ -151,12 +151,12 @@
         assert (
             fresh.admission.fleet_rate == pytest.approx(55.0) and "books_restored age=1.000" in log.getvalue()
         )
-        await store.commit([Put(KEY, b"rubbish")])
+        await store.commit([Put(SNAPSHOT_KEY, b"rubbish")])
         assert not SnapshotWriter(store, fresh, timers, metrics, 0.5, 30.0).restore()
         assert "books_dropped" in log.getvalue() and metrics.counters["books_dropped"] == 1
         disk.faults = failing("sync", 5)
         keeper = SnapshotWriter(store, fresh, timers, metrics, 0.5, 30.0)
-        await keeper._again()  # a failed disk is told once, and nothing more is tried
+        await keeper._write_and_reschedule()  # a failed disk is told once, and nothing more is tried
         assert metrics.counters["books_not_written"] == 1 and "books_not_written" in log.getvalue()
         await store.close()
 
