--- a/beaconhinge/__main__.py
+++ b/beaconhinge/__main__.py
@@ -220,7 +220,7 @@
         local_config.books.max_age_s,
     )
     keeper.restore()
-    keeper.keep()
+    keeper.schedule_write()
     return keeper
 
 
--- a/beaconhinge/management/handover.py
+++ b/beaconhinge/management/handover.py
@@ -32,7 +32,7 @@
 
 # Keys of the stored form and the attributes behind them. Keys never change: another version may read them.
 # Of a worker: what it has taught and how it is judged. Times are Unix time, which both processes have.
-_WORKER = {
+_WORKER_FIELDS = {
     "kind": "kind",
     "cell": "cell",
     "zone": "zone",
@@ -55,7 +55,7 @@
     "speed_at": "speed_measured_at",
 }
 # Of the parts of the policy: the part, and its attribute.
-_BOOKS = {
+_FIGURES = {
     "rate": ("admission", "fleet_rate"),
     "part": ("admission", "demand_share"),
     "mean_work": ("estimates", "mean_work"),
@@ -71,7 +71,7 @@
     "send_rate": ("admission", "send_rate"),
     "started": ("slow_start", "dispatcher_started_at"),
 }
-_BUCKET = {
+_BUCKET_FIELDS = {
     "allowed": "allowed",
     "denied": "denied",
     "demand": "demand",
@@ -79,7 +79,7 @@
     "tokens": "tokens",
     "rate": "rate",
 }
-_PEER = ("incarnation", "sequence", "heard", "known", "span", "admitted")
+_PEER_FIELDS = ("incarnation", "sequence", "heard", "known", "span", "admitted")
 
 
 class Unusable(Exception):
@@ -177,7 +177,7 @@
     return {
         "settings": fingerprint(dispatcher.settings),
         "books": {
-            stored: getattr(getattr(dispatcher, part), name) for stored, (part, name) in _BOOKS.items()
+            stored: getattr(getattr(dispatcher, part), name) for stored, (part, name) in _FIGURES.items()
         },
         "quota": dispatcher.quotas.tokens,
         "longest": dispatcher.arrivals.max_client_timeouts,
@@ -185,7 +185,7 @@
         "most_free": list(limits.max_free_slots.items()),
         "by_hand": list(dispatcher.membership.in_maintenance.items()),
         "buckets": [
-            [*key, [getattr(b, name) for name in _BUCKET.values()]]
+            [*key, [getattr(b, name) for name in _BUCKET_FIELDS.values()]]
             for key, b in dispatcher.admission.buckets.items()
         ],
         "workers": [_take_worker(worker, classes) for worker in dispatcher.workers.values()],
@@ -196,7 +196,7 @@
 def _take_worker(worker: Worker, classes: Sequence[RequestClass]) -> list[Any]:
     return [
         worker.id,
-        {stored: getattr(worker, name) for stored, name in _WORKER.items()},
+        {stored: getattr(worker, name) for stored, name in _WORKER_FIELDS.items()},
         list(worker.slow_start_sends),
         [[classes.index(cls), *until] for cls, until in worker.class_ejections.items()],
     ]
@@ -213,7 +213,7 @@
         "peers": [
             [
                 number,
-                {name: getattr(p, name) for name in _PEER},
+                {name: getattr(p, name) for name in _PEER_FIELDS},
                 [[*key, rate] for key, rate in p.demand.items()],
                 list(p.out.items()),
             ]
@@ -266,7 +266,9 @@
 
 def _read_state(dispatcher: Dispatcher, content: dict[str, Any]) -> _State:
     settings = dispatcher.settings
-    figures = {stored: _figure_type(dispatcher, stored)(float(content["books"][stored])) for stored in _BOOKS}
+    figures = {
+        stored: _figure_type(dispatcher, stored)(float(content["books"][stored])) for stored in _FIGURES
+    }
     if content["settings"] != fingerprint(settings):
         raise ValueError("taken under other settings or in another group")
     quota_tokens = [float(tokens) for tokens in content["quota"]]
@@ -291,7 +293,7 @@
 
 def _figure_type(dispatcher: Dispatcher, stored: str) -> type[float]:
     """The type of a figure in its part: counts are whole numbers."""
-    part, name = _BOOKS[stored]
+    part, name = _FIGURES[stored]
     return type(getattr(getattr(dispatcher, part), name))
 
 
@@ -304,7 +306,7 @@
 ) -> Worker:
     worker = Worker(int(number), codec.key(int(number)))
     fields = {"slow_start_from": fields["started_at"], **fields}  # which older forms do not have
-    for stored, name in _WORKER.items():
+    for stored, name in _WORKER_FIELDS.items():
         setattr(worker, name, type(getattr(worker, name))(fields[stored]))
     worker.slow_start_sends = deque((float(at), float(load)) for at, load in sends)
     worker.class_ejections = {classes[cls]: (float(until), float(length)) for cls, until, length in ejections}
@@ -346,7 +348,7 @@
 
 def _put_state(dispatcher: Dispatcher, state: _State) -> None:
     for stored, value in state.figures.items():
-        part, name = _BOOKS[stored]
+        part, name = _FIGURES[stored]
         setattr(getattr(dispatcher, part), name, value)
     dispatcher.quotas.tokens = state.quota_tokens
     dispatcher.arrivals.max_client_timeouts = state.max_client_timeouts
--- a/beaconhinge/policy/admission.py
+++ b/beaconhinge/policy/admission.py
@@ -126,7 +126,7 @@
         return self._fleet.demand({key: bucket.demand for key, bucket in self.buckets.items()})
 
     def own_demand_share(self, demand: Mapping[BucketKey, float]) -> float:
-        """This dispatcher's part of the fleet by recent demand; one Nth until peers are heard."""
+        """This dispatcher's part of the fleet by recent demand; one Nth until all peers have reported."""
         own = sum(b.demand for b in self.buckets.values())
         if own <= 0 or not self._fleet.all_heard:
             return 1 / self._context.settings.group_size
--- a/beaconhinge/policy/attempt_outcomes.py
+++ b/beaconhinge/policy/attempt_outcomes.py
@@ -46,7 +46,7 @@
         self._outliers = outliers
 
     def record(self, attempt: Attempt, request: Request, event: interface.AttemptEnded) -> int:
-        """Learn from the end of an attempt. Returns what peers are told of it, as the codec numbers it."""
+        """Learn from the end of an attempt. Returns the kind of gossip entry about it."""
         worker = attempt.worker
         previous_rate = worker.failure_rate
         silent_since_send = worker.last_heard_at <= attempt.sent_at
--- a/beaconhinge/policy/concurrency_limits.py
+++ b/beaconhinge/policy/concurrency_limits.py
@@ -27,7 +27,7 @@
     Attributes:
         by_kind: Limit of the mean worker of each kind.
         max_free_slots: Most slots that a worker of the kind has reported free.
-        reported_load: What workers reported, where dispatchers may not tell each other; else None.
+        reported_load: What workers reported, where dispatchers may not exchange messages; else None.
     """
 
     def __init__(
@@ -45,7 +45,7 @@
         self.reported_load = None if alone or settings.peer_messages else Reported()
 
     def slots_in_flight(self, worker: Worker) -> float:
-        """Slots taken, as far as dispatchers have told or, where they may not, as reports did."""
+        """Slots taken, by gossip or, where dispatchers may not exchange messages, by load reports."""
         if self.reported_load is None:
             return worker.in_flight + self._fleet.others(worker.key, worker.in_flight)
         limit = self.by_kind.get(worker.kind, INITIAL_LIMIT_SLOTS)
@@ -94,7 +94,7 @@
             worker.learned_limit = max(1.0, moved)
 
     def record_reported_load(self, worker: Worker, load: Mapping[str, float] | None) -> None:
-        """Keep what a worker reported of its load, where dispatchers may not tell each other."""
+        """Keep what a worker reported of its load, where dispatchers may not exchange messages."""
         settings = self._context.settings
         free = load.get(settings.free_slots_field) if load else None
         if load and free is not None and self.reported_load is not None:
--- a/beaconhinge/policy/dispatcher.py
+++ b/beaconhinge/policy/dispatcher.py
@@ -1,8 +1,8 @@
 """The decisions of one dispatcher: each event goes to the parts that it concerns.
 
 `Dispatcher(settings, seed).handle(now, event)` answers with a list of actions, without clock, I/O or state
-outside. A job's life: its tenant's bucket admits or rejects it on arrival; it goes to a random ready worker,
-or is queued for a slot; each outcome ends it, sends it elsewhere, or fails it.
+outside. A job is admitted or rejected on arrival by its tenant's bucket; it goes to a random ready worker, or
+is queued for a slot; each outcome ends it, sends it elsewhere, or fails it.
 """
 
 import random
@@ -34,11 +34,8 @@
 from .work_estimates import WorkEstimates
 from .workers import Worker, WorkerTable
 
-TICK_TIMER = 1
-"""Token of the timer for housekeeping."""
-
-REPORT_TIMER = 2
-"""Token of the timer for reports to peers."""
+TICK_TIMER = 1  # token of the timer for housekeeping
+REPORT_TIMER = 2  # token of the timer for reports to peers
 
 
 class Dispatcher:
@@ -57,7 +54,7 @@
         self.fleet = fleet = Fleet(settings.group_size, settings.own_number, incarnation, REPORT_INTERVAL_S)
         self.worker_table = workers = WorkerTable()
         self.requests = requests = RequestTable(context)
-        self.retries = retries = RetryPolicy(context)
+        retries = RetryPolicy(context)
         self.estimates = estimates = WorkEstimates()
         self.arrivals = Arrivals(context, estimates, retries)
         self.membership = Membership(context, workers)
@@ -83,7 +80,7 @@
         return self.worker_table.by_id
 
     def is_silent(self, worker: Worker) -> bool:
-        """Whether a worker with jobs has not been heard of for too long."""
+        """Whether a worker with jobs has given no sign for too long."""
         return self.stalls.is_silent(worker)
 
     def handle(self, now: float, event: interface.Event) -> list[interface.Action]:
@@ -188,16 +185,16 @@
             self.requests.end(self.requests.by_id[event.request])
 
     def on_peer_message(self, event: interface.PeerMessage) -> None:
-        """A peer tells of its demand, or of outcomes on workers."""
-        for news in self.fleet.hear(self.context.now, event.peer, event.payload):
-            if isinstance(news, codec.Report):
-                self.limits.by_kind = {**dict(news.limits), **self.limits.by_kind}
+        """A peer reports its demand, or outcomes on workers."""
+        for entry in self.fleet.hear(self.context.now, event.peer, event.payload):
+            if isinstance(entry, codec.Report):
+                self.limits.by_kind = {**dict(entry.limits), **self.limits.by_kind}
                 continue
-            worker = self.worker_table.by_key.get(news.key)
+            worker = self.worker_table.by_key.get(entry.key)
             if worker is None:
                 continue
             self.limits.note_in_flight(worker)
-            self.outliers.record_peer_outcomes(worker, news.failures, served=bool(news.served))
+            self.outliers.record_peer_outcomes(worker, entry.failures, served=bool(entry.served))
 
     def on_process_stalled(self, event: interface.ProcessStalled) -> None:
         """This process itself did not run for a while."""
--- a/beaconhinge/policy/interface/actions.py
+++ b/beaconhinge/policy/interface/actions.py
@@ -23,14 +23,14 @@
 
 @dataclass(slots=True)
 class Fail:
-    """Final answer: an error; it is not told whether the job ran."""
+    """Final answer: an error, which leaves open whether the job ran."""
 
     request: int
 
 
 @dataclass(slots=True)
 class CancelAttempt:
-    """Tell the worker that nobody needs the attempt any more."""
+    """Let the worker know that nobody needs the attempt any more."""
 
     request: int
     attempt: int
--- a/beaconhinge/policy/interface/events.py
+++ b/beaconhinge/policy/interface/events.py
@@ -1,4 +1,4 @@
-"""Events: what the dispatcher is told. All times are seconds."""
+"""Events: the inputs of the dispatcher. All times are seconds."""
 
 from collections.abc import Mapping
 from dataclasses import dataclass, field
@@ -17,7 +17,7 @@
     cell: int = 0
     zone: int = 0
     weight: float = 1.0
-    # Of its last start, as the list tells it: names that start, alike at every dispatcher. 0: long ago.
+    # Of its last start, by the list: names that start, alike at every dispatcher. 0: long ago.
     started_at: float = 0.0
     # The same on this dispatcher's own clock, which the age goes by; 0: `started_at` is on that clock.
     slow_start_from: float = 0.0
@@ -49,7 +49,7 @@
 class SiblingLoad:
     """Another process of this dispatcher has more slots in use on a worker, or fewer.
 
-    0: the worker was heard there. Not on the simulator's wire.
+    0: the worker gave a sign there. Not on the simulator's wire.
     """
 
     worker: int
@@ -65,7 +65,7 @@
     tenant: int
     remaining: float
     key: str = ""
-    size_hint: float = 0.0  # expected work in standard-core seconds; 0: not told
+    size_hint: float = 0.0  # expected work in standard-core seconds; 0: unknown
     slots: float = 1.0
     memory: float = 0.0
     flags: int = 0
--- a/beaconhinge/policy/interface/settings.py
+++ b/beaconhinge/policy/interface/settings.py
@@ -31,7 +31,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Tenant:
-    """A tenant's told share of the service and its quota in requests a second (0: none told)."""
+    """A tenant's share of the service and its quota in requests a second (0: no quota)."""
 
     share: float = 1.0
     quota_rps: float = 0.0
@@ -39,7 +39,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Settings:
-    """What an instance is told once, at its start. Defaults stand for keys that may be absent."""
+    """Settings of one dispatcher, fixed at its start. Defaults stand for keys that may be absent."""
 
     classes: tuple[RequestClass, ...]
     tenants: tuple[Tenant, ...] = (Tenant(),)
--- a/beaconhinge/policy/load_probing.py
+++ b/beaconhinge/policy/load_probing.py
@@ -1,4 +1,4 @@
-"""Load probing: where dispatchers may not tell each other of jobs, workers are asked how full they are."""
+"""Load probing: where dispatchers may not exchange messages, workers are asked how full they are."""
 
 from . import interface
 from .concurrency_limits import ConcurrencyLimits
--- a/beaconhinge/policy/membership.py
+++ b/beaconhinge/policy/membership.py
@@ -68,7 +68,7 @@
         return True
 
     def _postpone(self) -> None:
-        """Asked again by all within a short time discovery answered none: each waits in a wide window."""
+        """Wait in a wide window: discovery that all ask within a short time answers none of them."""
         self.fetch_at = self._context.now + self.fetch_within_s * self._context.random.random()
         longest = 2 * self._context.settings.membership_max_age_s
         self.fetch_within_s = min(2 * self.fetch_within_s, longest)
--- a/beaconhinge/policy/peer_reports.py
+++ b/beaconhinge/policy/peer_reports.py
@@ -22,7 +22,7 @@
 
 
 class PeerReports:
-    """When peers are told what, and what was counted since.
+    """What is reported to peers and when, and what was counted since.
 
     Attributes:
         interval_s: Seconds between reports.
--- a/beaconhinge/policy/quotas.py
+++ b/beaconhinge/policy/quotas.py
@@ -38,9 +38,9 @@
 
     def refill(self, passed_s: float, demand_share: float) -> None:
         """Add what this dispatcher's part of each quota gives in so many seconds."""
-        for tenant, told in enumerate(self._context.settings.tenants):
-            rate = told.quota_rps * demand_share
-            self.tokens[tenant] = min(self.tokens[tenant] + passed_s * rate, max_tokens(rate))
+        for number, tenant in enumerate(self._context.settings.tenants):
+            rate = tenant.quota_rps * demand_share
+            self.tokens[number] = min(self.tokens[number] + passed_s * rate, max_tokens(rate))
 
     def restore(self, tokens: list[float], age_s: float, demand_share: float) -> None:
         """Take up tokens from a record that old."""
--- a/beaconhinge/policy/request_table.py
+++ b/beaconhinge/policy/request_table.py
@@ -33,7 +33,7 @@
     request_class: interface.RequestClass
     slots: float
     work: float  # hinted work, 1 without a hint
-    first_tried_at: float  # when its client first did, as far as can be told
+    first_tried_at: float  # when its client first did, as far as is known
     deadline: float
     objective_at: float  # until then an answer has full value
     expected_s: float  # time on a mean worker
--- a/beaconhinge/policy/routing.py
+++ b/beaconhinge/policy/routing.py
@@ -13,7 +13,7 @@
 from .workers import ALL_KINDS, SAMPLE_SIZE, Worker, WorkerTable
 
 GOSSIP_DELAY_S = 0.2
-"""Seconds until dispatchers of a large group have heard of each other's sends."""
+"""Seconds until dispatchers of a large group know of each other's sends."""
 
 CLAIMS_PER_FREE_SLOT = 1.5
 """Claims on each slot seen free, by all dispatchers, until they hear of each other's."""
--- a/beaconhinge/policy/stall_detection.py
+++ b/beaconhinge/policy/stall_detection.py
@@ -59,7 +59,7 @@
         self.fleet_speed = median([self.speed_of(w) for w in self._workers.all_listed] or [1.0])
 
     def is_silent(self, worker: Worker) -> bool:
-        """Whether a worker with jobs has not been heard of for too long.
+        """Whether a worker with jobs has given no sign for too long.
 
         Guards against one that stands still with its process up, or is cut off. With more jobs in flight one
         of them should end sooner; a run of long jobs may cost it new ones until one ends.
--- a/beaconhinge/quota_snapshots/record.py
+++ b/beaconhinge/quota_snapshots/record.py
@@ -37,12 +37,12 @@
 
 
 class PeerRecord(msgspec.Struct, array_like=True, frozen=True):
-    """What a peer was last heard to say."""
+    """What a peer last reported."""
 
     number: int
     incarnation: int
     sequence: int
-    silent: float  # seconds since it was heard
+    silent: float  # seconds since its last message
     known: float
     span: float
     demand: list[tuple[int, int, float]]
--- a/beaconhinge/quota_snapshots/writer.py
+++ b/beaconhinge/quota_snapshots/writer.py
@@ -8,7 +8,7 @@
 from ..store import Put, Store, StoreError
 from . import record
 
-KEY = b"books"
+SNAPSHOT_KEY = b"books"
 
 
 class SnapshotWriter:
@@ -38,7 +38,7 @@
             Whether there was one that may be used.
         """
         try:
-            data = self.store.get(KEY)
+            data = self.store.get(SNAPSHOT_KEY)
             if data is None:
                 return False
             now = self.timers.now()
@@ -52,20 +52,20 @@
         self.metrics.log("books_restored", age=age, tenants=len(found.quota_tokens), others=len(found.peers))
         return True
 
-    def keep(self) -> None:
+    def schedule_write(self) -> None:
         """Write from now on, at the interval."""
-        self.timers.after(self.interval_s, lambda: self.metrics.spawn(self._again(), "books"))
+        self.timers.after(self.interval_s, lambda: self.metrics.spawn(self._write_and_reschedule(), "books"))
 
-    async def _again(self) -> None:
+    async def _write_and_reschedule(self) -> None:
         await self.write()
         if self.store.failure is None:  # read-only for good: logged once, and there is nothing more to try
-            self.keep()
+            self.schedule_write()
 
     async def write(self) -> None:
         """Write the snapshot once; a failure of the store is logged."""
         taken = record.encode(record.take(self.dispatcher, self.timers.now()))
         try:
-            await self.store.commit([Put(KEY, taken)])
+            await self.store.commit([Put(SNAPSHOT_KEY, taken)])
             self.metrics.count("books_written")
         except StoreError as error:
             self.metrics.count_and_log("books_not_written", why=error)
