--- a/beaconhinge/application.py
+++ b/beaconhinge/application.py
@@ -273,7 +273,7 @@
             local_config.books.max_age_s,
         )
         writer.restore()
-        writer.keep()
+        writer.schedule_write()
         return writer
 
 
