--- a/beaconhinge/dispatch/policy_runner.py
+++ b/beaconhinge/dispatch/policy_runner.py
@@ -1,4 +1,4 @@
-"""The one way into the decision module: events go in one at a time, actions go in order to their owners."""
+"""The one way into the policy: events go in one at a time, actions go in order to their handlers."""
 
 from __future__ import annotations
 
@@ -13,19 +13,26 @@
 from .arrivals import Arrivals
 from .invariants import Rule, SendMonitor
 
-FAILED_TIMER_RETRY_S = 1.0  # seconds after which a timer is fed again on which the module failed
+FAILED_TIMER_RETRY_S = 1.0  # after it a timer is fed again on which the policy failed
 
 ActionHandler = Callable[[Any], object]
 
 
 class PolicyRunner:
+    """Feeds the policy and carries its actions out.
+
+    Attributes:
+        request_handlers: by number, who takes the actions for a request.
+        action_handlers: by type, who takes all other actions.
+        on_event_failed: hears of events that the policy failed on, and may not have applied.
+        check_for_stall: called before each event; looks whether the process stood still.
+    """
+
     def __init__(self, dispatcher: Dispatcher, timers: TimerWheel, metrics: Metrics) -> None:
         self.dispatcher = dispatcher
         self.timers = timers
         self.metrics = metrics
-        self.request_handlers: dict[
-            int, ActionHandler
-        ] = {}  # by number: who takes the instructions for a request
+        self.request_handlers: dict[int, ActionHandler] = {}
         self.action_handlers: dict[type, ActionHandler] = {
             interface.SetTimer: self._set_timer,
             interface.LogMessage: lambda action: metrics.log("module", text=action.text),
@@ -36,13 +43,11 @@
         self.arrivals = Arrivals(timers.now())
         self._events: deque[interface.Event] = deque()
         self._feeding = False
-        # Hears of events that the module failed on, and may not have applied.
-        self.on_event_failed: Callable[[interface.Event], object] = lambda event: None
-        self.check_for_stall: Callable[[], object] = lambda: None  # looks whether the process stood still
+        self.on_event_failed: Callable[[interface.Event], object] = lambda _event: None
+        self.check_for_stall: Callable[[], object] = lambda: None
 
     def _report_violation(self, rule: Rule, request: str, worker: str, why: str) -> None:
-        """A rule was broken by what was written: fatal in debug, counted under `python -O`, which `run`
-        uses."""
+        """A rule was broken by what was written: fatal in debug, counted under `python -O`, as `run` is."""
         self.metrics.count(f"invariant_violations_{rule.value}")
         self.metrics.count_and_log(
             "invariant_violations", rule=rule.value, request=request, worker=worker, why=why
@@ -51,7 +56,10 @@
             raise AssertionError(f"{rule.value}: request {request}, worker {worker}: {why}")
 
     def feed(self, event: interface.Event) -> None:
-        """An owner may feed while its action is routed; that event waits its turn in the queue."""
+        """Let the policy handle an event, and its actions be carried out.
+
+        A handler may feed while its action is carried out; that event waits its turn in the queue.
+        """
         if self._feeding:
             self._events.append(event)
             return
@@ -68,12 +76,12 @@
     def _handle(self, event: interface.Event) -> None:
         try:
             actions = self.dispatcher.handle(self.timers.now(), event)
-        except Exception as error:  # the request of that event still gets its answer
+        except Exception as error:  # noqa: BLE001  # the request of that event still gets its answer
             self.metrics.log_exception(f"module on {type(event).__name__}", error)
             self.on_event_failed(event)
             if isinstance(event, (interface.JobArrived, interface.AttemptEnded)):
                 self._route_to_request(interface.Fail(event.request))
-            elif isinstance(event, interface.TimerFired):  # the module sets its timers anew when they fire
+            elif isinstance(event, interface.TimerFired):  # the policy sets its timers anew when they fire
                 self._set_timer(interface.SetTimer(event.token, FAILED_TIMER_RETRY_S))
             return
         for action in actions:
@@ -83,7 +91,7 @@
                     owner(action)
                 else:
                     self.metrics.count_and_log("action_without_owner", action=type(action).__name__)
-            except Exception as error:  # one owner's failure must not cost the others their actions
+            except Exception as error:  # noqa: BLE001  # a failure must not cost the others their actions
                 self.metrics.log_exception(f"owner of {type(action).__name__}", error)
 
     def _route_to_request(
--- a/beaconhinge/net/http1.py
+++ b/beaconhinge/net/http1.py
@@ -24,20 +24,22 @@
 FIRST_READ_BYTES = 2 * 1024  # the first buffer of each connection: most need no other
 
 
-class BadMessage(Exception):
-    """What a peer sent cannot be taken; `status` and the text say why."""
+class BadMessage(Exception):  # noqa: N818
+    """What a peer sent cannot be taken; `status`, of HTTP, and the text say why."""
 
     def __init__(self, status: int, reason: str) -> None:
         super().__init__(reason)
         self.status = status
 
 
-class Closed(Exception):
+class Closed(Exception):  # noqa: N818
     """The peer ended the connection or broke it."""
 
 
 @dataclass(slots=True)
 class Message:
+    """A request or an answer, each with the fields that it has."""
+
     method: str = ""
     target: bytes = b""
     status: int = 0
@@ -47,7 +49,13 @@
 
 
 class Connection:
-    """One socket with its parser. `requests` tells which side sends the messages that are read here."""
+    """One socket with its parser. At most one read is under way, see `reading`.
+
+    Attributes:
+        inbox: messages that are whole and not taken yet.
+        partial: a message has begun and is not whole.
+        used_at: when it was used last; set and read by its owner, 0 before the first use.
+    """
 
     def __init__(
         self,
@@ -55,11 +63,11 @@
         requests: bool,
         on_close: Callable[[], None],
         max_body_bytes: int = MAX_BODY_BYTES,
-        reserve_bytes: Callable[[int], bool] = lambda count: True,
+        reserve_bytes: Callable[[int], bool] = lambda _count: True,
     ) -> None:
         self.sock = sock
         self.inbox: deque[Message] = deque()
-        self.partial = False  # a message has begun and is not whole
+        self.partial = False
         self.used_at = 0.0
         self._max_body_bytes = max_body_bytes
         self._max_raw_bytes = max(MAX_MESSAGE_BYTES, MAX_HEAD_BYTES + 2 * max_body_bytes)
@@ -81,20 +89,24 @@
     # ---- called by httptools; what is raised in here would come out garbled, so faults are kept ----------
 
     def on_message_begin(self) -> None:
+        """Called by the parser."""
         self._message, self._chunks = Message(), []
         self._raw_bytes = self._body_bytes = 0
         self.partial = self._in_head = True
 
     def on_url(self, part: bytes) -> None:
+        """Called by the parser, perhaps with a part."""
         self._message.target += part
 
     def on_header(self, name: bytes, value: bytes) -> None:
+        """Called by the parser, for headers and trailers."""
         if self._in_head:  # trailers are not asked for and passed over
             headers, key = self._message.headers, name.decode("latin-1").lower()
             text = value.decode("latin-1").strip(" \t")  # blanks around are none of it: RFC 9110, 5.5
             headers[key] = f"{headers[key]}, {text}" if key in headers else text
 
     def on_headers_complete(self) -> None:
+        """Called by the parser."""
         self._in_head = False
         if self._requests:
             self._message.method = self._parser.get_method().decode("latin-1")
@@ -105,6 +117,7 @@
             self._fail(413, f"body over {self._max_body_bytes} bytes")
 
     def on_body(self, part: bytes) -> None:
+        """Called by the parser, perhaps with a part."""
         self._body_bytes += len(part)
         if self._body_bytes > self._max_body_bytes:
             self._fail(413, f"body over {self._max_body_bytes} bytes")
@@ -116,12 +129,13 @@
                 self._fail(503, "too many bodies in hand: try again later")
 
     def on_message_complete(self) -> None:
+        """Called by the parser; interim answers are dropped."""
         self.partial = False
         message, chunks = self._message, self._chunks
         self._message, self._chunks = Message(), []  # kept here, bodies once took twice the memory
         message.body = b"".join(chunks)
         message.keep_alive = self._parser.should_keep_alive()
-        if self._fault is None and (self._requests or message.status >= 200):
+        if self._fault is None and (self._requests or message.status >= HTTPStatus.OK):
             self.inbox.append(message)
 
     def _fail(self, status: int, reason: str) -> None:
@@ -129,7 +143,7 @@
         self._chunks = []  # nobody will read them
 
     def release(self) -> None:
-        """The bodies read so far have been dealt with."""
+        """Give back the room of the bodies read so far: they have been dealt with."""
         if not self.partial and not self.inbox:
             self._reserve_bytes(-self._reserved_bytes)
             self._reserved_bytes = 0
@@ -201,6 +215,12 @@
                 raise Closed
 
     async def next(self) -> Message:
+        """Wait for the next whole message.
+
+        Raises:
+            BadMessage: the peer has sent what cannot be taken.
+            Closed: the peer has ended or broken the connection.
+        """
         while not self.inbox:
             if self._fault is not None:
                 raise self._fault
@@ -215,6 +235,11 @@
         return version
 
     async def send(self, data: bytes) -> None:
+        """Write all of `data`.
+
+        Raises:
+            OSError: the connection has broken.
+        """
         await asyncio.get_running_loop().sock_sendall(self.sock, data)
 
     def silent(self) -> bool:
@@ -250,6 +275,7 @@
             pass
 
     def close(self) -> None:
+        """Close the socket and give back what it took; a second call changes nothing."""
         if self._open:
             self._open = False
             if self._reading is not None:
@@ -262,9 +288,10 @@
 def response(
     status: int, body: bytes = b"", headers: Mapping[str, str] | None = None, close: bool = False
 ) -> bytes:
+    """The bytes of an answer; `close` says that the connection ends with it."""
     reason = HTTPStatus(status).phrase
     lines = [f"HTTP/1.1 {status} {reason}"]
-    if status != 204:
+    if status != HTTPStatus.NO_CONTENT:
         lines.append(f"Content-Length: {len(body)}")
     lines += [f"{name}: {value}" for name, value in (headers or {}).items()]
     if close:
@@ -273,5 +300,6 @@
 
 
 def request(method: str, target: bytes, headers: Mapping[str, str], body: bytes = b"") -> bytes:
+    """The bytes of a request; `headers` hold Content-Length where there is a body."""
     lines = "".join(f"{name}: {value}\r\n" for name, value in headers.items())
     return method.encode() + b" " + target + b" HTTP/1.1\r\n" + lines.encode("latin-1") + b"\r\n" + body
--- a/beaconhinge/net/management.py
+++ b/beaconhinge/net/management.py
@@ -1,8 +1,9 @@
-"""The address where operators call: sockets apart from the clients', with descriptors set aside for them."""
+"""The address for operators' calls: sockets apart from the clients', with descriptors reserved for them."""
 
 from __future__ import annotations
 
 import asyncio
+import contextlib
 import socket
 from collections.abc import Awaitable, Callable
 from functools import partial
@@ -14,13 +15,19 @@
 from ..runtime.timer_wheel import TimerWheel
 from .sockets import tcp_listener
 
-MAX_CALLERS = 8  # descriptors set aside; with as many callers the one that has been silent longest goes
-CALL_TIMEOUT_S = 5.0  # seconds that a caller has for its line: some keep a connection 4 s without one
-ANSWER_TIMEOUT_S = 1.0  # seconds it has to take the answer, and to close
+MAX_CALLERS = 8  # descriptors reserved; with as many callers the one that has been silent longest goes
+CALL_TIMEOUT_S = 5.0  # a caller has it for its line: some keep a connection 4 s without one
+ANSWER_TIMEOUT_S = 1.0  # it has it to take the answer, and to close
+ACCEPT_RETRY_S = 0.01  # after a failed accept
 
 
 class Management:
-    """`acts` says what each call does: given a worker's id or nothing, it answers bytes, some later."""
+    """Accepts operators' calls, one a connection.
+
+    Attributes:
+        acts: by name, what each call does; it returns the answer, or a wait for it.
+        adopt: takes the connection of a new process of this dispatcher; returns why not, if it does not.
+    """
 
     def __init__(
         self,
@@ -33,11 +40,16 @@
         self.acts = acts
         self.timers = timers
         self.metrics = metrics
-        self.adopt: Callable[[str, socket.socket], str] | None = None  # a new process; says why not
+        self.adopt: Callable[[str, socket.socket], str] | None = None
         self._callers: dict[socket.socket, asyncio.Task[None]] = {}  # in the order they came
         self._adopted: set[socket.socket] = set()
 
     def listen(self) -> None:
+        """Listen and accept.
+
+        Raises:
+            AddressUnavailable: the address is taken or not ours.
+        """
         self.metrics.spawn(self._accept(tcp_listener(self.address, "mgmt")), "management")
 
     async def _accept(self, listener: socket.socket) -> None:
@@ -46,7 +58,7 @@
                 sock, _ = await asyncio.get_running_loop().sock_accept(listener)
             except OSError as error:  # the caller has left again, or descriptors are short after all
                 self.metrics.count_and_log("management_accept_failed", why=error)
-                await asyncio.sleep(0.01)
+                await asyncio.sleep(ACCEPT_RETRY_S)
                 continue
             if (
                 len(self._callers) >= MAX_CALLERS
@@ -58,10 +70,8 @@
 
     def _close_caller(self, sock: socket.socket) -> None:
         self.metrics.count("management_callers_parted")
-        try:
+        with contextlib.suppress(OSError):
             sock.send(calls.failure("too many callers; this one had made no call yet"))
-        except OSError:
-            pass
         self._callers.pop(sock).cancel()
 
     async def _serve(self, sock: socket.socket) -> None:
@@ -114,6 +124,6 @@
         except BadCall as why:
             self.metrics.count_and_log("management_call_refused", why=why)
             return calls.failure(str(why))
-        except Exception as error:  # a defect here: the operator hears of it too
+        except Exception as error:  # noqa: BLE001  # a defect here: the operator hears of it too
             self.metrics.log_exception("management call", error)
             return calls.failure("internal error")
--- a/beaconhinge/net/operator_calls.py
+++ b/beaconhinge/net/operator_calls.py
@@ -1,4 +1,4 @@
-"""What the operators' calls do here: each is handed to the part that owns it."""
+"""What operators' calls do here: each is passed to the part that owns it."""
 
 from __future__ import annotations
 
@@ -16,6 +16,17 @@
 
 
 class OperatorCalls:
+    """Carries out operators' calls.
+
+    Attributes:
+        out: ids of the workers that are out by hand; they may leave the list meanwhile.
+        replaces: whether a process before this one may be ended.
+        others: hears of each change; tells the other process of an upgrade.
+        keep: stores that a worker is out or not; returns why not, if it could not.
+        phase: the phase of recovery, where there are phases.
+        acts: by name, what each call does.
+    """
+
     def __init__(
         self,
         config: Config,
@@ -29,12 +40,12 @@
         self.workers = workers
         self.requests = requests
         self.listener = listener
-        self.out: set[str] = set()  # workers out by hand, by id: they may leave the list meanwhile
+        self.out: set[str] = set()
         workers.out_by_hand = self.out.__contains__
-        self.replaces: Callable[[], bool] = lambda: True  # whether a process before this one may be ended
-        self.others: Callable[[Call], None] = lambda call: None  # the other process of an upgrade hears too
-        self.keep: Callable[[str, bool], Awaitable[str]] | None = None  # on the disk; says why not
-        self.phase: Callable[[], str] | None = None  # of a return, where there are phases
+        self.replaces: Callable[[], bool] = lambda: True
+        self.others: Callable[[Call], None] = lambda _call: None
+        self.keep: Callable[[str, bool], Awaitable[str]] | None = None
+        self.phase: Callable[[], str] | None = None
         self.acts: dict[str, Callable[[Call], bytes | Awaitable[bytes]]] = {
             calls.READY: self._ready,
             calls.SHOW_STAT: self._show_stat,
@@ -44,7 +55,7 @@
             calls.RESUME: self._drain_or_resume,
         }
         for name in (calls.LEASE_LIST, calls.LEASE_TAKE, calls.LEASE_GIVE, calls.LEASE_HAND_OVER):
-            self.acts[name] = lambda call: calls.failure("leases are not switched on")
+            self.acts[name] = lambda _call: calls.failure("leases are not switched on")
 
     def _ready(self, _call: Call) -> bytes:
         if not self.replaces():
@@ -83,7 +94,7 @@
         return calls.failure(f"{answer}, but not after a restart: {why}") if why else calls.success(answer)
 
     def apply(self, host_id: str, out: bool) -> None:
-        """Twice out is out once."""
+        """Take a worker out or put it back; a second time changes nothing."""
         if out == (host_id in self.out):
             return
         self.out ^= {host_id}
@@ -100,6 +111,6 @@
         return calls.success("drains" if drain else "serves")
 
     def send_away(self, drain: bool) -> None:
-        """Send clients away or take them again; after a take-over that is for the other process to do."""
+        """Drain or resume; after a hand-over that is for the other process to do."""
         if not self.listener.handed:
             self.listener.drain() if drain else self.listener.resume()
--- a/beaconhinge/net/peers.py
+++ b/beaconhinge/net/peers.py
@@ -14,11 +14,19 @@
 from ..runtime.timer_wheel import TimerWheel
 
 MAX_DATAGRAM_BYTES = 256
-MAX_DROPPED_DATAGRAMS = 4096  # datagrams dropped at once; what a socket holds by default is fewer
-HEARD_WITHIN_S = 1.5  # seconds without a datagram after which no other dispatcher counts as there
+MAX_DROPPED_DATAGRAMS = 4096  # at once; what a socket holds by default is fewer
+READS_IN_A_TURN = 64  # datagrams, before others have their turn
+HEARD_WITHIN_S = 1.5  # without a datagram for longer, no other dispatcher counts as there
 
 
 class PeerSocket:
+    """The socket for datagrams between dispatchers.
+
+    Attributes:
+        talk: by first byte, who takes such datagrams, with the sender's number; the rest go to the policy.
+        woken: whether the process has just gone on after a stall.
+    """
+
     def __init__(
         self, config: Config, policy_runner: PolicyRunner, timers: TimerWheel, metrics: Metrics
     ) -> None:
@@ -30,17 +38,21 @@
         self._sock: socket.socket | None = None
         self._heard_at = -math.inf
         self._leaving = False
-        # Who takes datagrams that begin with that byte, given the sender's number; the rest are the module's.
         self.talk: dict[int, Callable[[int, bytes], None]] = {}
-        self.woken: Callable[[], bool] = lambda: False  # whether the process has just gone on after a stall
+        self.woken: Callable[[], bool] = lambda: False
         policy_runner.action_handlers[interface.SendToPeer] = self._on_send
 
     def move(self, config: Config) -> None:
-        """Reach the others at these addresses from now on."""
+        """Reach the other dispatchers at the addresses of this configuration from now on."""
         self.peers, self.everyone = config.peers, config.peers_all
         self.numbers = {address: number for number, address in enumerate(config.peers)}
 
     def listen(self) -> None:
+        """Receive from now on, where the configuration has an address for it.
+
+        Raises:
+            OSError: the address cannot be used.
+        """
         if self.config.peer_listen is None:
             return
         self._sock = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
@@ -52,11 +64,11 @@
         asyncio.get_running_loop().add_reader(self._sock, self._read)
 
     def leave(self) -> None:
-        """Tell nothing more, so that no other dispatcher counts on this one."""
+        """Send nothing more, so that no other dispatcher counts on this one."""
         self._leaving = True
 
     def let_go(self) -> None:
-        """Another process of this dispatcher hears and tells from now on."""
+        """Close the socket: another process of this dispatcher receives and sends from now on."""
         self.leave()
         if self._sock is not None:
             asyncio.get_running_loop().remove_reader(self._sock)
@@ -73,7 +85,7 @@
         assert self._sock is not None
         if self.woken():
             return  # nothing that waited is news
-        for _ in range(64):  # then others have their turn
+        for _ in range(READS_IN_A_TURN):
             try:
                 payload, sender = self._sock.recvfrom(MAX_DATAGRAM_BYTES + 1)
             except BlockingIOError:
@@ -94,7 +106,7 @@
             self.policy_runner.feed(interface.PeerMessage(number, payload))
 
     def forget_waiting(self) -> int:
-        """Drop what waits to be read; how many datagrams that were."""
+        """Drop what waits to be read; returns how many datagrams that were."""
         for dropped in range(MAX_DROPPED_DATAGRAMS):
             try:
                 if self._sock is None:
@@ -108,12 +120,11 @@
         self.send(action.peer, action.payload)
 
     def send(self, number: int, payload: bytes) -> None:
-        """To one dispatcher, or to all for a number below 0. It may be lost."""
+        """Send to one dispatcher, or to all for a number below 0. It may be lost."""
         if self._leaving:
             return
-        if number < 0:
-            target = self.everyone
-        else:
+        target = self.everyone
+        if number >= 0:
             target = self.peers[number] if number < len(self.peers) else None
         if (
             self._sock is None
--- a/beaconhinge/net/sockets.py
+++ b/beaconhinge/net/sockets.py
@@ -1,4 +1,4 @@
-"""Sockets and the one budget for them."""
+"""Sockets and the one budget of descriptors for them."""
 
 from __future__ import annotations
 
@@ -10,26 +10,36 @@
 
 from ..errors import Error
 
-SO_ATTACH_REUSEPORT_CBPF, BPF_RETURN = 51, 0x06  # Linux, asm-generic/socket.h and bpf_common.h
+SO_ATTACH_REUSEPORT_CBPF = 51  # Linux, asm-generic/socket.h
+BPF_RETURN = 0x06  # Linux, bpf_common.h
+BACKLOG = 1024  # connections that wait to be accepted
 RESERVED_DESCRIPTORS = 24  # descriptors for standard streams, event loop, listener, datagrams and discovery
 
 
-class AddressUnavailable(Error):
+class AddressUnavailable(Error):  # noqa: N818
     """An address that cannot be listened on; the text names its key."""
 
 
 class DescriptorBudget:
-    """Counts sockets in use, and bytes of bodies. When sockets are short, idle connections are closed first,
-    by whoever holds them.
+    """Counts sockets in use, and bytes of bodies.
+
+    When sockets are short, idle connections are closed first, by whoever has them.
+
+    Attributes:
+        total: sockets that this process may have.
+        used: sockets that it has.
+        share: the part of the dispatcher's sockets and memory that this process has.
+        body_bytes: room left for bodies.
+        reclaimers: each closes one idle connection and returns whether it had one.
     """
 
-    def __init__(self, sockets: int, body_bytes: int, aside: int = 0) -> None:
-        self._sockets = self.total = sockets - RESERVED_DESCRIPTORS - aside
+    def __init__(self, sockets: int, body_bytes: int, reserved: int = 0) -> None:
+        self._sockets = self.total = sockets - RESERVED_DESCRIPTORS - reserved
         self._bodies = body_bytes
         self.share = 1.0
         self.used = 0
-        self.body_bytes = body_bytes  # room left for bodies
-        self.reclaimers: list[Callable[[], bool]] = []  # each closes one idle connection, if it has one
+        self.body_bytes = body_bytes
+        self.reclaimers: list[Callable[[], bool]] = []
         self._freed = asyncio.Event()
 
     def reserve_body_bytes(self, count: int) -> bool:
@@ -40,11 +50,12 @@
         return True
 
     def set_share(self, part: float) -> None:
-        """The other process of this dispatcher has the rest, or has ended. What is held beyond is kept."""
+        """The other process of this dispatcher has the rest, or has ended. What is in use beyond is kept."""
         self.body_bytes += int(part * self._bodies) - int(self.share * self._bodies)
         self.share, self.total = part, int(part * self._sockets)
 
     def acquire(self) -> bool:
+        """Take a socket, closing an idle one if need be; returns whether there was one."""
         while self.used >= self.total:
             if not any(reclaim() for reclaim in self.reclaimers):
                 return False
@@ -52,16 +63,22 @@
         return True
 
     def release(self) -> None:
+        """Give a socket back."""
         self.used -= 1
         self._freed.set()
 
     async def wait_for_release(self) -> None:
+        """Wait until somebody gives a socket back."""
         self._freed.clear()
         await self._freed.wait()
 
 
 def tcp_listener(address: tuple[str, int], key: str, shared: bool = False) -> socket.socket:
-    """Raises Unavailable, which names the configuration's `key`. Two processes may listen on a shared one."""
+    """Listen on an address; two processes may listen on a `shared` one.
+
+    Raises:
+        AddressUnavailable: names the configuration's `key`.
+    """
     sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
     if shared:
@@ -69,7 +86,7 @@
     sock.setblocking(False)
     try:
         sock.bind(address)
-        sock.listen(1024)
+        sock.listen(BACKLOG)
     except OSError as error:
         sock.close()
         raise AddressUnavailable(f"{key}: {address[0]}:{address[1]}: {error.strerror}") from None
@@ -77,8 +94,10 @@
 
 
 def steer_to_second(listener: socket.socket) -> bool:
-    """Lead new connections at a shared address to the socket that listened second there, so that nobody comes
-    to the first any more. While there is but one, the program names none and the kernel chooses.
+    """Lead new connections at a shared address to the socket that listened second there.
+
+    Nobody comes to the first any more. While there is but one, the program names none and the kernel chooses.
+    Returns whether the kernel took the program.
     """
     instruction = array("B", struct.pack("@HBBI", BPF_RETURN, 0, 0, 1))
     program = struct.pack("@HP", 1, instruction.buffer_info()[0])
@@ -119,6 +138,11 @@
 
 
 async def connect(address: tuple[str, int]) -> socket.socket:
+    """Connect to an address.
+
+    Raises:
+        OSError: it cannot be reached.
+    """
     sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
     try:
         sock.setblocking(False)
--- a/beaconhinge/net/streams.py
+++ b/beaconhinge/net/streams.py
@@ -1,4 +1,4 @@
-"""Answers as streams of server-sent events: the same request on the same core, told while it goes on.
+"""Answers as streams of server-sent events: the same request, reported on while it goes on.
 
 What a stream says is `progress.feed`'s, its text `progress.codec`'s. Here are the waits and the writes: a
 reader that is slow holds up nobody but itself, since only its own connection is waited for.
@@ -25,12 +25,12 @@
 from .http1 import Closed, Connection, Message
 
 KEPT_OUTCOMES_PART = 0.25  # of the room for bodies: outcomes kept for those who come back
-EXPIRY_INTERVAL_S = 0.25  # seconds between looks for what has been detached or kept for long enough
+EXPIRY_INTERVAL_S = 0.25  # between looks for what has been detached or kept for long enough
 TOKEN_BYTES = 16  # bytes of randomness
 
 
 class StreamedRequest:
-    """Feeds what becomes of a request, and wakes who writes its stream."""
+    """Observes a request for its stream, and wakes who writes that."""
 
     def __init__(self, job: Job, class_name: str) -> None:
         self.feed = Feed()
@@ -41,37 +41,50 @@
         self._waiters: set[asyncio.Future[None]] = set()
 
     def next_change(self) -> asyncio.Future[None]:
-        """Done once something more has been told. Two readers may wait at once, while one takes over."""
+        """Done once there is another event. Two readers may wait at once, while one takes over."""
         future: asyncio.Future[None] = asyncio.get_running_loop().create_future()
         self._waiters.add(future)
         return future
 
     def forget_waiter(self, news: asyncio.Future[None]) -> None:
+        """Drop a future of `next_change` that nobody waits for."""
         self._waiters.discard(news)
 
     def wake(self) -> None:
+        """Wake all who wait for a change."""
         for future in self._waiters:
             if not future.done():
                 future.set_result(None)
         self._waiters.clear()
 
     def accepted(self) -> None:
+        """See RequestObserver."""
         self.feed.accepted({"id": self.job.id, "class": self.class_name, "token": self.token})
         self.wake()
 
     def started(self, attempt: int) -> None:
+        """See RequestObserver."""
         self.feed.started(attempt)
         self.wake()
 
     def progress(self, attempt: int, share: float) -> None:
+        """See RequestObserver."""
         self.feed.progress(attempt, share)
         self.wake()
 
     def lost(self, attempt: int) -> None:
+        """See RequestObserver."""
         self.feed.lost(attempt)
 
 
 class Streams:
+    """All requests that are answered as streams.
+
+    Attributes:
+        open_by_tenant: number of streams that are being written.
+        streamed: by job id, as long as the registry knows it.
+    """
+
     def __init__(
         self, settings: Progress, config: Config, requests: RequestTable, timers: TimerWheel, metrics: Metrics
     ) -> None:
@@ -91,6 +104,7 @@
         timers.after(EXPIRY_INTERVAL_S, self._expire)
 
     def wants_stream(self, message: Message) -> bool:
+        """Whether a message asks for its answer as a stream."""
         accept = message.headers.get("accept", "")
         return codec.MEDIA_TYPE in accept.lower() and codec.accepts(accept)
 
@@ -247,17 +261,17 @@
     async def _wait_for_change(
         self, connection: Connection, streamed: StreamedRequest, most: float | None
     ) -> asyncio.Task[bool]:
-        """Until there is news, the answer is there, the client sends or leaves, or `most` s have passed."""
+        """Wait for an event, the answer, bytes or the end of the client; at most `most` seconds."""
         reading, news = connection.reading(), streamed.next_change()
         waits: set[asyncio.Future[Any]] = {news, reading}
         if not streamed.feed.milestones:
-            waits.add(streamed.request.answer)  # from the first event on the answer is told like all else
+            waits.add(streamed.request.answer)  # from the first event on the answer is an event too
         await asyncio.wait(waits, timeout=most, return_when=asyncio.FIRST_COMPLETED)
         streamed.forget_waiter(news)
         return reading
 
     async def _client_left(self, request: Request) -> None:
-        """Nobody waits for it any more: the module hears of that once, if it had not answered before."""
+        """Nobody waits for it any more: the policy hears of that once, if it had not answered before."""
         if not request.answer.done():
             request.client_left()
             await request.answer
--- a/beaconhinge/runtime/clock.py
+++ b/beaconhinge/runtime/clock.py
@@ -6,14 +6,16 @@
 
 
 class Clock:
-    """Forward-only: it is set by the wall clock once, and never again. Wall times that come later are brought
-    to it by `start_times.py`.
+    """A clock that only goes forward: it is set by the wall clock once, and never again.
+
+    Wall times that come later are brought to it by `start_times.py`.
     """
 
     def __init__(self) -> None:
         self._offset = time.time() - time.monotonic()
 
     def now(self) -> float:
+        """Seconds of Unix time by this clock."""
         return self._offset + time.monotonic()
 
     def wall_time(self) -> float:
--- a/beaconhinge/runtime/metrics.py
+++ b/beaconhinge/runtime/metrics.py
@@ -9,10 +9,17 @@
 from collections.abc import Callable, Coroutine
 from typing import Any, TextIO
 
-REPEAT_INTERVAL_S = 5.0  # seconds between two log lines of one kind of complaint
+REPEAT_INTERVAL_S = 5.0  # between two log lines of one kind of complaint
 
 
 class Metrics:
+    """Counters, log lines, and tasks whose failures are logged.
+
+    Attributes:
+        counters: by name; operators read them in the log and by `show-stat`.
+        traced: topics whose single events are logged too.
+    """
+
     def __init__(
         self,
         now: Callable[[], float],
@@ -26,12 +33,14 @@
         self.counters: Counter[str] = Counter()
         self.tasks: set[asyncio.Task[Any]] = set()
         self._suppressed_until: dict[str, float] = {}
-        self.traced = traced  # topics whose single events are logged too
+        self.traced = traced
 
     def count(self, name: str, by: int = 1) -> None:
+        """Add to a counter."""
         self.counters[name] += by
 
     def log(self, event: str, **fields: object) -> None:
+        """Write one line."""
         try:
             self._write(event, fields)
         except OSError:  # nobody reads the log any more: no reason to stop serving
@@ -42,8 +51,7 @@
         print(" ".join(parts), file=self.sink, flush=True)
 
     def trace(self, topic: str, event: str, **fields: object) -> None:
-        """Log one event of a topic that is traced. Off unless asked for: these lines come with every
-        request."""
+        """Log one event of a topic, if that is traced: these lines come with every request."""
         if topic in self.traced:
             self.log(event, **fields)
 
@@ -68,6 +76,7 @@
         self.count_and_log("task_failed", task=where, error=f"{type(error).__name__}: {error}", at=at)
 
     def spawn(self, coroutine: Coroutine[Any, Any, None], name: str) -> asyncio.Task[None]:
+        """Run a coroutine as a task; a failure is logged under `name`."""
         task = asyncio.get_running_loop().create_task(coroutine, name=name)
         self.tasks.add(task)
         task.add_done_callback(self._on_task_done)
@@ -79,6 +88,7 @@
             self.log_exception(task.get_name(), error)
 
     def log_counters(self) -> None:
+        """Write one line with all counters."""
         self.log("counters", **dict(sorted(self.counters.items())))
 
 
--- a/beaconhinge/runtime/timer_wheel.py
+++ b/beaconhinge/runtime/timer_wheel.py
@@ -8,10 +8,12 @@
 from types import TracebackType
 
 TICK_S = 0.005
-SLOTS = 512
+SLOTS = 512  # a timer further ahead than so many ticks stays in its slot for another turn
 
 
 class Timer:
+    """One call at a time to come; `call` is None once it was made or cancelled."""
+
     __slots__ = ("call", "due")
 
     def __init__(self, due_tick: int, callback: Callable[[], object]) -> None:
@@ -19,11 +21,17 @@
         self.call: Callable[[], object] | None = callback
 
     def cancel(self) -> None:
+        """Drop the call; a second time changes nothing."""
         self.call = None
 
 
 class TimerWheel:
-    """Timers hang in the slot of their tick; the wheel sleeps while no timer is left."""
+    """Timers hang in the slot of their tick; the wheel sleeps while no timer is left.
+
+    Attributes:
+        now: the clock, in seconds.
+        postponed_for: seconds that timers have to wait still, after the process stood still.
+    """
 
     def __init__(self, now: Callable[[], float], on_error: Callable[[str, BaseException], None]) -> None:
         self.now = now
@@ -35,9 +43,10 @@
         self._wakeup: asyncio.TimerHandle | None = None
         self._wakeup_tick = 0  # the tick for which the loop's timer is set
         self._firing = False
-        self.postponed_for: Callable[[], float] = lambda: 0.0  # seconds that timers have to wait still
+        self.postponed_for: Callable[[], float] = lambda: 0.0
 
     def after(self, seconds: float, call: Callable[[], object]) -> Timer:
+        """Call something after so many seconds, not earlier."""
         if self._count == 0:
             self._last_tick = max(self._last_tick, self._current_tick())
         due = max(math.ceil((self.now() + seconds - self._origin) / TICK_S), self._last_tick + 1)
@@ -49,6 +58,7 @@
         return timer
 
     def timeout(self, seconds: float) -> Timeout:
+        """Bound the time of an `async with` block."""
         return Timeout(self, seconds)
 
     def fire_due(self) -> None:
@@ -74,7 +84,7 @@
             if call is not None:
                 try:
                     call()
-                except Exception as error:  # one timer's failure must not lose the others
+                except Exception as error:  # noqa: BLE001  # one timer's failure must not lose the others
                     self.on_error("timer", error)
         self._firing = False
         if self._count:
@@ -93,7 +103,7 @@
 
 
 class Timeout:
-    """`async with wheel.limit(seconds)`: the body gets that long, then TimeoutError is raised."""
+    """`async with timers.timeout(seconds)`: the body gets that long, then TimeoutError is raised."""
 
     def __init__(self, timers: TimerWheel, seconds: float) -> None:
         self._timers = timers
@@ -115,6 +125,7 @@
     ) -> None:
         self._timer.cancel()
         # A cancellation from elsewhere at the same moment goes on as what it is.
-        if self._expired and self._task is not None and self._task.uncancel() == 0:
-            if kind is asyncio.CancelledError:
-                raise TimeoutError from error
+        if not self._expired or self._task is None:
+            return
+        if self._task.uncancel() == 0 and kind is asyncio.CancelledError:
+            raise TimeoutError from error
