--- a/tests/test_lifecycle.py
+++ b/tests/dispatch/test_request.py
@@ -1,4 +1,4 @@
-"""Stories of one request with a scripted module: cancels, time-outs, refusals, clients that leave, failures."""
+"""Scenarios of one request with a scripted policy: cancels, time-outs, refusals, clients that leave, failures."""
 
 from __future__ import annotations
 
--- a/tests/test_crossings.py
+++ b/tests/net/test_client_connection.py
@@ -38,7 +38,7 @@
 from beaconhinge.policy import interface
 from beaconhinge.policy.interface import AttemptOutcome
 
-ROOT = Path(__file__).resolve().parent.parent
+ROOT = Path(__file__).resolve().parents[2]
 FIRST, SECOND = worker_number("s-0"), worker_number("s-1")
 
 
--- a/tests/test_serving.py
+++ b/tests/net/test_listener.py
@@ -1,4 +1,4 @@
-"""Stories over loopback sockets: a job from its client to a worker and back."""
+"""Scenarios over loopback sockets: a job from its client to a worker and back."""
 
 from __future__ import annotations
 
--- /dev/null
+++ b/tests/runtime/test_metrics.py
@@ -0,0 +1,55 @@
+"""Counters, log lines, supervised tasks, and what must hold."""
+
+from __future__ import annotations
+
+import asyncio
+import io
+import subprocess
+import sys
+from pathlib import Path
+
+import pytest
+
+from beaconhinge.runtime.metrics import Metrics
+
+ROOT = Path(__file__).resolve().parents[2]
+
+
+def test_complaints_are_all_counted_and_logged_at_a_limited_rate_on_one_line() -> None:
+    now, sink = [10.0], io.StringIO()
+    metrics = Metrics(lambda: now[0], sink)
+    for _ in range(1000):
+        metrics.count_and_log("callback_malformed", why="a\nforged line x=1 \x1b[31m \u2028")
+    assert metrics.counters["callback_malformed"] == 1000
+    assert len(sink.getvalue().splitlines()) == 1
+    now[0] += 6.0
+    metrics.count_and_log("callback_malformed", why="again")
+    assert sink.getvalue().splitlines()[1] == "16.000 callback_malformed total=1001 why=again"
+
+
+def test_a_failed_task_is_logged_and_counted() -> None:
+    async def run() -> None:
+        metrics = Metrics(lambda: 1.0, sink := io.StringIO())
+
+        async def broken() -> None:
+            raise KeyError("x")
+
+        await asyncio.wait([metrics.spawn(broken(), "story")])
+        await asyncio.sleep(0)
+        assert metrics.counters["task_failed"] == 1
+        assert "task=story" in sink.getvalue()
+
+    asyncio.run(run())
+
+
+def test_what_must_hold_is_asserted_in_debug_and_counted_in_release() -> None:
+    with pytest.raises(AssertionError, match="name"):
+        Metrics(lambda: 1.0).check(False, "name")
+    code = (
+        "from beaconhinge.runtime.metrics import Metrics; s = Metrics(lambda: 1.0)\n"
+        "print(s.check(False, 'name'), s.check(True, 'name'), s.counters['broken_name'])"
+    )
+    done = subprocess.run(
+        [sys.executable, "-O", "-c", code], cwd=ROOT, capture_output=True, text=True, timeout=20
+    )
+    assert done.stdout == "False True 1\n"
--- a/tests/test_reload.py
+++ b/tests/test_application.py
@@ -1,4 +1,4 @@
-"""Stories of a configuration that is replaced while requests are in work, told by SIGHUP."""
+"""Scenarios of a configuration that is replaced while requests are in work, told by SIGHUP."""
 
 from __future__ import annotations
 
