--- a/beaconhinge/gossip/aggregation.py
+++ b/beaconhinge/gossip/aggregation.py
@@ -12,24 +12,21 @@
 
 from __future__ import annotations
 
-from collections import Counter, defaultdict, deque
-from collections.abc import Hashable, Iterator
+from collections import Counter, deque
+from collections.abc import Iterator
 from dataclasses import dataclass
 
 from . import codec
 from .groups import AGGREGATOR_TIMEOUT_S, GroupLayout, RemoteGroup
 from .in_flight import InFlightTable
-from .load_view import Reported as Reported
-from .peers import MEMORY as MEMORY
-from .peers import Peer as Peer
-from .peers import smooth as smooth
+from .peers import Peer
 
 INF = float("inf")
 
 # Peers up to which each dispatcher sends its deltas to all others.
 MAX_DIRECT_PEERS = 8
 # Reports missed before a peer's demand is dropped.
-SILENT_REPORTS = 4
+MAX_MISSED_REPORTS = 4
 # Without a message from a peer for so long its attempts count as over.
 PEER_TIMEOUT_S = 2.0
 # A dispatcher with nothing to send shows that it is alive after so long.
@@ -50,14 +47,6 @@
 # By rank, so that one dispatcher after the other would become the aggregator.
 ELECTION_STAGGER_S = 0.03
 
-# Jobs of a class on a kind of worker from which their mean counts, and over which it is taken.
-MIN_JOBS_FOR_MEAN = 5.0
-MAX_JOBS_IN_MEAN = 200.0
-# Part of the work served before that is forgotten with each job.
-DECAY_PER_JOB = 0.01
-# A class with a larger share of all work is not a minor one.
-MAX_MINOR_SHARE = 0.35
-
 
 @dataclass(slots=True, frozen=True)
 class WorkerObservation:
@@ -68,38 +57,7 @@
     failures: int
 
 
-class Spent:
-    """Work lately served: its division among classes, and the time a job takes on a kind of worker."""
-
-    def __init__(self) -> None:
-        self._by_class: defaultdict[Hashable, float] = defaultdict(float)
-        self._jobs: dict[tuple[Hashable, int], tuple[float, float]] = {}  # by class and kind: seconds, jobs
-
-    def note(self, cls: Hashable, kind: int, work: float, slots: float) -> None:
-        """Record a job that was served; `work` is the seconds for which it took each of its slots."""
-        for other in self._by_class:
-            self._by_class[other] *= 1 - DECAY_PER_JOB
-        self._by_class[cls] += work * slots
-        # A plain mean, since a smoothed one forgets the few long jobs that make up half of the work.
-        seconds, jobs = self._jobs.get((cls, kind), (0.0, 0.0))
-        keep = 1 - 1 / MAX_JOBS_IN_MEAN if jobs >= MAX_JOBS_IN_MEAN else 1.0
-        self._jobs[cls, kind] = seconds * keep + work, jobs * keep + 1
-
-    def part(self, cls: Hashable) -> float:
-        """The class's share of all work; 0 where it is not a small one, or the only one, or not known yet."""
-        part = self._by_class[cls] / max(sum(self._by_class.values()), 1e-9)
-        return part if part < MAX_MINOR_SHARE else 0.0
-
-    def mean(self, cls: Hashable, kind: int) -> float:
-        """Seconds that a job of the class takes on the kind, or on any where few were seen; 0: unknown."""
-        seconds, jobs = self._jobs.get((cls, kind), (0.0, 0.0))
-        if jobs >= MIN_JOBS_FOR_MEAN:
-            return seconds / jobs
-        told = [entry for (of, _), entry in self._jobs.items() if of == cls]
-        return sum(seconds for seconds, _ in told) / max(sum(jobs for _, jobs in told), 1.0)
-
-
-class Fleet:
+class GossipNode:
     """The gossip of one dispatcher with its group, and as its aggregator with other groups.
 
     Attributes:
@@ -110,19 +68,21 @@
         standing: How many dispatchers of the fleet each peer stands for.
     """
 
-    def __init__(self, group_size: int, own_number: int, incarnation: int, report_after: float) -> None:
+    def __init__(
+        self, group_size: int, own_number: int, incarnation: int, min_report_interval_s: float
+    ) -> None:
         self.group_size = group_size
         self.own_number = own_number
         self.incarnation = incarnation
-        self.report_after = report_after  # seconds between reports, at least
+        self.report_after = min_report_interval_s  # seconds between reports, at least
         layout = GroupLayout(group_size)
         self.group_count = layout.group_count
         own_group = layout.group_of(own_number)
         members = layout.members(own_group)
         self.rank = members.index(own_number)
-        self.mates = [number for number in members if number != own_number]
-        self.broadcast_targets = [-1] if self.group_count == 1 else self.mates
-        self.standing = (group_size - 1) / max(1, len(self.mates))
+        self.group_peers = [number for number in members if number != own_number]
+        self.broadcast_targets = [-1] if self.group_count == 1 else self.group_peers
+        self.peer_weight = (group_size - 1) / max(1, len(self.group_peers))
         self.remote_groups = {
             group: RemoteGroup(layout.members(group))
             for group in range(self.group_count)
@@ -134,17 +94,17 @@
         # What was last sent of them, those sent longest ago first.
         self._remote_sent: Counter[int] = Counter()
         self._now = 0.0
-        self.sends_directly = len(self.mates) <= MAX_DIRECT_PEERS
+        self.sends_directly = len(self.group_peers) <= MAX_DIRECT_PEERS
         self.outbox: list[tuple[int, bytes]] = []
         self.sends = 0
         self.peers: dict[int, Peer] = {}
-        self.hub: int | None = None
-        self.introduce = False
+        self.aggregator: int | None = None
+        self.wants_report = False
         # What this dispatcher knows by deltas: as the aggregator, or in a small group.
-        self.board = InFlightTable()
+        self.in_flight_table = InFlightTable()
         # Slots that the whole group has in flight by worker, from aggregates.
-        self.seen: Counter[int] = Counter()
-        self._hub_heard = -INF
+        self.aggregated_in_flight: Counter[int] = Counter()
+        self._aggregator_heard_at = -INF
         # Own changes that no aggregate may show yet, as time, key of a worker and slots; their sums by key.
         self._unconfirmed: deque[tuple[float, int, int]] = deque()
         self._unconfirmed_sums: Counter[int] = Counter()
@@ -156,7 +116,7 @@
     @property
     def is_aggregator(self) -> bool:
         """Whether this dispatcher is the aggregator of its group."""
-        return self.hub == self.own_number
+        return self.aggregator == self.own_number
 
     @property
     def hears_remote_groups(self) -> bool:
@@ -167,63 +127,63 @@
         """
         return self._now - self._remote_heard_at <= REMOTE_TIMEOUT_S
 
-    def others(self, key: int, own: float) -> float:
+    def in_flight_elsewhere(self, key: int, own: float) -> float:
         """Slots that other dispatchers have in flight on a worker, on which this one has `own`."""
         if self.sends_directly or self.is_aggregator:
-            in_flight = self.board.out[key]
+            in_flight = self.in_flight_table.slots[key]
         else:
-            in_flight = self.seen[key] + self._unconfirmed_sums[key]
+            in_flight = self.aggregated_in_flight[key] + self._unconfirmed_sums[key]
         in_group = max(0.0, in_flight - own)
         if self.hears_remote_groups:
             return in_group + self.remote_in_flight[key]
-        return self.standing * in_group
+        return self.peer_weight * in_group
 
     # ---- sending -------------------------------------------------------------------------------------------
 
     def start(self, now: float) -> None:
         """Begin at `now`: the aggregator has as long as after an aggregate to show itself."""
-        self._hub_heard = self._sent_at = now
+        self._aggregator_heard_at = self._sent_at = now
 
-    def woke(self, now: float) -> None:
+    def process_resumed(self, now: float) -> None:
         """Forget what was heard before the process stood still: another may be the aggregator by now."""
         self.start(now)
         if self.sends_directly:
             return
-        self.hub, self.board = None, InFlightTable()
-        self.seen.clear()
+        self.aggregator, self.in_flight_table = None, InFlightTable()
+        self.aggregated_in_flight.clear()
         for peer in self.peers.values():
-            peer.out.clear()
+            peer.in_flight.clear()
 
-    def note(self, now: float, key: int, what: int, slots: int) -> None:
+    def record(self, now: float, key: int, what: int, slots: int) -> None:
         """Record an own attempt, or its end, on the worker with this key."""
-        by = slots if what == codec.SENT else -slots
+        by = slots if what == codec.DeltaKind.SENT else -slots
         self.sends += max(by, 0)
-        self.board.adjust(key, by)
+        self.in_flight_table.adjust(key, by)
         if self.is_aggregator:
-            self.board.record(key, what)
+            self.in_flight_table.record(key, what)
         else:
             self._deltas += [codec.Delta(key, what)] * slots
             self._unconfirmed.append((now, key, by))
             self._unconfirmed_sums[key] += by
-        urgent = what in (codec.SENT, codec.FAILED)
+        urgent = what in (codec.DeltaKind.SENT, codec.DeltaKind.FAILED)
         self._deltas_due_at = min(self._deltas_due_at, now + (URGENT_DELAY_S if urgent else BATCH_DELAY_S))
 
-    def report(self, report: codec.Report, to: int = -1) -> int:
+    def send_report(self, report: codec.DemandReport, to: int = -1) -> int:
         """Send a report to the whole group, or to one dispatcher of it.
 
         Returns:
             The bytes delivered, over all receivers.
         """
         if to == self.own_number:  # a new aggregator takes its own report first
-            for key, slots in report.slots_out:
-                self.board.adjust(key, slots)
+            for key, slots in report.in_flight:
+                self.in_flight_table.adjust(key, slots)
             return 0
         report.incarnation, report.sequence = self.incarnation, self._next_sequence()
-        payload = codec.encode(report)
+        payload = codec.encode_report(report)
         self.outbox += [(number, payload) for number in (self.broadcast_targets if to < 0 else [to])]
-        return len(payload) * len(self.mates)
+        return len(payload) * len(self.group_peers)
 
-    def turn(self, now: float) -> None:
+    def advance(self, now: float) -> None:
         """Put into the outbox what is due; to be called after each event."""
         self._now = now
         while self._unconfirmed and self._unconfirmed[0][0] < now - AGGREGATE_LAG_S:
@@ -237,27 +197,29 @@
             self._send_deltas(now)
 
     def _aggregator_is_missing(self, now: float) -> bool:
-        silence = now - self._hub_heard
+        silence = now - self._aggregator_heard_at
         return not self.sends_directly and silence > AGGREGATOR_TIMEOUT_S + ELECTION_STAGGER_S * self.rank
 
     def _become_aggregator(self) -> None:
-        self.hub, self.board = self.own_number, InFlightTable()
+        self.aggregator, self.in_flight_table = self.own_number, InFlightTable()
         for peer in self.peers.values():
-            peer.out.clear()  # each will send a report
-        self.introduce = True
+            peer.in_flight.clear()  # each will send a report
+        self.wants_report = True
 
     def _send_deltas(self, now: float) -> None:
-        if self.hub is not None or self.sends_directly:
-            message = codec.News(self.incarnation, self._next_sequence(), self._deltas)
-            payload = codec.encode_news(message)
-            targets = self.broadcast_targets if self.hub is None else [self.hub]
+        if self.aggregator is not None or self.sends_directly:
+            message = codec.DeltaMessage(self.incarnation, self._next_sequence(), self._deltas)
+            payload = codec.encode_deltas(message)
+            targets = self.broadcast_targets if self.aggregator is None else [self.aggregator]
             self.outbox += [(number, payload) for number in targets]
         self._deltas, self._deltas_due_at, self._sent_at = [], INF, now
 
     def _send_aggregates(self, now: float) -> None:
-        interval = AGGREGATE_FAILURE_INTERVAL_S if self.board.failures else AGGREGATE_INTERVAL_S
+        interval = AGGREGATE_FAILURE_INTERVAL_S if self.in_flight_table.failures else AGGREGATE_INTERVAL_S
         if now - self._aggregate_sent_at >= interval:
-            payload = codec.encode_board(self.board.next_aggregate(self.incarnation, self._next_sequence()))
+            payload = codec.encode_aggregate(
+                self.in_flight_table.next_aggregate(self.incarnation, self._next_sequence())
+            )
             self.outbox += [(number, payload) for number in self.broadcast_targets]
             self.outbox += [(group.contact(now), payload) for group in self.remote_groups.values()]
             self._aggregate_sent_at = now
@@ -294,8 +256,10 @@
             del self._remote_sent[key]
             self._remote_sent[key] = self.remote_in_flight[key]
             entries.append(codec.WorkerLoad(key, self.remote_in_flight[key], 0, False))
-        aggregate = codec.Board(self.incarnation, self._next_sequence(), 0, entries, far=True)
-        payload = codec.encode_board(aggregate)
+        aggregate = codec.AggregateMessage(
+            self.incarnation, self._next_sequence(), 0, entries, covers_other_groups=True
+        )
+        payload = codec.encode_aggregate(aggregate)
         self.outbox += [(number, payload) for number in self.broadcast_targets]
 
     def _next_sequence(self) -> int:
@@ -304,14 +268,16 @@
 
     # ---- receiving -----------------------------------------------------------------------------------------
 
-    def hear(self, now: float, number: int, payload: bytes) -> Iterator[WorkerObservation | codec.Report]:
+    def receive(
+        self, now: float, number: int, payload: bytes
+    ) -> Iterator[WorkerObservation | codec.DemandReport]:
         """Take in a datagram of dispatcher `number`, if it is new and of the own group.
 
         Yields what it says of single workers, each of which counts from the moment that it is asked for, or
         the report itself. Datagrams that cannot be read are passed over.
         """
         message = codec.decode(payload)
-        if number not in self.mates:
+        if number not in self.group_peers:
             self._receive_from_other_group(now, number, message)
             return
         if message is None:
@@ -319,11 +285,11 @@
         peer = self._known_peer(number, message)
         if not self._is_newer(peer, message):
             return
-        peer.heard = now
-        if isinstance(message, codec.Report):
+        peer.heard_at = now
+        if isinstance(message, codec.DemandReport):
             self._receive_report(peer, message)
             yield message
-        elif isinstance(message, codec.Board):
+        elif isinstance(message, codec.AggregateMessage):
             yield from self._receive_aggregate(now, number, message)
         else:
             yield from self._receive_deltas(peer, message)
@@ -332,7 +298,7 @@
         group = self.remote_groups.get(number * self.group_count // self.group_size)
         if group is None or not self.is_aggregator:
             return
-        if isinstance(message, codec.Board) and not message.far:
+        if isinstance(message, codec.AggregateMessage) and not message.covers_other_groups:
             group.receive(now, number, message)
 
     def _known_peer(self, number: int, message: codec.Message) -> Peer:
@@ -340,96 +306,87 @@
         if peer is None or peer.incarnation != message.incarnation:  # restarted: its old usage is not its own
             self._replace_in_flight(peer or Peer(), Counter())
             peer = self.peers[number] = Peer(message.incarnation, message.sequence - 1)
-            self.introduce = self.introduce or self.sends_directly or number == self.hub
+            self.wants_report = self.wants_report or self.sends_directly or number == self.aggregator
         return peer
 
     @staticmethod
     def _is_newer(peer: Peer, message: codec.Message) -> bool:
         """Advance the peer's sequence; False for a message that is repeated, or overtaken by a newer one."""
-        bits = codec.REPORT_SEQUENCE_MASK if isinstance(message, codec.Report) else codec.SEQUENCE_MASK
+        bits = codec.REPORT_SEQUENCE_MASK if isinstance(message, codec.DemandReport) else codec.SEQUENCE_MASK
         ahead = (message.sequence - peer.sequence) & bits
         if not 0 < ahead <= bits // 2:
             return False
         peer.sequence = (peer.sequence + ahead) & codec.REPORT_SEQUENCE_MASK
         return True
 
-    def _receive_deltas(self, peer: Peer, message: codec.News) -> Iterator[WorkerObservation]:
+    def _receive_deltas(self, peer: Peer, message: codec.DeltaMessage) -> Iterator[WorkerObservation]:
         for key, kind in message.entries:
-            self.sends += kind == codec.SENT
+            self.sends += kind == codec.DeltaKind.SENT
             # Where the delta of the send was lost there is nothing to take off at its end.
-            by = 1 if kind == codec.SENT else max(-1, -peer.out[key])
-            peer.out[key] += by
-            self.board.adjust(key, by)
+            by = 1 if kind == codec.DeltaKind.SENT else max(-1, -peer.in_flight[key])
+            peer.in_flight[key] += by
+            self.in_flight_table.adjust(key, by)
             if self.is_aggregator:
-                self.board.record(key, kind)
-            yield WorkerObservation(key, kind == codec.SERVED, int(kind == codec.FAILED))
+                self.in_flight_table.record(key, kind)
+            yield WorkerObservation(key, kind == codec.DeltaKind.SERVED, int(kind == codec.DeltaKind.FAILED))
 
     def _receive_aggregate(
-        self, now: float, number: int, message: codec.Board
+        self, now: float, number: int, message: codec.AggregateMessage
     ) -> Iterator[WorkerObservation]:
-        if number != self.hub:
-            if self.hub is not None and self.hub < number and now - self._hub_heard <= AGGREGATOR_TIMEOUT_S:
+        if number != self.aggregator:
+            if (
+                self.aggregator is not None
+                and self.aggregator < number
+                and now - self._aggregator_heard_at <= AGGREGATOR_TIMEOUT_S
+            ):
                 return  # it will give way
-            self.hub, self.introduce = number, True
-            self.seen.clear()
+            self.aggregator, self.wants_report = number, True
+            self.aggregated_in_flight.clear()
             self.remote_in_flight.clear()
-        self._hub_heard = now
-        if message.far:
+        self._aggregator_heard_at = now
+        if message.covers_other_groups:
             self._remote_heard_at = now
             for key, slots, _, _ in message.entries:
                 self.remote_in_flight[key] = slots
             return
         self.sends += message.sends
         for key, slots, failures, served in message.entries:
-            self.seen[key] = slots
+            self.aggregated_in_flight[key] = slots
             yield WorkerObservation(key, served, failures)
 
-    def _receive_report(self, peer: Peer, report: codec.Report) -> None:
+    def _receive_report(self, peer: Peer, report: codec.DemandReport) -> None:
         peer.take_report(report, self.report_after)
         if self.sends_directly or self.is_aggregator:
-            self._replace_in_flight(peer, Counter(dict(report.slots_out)))
+            self._replace_in_flight(peer, Counter(dict(report.in_flight)))
 
     def _replace_in_flight(self, peer: Peer, in_flight: Counter[int]) -> None:
-        for key in {*peer.out, *in_flight}:
-            self.board.adjust(key, in_flight[key] - peer.out[key])
-        peer.out = in_flight
+        for key in {*peer.in_flight, *in_flight}:
+            self.in_flight_table.adjust(key, in_flight[key] - peer.in_flight[key])
+        peer.in_flight = in_flight
 
-    def forget_silent(self, now: float) -> None:
+    def forget_silent_peers(self, now: float) -> None:
         """Drop the demand and the attempts of peers that have not been heard for too long."""
         for peer in self.peers.values():
-            if peer.demand and now - peer.heard > SILENT_REPORTS * peer.span:
+            if peer.demand and now - peer.heard_at > MAX_MISSED_REPORTS * peer.report_interval_s:
                 peer.demand, peer.admitted = {}, 0.0
-            if peer.out and now - peer.heard > PEER_TIMEOUT_S:
+            if peer.in_flight and now - peer.heard_at > PEER_TIMEOUT_S:
                 self._replace_in_flight(peer, Counter())
 
     # ---- the whole fleet -----------------------------------------------------------------------------------
 
     @property
-    def all_heard(self) -> bool:
+    def all_peers_heard(self) -> bool:
         """Whether every peer of the group has been heard at least once."""
-        return len(self.peers) == len(self.mates)
+        return len(self.peers) == len(self.group_peers)
 
     @property
-    def scale(self) -> float:
+    def fleet_scale(self) -> float:
         """How many dispatchers of the fleet each one that is heard stands for, this one included."""
         return self.group_size / (1 + len(self.peers))
 
-    def demand(self, own: dict[tuple[int, int], float]) -> dict[tuple[int, int], float]:
+    def fleet_demand(self, own: dict[tuple[int, int], float]) -> dict[tuple[int, int], float]:
         """Work per second that the whole fleet is asked for, by tenant and class."""
         total = Counter(own)
         for peer in self.peers.values():
             total.update(peer.demand)
-        return {key: rate * self.scale for key, rate in total.items()}
-
-
-def max_min(total: float, wanted: list[float], shares: list[float]) -> list[float]:
-    """Divide by shares and lend what is not wanted; who wants less than its share keeps it as its limit."""
-    whole = sum(shares) or 1.0
-    parts = [total * share / whole for share in shares]
-    asking = [(wanted[i] / max(shares[i], 1e-9), i) for i in range(len(shares)) if wanted[i] > 0]
-    weight = sum(shares[i] for _, i in asking)
-    for _, i in sorted(asking):
-        grant = min(wanted[i], total * shares[i] / max(weight, 1e-9))
-        parts[i] = max(parts[i], grant)
-        total, weight = total - grant, weight - shares[i]
-    return parts
+        return {key: rate * self.fleet_scale for key, rate in total.items()}
--- a/beaconhinge/gossip/codec.py
+++ b/beaconhinge/gossip/codec.py
@@ -44,9 +44,6 @@
     ENDED = 3  # any other end
 
 
-SENT, SERVED, FAILED, ENDED = DeltaKind
-NEWS, REPORT, BOARD, FAR = MessageType
-
 _DELTAS_HEAD = struct.Struct(">BBB")  # type, incarnation, sequence
 _REPORT_HEAD = struct.Struct(">BBHHBBB")  # type, incarnation, sequence, span in ms, counts of each list
 _AGGREGATE_HEAD = struct.Struct(">BBBB")  # type, incarnation, sequence, sends
@@ -54,7 +51,7 @@
 _WORKER_LOAD = struct.Struct(">HB")  # key, then slots in flight, failures and served in 5, 2 and 1 bits
 _BUCKET = struct.Struct(">BBBB")  # tenant, class, work allowed, work denied
 _WORKER_SLOTS = struct.Struct(">HB")  # key, slots in flight
-BOARD_MOST = (MAX_BYTES - _AGGREGATE_HEAD.size) // _WORKER_LOAD.size
+MAX_AGGREGATE_ENTRIES = (MAX_BYTES - _AGGREGATE_HEAD.size) // _WORKER_LOAD.size
 _MAX_DELTAS = (MAX_BYTES - _DELTAS_HEAD.size) // 2
 _MAX_KIND_LIMITS = 16
 _SLOTS_PER_LIMIT_UNIT = 8
@@ -94,7 +91,7 @@
 
 
 @dataclass(slots=True)
-class News:
+class DeltaMessage:
     """Deltas of one dispatcher, for its aggregator or, in a small group, for all."""
 
     incarnation: int
@@ -103,7 +100,7 @@
 
 
 @dataclass(slots=True)
-class Board:
+class AggregateMessage:
     """An aggregate of a group.
 
     Attributes:
@@ -115,11 +112,11 @@
     sequence: int  # of 8 bits
     sends: int
     entries: list[WorkerLoad] = field(default_factory=list)
-    far: bool = False
+    covers_other_groups: bool = False
 
 
 @dataclass(slots=True)
-class Report:
+class DemandReport:
     """Demand, learned limits and attempts in flight of one dispatcher.
 
     Attributes:
@@ -131,42 +128,42 @@
 
     incarnation: int
     sequence: int
-    span: float
-    buckets: Sequence[tuple[int, int, float, float]] = field(default_factory=list)
+    span_s: float
+    buckets: Sequence[BucketUsage] = field(default_factory=list)
     limits: list[tuple[int, float]] = field(default_factory=list)
-    slots_out: list[tuple[int, int]] = field(default_factory=list)
+    in_flight: list[tuple[int, int]] = field(default_factory=list)
 
 
-Message: TypeAlias = News | Board | Report
+Message: TypeAlias = DeltaMessage | AggregateMessage | DemandReport
 
 
-def key(worker: int) -> int:
+def worker_key(worker: int) -> int:
     """The worker's name in messages, the same at every dispatcher; scatters ids that may run on."""
-    return mix(worker) % KEYS
+    return hash32(worker) % KEYS
 
 
-def mix(number: int) -> int:
+def hash32(number: int) -> int:
     """A hash of 32 bits that every dispatcher computes alike."""
     number = (number ^ number >> 16) * 0x45D9F3B & 0xFFFFFFFF
     return (number ^ number >> 16) * 0x45D9F3B & 0xFFFFFFFF
 
 
-def encode_news(news: News) -> bytes:
+def encode_deltas(news: DeltaMessage) -> bytes:
     """Bytes of a message of deltas; those that do not fit are left out."""
     words = [worker << 2 | kind for worker, kind in news.entries[:_MAX_DELTAS]]
     head = _DELTAS_HEAD.pack(MessageType.DELTAS, news.incarnation & _MAX_BYTE, news.sequence & SEQUENCE_MASK)
     return head + struct.pack(f">{len(words)}H", *words)
 
 
-def encode_board(board: Board) -> bytes:
+def encode_aggregate(board: AggregateMessage) -> bytes:
     """Bytes of an aggregate; entries that do not fit are left out."""
     head = _AGGREGATE_HEAD.pack(
-        MessageType.REMOTE_AGGREGATE if board.far else MessageType.AGGREGATE,
+        MessageType.REMOTE_AGGREGATE if board.covers_other_groups else MessageType.AGGREGATE,
         board.incarnation & _MAX_BYTE,
         board.sequence & SEQUENCE_MASK,
         min(_MAX_BYTE, board.sends),
     )
-    return head + b"".join(_encode_load(entry) for entry in board.entries[:BOARD_MOST])
+    return head + b"".join(_encode_load(entry) for entry in board.entries[:MAX_AGGREGATE_ENTRIES])
 
 
 def _encode_load(entry: WorkerLoad) -> bytes:
@@ -175,18 +172,18 @@
     return _WORKER_LOAD.pack(worker, bits)
 
 
-def encode(report: Report) -> bytes:
+def encode_report(report: DemandReport) -> bytes:
     """Bytes of a report; buckets, then workers that do not fit are left out."""
     limits = report.limits[:_MAX_KIND_LIMITS]
     room = MAX_BYTES - _REPORT_HEAD.size - len(limits) * _KIND_LIMIT.size
     buckets = report.buckets[: room // _BUCKET.size]
     room -= len(buckets) * _BUCKET.size
-    workers = report.slots_out[: room // _WORKER_SLOTS.size]
+    workers = report.in_flight[: room // _WORKER_SLOTS.size]
     head = _REPORT_HEAD.pack(
         MessageType.REPORT,
         report.incarnation & _MAX_BYTE,
         report.sequence & REPORT_SEQUENCE_MASK,
-        min(_MAX_SPAN_MS, max(1, round(report.span * 1000))),
+        min(_MAX_SPAN_MS, max(1, round(report.span_s * 1000))),
         len(limits),
         len(buckets),
         len(workers),
@@ -218,15 +215,15 @@
     return None
 
 
-def _decode_deltas(payload: bytes) -> News | None:
+def _decode_deltas(payload: bytes) -> DeltaMessage | None:
     if len(payload) % 2 == 0:
         return None
     _, incarnation, sequence = _DELTAS_HEAD.unpack_from(payload)
     words = struct.unpack(f">{len(payload) // 2 - 1}H", payload[_DELTAS_HEAD.size :])
-    return News(incarnation, sequence, [Delta(word >> 2, word & 3) for word in words])
+    return DeltaMessage(incarnation, sequence, [Delta(word >> 2, word & 3) for word in words])
 
 
-def _decode_aggregate(payload: bytes) -> Board | None:
+def _decode_aggregate(payload: bytes) -> AggregateMessage | None:
     if len(payload) % _WORKER_LOAD.size != _AGGREGATE_HEAD.size % _WORKER_LOAD.size:
         return None
     message_type, incarnation, sequence, sends = _AGGREGATE_HEAD.unpack_from(payload)
@@ -234,10 +231,12 @@
         WorkerLoad(worker, bits >> 3, bits >> 1 & 3, bool(bits & 1))
         for worker, bits in _WORKER_LOAD.iter_unpack(payload[_AGGREGATE_HEAD.size :])
     ]
-    return Board(incarnation, sequence, sends, entries, message_type == MessageType.REMOTE_AGGREGATE)
+    return AggregateMessage(
+        incarnation, sequence, sends, entries, message_type == MessageType.REMOTE_AGGREGATE
+    )
 
 
-def _decode_report(payload: bytes) -> Report | None:
+def _decode_report(payload: bytes) -> DemandReport | None:
     if len(payload) < _REPORT_HEAD.size:
         return None
     _, incarnation, sequence, span_ms, kinds, buckets, workers = _REPORT_HEAD.unpack_from(payload)
@@ -245,7 +244,7 @@
     workers_at = buckets_at + buckets * _BUCKET.size
     if span_ms == 0 or len(payload) != workers_at + workers * _WORKER_SLOTS.size:
         return None
-    return Report(
+    return DemandReport(
         incarnation,
         sequence,
         span_ms / 1000,
--- a/beaconhinge/gossip/groups.py
+++ b/beaconhinge/gossip/groups.py
@@ -49,7 +49,7 @@
     in_flight: Counter[int] = field(default_factory=Counter)
     _contacted: int = 0  # members addressed in turn, until the aggregator among them is known
 
-    def receive(self, now: float, number: int, aggregate: codec.Board) -> bool:
+    def receive(self, now: float, number: int, aggregate: codec.AggregateMessage) -> bool:
         """Take in an aggregate of dispatcher `number`.
 
         Returns:
--- a/beaconhinge/gossip/in_flight.py
+++ b/beaconhinge/gossip/in_flight.py
@@ -20,9 +20,9 @@
     """
 
     def __init__(self) -> None:
-        self.out: Counter[int] = Counter()
+        self.slots: Counter[int] = Counter()
         self.sends = 0
-        self.told: dict[int, None] = {}
+        self.sent_keys: dict[int, None] = {}
         self.failures: Counter[int] = Counter()
         self._served: set[int] = set()
         self._changed: dict[int, None] = {}  # keys in the order of their first change
@@ -30,33 +30,33 @@
     def adjust(self, key: int, by: int) -> None:
         """Change the slots in flight on a worker."""
         if by:
-            self.out[key] += by
+            self.slots[key] += by
             self._changed[key] = None
 
     def record(self, key: int, what: int) -> None:
         """Count a delta of a worker for the next aggregate."""
         self._changed[key] = None
-        self.sends += what == codec.SENT
-        if what == codec.FAILED:
+        self.sends += what == codec.DeltaKind.SENT
+        if what == codec.DeltaKind.FAILED:
             self.failures[key] += 1
-        elif what == codec.SERVED:
+        elif what == codec.DeltaKind.SERVED:
             self._served.add(key)
 
-    def next_aggregate(self, incarnation: int, sequence: int) -> codec.Board:
+    def next_aggregate(self, incarnation: int, sequence: int) -> codec.AggregateMessage:
         """What has changed since the last aggregate, as far as it fits, and a few entries that have not."""
-        changed = list(self._changed)[: codec.BOARD_MOST - REPEATED_ENTRIES]
+        changed = list(self._changed)[: codec.MAX_AGGREGATE_ENTRIES - REPEATED_ENTRIES]
         for key in changed:
             del self._changed[key]
-            self.told.pop(key, None)
-        repeated = list(self.told)[:REPEATED_ENTRIES]
+            self.sent_keys.pop(key, None)
+        repeated = list(self.sent_keys)[:REPEATED_ENTRIES]
         for key in repeated:
-            del self.told[key]
+            del self.sent_keys[key]
         entries = [self._entry(key) for key in changed + repeated]
         sends, self.sends = self.sends, 0
-        return codec.Board(incarnation, sequence, sends, entries)
+        return codec.AggregateMessage(incarnation, sequence, sends, entries)
 
     def _entry(self, key: int) -> codec.WorkerLoad:
-        self.told[key] = None
-        entry = codec.WorkerLoad(key, self.out[key], self.failures.pop(key, 0), key in self._served)
+        self.sent_keys[key] = None
+        entry = codec.WorkerLoad(key, self.slots[key], self.failures.pop(key, 0), key in self._served)
         self._served.discard(key)
         return entry
--- a/beaconhinge/gossip/load_view.py
+++ b/beaconhinge/gossip/load_view.py
@@ -16,7 +16,7 @@
 MIN_DECAY_S = 0.1
 
 
-class Reported:
+class ReportedLoad:
     """Slots that other dispatchers have in flight on workers, by the workers' own reports.
 
     A report is worth the less the older it is beside the time that a job takes.
@@ -26,16 +26,16 @@
         self._reports: dict[int, tuple[float, float]] = {}  # time and slots, by key of a worker
         self._mean = 0.0
 
-    def note(self, now: float, key: int, slots: float) -> None:
+    def record(self, now: float, key: int, slots: float) -> None:
         """Record that others have `slots` in flight on a worker."""
         self._reports[key] = now, slots
         self._mean += MEAN_WEIGHT * (slots - self._mean)
 
-    def fresh(self, now: float, key: int) -> bool:
+    def is_fresh(self, now: float, key: int) -> bool:
         """Whether the worker has reported just now."""
         return now - self._reports.get(key, (-INF, 0.0))[0] < FRESH_REPORT_S
 
-    def others(self, now: float, key: int, lasts: float, limit: float) -> float:
+    def in_flight_elsewhere(self, now: float, key: int, lasts: float, limit: float) -> float:
         """Slots of others on a worker that holds `limit` slots, where jobs take `lasts` seconds."""
         reported_at, slots = self._reports.get(key, (-INF, 0.0))
         weight = math.exp((reported_at - now) / max(lasts, MIN_DECAY_S))
--- a/beaconhinge/gossip/peers.py
+++ b/beaconhinge/gossip/peers.py
@@ -10,7 +10,7 @@
 INF = float("inf")
 
 # Reports over which demand is smoothed, so that a lost one moves it little.
-MEMORY = 4
+REPORTS_SMOOTHED = 4
 
 
 @dataclass(slots=True)
@@ -28,25 +28,25 @@
 
     incarnation: int = -1
     sequence: int = 0
-    heard: float = -INF
-    known: float = 0.0
-    span: float = 0.0
+    heard_at: float = -INF
+    covered_s: float = 0.0
+    report_interval_s: float = 0.0
     demand: dict[tuple[int, int], float] = field(default_factory=dict)
     admitted: float = 0.0
-    out: Counter[int] = field(default_factory=Counter)
+    in_flight: Counter[int] = field(default_factory=Counter)
 
-    def take_report(self, report: codec.Report, min_interval: float) -> None:
+    def take_report(self, report: codec.DemandReport, min_interval: float) -> None:
         """Fold a report into the smoothed rates; reports come `min_interval` seconds apart at least."""
-        covered = max(self.known + report.span, 1e-3)
-        self.demand = {key: rate * self.known / covered for key, rate in self.demand.items()}
+        covered = max(self.covered_s + report.span_s, 1e-3)
+        self.demand = {key: rate * self.covered_s / covered for key, rate in self.demand.items()}
         for tenant, cls, allowed, denied in report.buckets:
             self.demand[tenant, cls] = self.demand.get((tenant, cls), 0.0) + (allowed + denied) / covered
         admitted = sum(allowed for _, _, allowed, _ in report.buckets)
-        self.admitted = smooth(self.admitted, admitted, report.span, self.known)
-        self.span = max(min_interval, report.span)
-        self.known = min(MEMORY * self.span, self.known + report.span)
+        self.admitted = smoothed_rate(self.admitted, admitted, report.span_s, self.covered_s)
+        self.report_interval_s = max(min_interval, report.span_s)
+        self.covered_s = min(REPORTS_SMOOTHED * self.report_interval_s, self.covered_s + report.span_s)
 
 
-def smooth(old: float, count: float, span: float, memory: float) -> float:
+def smoothed_rate(old: float, count: float, span: float, memory: float) -> float:
     """Fold `count` seen in `span` seconds into a rate smoothed over `memory`; robust to very short spans."""
     return (old * memory + count) / max(memory + span, 1e-3)
--- a/beaconhinge/management/handover.py
+++ b/beaconhinge/management/handover.py
@@ -15,7 +15,9 @@
 from dataclasses import dataclass
 from typing import Any
 
-from ..gossip import aggregation, codec
+from ..gossip import codec
+from ..gossip.aggregation import GossipNode
+from ..gossip.peers import Peer
 from ..policy.admission import TenantBucket
 from ..policy.dispatcher import Dispatcher
 from ..policy.interface import RequestClass, Semantics, Settings
@@ -79,7 +81,14 @@
     "tokens": "tokens",
     "rate": "rate",
 }
-_PEER_FIELDS = ("incarnation", "sequence", "heard", "known", "span", "admitted")
+_PEER_FIELDS = {
+    "incarnation": "incarnation",
+    "sequence": "sequence",
+    "heard": "heard_at",
+    "known": "covered_s",
+    "span": "report_interval_s",
+    "admitted": "admitted",
+}
 
 
 class HandoverError(Exception):
@@ -197,7 +206,7 @@
             for key, b in dispatcher.admission.buckets.items()
         ],
         "workers": [_take_worker(worker, classes) for worker in dispatcher.workers.values()],
-        "fleet": _take_fleet(dispatcher.fleet),
+        "fleet": _take_fleet(dispatcher.gossip),
     }
 
 
@@ -210,20 +219,20 @@
     ]
 
 
-def _take_fleet(group: aggregation.Fleet) -> dict[str, Any]:
+def _take_fleet(group: GossipNode) -> dict[str, Any]:
     return {
         "incarnation": group.incarnation,
         "sequence": group._sequence,
-        "hub": group.hub,
-        "board": list(group.board.out.items()),
-        "seen": list(group.seen.items()),
-        "hub_heard": group._hub_heard,
+        "hub": group.aggregator,
+        "board": list(group.in_flight_table.slots.items()),
+        "seen": list(group.aggregated_in_flight.items()),
+        "hub_heard": group._aggregator_heard_at,
         "peers": [
             [
                 number,
-                {name: getattr(p, name) for name in _PEER_FIELDS},
+                {stored: getattr(p, name) for stored, name in _PEER_FIELDS.items()},
                 [[*key, rate] for key, rate in p.demand.items()],
-                list(p.out.items()),
+                list(p.in_flight.items()),
             ]
             for number, p in group.peers.items()
         ],
@@ -238,11 +247,11 @@
     """
     try:
         restored = _read_state(dispatcher, content)
-        group = _read_group(dispatcher.fleet, content["fleet"])
+        group = _read_group(dispatcher.gossip, content["fleet"])
     except (KeyError, TypeError, ValueError, IndexError, AttributeError) as error:
         raise HandoverError(f"{type(error).__name__}: {error}") from None
     _put_state(dispatcher, restored)
-    _put_group(dispatcher.fleet, group)
+    _put_group(dispatcher.gossip, group)
 
 
 @dataclass(slots=True)
@@ -263,7 +272,7 @@
 class _Group:
     """The same of what is known of the group."""
 
-    peers: dict[int, aggregation.Peer]
+    peers: dict[int, Peer]
     board: Counter[int]
     seen: Counter[int]
     hub: int | None
@@ -312,7 +321,7 @@
     sends: list[list[float]],
     ejections: list[list[Any]],
 ) -> Worker:
-    worker = Worker(int(number), codec.key(int(number)))
+    worker = Worker(int(number), codec.worker_key(int(number)))
     fields = {"slow_start_from": fields["started_at"], **fields}  # which older forms do not have
     for stored, name in _WORKER_FIELDS.items():
         setattr(worker, name, type(getattr(worker, name))(fields[stored]))
@@ -321,10 +330,8 @@
     return worker
 
 
-def _read_peer(
-    fields: dict[str, Any], demand: list[list[Any]], in_flight: list[list[int]]
-) -> aggregation.Peer:
-    peer = aggregation.Peer(
+def _read_peer(fields: dict[str, Any], demand: list[list[Any]], in_flight: list[list[int]]) -> Peer:
+    peer = Peer(
         int(fields["incarnation"]),
         int(fields["sequence"]),
         float(fields["heard"]),
@@ -333,7 +340,7 @@
     )
     peer.admitted = float(fields["admitted"])
     peer.demand = {(int(tenant), int(cls)): float(rate) for tenant, cls, rate in demand}
-    peer.out = _read_slots(in_flight)
+    peer.in_flight = _read_slots(in_flight)
     return peer
 
 
@@ -341,10 +348,10 @@
     return Counter({int(key): int(slots) for key, slots in entries})
 
 
-def _read_group(group: aggregation.Fleet, stored: dict[str, Any]) -> _Group:
+def _read_group(group: GossipNode, stored: dict[str, Any]) -> _Group:
     peers = {int(entry[0]): _read_peer(*entry[1:]) for entry in stored["peers"]}
     return _Group(
-        peers={number: peer for number, peer in peers.items() if number in group.mates},
+        peers={number: peer for number, peer in peers.items() if number in group.group_peers},
         board=_read_slots(stored["board"]),
         seen=_read_slots(stored["seen"]),
         hub=None if stored["hub"] is None else int(stored["hub"]),
@@ -367,9 +374,9 @@
     dispatcher.membership.in_maintenance = state.in_maintenance
 
 
-def _put_group(group: aggregation.Fleet, restored: _Group) -> None:
-    group.peers, group.seen, group.hub = restored.peers, restored.seen, restored.hub
-    group.board.out = restored.board
-    group.board.told = dict.fromkeys(restored.board)  # all of it is told again in turn
-    group.incarnation, group._hub_heard = restored.incarnation, restored.hub_heard
+def _put_group(group: GossipNode, restored: _Group) -> None:
+    group.peers, group.aggregated_in_flight, group.aggregator = restored.peers, restored.seen, restored.hub
+    group.in_flight_table.slots = restored.board
+    group.in_flight_table.sent_keys = dict.fromkeys(restored.board)  # all of it is told again in turn
+    group.incarnation, group._aggregator_heard_at = restored.incarnation, restored.hub_heard
     group._sequence = (restored.sequence + SEQUENCE_ALLOWANCE) & 0xFFFF
--- a/beaconhinge/net/attempts.py
+++ b/beaconhinge/net/attempts.py
@@ -172,7 +172,7 @@
         if why is SendRefusal.LIST_UNKNOWN:
             self.metrics.count("sends_waited_for_list")
         while why is SendRefusal.LIST_UNKNOWN:
-            await self.pool.list_usable_again()
+            await self.pool.wait_until_list_usable()
             why = self._refusal(sent)
         return why
 
--- a/beaconhinge/net/discovery.py
+++ b/beaconhinge/net/discovery.py
@@ -97,7 +97,7 @@
         )
         policy_runner.on_event_failed = self._handle_event_failure
         workers.list_usable = lambda: self.list_usable
-        workers.list_usable_again = self.availability.wait_until_usable
+        workers.wait_until_list_usable = self.availability.wait_until_usable
         timers.after(RUN_CHECK_S, self._check)
 
     @property
@@ -217,7 +217,7 @@
         if self.watch.failing:
             self.metrics.log("discovery_back", list_age=self.availability.list_age_s)
         self._applier.fill_in_unparsed(worker_list)
-        changes_workers = self.workers.differs(worker_list)
+        changes_workers = self.workers.would_change(worker_list)
         decision = self.watch.handle_answer(
             worker_list, elapsed_s, now, self._random.random(), changes_workers
         )
@@ -234,7 +234,7 @@
             self.policy_runner.monitor.list_received(answer.content, now)
             self._apply(decision.update_kind, worker_list)
         else:
-            self._log.trace_unchanged(worker_list, self.workers.hosts())
+            self._log.trace_unchanged(worker_list, self.workers.endpoints())
         return decision.pause_s
 
     def _handle_failure(
@@ -261,7 +261,7 @@
         if worker_list is None or worker_list.version < (self.version or 0):
             return
         self._applier.fill_in_unparsed(worker_list)
-        if self.workers.differs(worker_list):
+        if self.workers.would_change(worker_list):
             entries = len(worker_list.endpoints)
             self.metrics.count_and_log("list_salvaged", version=worker_list.version, entries=entries)
             self._apply(UpdateKind.CHANGES, worker_list)
--- a/beaconhinge/net/list_applier.py
+++ b/beaconhinge/net/list_applier.py
@@ -42,7 +42,7 @@
         A readable state counts where it takes the worker out of service. Otherwise the worker stays as it is;
         in a snapshot this means at least that it has not left.
         """
-        for known in self._workers.named(worker_list.unparsed_ids):
+        for known in self._workers.known_endpoints(worker_list.unparsed_ids):
             state = worker_list.unparsed_states.get(known.id, WorkerState.READY)
             if state != WorkerState.READY:
                 worker_list.endpoints.append(known.with_state(state))
@@ -53,8 +53,8 @@
         """Apply a list to the worker pool and the policy."""
         self._metrics.count("lists_" + kind)
         if worker_list.is_snapshot:  # a worker whose entry can't be parsed has not left
-            worker_list.endpoints += self._workers.named(worker_list.unparsed_ids)
-        self._workers.update(worker_list)
+            worker_list.endpoints += self._workers.known_endpoints(worker_list.unparsed_ids)
+        self._workers.apply_list(worker_list)
         self._policy_runner.feed(MembershipUpdate(kind, worker_list.version, self._members(worker_list)))
 
     def _members(self, worker_list: WorkerList) -> list[MemberEntry]:
--- a/beaconhinge/net/operator_calls.py
+++ b/beaconhinge/net/operator_calls.py
@@ -81,7 +81,7 @@
         )
 
     def _take_out_or_put_back(self, call: OperatorCall) -> bytes | Awaitable[bytes]:
-        if call.argument not in self.out and not self.workers.lists(call.argument):
+        if call.argument not in self.out and not self.workers.is_listed(call.argument):
             return calls.failure(f"{call.argument}: no such worker in the list")
         out = call.name == calls.DISABLE
         self.apply(call.argument, out)
--- a/beaconhinge/net/upgrade.py
+++ b/beaconhinge/net/upgrade.py
@@ -272,7 +272,9 @@
             {
                 "module": handover.take(self.policy_runner.dispatcher),
                 "out": sorted(self.operators.out),
-                "list": self.discovery.list_parser.to_json(self.discovery.version or 0, self.workers.hosts()),
+                "list": self.discovery.list_parser.to_json(
+                    self.discovery.version or 0, self.workers.endpoints()
+                ),
                 "discovery": self.discovery.address,
                 **{name: give() for name, (give, _) in self.parts.items()},
             }
@@ -312,8 +314,8 @@
         self.successor = None
         if self.listener.handed and not self.listener.ending:
             self.metrics.count_and_log("taken_back")  # the new process died: this one goes on
-            self.policy_runner.dispatcher.fleet.incarnation = (
-                self.policy_runner.dispatcher.fleet.incarnation + 1
+            self.policy_runner.dispatcher.gossip.incarnation = (
+                self.policy_runner.dispatcher.gossip.incarnation + 1
             ) & 0xFF
             self.peers.listen()
             self.listener.take_back()
--- a/beaconhinge/net/worker_pool.py
+++ b/beaconhinge/net/worker_pool.py
@@ -69,7 +69,7 @@
         self.result_late: Callable[[str, str], None] = lambda _request, _result: None
         self.orphan: Callable[[str, int], None] = lambda _request, _worker: None
         self.list_usable: Callable[[], bool] = lambda: True
-        self.list_usable_again: Callable[[], Awaitable[object]] = lambda: asyncio.sleep(0)
+        self.wait_until_list_usable: Callable[[], Awaitable[object]] = lambda: asyncio.sleep(0)
         self.out_by_hand: Callable[[str], bool] = lambda _host_id: False
         load_reports = LoadReportParser(bool(config.report_names), metrics)
         self.attempts = AttemptSender(config, self, load_reports, policy_runner, timers, metrics)
@@ -99,7 +99,7 @@
 
     # ---- the list ------------------------------------------------------------------------------------------
 
-    def update(self, hosts: WorkerList) -> None:
+    def apply_list(self, hosts: WorkerList) -> None:
         """Take a list or changes, before the policy knows of it: it never sends to a worker unknown here."""
         named = {host.member.worker for host in hosts.endpoints if host.member.state != WorkerState.GONE}
         for number in [n for n in self.workers if n not in named] if hosts.is_snapshot else []:
@@ -113,7 +113,7 @@
                 self.disconnect(host.member.worker)
             worker.host = host
 
-    def differs(self, hosts: WorkerList) -> bool:
+    def would_change(self, hosts: WorkerList) -> bool:
         """Whether this list names others than the workers that are known; weights don't count."""
         named = set()
         for host in hosts.endpoints:
@@ -131,17 +131,17 @@
         worker = self.workers.get(number)
         return None if worker is None else worker.host
 
-    def lists(self, host_id: str) -> bool:
+    def is_listed(self, host_id: str) -> bool:
         """Whether the list names the worker with that id."""
         worker = self.workers.get(worker_number(host_id))
         return worker is not None and worker.host.id == host_id
 
-    def named(self, host_ids: Iterable[str]) -> list[WorkerEndpoint]:
+    def known_endpoints(self, host_ids: Iterable[str]) -> list[WorkerEndpoint]:
         """Those of the workers with these ids that are known."""
         known = {worker.host.id: worker.host for worker in self.workers.values()}
         return [known[host_id] for host_id in host_ids if host_id in known]
 
-    def hosts(self) -> list[WorkerEndpoint]:
+    def endpoints(self) -> list[WorkerEndpoint]:
         """All workers that the list names."""
         return [worker.host for worker in self.workers.values()]
 
--- a/beaconhinge/policy/admission.py
+++ b/beaconhinge/policy/admission.py
@@ -3,9 +3,11 @@
 from collections.abc import Mapping
 from dataclasses import dataclass
 
-from ..gossip.aggregation import Fleet, max_min, smooth
+from ..gossip.aggregation import GossipNode
+from ..gossip.peers import smoothed_rate
 from . import interface
 from .context import INF, Context
+from .fair_shares import max_min_shares
 from .quotas import BURST_S
 from .work_estimates import WorkEstimates
 
@@ -64,7 +66,7 @@
         refilled_at: When tokens were last added.
     """
 
-    def __init__(self, context: Context, fleet: Fleet, estimates: WorkEstimates) -> None:
+    def __init__(self, context: Context, fleet: GossipNode, estimates: WorkEstimates) -> None:
         """Start without a cut."""
         self._context = context
         self._fleet = fleet
@@ -123,19 +125,19 @@
 
     def total_demand(self) -> dict[BucketKey, float]:
         """Demand of the fleet in work a second."""
-        return self._fleet.demand({key: bucket.demand for key, bucket in self.buckets.items()})
+        return self._fleet.fleet_demand({key: bucket.demand for key, bucket in self.buckets.items()})
 
     def own_demand_share(self, demand: Mapping[BucketKey, float]) -> float:
         """This dispatcher's part of the fleet by recent demand; one Nth until all peers have reported."""
         own = sum(b.demand for b in self.buckets.values())
-        if own <= 0 or not self._fleet.all_heard:
+        if own <= 0 or not self._fleet.all_peers_heard:
             return 1 / self._context.settings.group_size
         return own / sum(demand.values())
 
     def adjust_fleet_rate(self) -> None:
         """Once an interval: cut the fleet rate if too many sends found workers full, else let it rise."""
         own, peers = self.buckets.values(), self._fleet.peers.values()
-        admitted = self._fleet.scale * (sum(b.admitted for b in own) + sum(p.admitted for p in peers))
+        admitted = self._fleet.fleet_scale * (sum(b.admitted for b in own) + sum(p.admitted for p in peers))
         demand = self.total_demand()
         if self.rejections >= MIN_REJECTIONS and self.rejections > MAX_REJECTED_SHARE * self.sends:
             self.fleet_rate = RATE_DECREASE_FACTOR * min(self.fleet_rate, max(admitted, MIN_ADMITTED))
@@ -148,7 +150,7 @@
                 self.fleet_rate = INF
         self.demand_share = self.own_demand_share(demand)
         interval = max(self._context.now - self.adjusted_at, MIN_INTERVAL_S)
-        self.send_rate = self._fleet.standing * self._fleet.sends / interval
+        self.send_rate = self._fleet.peer_weight * self._fleet.sends / interval
         self.sends = self.rejections = self._fleet.sends = 0
         self.adjusted_at = self._context.now
         self.allocate_rates(demand)
@@ -165,11 +167,11 @@
             return
         tenants = self._context.settings.tenants
         wanted = [sum(rate for key, rate in demand.items() if key[0] == t) for t in range(len(tenants))]
-        parts = max_min(self.fleet_rate, wanted, [t.share for t in tenants])
+        parts = max_min_shares(self.fleet_rate, wanted, [t.share for t in tenants])
         for key, bucket in self.buckets.items():
             tenant = key[0]
             share = bucket.demand / demand[key] if demand[key] > 0 else 0.0
-            if not self._fleet.all_heard:
+            if not self._fleet.all_peers_heard:
                 share = min(share, 1 / self._context.settings.group_size)
             part = parts[tenant] * demand[key] / wanted[tenant] if wanted[tenant] > 0 else 0.0
             bucket.rate = max(part * share, MIN_RATE)
@@ -181,6 +183,6 @@
     def roll_report_window(self, span: float, memory: float) -> None:
         """Smooth what was counted in the last `span` seconds over `memory` seconds, and count anew."""
         for bucket in self.buckets.values():
-            bucket.demand = smooth(bucket.demand, bucket.allowed + bucket.denied, span, memory)
-            bucket.admitted = smooth(bucket.admitted, bucket.allowed, span, memory)
+            bucket.demand = smoothed_rate(bucket.demand, bucket.allowed + bucket.denied, span, memory)
+            bucket.admitted = smoothed_rate(bucket.admitted, bucket.allowed, span, memory)
             bucket.allowed = bucket.denied = 0.0
--- a/beaconhinge/policy/attempt_outcomes.py
+++ b/beaconhinge/policy/attempt_outcomes.py
@@ -65,9 +65,9 @@
         else:
             self._record_failure(attempt, event.outcome, silent_since_send)
         if event.outcome == AttemptOutcome.SERVED:
-            return codec.SERVED
+            return codec.DeltaKind.SERVED
         failed = worker.failure_rate > previous_rate or event.outcome == AttemptOutcome.CONNECTION_LOST
-        return codec.FAILED if failed else codec.ENDED
+        return codec.DeltaKind.FAILED if failed else codec.DeltaKind.ENDED
 
     def _free_slots(self, event: interface.AttemptEnded) -> float | None:
         return event.load.get(self._context.settings.free_slots_field) if event.load else None
--- a/beaconhinge/policy/concurrency_limits.py
+++ b/beaconhinge/policy/concurrency_limits.py
@@ -2,7 +2,8 @@
 
 from collections.abc import Mapping
 
-from ..gossip.aggregation import Fleet, Reported
+from ..gossip.aggregation import GossipNode
+from ..gossip.load_view import ReportedLoad
 from .context import Context
 from .request_table import Attempt
 from .work_estimates import OBSERVATION_WEIGHT, WorkEstimates
@@ -31,7 +32,7 @@
     """
 
     def __init__(
-        self, context: Context, fleet: Fleet, workers: WorkerTable, estimates: WorkEstimates
+        self, context: Context, fleet: GossipNode, workers: WorkerTable, estimates: WorkEstimates
     ) -> None:
         """Start without limits."""
         self._context = context
@@ -42,15 +43,17 @@
         self.max_free_slots: dict[int, float] = {}
         settings = context.settings
         alone = settings.group_size == 1
-        self.reported_load = None if alone or settings.peer_messages else Reported()
+        self.reported_load = None if alone or settings.peer_messages else ReportedLoad()
 
     def slots_in_flight(self, worker: Worker) -> float:
         """Slots taken, by gossip or, where dispatchers may not exchange messages, by load reports."""
         if self.reported_load is None:
-            return worker.in_flight + self._fleet.others(worker.key, worker.in_flight)
+            return worker.in_flight + self._fleet.in_flight_elsewhere(worker.key, worker.in_flight)
         limit = self.by_kind.get(worker.kind, INITIAL_LIMIT_SLOTS)
         lasts = self._estimates.mean_latency_s
-        return worker.in_flight + self.reported_load.others(self._context.now, worker.key, lasts, limit)
+        return worker.in_flight + self.reported_load.in_flight_elsewhere(
+            self._context.now, worker.key, lasts, limit
+        )
 
     def limit_of(self, worker: Worker) -> float:
         """Slots that fit: as it taught or, in a large group, where each is met seldom, as its kind did."""
@@ -99,7 +102,7 @@
         free = load.get(settings.free_slots_field) if load else None
         if load and free is not None and self.reported_load is not None:
             taken = self.limit_of(worker) - free + load.get(settings.queue_field, 0.0)
-            self.reported_load.note(self._context.now, worker.key, max(0.0, taken - worker.in_flight))
+            self.reported_load.record(self._context.now, worker.key, max(0.0, taken - worker.in_flight))
 
     def note_in_flight(self, worker: Worker) -> float:
         """Slots taken; the fewest in this control interval are kept."""
--- a/beaconhinge/policy/dispatcher.py
+++ b/beaconhinge/policy/dispatcher.py
@@ -10,7 +10,7 @@
 from typing import ClassVar
 
 from ..gossip import codec
-from ..gossip.aggregation import Fleet
+from ..gossip.aggregation import GossipNode
 from . import interface
 from .admission import CONTROL_INTERVAL_S, Admission
 from .arrivals import Arrivals
@@ -51,7 +51,9 @@
         self.settings = settings
         self.context = context = Context(settings, random.Random(seed))
         incarnation = context.random.getrandbits(8)
-        self.fleet = fleet = Fleet(settings.group_size, settings.own_number, incarnation, REPORT_INTERVAL_S)
+        self.gossip = fleet = GossipNode(
+            settings.group_size, settings.own_number, incarnation, REPORT_INTERVAL_S
+        )
         self.worker_table = workers = WorkerTable()
         self.requests = requests = RequestTable(context)
         retries = RetryPolicy(context)
@@ -97,7 +99,7 @@
         self.context.now, self.context.actions = now, actions
         if type(event) in self.HANDLERS:
             self.HANDLERS[type(event)](self, event)
-        if self.settings.peer_messages and self.fleet.mates:
+        if self.settings.peer_messages and self.gossip.group_peers:
             self.reports.flush_gossip()
         return actions
 
@@ -107,7 +109,7 @@
         self.slow_start.dispatcher_started_at = context.now
         self.admission.start()
         self.reports.start()
-        self.fleet.start(context.now)
+        self.gossip.start(context.now)
         context.actions.append(interface.SetTimer(TICK_TIMER, context.tick_s))
         first_report_s = REPORT_INTERVAL_S * context.random.random()
         context.actions.append(interface.SetTimer(REPORT_TIMER, first_report_s))
@@ -160,7 +162,7 @@
         worker = attempt.worker
         worker.in_flight = max(0.0, worker.in_flight - request.slots)
         ended = self.outcomes.record(attempt, request, event)
-        self.fleet.note(self.context.now, worker.key, ended, round(request.slots))
+        self.gossip.record(self.context.now, worker.key, ended, round(request.slots))
         self.membership.close_idle_connections(worker)
         attempt.never_ran = event.outcome in PROVEN_UNRUN
         if event.settled:
@@ -186,8 +188,8 @@
 
     def on_peer_message(self, event: interface.PeerMessage) -> None:
         """A peer reports its demand, or outcomes on workers."""
-        for entry in self.fleet.hear(self.context.now, event.peer, event.payload):
-            if isinstance(entry, codec.Report):
+        for entry in self.gossip.receive(self.context.now, event.peer, event.payload):
+            if isinstance(entry, codec.DemandReport):
                 self.limits.by_kind = {**dict(entry.limits), **self.limits.by_kind}
                 continue
             worker = self.worker_table.by_key.get(entry.key)
@@ -198,7 +200,7 @@
 
     def on_process_stalled(self, event: interface.ProcessStalled) -> None:
         """This process itself did not run for a while."""
-        self.fleet.woke(self.context.now)
+        self.gossip.process_resumed(self.context.now)
         self.stalls.skip_own_stall(event.seconds)
 
     def on_probe_result(self, event: interface.ProbeResult) -> None:
@@ -222,7 +224,7 @@
         self.quotas.refill(passed_s, self.admission.demand_share)
         self.membership.fetch_if_due()
         if self.context.now - self.admission.adjusted_at >= CONTROL_INTERVAL_S:
-            self.fleet.forget_silent(self.context.now)
+            self.gossip.forget_silent_peers(self.context.now)
             self.admission.adjust_fleet_rate()
             self.limits.roll_minimum()
         self.placement.expire_queued()
--- a/beaconhinge/policy/outlier_detection.py
+++ b/beaconhinge/policy/outlier_detection.py
@@ -1,6 +1,6 @@
 """Outlier detection: workers that fail too often are ejected, and come back on probation, a job at a time."""
 
-from ..gossip.aggregation import Fleet
+from ..gossip.aggregation import GossipNode
 from . import interface
 from .context import SMALL_GROUP_SIZE, Context
 from .workers import BASE_EJECTION_S, Worker, WorkerTable
@@ -32,7 +32,7 @@
 class OutlierDetection:
     """Failure rates and ejections of workers."""
 
-    def __init__(self, context: Context, fleet: Fleet, workers: WorkerTable) -> None:
+    def __init__(self, context: Context, fleet: GossipNode, workers: WorkerTable) -> None:
         """Judge the workers of the table."""
         self._context = context
         self._fleet = fleet
@@ -64,7 +64,7 @@
             text = f"worker {worker.id} benched, failure share {worker.failure_rate:.2f}"
             self._context.actions.append(interface.LogMessage(text))
         worker.ejection_ends_at = now + worker.ejection_s
-        spread = max(BASE_EJECTION_S, PROBATION_SPREAD_S * (len(self._fleet.mates) - SMALL_GROUP_SIZE))
+        spread = max(BASE_EJECTION_S, PROBATION_SPREAD_S * (len(self._fleet.group_peers) - SMALL_GROUP_SIZE))
         # Lest all dispatchers try it at once.
         worker.ejected_until = worker.ejection_ends_at + self._context.random.random() * spread
 
--- a/beaconhinge/policy/peer_reports.py
+++ b/beaconhinge/policy/peer_reports.py
@@ -1,7 +1,8 @@
 """Reports of demand and slots to the dispatchers of the group, at an interval that spares bytes."""
 
 from ..gossip import codec
-from ..gossip.aggregation import MEMORY, Fleet
+from ..gossip.aggregation import GossipNode
+from ..gossip.peers import REPORTS_SMOOTHED
 from . import interface
 from .admission import Admission
 from .concurrency_limits import ConcurrencyLimits
@@ -33,7 +34,7 @@
     def __init__(
         self,
         context: Context,
-        fleet: Fleet,
+        fleet: GossipNode,
         workers: WorkerTable,
         admission: Admission,
         limits: ConcurrencyLimits,
@@ -65,7 +66,7 @@
         """Send counts to peers and reset them."""
         span = self._context.now - self.reported_at
         entries = self._admission.entries()
-        delivered = self._fleet.report(self._own_report(span, entries))
+        delivered = self._fleet.send_report(self._own_report(span, entries))
         if self._context.large_group:
             work = sum(allowed + denied for _, _, allowed, denied in entries)
             jobs = work / self._estimates.mean_work
@@ -73,7 +74,7 @@
             wanted = max(REPORT_INTERVAL_S, (self.interval_s + after) / 2)
             self.interval_s = min(wanted, MAX_REPORT_INTERVAL_S)
         self.reported_at = self._context.now
-        memory = min(MEMORY * self.interval_s, self._context.now - span - self.smoothing_since)
+        memory = min(REPORTS_SMOOTHED * self.interval_s, self._context.now - span - self.smoothing_since)
         self._admission.roll_report_window(span, memory)
 
     def next_interval_s(self) -> float:
@@ -83,14 +84,14 @@
     def flush_gossip(self) -> None:
         """Send what waits for peers."""
         fleet = self._fleet
-        fleet.turn(self._context.now)
-        if fleet.introduce:
-            fleet.introduce = False
-            fleet.report(self._own_report(0.0, []), -1 if fleet.hub is None else fleet.hub)
+        fleet.advance(self._context.now)
+        if fleet.wants_report:
+            fleet.wants_report = False
+            fleet.send_report(self._own_report(0.0, []), -1 if fleet.aggregator is None else fleet.aggregator)
         self._context.actions += [interface.SendToPeer(payload, number) for number, payload in fleet.outbox]
         fleet.outbox.clear()
 
-    def _own_report(self, span: float, entries: list[tuple[int, int, float, float]]) -> codec.Report:
+    def _own_report(self, span: float, entries: list[tuple[int, int, float, float]]) -> codec.DemandReport:
         busy = [w for w in self._workers.by_id.values() if w.in_flight >= MIN_REPORTED_SLOTS]
         in_flight = [(w.key, round(w.in_flight)) for w in busy]
-        return codec.Report(0, 0, span, entries, list(self._limits.by_kind.items()), in_flight)
+        return codec.DemandReport(0, 0, span, entries, list(self._limits.by_kind.items()), in_flight)
--- a/beaconhinge/policy/placement.py
+++ b/beaconhinge/policy/placement.py
@@ -1,7 +1,7 @@
 """Placement: a request goes to a worker, waits for a slot, or gets its final answer."""
 
 from ..gossip import codec
-from ..gossip.aggregation import Fleet
+from ..gossip.aggregation import GossipNode
 from . import interface
 from .admission import Admission
 from .concurrency_limits import ConcurrencyLimits
@@ -20,7 +20,7 @@
     def __init__(
         self,
         context: Context,
-        fleet: Fleet,
+        fleet: GossipNode,
         requests: RequestTable,
         admission: Admission,
         limits: ConcurrencyLimits,
@@ -58,7 +58,7 @@
         """Start an attempt on a worker."""
         now, settings = self._context.now, self._context.settings
         self._admission.sends += 1
-        self._fleet.note(now, worker.key, codec.SENT, round(request.slots))
+        self._fleet.record(now, worker.key, codec.DeltaKind.SENT, round(request.slots))
         if worker.in_flight == 0:
             worker.last_heard_at = now
         worker.in_flight += request.slots
@@ -75,8 +75,8 @@
         worker.in_flight = max(0.0, worker.in_flight + slots)
         worker.last_heard_at = self._context.now
         if slots:
-            what = codec.SENT if slots > 0 else codec.ENDED
-            self._fleet.note(self._context.now, worker.key, what, abs(round(slots)))
+            what = codec.DeltaKind.SENT if slots > 0 else codec.DeltaKind.ENDED
+            self._fleet.record(self._context.now, worker.key, what, abs(round(slots)))
 
     def enqueue(self, request: Request) -> None:
         """Have a request wait for a slot, or end it if too little time is left to serve it."""
--- a/beaconhinge/policy/routing.py
+++ b/beaconhinge/policy/routing.py
@@ -148,7 +148,7 @@
         """The weight of a worker, changed by what is known of its load and what a send to it costs."""
         context, reported = self._context, self._limits.reported_load
         if reported is not None:
-            known = FRESH_REPORT_WEIGHT if reported.fresh(context.now, worker.key) else 1.0
+            known = FRESH_REPORT_WEIGHT if reported.is_fresh(context.now, worker.key) else 1.0
             weight *= known * self.class_affinity(worker, request)
         own_zone = 1 + self._own_zone_weight * (worker.zone == context.settings.zone)
         idle = worker.has_idle_connection(context.now - context.settings.idle_timeout_s)
@@ -156,8 +156,8 @@
 
     def class_affinity(self, worker: Worker, request: Request) -> float:
         """Long jobs leave some workers to the class with the tightest objective: behind them it is late."""
-        part = self._estimates.work_by_class.part(self._tightest_class)
-        own = codec.mix(worker.id + 1) % 1000 < 2000 * part * self._context.large_group
+        part = self._estimates.work_by_class.minor_share(self._tightest_class)
+        own = codec.hash32(worker.id + 1) % 1000 < 2000 * part * self._context.large_group
         is_tightest = request.request_class is self._tightest_class
         return (AFFINITY_WEIGHT if own else 1.0) ** (1 if is_tightest else -1)
 
--- a/beaconhinge/policy/slow_start.py
+++ b/beaconhinge/policy/slow_start.py
@@ -68,7 +68,7 @@
     def _rank(self, worker: Worker) -> int:
         """Place of this dispatcher among those that may own the worker's budget, alike at all of them."""
         settings = self._context.settings
-        return (settings.own_number - codec.mix(worker.id ^ int(worker.started_at))) % settings.group_size
+        return (settings.own_number - codec.hash32(worker.id ^ int(worker.started_at))) % settings.group_size
 
     def record_send(self, worker: Worker, request: Request) -> None:
         """Count what a cold worker is sent."""
--- a/beaconhinge/policy/work_estimates.py
+++ b/beaconhinge/policy/work_estimates.py
@@ -1,7 +1,7 @@
 """Means over what was served: seconds for a unit of work, work of a job, latency, work by class."""
 
-from ..gossip.aggregation import Spent
 from .request_table import Request
+from .served_work import ServedWork
 from .workers import Worker
 
 OBSERVATION_WEIGHT = 0.15
@@ -34,7 +34,7 @@
         self.seconds_per_work = 0.0
         self.mean_work = 1.0
         self.mean_latency_s = 0.0
-        self.work_by_class = Spent()
+        self.work_by_class = ServedWork()
 
     def record_arrival(self, work: float) -> None:
         """Count the hinted work of a job that has arrived."""
@@ -53,9 +53,9 @@
             worker.seconds_per_work += OBSERVATION_WEIGHT * weight * (pace - own) if own else pace
             self.seconds_per_work += FLEET_OBSERVATION_WEIGHT * weight * (pace - fleet) if fleet else pace
         worker.class_ejections.pop(request.request_class, None)
-        self.work_by_class.note(request.request_class, worker.kind, pace * request.work, request.slots)
+        self.work_by_class.record(request.request_class, worker.kind, pace * request.work, request.slots)
 
     def slot_seconds(self, request: Request, worker: Worker) -> float:
         """Slots times seconds that a request is expected to take on a worker."""
-        mean = self.work_by_class.mean(request.request_class, worker.kind)
+        mean = self.work_by_class.mean_seconds(request.request_class, worker.kind)
         return request.slots * max(mean, request.work * (self.seconds_per_work or 1.0))
--- a/beaconhinge/policy/workers.py
+++ b/beaconhinge/policy/workers.py
@@ -87,7 +87,7 @@
 
     def get_or_add(self, worker_id: int) -> Worker:
         """The worker of that id, made if it is new."""
-        return self.by_id.setdefault(worker_id, Worker(worker_id, codec.key(worker_id)))
+        return self.by_id.setdefault(worker_id, Worker(worker_id, codec.worker_key(worker_id)))
 
     def rebuild_pools(self) -> None:
         """Sort listed workers by kind again, after any of them has come, left or changed."""
--- a/beaconhinge/quota_snapshots/record.py
+++ b/beaconhinge/quota_snapshots/record.py
@@ -10,7 +10,9 @@
 
 import msgspec
 
-from ..gossip import aggregation
+from ..gossip.aggregation import MAX_MISSED_REPORTS
+from ..gossip.peers import REPORTS_SMOOTHED
+from ..gossip.peers import Peer as PeerState
 from ..management.handover import fingerprint
 from ..policy.admission import CONTROL_INTERVAL_S, RATE_INCREASE_SHARE, TenantBucket
 from ..policy.context import INF
@@ -87,13 +89,13 @@
                 number,
                 p.incarnation,
                 p.sequence,
-                now - p.heard,
-                p.known,
-                p.span,
+                now - p.heard_at,
+                p.covered_s,
+                p.report_interval_s,
                 [(*key, rate) for key, rate in p.demand.items()],
                 p.admitted,
             )
-            for number, p in dispatcher.fleet.peers.items()
+            for number, p in dispatcher.gossip.peers.items()
         ],
     )
 
@@ -140,17 +142,15 @@
     estimates.mean_work, estimates.seconds_per_work = record.mean_work, record.seconds_per_work
     estimates.mean_latency_s = record.mean_latency_s
     # Its reports carry on the smoothed figures instead of starting them anew.
-    reports.smoothing_since = now - aggregation.MEMORY * reports.interval_s
+    reports.smoothing_since = now - REPORTS_SMOOTHED * reports.interval_s
     admission.fleet_rate = record.fleet_rate * (1 + RATE_INCREASE_SHARE) ** (age / CONTROL_INTERVAL_S)
     for peer in record.peers:
-        kept = aggregation.Peer(
-            peer.incarnation, peer.sequence, now - peer.silent - age, peer.known, peer.span
-        )
-        if peer.silent + age <= aggregation.SILENT_REPORTS * peer.span:
+        kept = PeerState(peer.incarnation, peer.sequence, now - peer.silent - age, peer.known, peer.span)
+        if peer.silent + age <= MAX_MISSED_REPORTS * peer.span:
             kept.demand = {(tenant, cls): rate for tenant, cls, rate in peer.demand}
             kept.admitted = peer.admitted
-        if peer.number in dispatcher.fleet.mates:
-            dispatcher.fleet.peers[peer.number] = kept
+        if peer.number in dispatcher.gossip.group_peers:
+            dispatcher.gossip.peers[peer.number] = kept
     for bucket in record.buckets:
         most = admission.max_tokens(bucket.rate)
         tokens = 0.0 if bucket.rate == INF else min(bucket.tokens + age * bucket.rate, most)
--- a/beaconhinge/standin/fleet/world.py
+++ b/beaconhinge/standin/fleet/world.py
@@ -502,7 +502,7 @@
             self.clock.after(SPLIT, partial(setattr, box, "silent", False))
 
     def _kill_hubs(self) -> None:
-        self._kill_all([node for node in self.nodes if node.module.fleet.is_aggregator])
+        self._kill_all([node for node in self.nodes if node.module.gossip.is_aggregator])
 
     def _lose_zone(self) -> None:
         """A zone is cut off, listed as gone seconds later, and comes back cold."""
--- a/benchmarks/module.py
+++ b/benchmarks/module.py
@@ -68,9 +68,9 @@
                     done.request, done.worker, 0, AttemptOutcome.SERVED, True, 0.4, {"x0": 2.0}
                 ),
             )
-        news = [(draw.getrandbits(14), codec.SENT) for _ in range(3)]
+        news = [(draw.getrandbits(14), codec.DeltaKind.SENT) for _ in range(3)]
         peer = 1 + number % min(group - 1, 39)
-        payload = codec.encode_news(codec.News(peer & 255, number & 255, news))
+        payload = codec.encode_deltas(codec.DeltaMessage(peer & 255, number & 255, news))
         feed("datagram", interface.PeerMessage(peer, payload))
         if number % 10 == 0:
             feed("timer", interface.TimerFired(TICK_TIMER))
--- a/tests/policy/test_admission.py
+++ b/tests/policy/test_admission.py
@@ -6,26 +6,27 @@
 from decision_helpers import finals
 from helpers import job, sends, started
 
-from beaconhinge.gossip.aggregation import max_min, smooth
+from beaconhinge.gossip.peers import smoothed_rate
 from beaconhinge.policy import interface
 from beaconhinge.policy.dispatcher import TICK_TIMER
+from beaconhinge.policy.fair_shares import max_min_shares
 
 
 def test_max_min_lends_unused_share() -> None:
-    assert max_min(10, [2, 20, 20], [1, 1, 1]) == pytest.approx([10 / 3, 4, 4])
+    assert max_min_shares(10, [2, 20, 20], [1, 1, 1]) == pytest.approx([10 / 3, 4, 4])
 
 
 def test_max_min_keeps_the_whole_share_of_a_quiet_tenant_as_its_limit() -> None:
-    assert max_min(10, [1, 1], [1, 1]) == pytest.approx([5, 5])
+    assert max_min_shares(10, [1, 1], [1, 1]) == pytest.approx([5, 5])
 
 
 def test_max_min_by_told_shares() -> None:
-    assert max_min(10, [50, 50], [3, 1]) == pytest.approx([7.5, 2.5])
+    assert max_min_shares(10, [50, 50], [3, 1]) == pytest.approx([7.5, 2.5])
 
 
 def test_first_rate_estimate_is_not_biased_low() -> None:
-    assert smooth(0.0, 10.0, 1.0, 0.0) == pytest.approx(10.0)
-    assert smooth(10.0, 10.0, 1.0, 2.0) == pytest.approx(10.0)
+    assert smoothed_rate(0.0, 10.0, 1.0, 0.0) == pytest.approx(10.0)
+    assert smoothed_rate(10.0, 10.0, 1.0, 2.0) == pytest.approx(10.0)
 
 
 def test_rate_is_cut_once_an_interval_and_rises_again() -> None:
--- a/tests/policy/test_large_groups.py
+++ b/tests/policy/test_large_groups.py
@@ -129,11 +129,11 @@
 def test_foreign_bytes_and_numbers_change_nothing() -> None:
     dispatcher = member(150)
     outside = 149  # in another circle than number 0
-    good = codec.encode(codec.Report(5, 1, 0.5, [(0, 0, 9.0, 0.0)]))
+    good = codec.encode_report(codec.DemandReport(5, 1, 0.5, [(0, 0, 9.0, 0.0)]))
     former = struct.pack(">HBBIHHBB", 0x6F73, 2, 1, 5, 1, 500, 0, 0)
     for peer, payload in ((outside, good), (1, former), (0, good), (900, b""), (1, good + good)):
         dispatcher.handle(100.1, interface.PeerMessage(peer, payload))
-    assert dispatcher.fleet.peers == {} and dispatcher.admission.total_demand() == {}
+    assert dispatcher.gossip.peers == {} and dispatcher.admission.total_demand() == {}
 
 
 @pytest.mark.parametrize("size", [2, 20, 150])
@@ -212,12 +212,14 @@
 def test_jobs_that_wait_for_their_start_are_not_sent_twice() -> None:
     """A copy of each waiting job gave a busy fleet twice its work, since a cancel does not drop what waits."""
     dispatcher = member(40, **TELLS)
-    dispatcher.handle(100.0, interface.PeerMessage(1, codec.encode(codec.Report(5, 1, 0.5))))
+    dispatcher.handle(100.0, interface.PeerMessage(1, codec.encode_report(codec.DemandReport(5, 1, 0.5))))
     for number in (1, 2):
         dispatcher.handle(100.0, job(number, remaining=9.0))
-    signs = [(worker.key, codec.SERVED) for worker in dispatcher.workers.values()]  # of jobs of others
+    signs = [
+        (worker.key, codec.DeltaKind.SERVED) for worker in dispatcher.workers.values()
+    ]  # of jobs of others
     for step in range(1, 30):
-        news = codec.encode_news(codec.News(5, 1 + step, signs))
+        news = codec.encode_deltas(codec.DeltaMessage(5, 1 + step, signs))
         for event in (
             interface.PeerMessage(1, news),
             interface.TimerFired(TICK_TIMER),
--- a/tests/policy/test_load_probing.py
+++ b/tests/policy/test_load_probing.py
@@ -5,11 +5,12 @@
 import pytest
 from helpers import job, outcome, sends, started
 
-from beaconhinge.gossip.aggregation import Reported, Spent
+from beaconhinge.gossip.load_view import ReportedLoad
 from beaconhinge.policy import interface
 from beaconhinge.policy.dispatcher import TICK_TIMER, Dispatcher
 from beaconhinge.policy.interface import AttemptOutcome
 from beaconhinge.policy.load_probing import PROBES_PER_REQUEST
+from beaconhinge.policy.served_work import ServedWork
 
 ALONE = {
     "groupSize": "6",
@@ -80,14 +81,14 @@
 
 
 def test_a_report_is_worth_less_the_older_it_is() -> None:
-    seen = Reported()
+    seen = ReportedLoad()
     for worker in range(10):
-        seen.note(100.0, worker, 4.0)
-    seen.note(100.0, 3, 9.0)
-    now = seen.others(100.0, 3, lasts=2.0, limit=6.0)
-    later = seen.others(104.0, 3, lasts=2.0, limit=6.0)
-    assert now == 9.0 > later > seen.others(200.0, 3, lasts=2.0, limit=6.0) <= 3.0
-    assert seen.fresh(100.1, 3) and not seen.fresh(101.0, 3) and not seen.fresh(100.0, 99)
+        seen.record(100.0, worker, 4.0)
+    seen.record(100.0, 3, 9.0)
+    now = seen.in_flight_elsewhere(100.0, 3, lasts=2.0, limit=6.0)
+    later = seen.in_flight_elsewhere(104.0, 3, lasts=2.0, limit=6.0)
+    assert now == 9.0 > later > seen.in_flight_elsewhere(200.0, 3, lasts=2.0, limit=6.0) <= 3.0
+    assert seen.is_fresh(100.1, 3) and not seen.is_fresh(101.0, 3) and not seen.is_fresh(100.0, 99)
 
 
 def test_a_job_withdrawn_without_a_word_from_its_worker_counts_against_that() -> None:
@@ -99,16 +100,16 @@
 
 
 def test_the_part_of_a_class_is_told_where_it_is_small() -> None:
-    spent = Spent()
-    assert spent.part("short") == 0.0  # nothing is known
+    spent = ServedWork()
+    assert spent.minor_share("short") == 0.0  # nothing is known
     for _ in range(300):
-        spent.note("short", 0, 1.0, 1.0)
-        spent.note("long", 0, 9.0, 1.0)
-    assert 0.08 < spent.part("short") < 0.12
-    assert spent.part("long") == 0.0  # most of the work: it needs no workers of its own
+        spent.record("short", 0, 1.0, 1.0)
+        spent.record("long", 0, 9.0, 1.0)
+    assert 0.08 < spent.minor_share("short") < 0.12
+    assert spent.minor_share("long") == 0.0  # most of the work: it needs no workers of its own
     for _ in range(600):
-        spent.note("short", 0, 1.0, 1.0)
-    assert spent.part("short") == 0.0  # the day has changed
+        spent.record("short", 0, 1.0, 1.0)
+    assert spent.minor_share("short") == 0.0  # the day has changed
 
 
 def test_long_jobs_leave_some_workers_to_the_shortest_class_in_a_large_group_alone() -> None:
@@ -116,8 +117,8 @@
         dispatcher = started(200, groupSize=size, requestClasses__0__aim="0.2")
         short, long = dispatcher.settings.classes[0], dispatcher.settings.classes[1]
         for _ in range(100):
-            dispatcher.estimates.work_by_class.note(short, 0, 1.0, 1.0)
-            dispatcher.estimates.work_by_class.note(long, 0, 9.0, 1.0)
+            dispatcher.estimates.work_by_class.record(short, 0, 1.0, 1.0)
+            dispatcher.estimates.work_by_class.record(long, 0, 9.0, 1.0)
         wishes = []
         for number, cls in enumerate((0, 1)):
             dispatcher.handle(101.0, job(number, cls))
--- a/tests/policy/test_placement.py
+++ b/tests/policy/test_placement.py
@@ -76,7 +76,7 @@
         dispatcher.estimates.seconds_per_work = 0.4
         for kind, work in ((0, seconds), (1, 0.1)):
             for _ in range(6):
-                dispatcher.estimates.work_by_class.note(dispatcher.settings.classes[cls], kind, work, 1.0)
+                dispatcher.estimates.work_by_class.record(dispatcher.settings.classes[cls], kind, work, 1.0)
         return sum(bool(sends(dispatcher.handle(102.0, job(n, cls, size_hint=0.0)))) for n in range(1, 20))
 
     assert placed(cls=0, seconds=0.1) == 7  # at the mean of all, 0.4 s, of 3.1 s
--- a/tests/policy/test_policy_peers.py
+++ b/tests/policy/test_policy_peers.py
@@ -14,14 +14,14 @@
 
 
 def report(incarnation: int, sequence: int, allowed: float, out: int = 0) -> interface.PeerMessage:
-    slots = [(codec.key(100), out)] if out else []
-    body = codec.Report(incarnation, sequence, 0.5, [(0, 0, allowed, 0.0)], slots_out=slots)
-    return interface.PeerMessage(1, codec.encode(body))
+    slots = [(codec.worker_key(100), out)] if out else []
+    body = codec.DemandReport(incarnation, sequence, 0.5, [(0, 0, allowed, 0.0)], in_flight=slots)
+    return interface.PeerMessage(1, codec.encode_report(body))
 
 
 def news(incarnation: int, sequence: int, *entries: tuple[int, int]) -> interface.PeerMessage:
-    told = [(codec.key(worker), what) for worker, what in entries]
-    return interface.PeerMessage(1, codec.encode_news(codec.News(incarnation, sequence, told)))
+    told = [(codec.worker_key(worker), what) for worker, what in entries]
+    return interface.PeerMessage(1, codec.encode_deltas(codec.DeltaMessage(incarnation, sequence, told)))
 
 
 def test_a_new_bucket_reports_at_once() -> None:
@@ -41,7 +41,7 @@
 def test_stale_repeated_and_foreign_reports_change_nothing() -> None:
     dispatcher = group(1, 0)
     dispatcher.handle(100.0, report(5, 10, 5.0))
-    before = dict(dispatcher.fleet.peers[1].demand)
+    before = dict(dispatcher.gossip.peers[1].demand)
     for payload in (
         report(5, 10, 90.0),
         report(5, 9, 90.0),
@@ -49,14 +49,14 @@
         interface.PeerMessage(3, b""),
     ):
         dispatcher.handle(100.1, payload)
-    assert dispatcher.fleet.peers[1].demand == before and 3 not in dispatcher.fleet.peers
+    assert dispatcher.gossip.peers[1].demand == before and 3 not in dispatcher.gossip.peers
 
 
 def test_a_restarted_peer_loses_its_old_usage_at_once() -> None:
     dispatcher = group(1, 0)
     dispatcher.handle(100.0, report(5, 10, 500.0))
     dispatcher.handle(100.5, report(6, 1, 0.5))
-    assert sum(dispatcher.fleet.peers[1].demand.values()) == pytest.approx(1.0, rel=0.1)
+    assert sum(dispatcher.gossip.peers[1].demand.values()) == pytest.approx(1.0, rel=0.1)
 
 
 def test_a_silent_peer_is_aged_out_with_its_slots() -> None:
@@ -66,17 +66,17 @@
     dispatcher.handle(110.0, interface.TimerFired(TICK_TIMER))
     assert (
         dispatcher.limits.slots_in_flight(dispatcher.workers[100]) == 0
-        and not dispatcher.fleet.peers[1].demand
+        and not dispatcher.gossip.peers[1].demand
     )
 
 
 def test_news_count_what_a_peer_has_out_and_a_report_mends_what_was_lost() -> None:
     dispatcher, worker = group(1, 0), 100
     out = lambda: dispatcher.limits.slots_in_flight(dispatcher.workers[worker])  # noqa: E731
-    dispatcher.handle(100.0, news(5, 1, (worker, codec.SENT)))
+    dispatcher.handle(100.0, news(5, 1, (worker, codec.DeltaKind.SENT)))
     assert out() == 1
     dispatcher.handle(100.0, report(5, 2, 1.0, out=1))
-    sent, ended = (worker, codec.SENT), (worker, codec.SERVED)
+    sent, ended = (worker, codec.DeltaKind.SENT), (worker, codec.DeltaKind.SERVED)
     for message, there in (
         (news(5, 3, sent, sent), 3),
         (news(5, 3, sent, sent), 3),
@@ -90,7 +90,9 @@
         dispatcher.handle(100.1, message)
         assert out() == there
     dispatcher.handle(100.2, interface.PeerMessage(1, news(6, 10, sent).payload[:-1]))
-    dispatcher.handle(100.2, news(6, 10, (999, codec.SENT)))  # of a worker that the own list has not named
+    dispatcher.handle(
+        100.2, news(6, 10, (999, codec.DeltaKind.SENT))
+    )  # of a worker that the own list has not named
     assert out() == 2 and 999 not in dispatcher.workers
 
 
@@ -98,44 +100,44 @@
     dispatcher = group(1, 0)
     dispatcher.handle(100.0, report(5, 1, 1.0))
     worker = dispatcher.workers[100]
-    dispatcher.handle(100.0, news(5, 2, (100, codec.FAILED)))
+    dispatcher.handle(100.0, news(5, 2, (100, codec.DeltaKind.FAILED)))
     assert not worker.on_probation  # one word alone does not bench
-    dispatcher.handle(100.1, news(5, 3, (100, codec.FAILED)))
+    dispatcher.handle(100.1, news(5, 3, (100, codec.DeltaKind.FAILED)))
     assert worker.on_probation and worker.ejected_until > 100.1
     for sequence in range(4, 8):
-        dispatcher.handle(100.2, news(5, sequence, (100, codec.SERVED)))
+        dispatcher.handle(100.2, news(5, sequence, (100, codec.DeltaKind.SERVED)))
     assert not worker.on_probation and worker.ejected_until < 100.2
 
 
 def test_a_peer_that_holds_all_slots_does_not_starve_this_dispatcher() -> None:
     dispatcher = group(1, 0)
-    body = codec.Report(5, 1, 0.5, slots_out=[(codec.key(100 + i), 2) for i in range(4)])
-    dispatcher.handle(100.0, interface.PeerMessage(1, codec.encode(body)))
+    body = codec.DemandReport(5, 1, 0.5, in_flight=[(codec.worker_key(100 + i), 2) for i in range(4)])
+    dispatcher.handle(100.0, interface.PeerMessage(1, codec.encode_report(body)))
     assert sends(dispatcher.handle(100.0, job(1)))
 
 
 def test_report_bytes_round_trip_and_stay_in_the_limit() -> None:
-    full = codec.Report(
+    full = codec.DemandReport(
         7, 7000, 0.5, [(t, 0, 1.0, 2.0) for t in range(20)], [(0, 5.25)], [(w, 2) for w in range(90)]
     )
-    data = codec.encode(full)
+    data = codec.encode_report(full)
     assert len(data) <= codec.MAX_BYTES
     back = codec.decode(data)
-    assert isinstance(back, codec.Report) and back.limits == full.limits
-    assert back.slots_out and back.slots_out == full.slots_out[: len(back.slots_out)]
+    assert isinstance(back, codec.DemandReport) and back.limits == full.limits
+    assert back.in_flight and back.in_flight == full.in_flight[: len(back.in_flight)]
     for told, was in zip(back.buckets, full.buckets, strict=True):
         assert told[:2] == was[:2] and told[2:] == pytest.approx(was[2:], rel=0.05)
     for bad in (data[:-1], data + b"\0", b"\0" + data[1:], b""):
         assert codec.decode(bad) is None
-    short = codec.encode_news(codec.News(7, 300, [(w, w % 4) for w in range(300)]))
+    short = codec.encode_deltas(codec.DeltaMessage(7, 300, [(w, w % 4) for w in range(300)]))
     again = codec.decode(short)
-    assert len(short) <= codec.MAX_BYTES and isinstance(again, codec.News)
+    assert len(short) <= codec.MAX_BYTES and isinstance(again, codec.DeltaMessage)
     assert (again.sequence, again.entries[5]) == (44, (5, 1)) and codec.decode(short[:-1]) is None
 
 
 @given(st.binary(max_size=260))
 def test_no_bytes_from_a_peer_raise_or_make_a_worker_known(data: bytes) -> None:
     dispatcher = group(1, 0)
-    for payload in (data, bytes([codec.NEWS]) + data, bytes([codec.REPORT]) + data):
+    for payload in (data, bytes([codec.MessageType.DELTAS]) + data, bytes([codec.MessageType.REPORT]) + data):
         dispatcher.handle(100.0, interface.PeerMessage(1, payload))
     assert set(dispatcher.workers) == {100, 101, 102, 103}
--- a/tests/policy/test_worker_faults.py
+++ b/tests/policy/test_worker_faults.py
@@ -37,8 +37,15 @@
 def test_a_dispatcher_with_its_part_of_all_slots_does_not_queue_on_full_workers() -> None:
     dispatcher = group(1, 0)
     for worker in dispatcher.workers.values():
-        worker.learned_limit, worker.in_flight, dispatcher.fleet.board.out[worker.key] = 4.0, 3.0, 7
-    dispatcher.workers[100].in_flight, dispatcher.fleet.board.out[dispatcher.workers[100].key] = 0.0, 4
+        worker.learned_limit, worker.in_flight, dispatcher.gossip.in_flight_table.slots[worker.key] = (
+            4.0,
+            3.0,
+            7,
+        )
+    (
+        dispatcher.workers[100].in_flight,
+        dispatcher.gossip.in_flight_table.slots[dispatcher.workers[100].key],
+    ) = 0.0, 4
     assert not sends(dispatcher.handle(100.0, job(1)))
 
 
--- a/tests/quota_snapshots/test_quota_snapshots.py
+++ b/tests/quota_snapshots/test_quota_snapshots.py
@@ -13,7 +13,7 @@
 from hypothesis import strategies as st
 from snapshot_world import GROUP, PAIRS, World
 
-from beaconhinge.gossip import aggregation
+from beaconhinge.gossip.peers import Peer
 from beaconhinge.policy import interface
 from beaconhinge.policy.admission import TenantBucket
 from beaconhinge.policy.context import INF
@@ -75,7 +75,7 @@
     dispatcher.admission.buckets[0, 0] = TenantBucket(0.0, 0.0, 12.0, 9.0, 0.5, 4.0)
     dispatcher.admission.buckets[2, 0] = TenantBucket(0.0, 0.0, 3.0, 3.0, 0.0, INF)
     for number, heard in ((1, now - 0.2), (2, now - 2.0)):
-        dispatcher.fleet.peers[number] = aggregation.Peer(7, 5, heard, 2.0, 0.5, {(0, 0): 6.0}, 4.0)
+        dispatcher.gossip.peers[number] = Peer(7, 5, heard, 2.0, 0.5, {(0, 0): 6.0}, 4.0)
     dispatcher.quotas.tokens = [0.5, 1.0, 1.0]
     return dispatcher
 
@@ -100,7 +100,9 @@
     assert dispatcher.admission.buckets[0, 0].tokens == 4.5  # half a job and a second's four
     assert dispatcher.admission.fleet_rate == pytest.approx(55.0)  # a cut fades as it would have
     assert dispatcher.quotas.tokens[0] > 0.5
-    assert dispatcher.fleet.peers[1].demand and not dispatcher.fleet.peers[2].demand  # silent for 3 s by now
+    assert (
+        dispatcher.gossip.peers[1].demand and not dispatcher.gossip.peers[2].demand
+    )  # silent for 3 s by now
     assert restored(25.0).admission.buckets[0, 0].tokens == 12.0  # a bucket holds no more than its burst
 
 
--- a/tests/recovery/test_stall.py
+++ b/tests/recovery/test_stall.py
@@ -9,7 +9,7 @@
 from hypothesis import strategies as st
 
 from beaconhinge.gossip import codec
-from beaconhinge.gossip.aggregation import Fleet
+from beaconhinge.gossip.aggregation import GossipNode
 from beaconhinge.policy import Dispatcher, Settings, interface
 from beaconhinge.policy.interface import AttemptOutcome, UpdateKind
 from beaconhinge.recovery.stall import EXCUSED_OUTCOMES, StallDetector
@@ -123,16 +123,16 @@
 
 
 def test_a_leader_that_stood_still_listens_before_it_leads_again() -> None:
-    fleet = Fleet(40, 0, 1, 0.5)
+    fleet = GossipNode(40, 0, 1, 0.5)
     fleet.start(100.0)
-    fleet.turn(101.0)
+    fleet.advance(101.0)
     assert fleet.is_aggregator
-    fleet.woke(110.0)
-    fleet.turn(110.0)
+    fleet.process_resumed(110.0)
+    fleet.advance(110.0)
     assert not fleet.is_aggregator and not fleet.outbox[1:]
-    board = codec.encode_board(codec.Board(2, 1, 0, [(9, 3, 0, False)]))
-    assert len(list(fleet.hear(110.1, 7, board))) == 1
-    assert fleet.hub == 7 and fleet.others(9, 0.0) == 3
+    board = codec.encode_aggregate(codec.AggregateMessage(2, 1, 0, [(9, 3, 0, False)]))
+    assert len(list(fleet.receive(110.1, 7, board))) == 1
+    assert fleet.aggregator == 7 and fleet.in_flight_elsewhere(9, 0.0) == 3
 
 
 def test_an_upgrade_of_nothing_else_follows_from_a_stall() -> None:
--- a/tests/test_large_fleet.py
+++ b/tests/test_large_fleet.py
@@ -5,7 +5,7 @@
 import pytest
 
 from beaconhinge.gossip import codec
-from beaconhinge.gossip.aggregation import Fleet
+from beaconhinge.gossip.aggregation import GossipNode
 from beaconhinge.policy import interface
 from beaconhinge.policy.interface import UpdateKind
 from beaconhinge.standin.fleet.plan import LONG_JOBS, SCRIPTS, Plan, Site
@@ -26,8 +26,8 @@
     ended = [wish.end for wish in world.wishes if wish.end]  # some are longer, or asked for once more
     assert ended.count("served") >= served * len(ended) > 600
     if not loss:  # each circle has its one hub again, which works
-        fleets = [node.module.fleet for node in world.nodes]
-        hubs = {(fleet.own_number * fleet.group_count // 200, fleet.hub) for fleet in fleets}
+        fleets = [node.module.gossip for node in world.nodes]
+        hubs = {(fleet.own_number * fleet.group_count // 200, fleet.aggregator) for fleet in fleets}
         assert len(hubs) == fleets[0].group_count == 5
         assert all(hub is not None and fleets[hub].is_aggregator for _, hub in hubs)
 
@@ -116,22 +116,29 @@
 
 
 def test_datagrams_that_are_none_or_old_or_from_nobody_are_passed_over_at_full_size() -> None:
-    def fleet() -> Fleet:
-        made = Fleet(200, 7, 1, 0.5)
+    def fleet() -> GossipNode:
+        made = GossipNode(200, 7, 1, 0.5)
         made.start(100.0)
         return made
 
-    news = codec.encode_news(codec.News(3, 5, [(9, codec.SENT)]))
+    news = codec.encode_deltas(codec.DeltaMessage(3, 5, [(9, codec.DeltaKind.SENT)]))
     other = fleet()
-    assert len(list(other.hear(100.0, 8, news))) == 1
-    assert list(other.hear(100.1, 8, news)) == []  # repeated
-    assert list(other.hear(100.1, 8, codec.encode_news(codec.News(3, 4, [(9, codec.SENT)])))) == []  # old
-    assert other.board.out[9] == 1
+    assert len(list(other.receive(100.0, 8, news))) == 1
+    assert list(other.receive(100.1, 8, news)) == []  # repeated
+    assert (
+        list(
+            other.receive(
+                100.1, 8, codec.encode_deltas(codec.DeltaMessage(3, 4, [(9, codec.DeltaKind.SENT)]))
+            )
+        )
+        == []
+    )  # old
+    assert other.in_flight_table.slots[9] == 1
     for number in (-1, 7, 199, 200, 2**31):  # nobody, itself, another circle, out of range
-        assert list(fleet().hear(100.0, number, news)) == []
+        assert list(fleet().receive(100.0, number, news)) == []
     for cut in range(len(news)):
-        assert list(fleet().hear(100.0, 8, news[:cut])) == []
-    assert list(fleet().hear(100.0, 8, b"\x00" + news)) == []
+        assert list(fleet().receive(100.0, 8, news[:cut])) == []
+    assert list(fleet().receive(100.0, 8, b"\x00" + news)) == []
 
 
 def test_a_list_of_thousands_is_taken_in_a_bounded_time_for_each_entry() -> None:
@@ -143,94 +150,99 @@
     assert len({s.worker for n in range(200) for s in sends(dispatcher.handle(101.0, job(n)))}) > 150
 
 
-def led(number: int, now: float = 101.0) -> Fleet:
+def led(number: int, now: float = 101.0) -> GossipNode:
     """A fleet of two hundred as one dispatcher knows it that has heard nobody, and so leads its circle."""
-    fleet = Fleet(200, number, number + 1, 0.5)
+    fleet = GossipNode(200, number, number + 1, 0.5)
     fleet.start(100.0)
-    fleet.turn(now)
+    fleet.advance(now)
     assert fleet.is_aggregator
     fleet.outbox.clear()
     return fleet
 
 
-def pass_on(sender: Fleet, receivers: dict[int, Fleet], now: float, lost: int = -1) -> None:
+def pass_on(sender: GossipNode, receivers: dict[int, GossipNode], now: float, lost: int = -1) -> None:
     told, sender.outbox[:] = list(sender.outbox), []
     for number, payload in told:
         if number in receivers and number != lost:
-            list(receivers[number].hear(now, sender.own_number, payload))
+            list(receivers[number].receive(now, sender.own_number, payload))
 
 
 def test_hubs_tell_each_other_and_a_circle_knows_what_all_others_have_out() -> None:
     """By the own fifth alone a worker that others have filled looked free."""
-    near, far, mate = led(0), led(40), Fleet(200, 41, 9, 0.5)
+    near, far, mate = led(0), led(40), GossipNode(200, 41, 9, 0.5)
     mate.start(100.0)
     known = {0: near, 40: far, 41: mate}
     for _ in range(4):
-        near.note(101.0, 7, codec.SENT, 1)
+        near.record(101.0, 7, codec.DeltaKind.SENT, 1)
     now = 101.0
     while now < 103.0:
         now = round(now + 0.05, 3)
         for fleet in (near, far, mate):
-            fleet.turn(now)
+            fleet.advance(now)
             pass_on(fleet, known, now)
     # Of four other circles one is heard: the others are taken to be like it.
-    assert far.others(7, 0.0) == mate.others(7, 0.0) == 16.0
-    assert near.others(7, 4.0) == 0.0
-    mate.turn(now + 1.1)
+    assert far.in_flight_elsewhere(7, 0.0) == mate.in_flight_elsewhere(7, 0.0) == 16.0
+    assert near.in_flight_elsewhere(7, 4.0) == 0.0
+    mate.advance(now + 1.1)
     assert (
-        not mate.hears_remote_groups and mate.others(7, 0.0) == 0.0
+        not mate.hears_remote_groups and mate.in_flight_elsewhere(7, 0.0) == 0.0
     )  # old news are no news: its circle stands for all
 
 
 def test_a_hub_that_is_no_more_is_looked_for_from_the_first_member_on_and_the_lower_one_counts() -> None:
     fleet = led(0)
-    board = {n: codec.encode_board(codec.Board(n, 1, 0, [(7, n - 40, 0, False)])) for n in (41, 42, 43)}
+    board = {
+        n: codec.encode_aggregate(codec.AggregateMessage(n, 1, 0, [(7, n - 40, 0, False)]))
+        for n in (41, 42, 43)
+    }
     circle = fleet.remote_groups[1]
     assert list(circle.members) == list(range(40, 80))
     assert [circle.contact(101.0) for _ in range(3)] == [40, 41, 42]
-    list(fleet.hear(101.0, 42, board[42]))
+    list(fleet.receive(101.0, 42, board[42]))
     assert circle.contact(101.1) == 42 and circle.in_flight[7] == 2
-    list(fleet.hear(101.1, 43, board[43]))  # it will give way
+    list(fleet.receive(101.1, 43, board[43]))  # it will give way
     assert circle.aggregator == 42
-    list(fleet.hear(101.1, 41, board[41]))
+    list(fleet.receive(101.1, 41, board[41]))
     assert circle.aggregator == 41 and circle.in_flight[7] == 1
-    list(fleet.hear(101.2, 41, board[41]))  # repeated
+    list(fleet.receive(101.2, 41, board[41]))  # repeated
     assert circle.heard_at == 101.1
     assert [circle.contact(102.0) for _ in range(2)] == [40, 41]
-    list(fleet.hear(102.0, 43, board[43]))  # the only one that is left
+    list(fleet.receive(102.0, 43, board[43]))  # the only one that is left
     assert circle.aggregator == 43 and circle.in_flight[7] == 3
 
 
 def test_a_far_board_that_was_lost_is_mended_though_nothing_changes() -> None:
-    near, far, mate = led(0), led(40), Fleet(200, 41, 9, 0.5)
+    near, far, mate = led(0), led(40), GossipNode(200, 41, 9, 0.5)
     mate.start(100.0)
     for key in range(40):  # more than one board names
-        near.note(101.0, key, codec.SENT, 1)
+        near.record(101.0, key, codec.DeltaKind.SENT, 1)
     now = 101.0
     while now < 106.0:
         now = round(now + 0.05, 3)
         for fleet in (near, far, mate):
-            fleet.turn(now)
+            fleet.advance(now)
         pass_on(near, {40: far}, now)
         pass_on(far, {0: near} if now < 103.0 else {0: near, 41: mate}, now)
         pass_on(mate, {}, now)
-    assert [mate.others(key, 0.0) for key in range(40)] == [4.0] * 40
+    assert [mate.in_flight_elsewhere(key, 0.0) for key in range(40)] == [4.0] * 40
 
 
 def test_boards_of_other_circles_are_for_hubs_and_far_boards_for_the_own_circle() -> None:
-    plain = codec.encode_board(codec.Board(1, 1, 0, [(7, 3, 0, False)]))
-    whole = codec.encode_board(codec.Board(1, 1, 0, [(7, 3, 0, False)], far=True))
+    plain = codec.encode_aggregate(codec.AggregateMessage(1, 1, 0, [(7, 3, 0, False)]))
+    whole = codec.encode_aggregate(
+        codec.AggregateMessage(1, 1, 0, [(7, 3, 0, False)], covers_other_groups=True)
+    )
     assert (codec.decode(plain), codec.decode(whole)) == (
-        codec.Board(1, 1, 0, [(7, 3, 0, False)]),
-        codec.Board(1, 1, 0, [(7, 3, 0, False)], far=True),
+        codec.AggregateMessage(1, 1, 0, [(7, 3, 0, False)]),
+        codec.AggregateMessage(1, 1, 0, [(7, 3, 0, False)], covers_other_groups=True),
     )
-    member = Fleet(200, 5, 1, 0.5)
+    member = GossipNode(200, 5, 1, 0.5)
     member.start(100.0)
     hub = led(0)
     for payload, fleet in ((plain, member), (whole, hub)):
-        list(fleet.hear(101.0, 45, payload))
+        list(fleet.receive(101.0, 45, payload))
         assert not fleet.hears_remote_groups and not any(
             circle.in_flight for circle in fleet.remote_groups.values()
         )
     for cut in range(len(whole)):
-        list(hub.hear(101.0, 45, whole[:cut]))
+        list(hub.receive(101.0, 45, whole[:cut]))
