--- a/beaconhinge/policy/admission.py
+++ b/beaconhinge/policy/admission.py
@@ -3,6 +3,7 @@
 from collections.abc import Mapping
 from dataclasses import dataclass
 
+from ..gossip import codec
 from ..gossip.aggregation import GossipNode
 from ..gossip.peers import smoothed_rate
 from . import interface
@@ -66,10 +67,10 @@
         refilled_at: When tokens were last added.
     """
 
-    def __init__(self, context: Context, fleet: GossipNode, estimates: WorkEstimates) -> None:
+    def __init__(self, context: Context, gossip: GossipNode, estimates: WorkEstimates) -> None:
         """Start without a cut."""
         self._context = context
-        self._fleet = fleet
+        self._gossip = gossip
         self._estimates = estimates
         self.buckets: dict[BucketKey, TenantBucket] = {}
         self.fleet_rate = INF
@@ -125,19 +126,19 @@
 
     def total_demand(self) -> dict[BucketKey, float]:
         """Demand of the fleet in work a second."""
-        return self._fleet.fleet_demand({key: bucket.demand for key, bucket in self.buckets.items()})
+        return self._gossip.fleet_demand({key: bucket.demand for key, bucket in self.buckets.items()})
 
     def own_demand_share(self, demand: Mapping[BucketKey, float]) -> float:
         """This dispatcher's part of the fleet by recent demand; one Nth until all peers have reported."""
         own = sum(b.demand for b in self.buckets.values())
-        if own <= 0 or not self._fleet.all_peers_heard:
+        if own <= 0 or not self._gossip.all_peers_heard:
             return 1 / self._context.settings.group_size
         return own / sum(demand.values())
 
     def adjust_fleet_rate(self) -> None:
         """Once an interval: cut the fleet rate if too many sends found workers full, else let it rise."""
-        own, peers = self.buckets.values(), self._fleet.peers.values()
-        admitted = self._fleet.fleet_scale * (sum(b.admitted for b in own) + sum(p.admitted for p in peers))
+        own, peers = self.buckets.values(), self._gossip.peers.values()
+        admitted = self._gossip.fleet_scale * (sum(b.admitted for b in own) + sum(p.admitted for p in peers))
         demand = self.total_demand()
         if self.rejections >= MIN_REJECTIONS and self.rejections > MAX_REJECTED_SHARE * self.sends:
             self.fleet_rate = RATE_DECREASE_FACTOR * min(self.fleet_rate, max(admitted, MIN_ADMITTED))
@@ -150,8 +151,8 @@
                 self.fleet_rate = INF
         self.demand_share = self.own_demand_share(demand)
         interval = max(self._context.now - self.adjusted_at, MIN_INTERVAL_S)
-        self.send_rate = self._fleet.peer_weight * self._fleet.sends / interval
-        self.sends = self.rejections = self._fleet.sends = 0
+        self.send_rate = self._gossip.peer_weight * self._gossip.sends / interval
+        self.sends = self.rejections = self._gossip.sends = 0
         self.adjusted_at = self._context.now
         self.allocate_rates(demand)
 
@@ -171,14 +172,18 @@
         for key, bucket in self.buckets.items():
             tenant = key[0]
             share = bucket.demand / demand[key] if demand[key] > 0 else 0.0
-            if not self._fleet.all_peers_heard:
+            if not self._gossip.all_peers_heard:
                 share = min(share, 1 / self._context.settings.group_size)
             part = parts[tenant] * demand[key] / wanted[tenant] if wanted[tenant] > 0 else 0.0
             bucket.rate = max(part * share, MIN_RATE)
 
-    def entries(self) -> list[tuple[int, int, float, float]]:
+    def entries(self) -> list[codec.BucketUsage]:
         """Tenant, class, work allowed and work denied since the last report, where there was any."""
-        return [(*key, b.allowed, b.denied) for key, b in self.buckets.items() if b.allowed or b.denied]
+        return [
+            codec.BucketUsage(*key, bucket.allowed, bucket.denied)
+            for key, bucket in self.buckets.items()
+            if bucket.allowed or bucket.denied
+        ]
 
     def roll_report_window(self, span: float, memory: float) -> None:
         """Smooth what was counted in the last `span` seconds over `memory` seconds, and count anew."""
--- a/beaconhinge/policy/concurrency_limits.py
+++ b/beaconhinge/policy/concurrency_limits.py
@@ -32,11 +32,11 @@
     """
 
     def __init__(
-        self, context: Context, fleet: GossipNode, workers: WorkerTable, estimates: WorkEstimates
+        self, context: Context, gossip: GossipNode, workers: WorkerTable, estimates: WorkEstimates
     ) -> None:
         """Start without limits."""
         self._context = context
-        self._fleet = fleet
+        self._gossip = gossip
         self._workers = workers
         self._estimates = estimates
         self.by_kind: dict[int, float] = {}
@@ -48,7 +48,7 @@
     def slots_in_flight(self, worker: Worker) -> float:
         """Slots taken, by gossip or, where dispatchers may not exchange messages, by load reports."""
         if self.reported_load is None:
-            return worker.in_flight + self._fleet.in_flight_elsewhere(worker.key, worker.in_flight)
+            return worker.in_flight + self._gossip.in_flight_elsewhere(worker.key, worker.in_flight)
         limit = self.by_kind.get(worker.kind, INITIAL_LIMIT_SLOTS)
         lasts = self._estimates.mean_latency_s
         return worker.in_flight + self.reported_load.in_flight_elsewhere(
--- a/beaconhinge/policy/dispatcher.py
+++ b/beaconhinge/policy/dispatcher.py
@@ -51,7 +51,7 @@
         self.settings = settings
         self.context = context = Context(settings, random.Random(seed))
         incarnation = context.random.getrandbits(8)
-        self.gossip = fleet = GossipNode(
+        self.gossip = gossip = GossipNode(
             settings.group_size, settings.own_number, incarnation, REPORT_INTERVAL_S
         )
         self.worker_table = workers = WorkerTable()
@@ -61,16 +61,16 @@
         self.arrivals = Arrivals(context, estimates, retries)
         self.membership = Membership(context, workers)
         self.quotas = TenantQuotas(context)
-        self.admission = admission = Admission(context, fleet, estimates)
-        self.limits = limits = ConcurrencyLimits(context, fleet, workers, estimates)
-        self.reports = PeerReports(context, fleet, workers, admission, limits, estimates)
+        self.admission = admission = Admission(context, gossip, estimates)
+        self.limits = limits = ConcurrencyLimits(context, gossip, workers, estimates)
+        self.reports = PeerReports(context, gossip, workers, admission, limits, estimates)
         self.slow_start = slow_start = SlowStart(context, limits, estimates)
-        self.outliers = outliers = OutlierDetection(context, fleet, workers)
+        self.outliers = outliers = OutlierDetection(context, gossip, workers)
         self.stalls = stalls = StallDetection(context, workers, estimates)
         self.router = router = Router(context, workers, limits, slow_start, stalls, estimates, retries)
         self.probing = LoadProbing(context, workers, limits, router)
         self.placement = placement = Placement(
-            context, fleet, requests, admission, limits, slow_start, retries, router
+            context, gossip, requests, admission, limits, slow_start, retries, router
         )
         self.hedging = Hedging(context, requests, admission, stalls, retries, placement)
         self.progress = ProgressRecorder(context, workers, requests, admission, limits, stalls)
--- a/beaconhinge/policy/outlier_detection.py
+++ b/beaconhinge/policy/outlier_detection.py
@@ -32,10 +32,10 @@
 class OutlierDetection:
     """Failure rates and ejections of workers."""
 
-    def __init__(self, context: Context, fleet: GossipNode, workers: WorkerTable) -> None:
+    def __init__(self, context: Context, gossip: GossipNode, workers: WorkerTable) -> None:
         """Judge the workers of the table."""
         self._context = context
-        self._fleet = fleet
+        self._gossip = gossip
         self._workers = workers
 
     def decay_failure_rate(self, worker: Worker, weight: float) -> None:
@@ -64,7 +64,7 @@
             text = f"worker {worker.id} benched, failure share {worker.failure_rate:.2f}"
             self._context.actions.append(interface.LogMessage(text))
         worker.ejection_ends_at = now + worker.ejection_s
-        spread = max(BASE_EJECTION_S, PROBATION_SPREAD_S * (len(self._fleet.group_peers) - SMALL_GROUP_SIZE))
+        spread = max(BASE_EJECTION_S, PROBATION_SPREAD_S * (len(self._gossip.group_peers) - SMALL_GROUP_SIZE))
         # Lest all dispatchers try it at once.
         worker.ejected_until = worker.ejection_ends_at + self._context.random.random() * spread
 
--- a/beaconhinge/policy/peer_reports.py
+++ b/beaconhinge/policy/peer_reports.py
@@ -34,7 +34,7 @@
     def __init__(
         self,
         context: Context,
-        fleet: GossipNode,
+        gossip: GossipNode,
         workers: WorkerTable,
         admission: Admission,
         limits: ConcurrencyLimits,
@@ -42,7 +42,7 @@
     ) -> None:
         """Report what these parts have counted."""
         self._context = context
-        self._fleet = fleet
+        self._gossip = gossip
         self._workers = workers
         self._admission = admission
         self._limits = limits
@@ -66,7 +66,7 @@
         """Send counts to peers and reset them."""
         span = self._context.now - self.reported_at
         entries = self._admission.entries()
-        delivered = self._fleet.send_report(self._own_report(span, entries))
+        delivered = self._gossip.send_report(self._own_report(span, entries))
         if self._context.large_group:
             work = sum(allowed + denied for _, _, allowed, denied in entries)
             jobs = work / self._estimates.mean_work
@@ -83,15 +83,17 @@
 
     def flush_gossip(self) -> None:
         """Send what waits for peers."""
-        fleet = self._fleet
-        fleet.advance(self._context.now)
-        if fleet.wants_report:
-            fleet.wants_report = False
-            fleet.send_report(self._own_report(0.0, []), -1 if fleet.aggregator is None else fleet.aggregator)
-        self._context.actions += [interface.SendToPeer(payload, number) for number, payload in fleet.outbox]
-        fleet.outbox.clear()
+        gossip = self._gossip
+        gossip.advance(self._context.now)
+        if gossip.wants_report:
+            gossip.wants_report = False
+            gossip.send_report(
+                self._own_report(0.0, []), -1 if gossip.aggregator is None else gossip.aggregator
+            )
+        self._context.actions += [interface.SendToPeer(payload, number) for number, payload in gossip.outbox]
+        gossip.outbox.clear()
 
-    def _own_report(self, span: float, entries: list[tuple[int, int, float, float]]) -> codec.DemandReport:
+    def _own_report(self, span: float, entries: list[codec.BucketUsage]) -> codec.DemandReport:
         busy = [w for w in self._workers.by_id.values() if w.in_flight >= MIN_REPORTED_SLOTS]
         in_flight = [(w.key, round(w.in_flight)) for w in busy]
         return codec.DemandReport(0, 0, span, entries, list(self._limits.by_kind.items()), in_flight)
--- a/beaconhinge/policy/placement.py
+++ b/beaconhinge/policy/placement.py
@@ -20,7 +20,7 @@
     def __init__(
         self,
         context: Context,
-        fleet: GossipNode,
+        gossip: GossipNode,
         requests: RequestTable,
         admission: Admission,
         limits: ConcurrencyLimits,
@@ -30,7 +30,7 @@
     ) -> None:
         """Place requests by the router's choice."""
         self._context = context
-        self._fleet = fleet
+        self._gossip = gossip
         self._requests = requests
         self._admission = admission
         self._limits = limits
@@ -58,7 +58,7 @@
         """Start an attempt on a worker."""
         now, settings = self._context.now, self._context.settings
         self._admission.sends += 1
-        self._fleet.record(now, worker.key, codec.DeltaKind.SENT, round(request.slots))
+        self._gossip.record(now, worker.key, codec.DeltaKind.SENT, round(request.slots))
         if worker.in_flight == 0:
             worker.last_heard_at = now
         worker.in_flight += request.slots
@@ -76,7 +76,7 @@
         worker.last_heard_at = self._context.now
         if slots:
             what = codec.DeltaKind.SENT if slots > 0 else codec.DeltaKind.ENDED
-            self._fleet.record(self._context.now, worker.key, what, abs(round(slots)))
+            self._gossip.record(self._context.now, worker.key, what, abs(round(slots)))
 
     def enqueue(self, request: Request) -> None:
         """Have a request wait for a slot, or end it if too little time is left to serve it."""
--- a/beaconhinge/policy/work_estimates.py
+++ b/beaconhinge/policy/work_estimates.py
@@ -49,9 +49,9 @@
         error = latency - self.mean_latency_s
         self.mean_latency_s += FLEET_OBSERVATION_WEIGHT * error if self.mean_latency_s else latency
         if not cold:
-            own, fleet = worker.seconds_per_work, self.seconds_per_work
+            own, gossip = worker.seconds_per_work, self.seconds_per_work
             worker.seconds_per_work += OBSERVATION_WEIGHT * weight * (pace - own) if own else pace
-            self.seconds_per_work += FLEET_OBSERVATION_WEIGHT * weight * (pace - fleet) if fleet else pace
+            self.seconds_per_work += FLEET_OBSERVATION_WEIGHT * weight * (pace - gossip) if gossip else pace
         worker.class_ejections.pop(request.request_class, None)
         self.work_by_class.record(request.request_class, worker.kind, pace * request.work, request.slots)
 
