--- a/beaconhinge/application.py
+++ b/beaconhinge/application.py
@@ -50,7 +50,7 @@
     Args:
         read_config: reads the platform's configuration, at the start and at each SIGHUP.
         local_config: our own configuration, where there is one.
-        shared_folder: where a process leaves word for the one that will replace it.
+        shared_folder: where a process leaves its address for the one that will replace it.
         read_local_config: reads our own configuration as it is now.
 
     Raises:
--- a/beaconhinge/dispatch/request.py
+++ b/beaconhinge/dispatch/request.py
@@ -382,7 +382,7 @@
         if self.answer.done():
             return False
         self.answer.set_result(answer)
-        self.job.body = b""  # attempts under way hold it as long as they need it
+        self.job.body = b""  # attempts under way keep it as long as they need it
         for attempt in self._attempts:
             if not attempt.may_be_written:  # it waits for its connection, and nobody for it
                 attempt.end(AttemptOutcome.NOT_SENT)
--- a/beaconhinge/net/attempts.py
+++ b/beaconhinge/net/attempts.py
@@ -90,7 +90,7 @@
         sent.task = self.metrics.spawn(self._send(sent), "attempt")
 
     async def withdraw(self, host: Host, request: str) -> None:
-        """Tell a worker that nobody waits for a job any more."""
+        """Notify a worker that nobody waits for a job any more."""
         await self.pool.exchange(host, "DELETE", f"/jobs/{request}".encode())
 
     def _on_end(self, sent: SentAttempt, outcome: AttemptOutcome) -> None:
@@ -114,7 +114,7 @@
         connection: Connection | None = None
         idle_for_s = 0.0
         try:
-            # A connection to a worker that has left meanwhile would fail, and be held against it.
+            # A connection to a worker that has left meanwhile would fail, and count as its failure.
             if (why := await self._settled_refusal(sent)) is not None:
                 self._refuse(sent, why)
                 return
--- a/beaconhinge/net/client_table.py
+++ b/beaconhinge/net/client_table.py
@@ -41,7 +41,7 @@
     Attributes:
         clients: in the order of their last use.
         without_message: those that have sent no whole message, in the order they came.
-        closing: those whose peer has been told that the connection ends, until it closes as well.
+        closing: those whose peer has been notified that the connection ends, until it closes as well.
     """
 
     def __init__(self, timers: TimerWheel, metrics: Metrics) -> None:
--- a/beaconhinge/net/listener.py
+++ b/beaconhinge/net/listener.py
@@ -138,7 +138,7 @@
         """Listen and accept.
 
         Raises:
-            AddressUnavailable: the address is taken or not ours.
+            AddressUnavailable: the address is in use, or is not this machine's.
         """
         self._socket = tcp_listener(self.config.listen, "listen", self.config.mgmt is not None)
         self._accepting = self.metrics.spawn(self._accept(self._socket), "accept")
@@ -195,7 +195,7 @@
         """Take a descriptor for one more connection.
 
         Clients and workers' call-backs come in by the same socket: when there is no room, an idle connection
-        goes, or those would wait behind a crowd.
+        goes, or those would wait behind idle clients.
         """
         has_room = len(self.clients.clients) < self.max_clients or self.clients.close_one()
         return has_room and self.budget.acquire()
--- a/beaconhinge/net/management.py
+++ b/beaconhinge/net/management.py
@@ -48,7 +48,7 @@
         """Listen and accept.
 
         Raises:
-            AddressUnavailable: the address is taken or not ours.
+            AddressUnavailable: the address is in use, or is not this machine's.
         """
         self.metrics.spawn(self._accept(tcp_listener(self.address, "mgmt")), "management")
 
@@ -93,7 +93,7 @@
             pass
 
     def _done(self, sock: socket.socket, _task: asyncio.Task[None]) -> None:
-        self._callers.pop(sock, None)  # not in `_serve`: who is parted with may never have got that far
+        self._callers.pop(sock, None)  # not in `_serve`: a caller that is closed may never have got that far
         if sock in self._adopted:
             self._adopted.remove(sock)
         else:
--- a/beaconhinge/net/peers.py
+++ b/beaconhinge/net/peers.py
@@ -84,7 +84,7 @@
     def _read(self) -> None:
         assert self._sock is not None
         if self.woken():
-            return  # nothing that waited is news
+            return  # whatever waited is out of date
         for _ in range(READS_IN_A_TURN):
             try:
                 payload, sender = self._sock.recvfrom(MAX_DATAGRAM_BYTES + 1)
--- a/beaconhinge/net/shutdown.py
+++ b/beaconhinge/net/shutdown.py
@@ -27,7 +27,7 @@
 CLOSE_BEFORE_KILL_S = 1.2  # idle connections are closed then, though no other dispatcher was heard
 DRAINED_REJECT_AFTER_S = 1.9  # after `drain`: who has a job from the last 2 s is told to go 4 s after it
 DRAINED_CLOSE_AFTER_S = 1.2  # after `drain`, idle connections are closed though no other was heard
-POLL_S = 0.02  # between looks at who is left
+POLL_S = 0.02  # between two looks whether anybody is left
 
 
 @dataclass(slots=True)
@@ -68,7 +68,7 @@
 
 
 class Shutdown:
-    """Drains, hands over and ends; `state` tells all others how far that is."""
+    """Drains, hands over and ends; `state` shows all others how far that is."""
 
     def __init__(
         self,
--- a/beaconhinge/net/streams.py
+++ b/beaconhinge/net/streams.py
@@ -46,9 +46,9 @@
         self._waiters.add(future)
         return future
 
-    def forget_waiter(self, news: asyncio.Future[None]) -> None:
+    def forget_waiter(self, change: asyncio.Future[None]) -> None:
         """Drop a future of `next_change` that nobody waits for."""
-        self._waiters.discard(news)
+        self._waiters.discard(change)
 
     def wake(self) -> None:
         """Wake all who wait for a change."""
@@ -262,12 +262,12 @@
         self, connection: Connection, streamed: StreamedRequest, most: float | None
     ) -> asyncio.Task[bool]:
         """Wait for an event, the answer, bytes or the end of the client; at most `most` seconds."""
-        reading, news = connection.reading(), streamed.next_change()
-        waits: set[asyncio.Future[Any]] = {news, reading}
+        reading, change = connection.reading(), streamed.next_change()
+        waits: set[asyncio.Future[Any]] = {change, reading}
         if not streamed.feed.milestones:
             waits.add(streamed.request.answer)  # from the first event on the answer is an event too
         await asyncio.wait(waits, timeout=most, return_when=asyncio.FIRST_COMPLETED)
-        streamed.forget_waiter(news)
+        streamed.forget_waiter(change)
         return reading
 
     async def _client_left(self, request: Request) -> None:
--- a/beaconhinge/net/worker_pool.py
+++ b/beaconhinge/net/worker_pool.py
@@ -21,7 +21,7 @@
 from .probes import Prober
 from .sockets import DescriptorBudget, connect
 
-IDLE_SWEEP_INTERVAL_S = 0.25  # between looks for connections idle for too long
+IDLE_SWEEP_INTERVAL_S = 0.25  # between two searches for connections idle for too long
 REUSE_PART = 0.8  # of the workers' idle time-out, after which a connection is not used again
 REUSE_CUT = 0.7  # a kept connection that breaks cuts that time to this part of its own idle time
 REUSE_GROWTH = 1.02  # one that does not break lets it grow again
