--- a/tests/policy/test_policy_peers.py
+++ b/tests/policy/test_policy_peers.py
@@ -137,7 +137,7 @@
     short = codec.encode_deltas(codec.DeltaMessage(7, 300, [(w, w % 4) for w in range(300)]))
     again = codec.decode(short)
     assert len(short) <= codec.MAX_BYTES
-    assert isinstance(again, codec.News)
+    assert isinstance(again, codec.DeltaMessage)
     assert (again.sequence, again.entries[5]) == (44, (5, 1))
     assert codec.decode(short[:-1]) is None
 
