--- a/beaconhinge/dispatch/policy_runner.py
+++ b/beaconhinge/dispatch/policy_runner.py
@@ -35,7 +35,7 @@
         self.request_handlers: dict[int, ActionHandler] = {}
         self.action_handlers: dict[type, ActionHandler] = {
             interface.SetTimer: self._set_timer,
-            interface.LogMessage: lambda action: metrics.log("module", text=action.text),
+            interface.LogMessage: lambda action: metrics.log("policy", text=action.text),
         }
         for kind in (interface.SendAttempt, interface.Reject, interface.Fail, interface.CancelAttempt):
             self.action_handlers[kind] = self._route_to_request
@@ -90,7 +90,7 @@
                 if owner is not None:
                     owner(action)
                 else:
-                    self.metrics.count_and_log("action_without_owner", action=type(action).__name__)
+                    self.metrics.count_and_log("action_without_handler", action=type(action).__name__)
             except Exception as error:  # noqa: BLE001  # a failure must not cost the others their actions
                 self.metrics.log_exception(f"owner of {type(action).__name__}", error)
 
--- a/beaconhinge/management/figures.py
+++ b/beaconhinge/management/figures.py
@@ -43,7 +43,7 @@
 
 
 def count_down(dispatcher: Dispatcher, listed: Iterable[int], now: float) -> int:
-    """Of the listed workers, by number, those that get no jobs now: taken out by hand, leaving, benched, or
+    """Of the listed workers, by number, those that get no jobs now: taken out by hand, leaving, ejected, or
     silent while they have jobs.
     """
     found = 0
@@ -51,6 +51,6 @@
         worker = dispatcher.workers.get(number)
         if worker is None:
             continue
-        benched = worker.on_probation and now < worker.ejected_until
-        found += not worker.listed or benched or dispatcher.is_silent(worker)
+        ejected = worker.on_probation and now < worker.ejected_until
+        found += not worker.listed or ejected or dispatcher.is_silent(worker)
     return found
--- a/beaconhinge/net/client_connection.py
+++ b/beaconhinge/net/client_connection.py
@@ -53,7 +53,7 @@
         while True:
             message = await self._next_message(client)
             if client.ended_here:
-                self.metrics.count("requests_after_the_end")
+                self.metrics.count("requests_after_shutdown")
                 continue
             self.clients.has_sent_message(client)
             reply = await self.respond(client, message)
--- a/beaconhinge/net/discovery.py
+++ b/beaconhinge/net/discovery.py
@@ -160,7 +160,7 @@
 
     def _handle_process_pause(self) -> None:
         """Call discovery at once, whatever call is out: what was announced meanwhile is not known."""
-        self.metrics.count("list_asked_after_standing_still")
+        self.metrics.count("lists_refreshed_after_stall")
         if self._poll_task is not None:
             self._restart_polling()
 
--- a/beaconhinge/net/discovery_connection.py
+++ b/beaconhinge/net/discovery_connection.py
@@ -52,7 +52,7 @@
         if self._connection is not None and not self._connection.silent():
             # A second answer to the call before: every later one would be taken for that of another call.
             self.close()
-            self._metrics.count("discovery_spoke_unasked")
+            self._metrics.count("discovery_unsolicited_answer")
         async with self._timers.timeout(call.first_byte_timeout_s):
             if self._connection is None:
                 sock = await connect(address)
--- a/beaconhinge/net/job_parsing.py
+++ b/beaconhinge/net/job_parsing.py
@@ -97,11 +97,11 @@
         if cost.isascii() and len(cost) <= MAX_COST_CHARS and cost.replace(".", "", 1).isdigit():
             hint_s = float(cost) / COSTS_PER_S
         elif cost:
-            self.metrics.count_and_log("hint_unread", cost=cost)
+            self.metrics.count_and_log("work_hint_malformed", cost=cost)
         bounded = self.work_estimator.bounded_count
         work_s = self.work_estimator.estimate_s(class_index, hint_s, client_timeout_s)
         if self.work_estimator.bounded_count > bounded:
-            self.metrics.count("hints_bounded")
+            self.metrics.count("work_hints_bounded")
         return work_s
 
 
--- a/beaconhinge/net/leases.py
+++ b/beaconhinge/net/leases.py
@@ -189,7 +189,7 @@
 
     async def _start_node(self, inherited: dict[str, Any] | None) -> None:
         while not self._acquire_port():
-            self.metrics.count_and_log("leases_twice", port=self.peers.config.peer_listen)
+            self.metrics.count_and_log("leases_port_taken", port=self.peers.config.peer_listen)
             await asyncio.sleep(LOCK_RETRY_S)
         now = self.timers.now()
         floor = round(now * 1000)  # wall time, above every number of an earlier life that a folder has lost
@@ -393,7 +393,7 @@
         if self.node is not None:
             self._perform(self.node.adopt(self.timers.now(), council, span))
             self._announce_council()
-        self.metrics.log("leases_step", number=council.number, members=len(council.members))
+        self.metrics.log("leases_council_changed", number=council.number, members=len(council.members))
         return ""
 
     def _announce_council(self) -> None:
--- a/beaconhinge/net/list_log.py
+++ b/beaconhinge/net/list_log.py
@@ -41,7 +41,7 @@
         version, kind = worker_list.version, decision.update_kind
         entries, unparsed = len(worker_list.endpoints), len(worker_list.unparsed_ids)
         if not decision.keep_connection:
-            self._metrics.count_and_log("list_out_of_turn", version=version, known=applied_version)
+            self._metrics.count_and_log("list_unexpected", version=version, known=applied_version)
         if call.wait_s == 0 and kind and version == previous_version:
             self._metrics.count("lists_verified")
         if decision.contradicts_earlier:
--- a/beaconhinge/net/management.py
+++ b/beaconhinge/net/management.py
@@ -69,7 +69,7 @@
             task.add_done_callback(partial(self._done, sock))
 
     def _close_caller(self, sock: socket.socket) -> None:
-        self.metrics.count("management_callers_parted")
+        self.metrics.count("management_callers_closed")
         with contextlib.suppress(OSError):
             sock.send(calls.failure("too many callers; this one had made no call yet"))
         self._callers.pop(sock).cancel()
--- a/beaconhinge/net/peers.py
+++ b/beaconhinge/net/peers.py
@@ -131,7 +131,7 @@
             or target is None
             or not self.metrics.check(len(payload) <= MAX_DATAGRAM_BYTES, "datagram_within_bound")
         ):
-            self.metrics.count("datagrams_without_way")
+            self.metrics.count("datagrams_undeliverable")
             return
         try:
             self._sock.sendto(payload, target)
--- a/beaconhinge/net/restart.py
+++ b/beaconhinge/net/restart.py
@@ -166,7 +166,7 @@
                 )
             self.incarnation = life
         except (StoreError, TimeoutError) as error:
-            self.metrics.count_and_log("life_not_counted", why=f"{type(error).__name__}: {error}")
+            self.metrics.count_and_log("incarnation_write_failed", why=f"{type(error).__name__}: {error}")
 
 
 class OrphanedJobs:
@@ -236,9 +236,9 @@
                 else:
                     foreign += 1
         except (StoreError, ValueError) as error:
-            self.metrics.count_and_log("hands_not_read", why=f"{type(error).__name__}: {error}")
+            self.metrics.count_and_log("maintenance_read_failed", why=f"{type(error).__name__}: {error}")
         if foreign:
-            self.metrics.count_and_log("hands_foreign", records=foreign)
+            self.metrics.count_and_log("maintenance_records_foreign", records=foreign)
 
     async def write(self, worker: str, out: bool) -> str:
         """Write that a worker is out, or back; the reason where it could not be written, or an empty text."""
@@ -248,5 +248,5 @@
                 await self.store.commit([Put(place, self._signature) if out else Delete(place)])
             return ""
         except (StoreError, TimeoutError) as error:
-            self.metrics.count_and_log("hand_not_written", why=f"{type(error).__name__}: {error}")
+            self.metrics.count_and_log("maintenance_write_failed", why=f"{type(error).__name__}: {error}")
             return f"{type(error).__name__}: {error}"
--- a/beaconhinge/net/upgrade.py
+++ b/beaconhinge/net/upgrade.py
@@ -352,7 +352,7 @@
                 json.dump({"mgmt": f"{self.mgmt[0]}:{self.mgmt[1]}", "token": self.token}, file)
             new.replace(self.rendezvous_file)
         except OSError as error:  # the next process starts from nothing
-            self.metrics.count_and_log("handover_word_not_left", why=error)
+            self.metrics.count_and_log("handover_file_write_failed", why=error)
 
     def _links(self, but: ProcessLink | None) -> list[ProcessLink]:
         return [link for link in (self.predecessor, self.successor) if link is not None and link is not but]
--- a/beaconhinge/policy/outlier_detection.py
+++ b/beaconhinge/policy/outlier_detection.py
@@ -61,7 +61,7 @@
             doubled = min(MAX_EJECTION_S, worker.ejection_s * 2)
             worker.ejection_s = doubled if worker.on_probation else BASE_EJECTION_S
             worker.on_probation = True
-            text = f"worker {worker.id} benched, failure share {worker.failure_rate:.2f}"
+            text = f"worker {worker.id} ejected, failure rate {worker.failure_rate:.2f}"
             self._context.actions.append(interface.LogMessage(text))
         worker.ejection_ends_at = now + worker.ejection_s
         spread = max(BASE_EJECTION_S, PROBATION_SPREAD_S * (len(self._gossip.group_peers) - SMALL_GROUP_SIZE))
@@ -82,5 +82,5 @@
         length = min(MAX_EJECTION_S, 2 * previous)
         worker.class_ejections[request_class] = self._context.now + length, length
         number = self._context.settings.classes.index(request_class)
-        text = f"worker {worker.id} turned away class {number} with slots free"
+        text = f"worker {worker.id} rejected class {number} with slots free"
         self._context.actions.append(interface.LogMessage(text))
--- a/beaconhinge/quota_snapshots/writer.py
+++ b/beaconhinge/quota_snapshots/writer.py
@@ -45,11 +45,13 @@
             found = record.decode(data)
             age = record.check(found, self.dispatcher.settings, now, self.max_age_s)
         except (record.StaleRecordError, StoreError) as why:
-            self.metrics.count_and_log("books_dropped", why=why)
+            self.metrics.count_and_log("quota_snapshot_discarded", why=why)
             return False
         record.restore(self.dispatcher, found, now, age)
-        self.metrics.count("books_restored")
-        self.metrics.log("books_restored", age=age, tenants=len(found.quota_tokens), others=len(found.peers))
+        self.metrics.count("quota_snapshot_restored")
+        self.metrics.log(
+            "quota_snapshot_restored", age=age, tenants=len(found.quota_tokens), others=len(found.peers)
+        )
         return True
 
     def schedule_write(self) -> None:
@@ -66,6 +68,6 @@
         taken = record.encode(record.take(self.dispatcher, self.timers.now()))
         try:
             await self.store.commit([Put(SNAPSHOT_KEY, taken)])
-            self.metrics.count("books_written")
+            self.metrics.count("quota_snapshot_written")
         except StoreError as error:
-            self.metrics.count_and_log("books_not_written", why=error)
+            self.metrics.count_and_log("quota_snapshot_write_failed", why=error)
--- a/beaconhinge/standin/rig/verdict.py
+++ b/beaconhinge/standin/rig/verdict.py
@@ -73,7 +73,7 @@
     return Counter(
         str(line["text"]).split()[1]
         for line in lines
-        if line.get("event") == "module" and " benched" in str(line.get("text"))
+        if line.get("event") == "policy" and " ejected" in str(line.get("text"))
     )
 
 
--- a/tests/cli/test_demo.py
+++ b/tests/cli/test_demo.py
@@ -32,7 +32,7 @@
         async with running_demo_fleet(3, 40.0, 7) as made:
             asking = asyncio.create_task(made.clients.run(2.0))
             async with asyncio.timeout(10):
-                while not made.counters.get("books_written") or not made.clients.open:
+                while not made.counters.get("quota_snapshot_written") or not made.clients.open:
                     made.ask_for_counters()
                     await asyncio.sleep(0.02)
             made.process.send_signal(signal.SIGKILL)
@@ -46,4 +46,6 @@
 
     figures, names = asyncio.run(scenario())
     assert figures.missing > 0 and not figures.well
-    assert "books_restored" in names and names.index("books_restored") < names.index("started")
+    assert "quota_snapshot_restored" in names and names.index("quota_snapshot_restored") < names.index(
+        "started"
+    )
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -16,7 +16,7 @@
 
 def _starts_processes(module: ModuleType) -> bool:
     ways = (
-        "stage",
+        "harness",
         "subprocess",
         "beaconhinge.standin.rig",
         "beaconhinge.standin.harness",
--- a/tests/dispatch/test_work_estimates.py
+++ b/tests/dispatch/test_work_estimates.py
@@ -87,7 +87,7 @@
         assert seen[:2] == [0.25, 0.5000005]
         assert all(0.25 <= work <= 0.51 for work in seen[2:6])  # the mean in place of what cannot be read
         assert seen[6] <= 5.0  # seconds that the client waits
-        assert counted["hint_unread"] == 3
-        assert counted["hints_bounded"] == 1
+        assert counted["work_hint_malformed"] == 3
+        assert counted["work_hints_bounded"] == 1
 
     run_scenario(scenario)
--- a/tests/golden/test_stored_data.py
+++ b/tests/golden/test_stored_data.py
@@ -46,10 +46,10 @@
 pytestmark = pytest.mark.xdist_group("processes")
 
 # Log events that tell that what was stored or handed over has been taken. They may be renamed: here alone.
-BOOKS_RESTORED, KEYS_RESTORED, TAKEN_OVER = "books_restored", "keys_restored", "taken_over"
+BOOKS_RESTORED, KEYS_RESTORED, TAKEN_OVER = "quota_snapshot_restored", "keys_restored", "taken_over"
 # And those that tell that something was not, or that there was nothing: none of them may be logged.
 STORE_CREATED = "store_created"
-REFUSED = ("books_dropped", "books_not_written", "keys_not_written", "handover_unusable", "task_failed",
+REFUSED = ("quota_snapshot_discarded", "quota_snapshot_write_failed", "keys_not_written", "handover_unusable", "task_failed",
            "store_corrupt", "store_tail_cut")  # fmt: skip
 
 STORE = DATA / "store"
--- a/tests/leases/test_process.py
+++ b/tests/leases/test_process.py
@@ -125,7 +125,7 @@
         assert await end(old) == 0
         count = len(led.acts)
         await until(lambda: len(led.acts) > count + 5)
-        assert not any(line["event"] == "leases_twice" for line in lines)
+        assert not any(line["event"] == "leases_port_taken" for line in lines)
         assert await end(new) == 0
 
     led = played(tmp_path, scenario)
@@ -140,7 +140,7 @@
         first, _ = await led.process(0, tmp_path / "a")
         await until(lambda: len(led.acts) > 5)
         second, lines = await led.process(1, tmp_path / "b", up=False)  # it finds no word of the first
-        await until(lambda: any(line["event"] == "leases_twice" for line in lines))
+        await until(lambda: any(line["event"] == "leases_port_taken" for line in lines))
         numbers = {act.number for act in led.acts}
         count = len(led.acts)
         await until(lambda: len(led.acts) > count + 10)
@@ -170,7 +170,9 @@
         )
         file.write_text(good.replace("number = 1", "number = 2"))
         process.send_signal(signal.SIGHUP)
-        await until(lambda: any(line["event"] == "leases_step" and line["number"] == 2 for line in lines))
+        await until(
+            lambda: any(line["event"] == "leases_council_changed" and line["number"] == 2 for line in lines)
+        )
         count = len(led.acts)
         await until(lambda: len(led.acts) > count + 5)
         assert await end(process) == 0
--- a/tests/quota_snapshots/test_quota_snapshots.py
+++ b/tests/quota_snapshots/test_quota_snapshots.py
@@ -150,16 +150,16 @@
         fresh.handle(now[0], interface.Start())
         assert SnapshotWriter(store, fresh, timers, metrics, 0.5, 30.0).restore()
         assert fresh.admission.fleet_rate == pytest.approx(55.0)
-        assert "books_restored age=1.000" in log.getvalue()
+        assert "quota_snapshot_restored age=1.000" in log.getvalue()
         await store.commit([Put(SNAPSHOT_KEY, b"rubbish")])
         assert not SnapshotWriter(store, fresh, timers, metrics, 0.5, 30.0).restore()
-        assert "books_dropped" in log.getvalue()
-        assert metrics.counters["books_dropped"] == 1
+        assert "quota_snapshot_discarded" in log.getvalue()
+        assert metrics.counters["quota_snapshot_discarded"] == 1
         disk.faults = failing("sync", 5)
         keeper = SnapshotWriter(store, fresh, timers, metrics, 0.5, 30.0)
         await keeper._write_and_reschedule()  # a failed disk is told once, and nothing more is tried
-        assert metrics.counters["books_not_written"] == 1
-        assert "books_not_written" in log.getvalue()
+        assert metrics.counters["quota_snapshot_write_failed"] == 1
+        assert "quota_snapshot_write_failed" in log.getvalue()
         await store.close()
 
     asyncio.run(scenario())
--- a/tests/recovery/test_phases.py
+++ b/tests/recovery/test_phases.py
@@ -233,12 +233,14 @@
         metrics = Metrics(clock.now, writer=lambda event, fields: logged.append(event))
         policy_runner: Any = SimpleNamespace(metrics=metrics, feed=lambda event: None)
         config: Any = SimpleNamespace(name="n0", settings=SimpleNamespace(own_number=0))
-        workers: Any = SimpleNamespace(lists=lambda host: True)
+        workers: Any = SimpleNamespace(is_listed=lambda host: True)
         disk: Any = Disk()
         hands = MaintenanceStore(config, disk, TimerWheel(clock.now, metrics.log_exception), metrics)
         operators = OperatorCalls(config, policy_runner, workers, SimpleNamespace(), SimpleNamespace())  # type: ignore[arg-type]
         hands.restore(operators.apply)
-        assert operators.out == {"s-1"} and "hands_foreign" in logged  # another dispatcher's stays out of it
+        assert (
+            operators.out == {"s-1"} and "maintenance_records_foreign" in logged
+        )  # another dispatcher's stays out of it
         operators.keep = hands.write
         call: Any = SimpleNamespace(name="disable-server", argument="s-3")
         assert await operators.acts["disable-server"](call) == b"SUCCESS s-3 is out\n"  # type: ignore[misc]
--- a/tests/recovery/test_rehearsals.py
+++ b/tests/recovery/test_rehearsals.py
@@ -174,7 +174,7 @@
     ]
     assert unexcused(tries, [[(1.5, 4.0)], []], 0.5) == [tries[1], tries[2]]
     assert run_twice({"a": 1, "b": 2, "c": 0}) == ["b"]
-    line = {"event": "module", "text": "worker 17 benched, failure share 0.30"}
+    line = {"event": "policy", "text": "worker 17 ejected, failure rate 0.30"}
     other = {"event": "module", "text": "fleet rate cut to 3.00 after 3 full of 9"}
     assert benched([line, other, line, {"event": "started"}]) == {"17": 2}
 
--- a/tests/test_application.py
+++ b/tests/test_application.py
@@ -106,7 +106,7 @@
     run_scenario(scenario)
     log = capfd.readouterr().err
     assert "wait_for_restart=name,limits" in log
-    assert "datagrams_without_way=" in log.split(" counters ")[1]
+    assert "datagrams_undeliverable=" in log.split(" counters ")[1]
 
 
 def test_a_new_configuration_may_come_while_the_program_stops() -> None:
