--- a/beaconhinge/application.py
+++ b/beaconhinge/application.py
@@ -103,9 +103,9 @@
         self.listener = Listener(
             config,
             self.requests,
-            self.workers.news,
+            self.workers.receive_callback,
             lambda: bool(self.workers.workers) and self.discovery.list_usable,
-            self.peers.others,
+            self.peers.others_heard,
             timers,
             budget,
             metrics,
@@ -166,8 +166,8 @@
         if self.upgrade is not None:
             await self.upgrade.announce_serving()
         if self.config.mgmt is not None:
-            management = Management(self.config.mgmt, self.operators.acts, self.timers, self.metrics)
-            management.adopt = self.upgrade.accept_successor if self.upgrade is not None else None
+            management = Management(self.config.mgmt, self.operators.handlers, self.timers, self.metrics)
+            management.accept_successor = self.upgrade.accept_successor if self.upgrade is not None else None
             management.listen()
         self.metrics.log(
             "started",
@@ -179,10 +179,10 @@
 
     async def stop(self) -> None:
         """Stop the parts: give leases back, answer clients, save quotas and the store."""
-        self.metrics.log("stopping", owed=self.listener.owing)
+        self.metrics.log("stopping", owed=self.listener.unanswered)
         if self.leases is not None:
             self.leases.leave()
-        self.peers.leave()
+        self.peers.stop_sending()
         await self.listener.finish()
         if self.snapshots is not None:
             await self.snapshots.write()
@@ -200,7 +200,7 @@
             self.metrics.count_and_log("reload_refused", why=error)
             return
         self.discovery.switch_to(new.discovery)
-        self.peers.move(new)
+        self.peers.set_addresses(new)
         self.metrics.count("reloads")
         self.metrics.log(
             "reloaded",
--- a/beaconhinge/dispatch/job.py
+++ b/beaconhinge/dispatch/job.py
@@ -21,15 +21,15 @@
     """What a client hands in, whatever protocol it speaks."""
 
     id: str
-    cls: int
+    class_index: int
     tenant: int
     remaining_s: float
     """From `taken_at`, the arrival of its last byte, until it must have its answer."""
-    taken_at: float
+    received_at: float
     target: bytes
     """Path and query, passed on unchanged."""
     body: bytes
-    dedup_key: str = ""
+    idempotency_key: str = ""
     route_key: str = ""
     slots: float = 1.0
     memory: float = 0.0
@@ -42,7 +42,7 @@
     @property
     def deadline(self) -> float:
         """The time by which it must have its answer."""
-        return self.taken_at + self.remaining_s
+        return self.received_at + self.remaining_s
 
 
 @dataclass(slots=True, frozen=True)
@@ -69,8 +69,8 @@
 class IdempotencyKeys(Protocol):
     """Knows which keys are, or were lately, at this or another dispatcher."""
 
-    async def enter(self, job: Job) -> KeyStatus:
+    async def register(self, job: Job) -> KeyStatus:
         """Look the job's key up, and register it if nobody else has it."""
 
-    def left(self, job: Job, may_have_run: bool, result: bytes | None) -> None:
+    def release(self, job: Job, may_have_run: bool, result: bytes | None) -> None:
         """Take note of the end of a job whose key was registered."""
--- a/beaconhinge/dispatch/request.py
+++ b/beaconhinge/dispatch/request.py
@@ -129,7 +129,7 @@
 
     def reject(self, job: Job) -> Answer:
         """Reject a job without asking the policy: there is no room for it, or no time."""
-        self.metrics.count(figures.counter_name(figures.BUSY, self.class_names[job.cls]))
+        self.metrics.count(figures.counter_name(figures.BUSY, self.class_names[job.class_index]))
         return Answer(RequestEnd.REJECTED, retry_after=self.settings.max_retry_after_s)
 
     def take(
@@ -197,15 +197,15 @@
         """Serve the request from its admission until the last attempt has its outcome."""
         table, job = self.table, self.job
         table.policy_runner.request_handlers[self.number] = self._steps.put_nowait
-        unsafe = table.settings.classes[job.cls].semantics == Semantics.UNSAFE
+        unsafe = table.settings.classes[job.class_index].semantics == Semantics.UNSAFE
         table.policy_runner.monitor.request_started(job.id, job.deadline, unsafe)
         overdue_after_s = job.remaining_s + table.settings.answer_grace_s / 2
         backstop = table.timers.after(overdue_after_s, lambda: self._steps.put_nowait(Overdue()))
         key, spent_s = KeyStatus(), 0.0
         try:
-            if table.wait_before_admission is not None or table.keys is not None and job.dedup_key:
+            if table.wait_before_admission is not None or table.keys is not None and job.idempotency_key:
                 key = await self._look_up_key()
-                spent_s = table.timers.now() - job.taken_at
+                spent_s = table.timers.now() - job.received_at
             if key.result is not None:
                 self._finish(Answer(RequestEnd.SERVED, key.result))
                 return
@@ -224,7 +224,7 @@
         self.table.policy_runner.feed(
             interface.JobArrived(
                 self.number,
-                job.cls,
+                job.class_index,
                 job.tenant,
                 max(job.remaining_s - spent_s, 0.0),
                 job.route_key,
@@ -265,7 +265,7 @@
             answer = self.answer.result()
             may_have_run = self._may_have_run or any(a.open for a in self._attempts)
             result = answer.body if answer.end is RequestEnd.SERVED else None
-            self.table.keys.left(self.job, may_have_run, result)
+            self.table.keys.release(self.job, may_have_run, result)
         self.table.policy_runner.request_handlers.pop(self.number, None)
         self.table.policy_runner.monitor.request_finished(self.job.id)
         del self.table.requests[self.job.id]
@@ -279,11 +279,11 @@
             async with self.table.timers.timeout(self.job.remaining_s / 2):
                 if self.table.wait_before_admission is not None:
                     await self.table.wait_before_admission()
-                if self.table.keys is not None and self.job.dedup_key:
-                    return await self.table.keys.enter(self.job)
+                if self.table.keys is not None and self.job.idempotency_key:
+                    return await self.table.keys.register(self.job)
                 return KeyStatus()
         except TimeoutError:
-            return KeyStatus(may_run_elsewhere=bool(self.job.dedup_key))
+            return KeyStatus(may_run_elsewhere=bool(self.job.idempotency_key))
 
     def _start_attempt(self, order: interface.SendAttempt) -> None:
         now = self.table.timers.now()
@@ -392,6 +392,6 @@
         )
         if answer.end in FIGURE_OF_END:
             self.table.metrics.count(
-                figures.counter_name(FIGURE_OF_END[answer.end], self.table.class_names[self.job.cls])
+                figures.counter_name(FIGURE_OF_END[answer.end], self.table.class_names[self.job.class_index])
             )
         return True
--- a/beaconhinge/gossip/aggregation.py
+++ b/beaconhinge/gossip/aggregation.py
@@ -74,7 +74,7 @@
         self.group_size = group_size
         self.own_number = own_number
         self.incarnation = incarnation
-        self.report_after = min_report_interval_s  # seconds between reports, at least
+        self.min_report_interval_s = min_report_interval_s  # seconds between reports, at least
         layout = GroupLayout(group_size)
         self.group_count = layout.group_count
         own_group = layout.group_of(own_number)
@@ -355,7 +355,7 @@
             yield WorkerObservation(key, served, failures)
 
     def _receive_report(self, peer: Peer, report: codec.DemandReport) -> None:
-        peer.take_report(report, self.report_after)
+        peer.take_report(report, self.min_report_interval_s)
         if self.sends_directly or self.is_aggregator:
             self._replace_in_flight(peer, Counter(dict(report.in_flight)))
 
--- a/beaconhinge/net/attempts.py
+++ b/beaconhinge/net/attempts.py
@@ -161,8 +161,8 @@
             "X-Timeout-Ms": str(left_ms),
             "Content-Length": str(len(sent.body)),
         }
-        if job.dedup_key:
-            headers["Idempotency-Key"] = job.dedup_key
+        if job.idempotency_key:
+            headers["Idempotency-Key"] = job.idempotency_key
         self.policy_runner.monitor.attempt_started(job.id, sent.host.id, self.timers.now(), left_ms)
         return http1.request("POST", job.target, headers, sent.body)
 
@@ -193,7 +193,7 @@
                 other_attempts_at_worker=siblings.at_worker,
                 other_attempts_in_flight=siblings.in_flight,
                 may_have_run=siblings.may_have_run,
-                must_not_run_twice=self.config.settings.classes[attempt.job.cls].semantics
+                must_not_run_twice=self.config.settings.classes[attempt.job.class_index].semantics
                 == Semantics.UNSAFE,
             )
         )
--- a/beaconhinge/net/callbacks.py
+++ b/beaconhinge/net/callbacks.py
@@ -58,11 +58,11 @@
 class UnmatchedCallbacks(Protocol):
     """Who hears of call-backs for which no attempt is open here."""
 
-    elsewhere: Callable[[bytes, int], None]
+    on_unmatched_callback: Callable[[bytes, int], None]
     """Another process may have the attempt: the body, and the worker's number."""
-    result_late: Callable[[str, str], None]
+    on_late_result: Callable[[str, str], None]
     """A result came, for the request with that id."""
-    orphan: Callable[[str, int], None]
+    on_unowned_job: Callable[[str, int], None]
     """A job is under way, of a request, at a worker."""
 
 
@@ -94,7 +94,7 @@
             callback = parse_callback(body)
             attempt = self.find_attempt(callback.request, callback.worker)
             if attempt is None:
-                self._pass_on(callback, body, elsewhere or self.unmatched.elsewhere)
+                self._pass_on(callback, body, elsewhere or self.unmatched.on_unmatched_callback)
             else:
                 self._apply(attempt, callback)
         except (ValueError, TypeError, KeyError, AttributeError, RecursionError) as error:
@@ -103,9 +103,9 @@
     def _pass_on(self, callback: Callback, body: bytes, elsewhere: Callable[[bytes, int], None]) -> None:
         self.metrics.count("callbacks_unmatched")
         if callback.state == JobState.DONE:
-            self.unmatched.result_late(str(callback.request), str(callback.content["result"]))
+            self.unmatched.on_late_result(str(callback.request), str(callback.content["result"]))
         elif callback.state in (JobState.STARTED, JobState.RUNNING):
-            self.unmatched.orphan(str(callback.request), worker_number(callback.worker))
+            self.unmatched.on_unowned_job(str(callback.request), worker_number(callback.worker))
         elsewhere(body, worker_number(callback.worker))
 
     def _apply(self, attempt: Attempt, callback: Callback) -> None:
--- a/beaconhinge/net/keys.py
+++ b/beaconhinge/net/keys.py
@@ -61,7 +61,7 @@
         self.own_state_known: Callable[[], bool] = lambda: (
             True
         )  # whether the journal's age has been asked about
-        peers.talk |= dict.fromkeys(key_messages.MessageType, self._receive)
+        peers.handlers |= dict.fromkeys(key_messages.MessageType, self._receive)
         if store is not None:
             self._restore(store)
         timers.after(EXPIRY_INTERVAL_S, self._expire)
@@ -147,13 +147,13 @@
 
     # ---- a request -----------------------------------------------------------------------------------------
 
-    async def enter(self, job: Job) -> KeyStatus:
+    async def register(self, job: Job) -> KeyStatus:
         """Find out what is known of a job's key, before the policy hears of it.
 
         Returns:
             That it may have run elsewhere, or its result, or neither.
         """
-        now, name = self.timers.now(), key_messages.key_name(job.cls, job.tenant, job.dedup_key)
+        now, name = self.timers.now(), key_messages.key_name(job.class_index, job.tenant, job.idempotency_key)
         result = self.registry.result(now, name)
         if result is not None:
             self.metrics.count("keys_answered")
@@ -188,9 +188,9 @@
                 self.registry.end(self.timers.now(), name, False, None)
         return KeyStatus(may_run_elsewhere=not entered, registered=entered)
 
-    def left(self, job: Job, may_have_run: bool, result: bytes | None) -> None:
+    def release(self, job: Job, may_have_run: bool, result: bytes | None) -> None:
         """The request that `enter` let in has ended."""
-        name = key_messages.key_name(job.cls, job.tenant, job.dedup_key)
+        name = key_messages.key_name(job.class_index, job.tenant, job.idempotency_key)
         self.registry.end(self.timers.now(), name, may_have_run, result)
         if not may_have_run and self.store is not None:
             self.metrics.spawn(self._delete_records([name]), "keys")
@@ -214,8 +214,8 @@
     async def _inquire(self, name: int) -> KeyInquiry:
         own = self.config.settings.own_number
         inquiry = KeyInquiry(frozenset(n for n in range(self.config.settings.group_size) if n != own))
-        settled, number = asyncio.Event(), random.getrandbits(32)
-        self._inquiries[number] = inquiry, settled
+        decided, number = asyncio.Event(), random.getrandbits(32)
+        self._inquiries[number] = inquiry, decided
         try:
             for _ in range(MAX_QUERIES):
                 if inquiry.decided:
@@ -224,7 +224,7 @@
                     self.peers.send(other, key_messages.encode(KeyQuery(number, name)))
                 with contextlib.suppress(TimeoutError):
                     async with self.timers.timeout(QUERY_INTERVAL_S):
-                        await settled.wait()
+                        await decided.wait()
         finally:
             del self._inquiries[number]
         return inquiry
--- a/beaconhinge/net/lease_calls.py
+++ b/beaconhinge/net/lease_calls.py
@@ -50,7 +50,7 @@
     leases = LeaseService(options, config, store, peers, timers, metrics)
     if upgrade is not None:
         upgrade.parts["leases"] = leases.hand_over_state, leases.take_back
-    operators.acts |= CommandLeases(leases, timers, metrics).acts
+    operators.handlers |= CommandLeases(leases, timers, metrics).acts
     leases.open((inherited or {}).get("leases"))
     ScheduledCalls(leases, timers, metrics).start(options.calls)
     return leases
--- a/beaconhinge/net/leases.py
+++ b/beaconhinge/net/leases.py
@@ -170,7 +170,7 @@
         self._timer: Timer | None = None
         self._timer_at = math.inf
         self._leaving = False
-        peers.talk[wire.DATAGRAM_TYPE] = self._receive
+        peers.handlers[wire.DATAGRAM_TYPE] = self._receive
 
     def _read(self, options: LeaseOptions) -> tuple[Council, LeaseTerms]:
         members = frozenset(options.members or range(self.config.settings.group_size))
--- a/beaconhinge/net/listener.py
+++ b/beaconhinge/net/listener.py
@@ -66,7 +66,7 @@
             config.settings.classes,
             self,
             self.clients,
-            lambda: self.owing,
+            lambda: self.unanswered,
             others_serve,
             timers,
             metrics,
@@ -92,7 +92,7 @@
         return self.ready() and not self.state.draining
 
     @property
-    def owing(self) -> int:
+    def unanswered(self) -> int:
         """Number of connections and detached streams that an answer is owed to."""
         streams = self.router.streams
         return (streams.detached if streams is not None else 0) + self.clients.unanswered
@@ -120,7 +120,7 @@
         """Serve again after a drain."""
         self.shutdown.resume()
 
-    async def let_go(self) -> None:
+    async def hand_over(self) -> None:
         """Leave new connections to another process of this dispatcher."""
         await self.shutdown.hand_over()
 
--- a/beaconhinge/net/management.py
+++ b/beaconhinge/net/management.py
@@ -32,15 +32,15 @@
     def __init__(
         self,
         address: Address,
-        acts: dict[str, Callable[[OperatorCall], bytes | Awaitable[bytes]]],
+        handlers: dict[str, Callable[[OperatorCall], bytes | Awaitable[bytes]]],
         timers: TimerWheel,
         metrics: Metrics,
     ) -> None:
         self.address = address
-        self.acts = acts
+        self.handlers = handlers
         self.timers = timers
         self.metrics = metrics
-        self.adopt: Callable[[str, socket.socket], str] | None = None
+        self.accept_successor: Callable[[str, socket.socket], str] | None = None
         self._callers: dict[socket.socket, asyncio.Task[None]] = {}  # in the order they came
         self._adopted: set[socket.socket] = set()
 
@@ -116,8 +116,12 @@
             call = calls.parse(line)
             self.metrics.count("management_calls")
             if call.name != calls.TAKE_OVER:
-                return self.acts[call.name](call)
-            why = self.adopt(call.argument, sock) if self.adopt is not None else "no place to leave word in"
+                return self.handlers[call.name](call)
+            why = (
+                self.accept_successor(call.argument, sock)
+                if self.accept_successor is not None
+                else "no place to leave word in"
+            )
             if not why:
                 self._adopted.add(sock)
             return calls.failure(f"{call.name}: {why}") if why else b""
--- a/beaconhinge/net/operator_calls.py
+++ b/beaconhinge/net/operator_calls.py
@@ -40,13 +40,13 @@
         self.workers = workers
         self.requests = requests
         self.listener = listener
-        self.out: set[str] = set()
-        workers.out_by_hand = self.out.__contains__
-        self.replaces: Callable[[], bool] = lambda: True
-        self.others: Callable[[OperatorCall], None] = lambda _call: None
-        self.keep: Callable[[str, bool], Awaitable[str]] | None = None
+        self.out_by_hand: set[str] = set()
+        workers.out_by_hand = self.out_by_hand.__contains__
+        self.may_replace: Callable[[], bool] = lambda: True
+        self.forward: Callable[[OperatorCall], None] = lambda _call: None
+        self.store_out_by_hand: Callable[[str, bool], Awaitable[str]] | None = None
         self.phase: Callable[[], str] | None = None
-        self.acts: dict[str, Callable[[OperatorCall], bytes | Awaitable[bytes]]] = {
+        self.handlers: dict[str, Callable[[OperatorCall], bytes | Awaitable[bytes]]] = {
             calls.READY: self._ready,
             calls.SHOW_STAT: self._show_stat,
             calls.DISABLE: self._take_out_or_put_back,
@@ -55,10 +55,10 @@
             calls.RESUME: self._drain_or_resume,
         }
         for name in (calls.LEASE_LIST, calls.LEASE_TAKE, calls.LEASE_GIVE, calls.LEASE_HAND_OVER):
-            self.acts[name] = lambda _call: calls.failure("leases are not switched on")
+            self.handlers[name] = lambda _call: calls.failure("leases are not switched on")
 
     def _ready(self, _call: OperatorCall) -> bytes:
-        if not self.replaces():
+        if not self.may_replace():
             return calls.failure("the process before still has jobs")
         if self.listener.handed:
             return calls.failure("another process has taken over")
@@ -81,25 +81,27 @@
         )
 
     def _take_out_or_put_back(self, call: OperatorCall) -> bytes | Awaitable[bytes]:
-        if call.argument not in self.out and not self.workers.is_listed(call.argument):
+        if call.argument not in self.out_by_hand and not self.workers.is_listed(call.argument):
             return calls.failure(f"{call.argument}: no such worker in the list")
         out = call.name == calls.DISABLE
-        self.apply(call.argument, out)
-        self.others(call)
+        self.set_out_by_hand(call.argument, out)
+        self.forward(call)
         answer = f"{call.argument} is {'out' if out else 'in'}"
         return (
-            calls.success(answer) if self.keep is None else self._kept(self.keep(call.argument, out), answer)
+            calls.success(answer)
+            if self.store_out_by_hand is None
+            else self._kept(self.store_out_by_hand(call.argument, out), answer)
         )
 
     async def _kept(self, keeping: Awaitable[str], answer: str) -> bytes:
         why = await keeping
         return calls.failure(f"{answer}, but not after a restart: {why}") if why else calls.success(answer)
 
-    def apply(self, host_id: str, out: bool) -> None:
+    def set_out_by_hand(self, host_id: str, out: bool) -> None:
         """Take a worker out or put it back; a second time changes nothing."""
-        if out == (host_id in self.out):
+        if out == (host_id in self.out_by_hand):
             return
-        self.out ^= {host_id}
+        self.out_by_hand ^= {host_id}
         self.policy_runner.metrics.log("worker_out" if out else "worker_back", worker=host_id)
         self.policy_runner.feed(interface.MaintenanceMode(worker_number(host_id), out))
 
@@ -108,11 +110,11 @@
             return calls.failure("this process is ending")
         drain = call.name == calls.DRAIN
         self.policy_runner.metrics.log("drained" if drain else "resumed")
-        self.send_away(drain)
-        self.others(call)
+        self.set_drained(drain)
+        self.forward(call)
         return calls.success("drains" if drain else "serves")
 
-    def send_away(self, drain: bool) -> None:
+    def set_drained(self, drain: bool) -> None:
         """Drain or resume; after a hand-over that is for the other process to do."""
         if not self.listener.handed:
             self.listener.drain() if drain else self.listener.resume()
--- a/beaconhinge/net/peers.py
+++ b/beaconhinge/net/peers.py
@@ -34,15 +34,15 @@
         self.timers = timers
         self.policy_runner = policy_runner
         self.metrics = metrics
-        self.move(config)
+        self.set_addresses(config)
         self._sock: socket.socket | None = None
         self._heard_at = -math.inf
         self._leaving = False
-        self.talk: dict[int, Callable[[int, bytes], None]] = {}
-        self.woken: Callable[[], bool] = lambda: False
+        self.handlers: dict[int, Callable[[int, bytes], None]] = {}
+        self.has_just_stalled: Callable[[], bool] = lambda: False
         policy_runner.action_handlers[interface.SendToPeer] = self._on_send
 
-    def move(self, config: Config) -> None:
+    def set_addresses(self, config: Config) -> None:
         """Reach the other dispatchers at the addresses of this configuration from now on."""
         self.peers, self.everyone = config.peers, config.peers_all
         self.numbers = {address: number for number, address in enumerate(config.peers)}
@@ -63,19 +63,19 @@
         self._leaving = False
         asyncio.get_running_loop().add_reader(self._sock, self._read)
 
-    def leave(self) -> None:
+    def stop_sending(self) -> None:
         """Send nothing more, so that no other dispatcher counts on this one."""
         self._leaving = True
 
-    def let_go(self) -> None:
+    def close(self) -> None:
         """Close the socket: another process of this dispatcher receives and sends from now on."""
-        self.leave()
+        self.stop_sending()
         if self._sock is not None:
             asyncio.get_running_loop().remove_reader(self._sock)
             self._sock.close()
             self._sock = None
 
-    def others(self) -> bool:
+    def others_heard(self) -> bool:
         """Whether another dispatcher was heard lately; where they cannot be heard, whether there are any."""
         if self._sock is None:
             return self.config.settings.group_size > 1
@@ -83,7 +83,7 @@
 
     def _read(self) -> None:
         assert self._sock is not None
-        if self.woken():
+        if self.has_just_stalled():
             return  # whatever waited is out of date
         for _ in range(READS_IN_A_TURN):
             try:
@@ -100,12 +100,12 @@
             self.metrics.count("datagrams_received")
             if number != self.config.settings.own_number:
                 self._heard_at = self.timers.now()
-            if payload and payload[0] in self.talk:
-                self.talk[payload[0]](number, payload)
+            if payload and payload[0] in self.handlers:
+                self.handlers[payload[0]](number, payload)
                 continue
             self.policy_runner.feed(interface.PeerMessage(number, payload))
 
-    def forget_waiting(self) -> int:
+    def drop_waiting(self) -> int:
         """Drop what waits to be read; returns how many datagrams that were."""
         for dropped in range(MAX_DROPPED_DATAGRAMS):
             try:
--- a/beaconhinge/net/recovery.py
+++ b/beaconhinge/net/recovery.py
@@ -60,7 +60,7 @@
         keys = IdempotencyKeyService(
             config, store, options.max_keys, options.max_result_bytes, peers, timers, metrics
         )
-        requests.keys, workers.result_late = keys, keys.record_late_result
+        requests.keys, workers.on_late_result = keys, keys.record_late_result
         keys.own_state_known, returning.on_stale_incarnation = (
             lambda: returning.serving,
             keys.mark_journal_stale,
@@ -75,11 +75,11 @@
         """Somebody may come for its result, or another process of this dispatcher has it."""
         return upgrade is not None and upgrade.paired or keys is not None and keys.may_have(request)
 
-    workers.orphan = OrphanedJobs(workers, timers, metrics, until, stays).observe
+    workers.on_unowned_job = OrphanedJobs(workers, timers, metrics, until, stays).observe
     if store is not None:
         hands = MaintenanceStore(config, store, timers, metrics)
-        hands.restore(operators.apply)
-        operators.keep = hands.write
+        hands.restore(operators.set_out_by_hand)
+        operators.store_out_by_hand = hands.write
     return returning
 
 
@@ -114,7 +114,7 @@
         self._settled.set()
         self._timers_postponed_until = 0.0  # for timers
         timers.postponed_for = self._timers_postponed_for
-        policy_runner.check_for_stall = peers.woken = self.check
+        policy_runner.check_for_stall = peers.has_just_stalled = self.check
         requests.reported_outcome = self._excuse
         requests.own_seconds = self.detector.running_seconds
 
@@ -127,7 +127,7 @@
 
     def _process_resumed(self, stall: Stall) -> None:
         self._timers_postponed_until = stall.ended + SOCKETS_FIRST_S
-        dropped = self.peers.forget_waiting()
+        dropped = self.peers.drop_waiting()
         self.metrics.count("stalls")
         self.metrics.count("datagrams_stale", dropped)
         self.metrics.log("stalled", seconds=stall.seconds, datagrams_dropped=dropped)
--- a/beaconhinge/net/restart.py
+++ b/beaconhinge/net/restart.py
@@ -41,14 +41,14 @@
         self.timers = timers
         self.peers = peers
         self.metrics = metrics
-        self.hold = delay_jobs  # keeps new jobs waiting, or lets them go
+        self.delay_jobs = delay_jobs  # keeps new jobs waiting, or lets them go
         # Called when others have heard of this life, or a later one, from another start.
         self.on_stale_incarnation: Callable[[], None] = lambda: None
         self.peer_incarnations = PeerIncarnations()
         self.incarnation = 0
         self.start_id = random.getrandbits(32)
         self.stages = RecoveryStages(timers.now())
-        peers.talk[incarnations.HELLO] = self._receive_hello
+        peers.handlers[incarnations.HELLO] = self._receive_hello
         self._report_stages([READING])
 
     @property
@@ -86,17 +86,17 @@
         self._report_stages(self.stages.feed(self.timers.now(), event))
 
     def _report_stages(self, entered: list[int]) -> None:
-        for phase in entered:
-            self.metrics.count(f"phase_{NAMES[phase]}")
+        for stage in entered:
+            self.metrics.count(f"phase_{NAMES[stage]}")
             self.metrics.log(
                 "phase",
-                name=NAMES[phase],
+                name=NAMES[stage],
                 listed=self.stages.list_received,
                 silent=len(self.stages.unanswered),
                 serving=len(self.stages.peers_serving),
             )
         if entered:
-            self.hold(not self.serving)
+            self.delay_jobs(not self.serving)
 
     def _advance(self) -> None:
         if self.stages.stage == NORMAL:
@@ -129,9 +129,9 @@
         if hello is None:
             self.metrics.count_and_log("datagram_malformed", sender=number, bytes=len(payload))
             return
-        stale = self.peer_incarnations.observe(number, hello)
+        is_stale = self.peer_incarnations.observe(number, hello)
         if hello.expects_reply:
-            self._send_hello(number, stale=stale)
+            self._send_hello(number, stale=is_stale)
         if hello.stale and self.incarnation:
             self.incarnation = 0  # told once, and it claims no life any more
             self.metrics.count_and_log("folder_stale", told_by=number)
@@ -152,19 +152,12 @@
         """
         name, number = self.config.name, self.config.settings.own_number
         try:
-            life = incarnations.next_incarnation(
-                incarnations.read_signed_record(store.get(INCARNATION_KEY), name, number)
-            )
+            previous = incarnations.read_signed_record(store.get(INCARNATION_KEY), name, number)
+            incarnation = incarnations.next_incarnation(previous)
+            record = incarnations.sign_record(name, number, incarnations.incarnation_record(incarnation))
             async with self.timers.timeout(DISK_TIMEOUT_S):
-                await store.commit(
-                    [
-                        Put(
-                            INCARNATION_KEY,
-                            incarnations.sign_record(name, number, incarnations.incarnation_record(life)),
-                        )
-                    ]
-                )
-            self.incarnation = life
+                await store.commit([Put(INCARNATION_KEY, record)])
+            self.incarnation = incarnation
         except (StoreError, TimeoutError) as error:
             self.metrics.count_and_log("incarnation_write_failed", why=f"{type(error).__name__}: {error}")
 
@@ -189,7 +182,7 @@
         self.timers = timers
         self.metrics = metrics
         self.until = until
-        self.left_to_finish = may_be_awaited
+        self.may_be_awaited = may_be_awaited
         self._seen: set[tuple[str, int]] = set()
         self._waiting: list[tuple[str, int]] = []
         self._withdrawals = 0
@@ -199,7 +192,7 @@
         job = request, worker
         if self.timers.now() >= self.until or job in self._seen or len(self._seen) >= MAX_ORPHANS:
             return
-        if self.left_to_finish(request):
+        if self.may_be_awaited(request):
             return
         self._seen.add(job)
         self._waiting.append(job)
--- a/beaconhinge/net/streams.py
+++ b/beaconhinge/net/streams.py
@@ -18,8 +18,8 @@
 from ..dispatch.job import Answer, Job, RequestEnd
 from ..dispatch.request import Request, RequestTable
 from ..progress import codec
-from ..progress.feed import ACCEPTED, Feed, Reader
-from ..progress.registry import Entry, Registry
+from ..progress.feed import ACCEPTED, FeedReader, ProgressFeed
+from ..progress.registry import StreamEntry, StreamRegistry
 from ..runtime.metrics import Metrics
 from ..runtime.timer_wheel import TimerWheel
 from .http1 import Closed, Connection, Message
@@ -33,7 +33,7 @@
     """Observes a request for its stream, and wakes who writes that."""
 
     def __init__(self, job: Job, class_name: str) -> None:
-        self.feed = Feed()
+        self.feed = ProgressFeed()
         self.job = job
         self.class_name = class_name
         self.token = secrets.token_urlsafe(TOKEN_BYTES)
@@ -74,7 +74,7 @@
 
     def lost(self, attempt: int) -> None:
         """See RequestObserver."""
-        self.feed.lost(attempt)
+        self.feed.attempt_lost(attempt)
 
 
 class Streams:
@@ -100,7 +100,7 @@
         self.metrics = metrics
         self.open_by_tenant: Counter[int] = Counter()  # streams by tenant
         self.streamed: dict[str, StreamedRequest] = {}  # by job, as long as the registry knows it
-        self.registry = Registry(
+        self.registry = StreamRegistry(
             settings.detached_s,
             settings.keep_outcome_s,
             settings.max_detached,
@@ -111,7 +111,7 @@
     def wants_stream(self, message: Message) -> bool:
         """Whether a message asks for its answer as a stream."""
         accept = message.headers.get("accept", "")
-        return codec.MEDIA_TYPE in accept.lower() and codec.accepts(accept)
+        return codec.MEDIA_TYPE in accept.lower() and codec.accepts_event_stream(accept)
 
     async def answer(self, connection: Connection, job: Job, close: bool) -> Answer | None:
         """Answer a job as a stream. `close`: the connection ends with it.
@@ -123,7 +123,7 @@
             return Answer(RequestEnd.REJECTED, retry_after=self.config.settings.max_retry_after_s)
         self.open_by_tenant[job.tenant] += 1
         try:
-            streamed = StreamedRequest(job, self.config.class_names[job.cls])
+            streamed = StreamedRequest(job, self.config.class_names[job.class_index])
             request = streamed.request = self.requests.take(job, streamed)
             while not streamed.feed.milestones:
                 if request.answer.done():
@@ -153,7 +153,7 @@
         if entry is None or self._is_full(entry.tenant):
             self.metrics.count("streams_not_found")
             return False
-        seen = codec.last_event_id(message.headers.get("last-event-id", "")) or 0
+        seen = codec.parse_last_event_id(message.headers.get("last-event-id", "")) or 0
         self.metrics.count("streams_attached")
         self.open_by_tenant[entry.tenant] += 1
         try:
@@ -162,10 +162,10 @@
             self.open_by_tenant[entry.tenant] -= 1
         return True
 
-    def _answered(self, entry: Entry, streamed: StreamedRequest, answer: Answer) -> None:
+    def _answered(self, entry: StreamEntry, streamed: StreamedRequest, answer: Answer) -> None:
         streamed.feed.outcome(_content(answer))
         streamed.wake()
-        self.registry.ended(entry, len(answer.body), self.timers.now())
+        self.registry.job_ended(entry, len(answer.body), self.timers.now())
 
     def _expire(self) -> None:
         self.timers.after(EXPIRY_INTERVAL_S, self._expire)
@@ -190,7 +190,7 @@
         return False
 
     async def _stream_to(
-        self, connection: Connection, entry: Entry, streamed: StreamedRequest, seen: int, close: bool
+        self, connection: Connection, entry: StreamEntry, streamed: StreamedRequest, seen: int, close: bool
     ) -> None:
         """Write a stream to one reader, to its outcome or until a newer reader takes over."""
         number = self.registry.attach(entry)
@@ -199,35 +199,35 @@
             await self._write_events(connection, entry, streamed, number, seen, close)
         except (Closed, OSError):
             self.metrics.count("streams_left")
-            if self.registry.left(entry, number, self.timers.now()):
+            if self.registry.reader_left(entry, number, self.timers.now()):
                 await self._client_left(streamed.request)
             raise Closed from None
         except BaseException:  # a defect, or the end of the program: the job must not count as read for ever
-            if self.registry.left(entry, number, self.timers.now()):
+            if self.registry.reader_left(entry, number, self.timers.now()):
                 streamed.request.client_left()
             raise
-        self.registry.left(entry, number, self.timers.now())
+        self.registry.reader_left(entry, number, self.timers.now())
 
     async def _write_events(
         self,
         connection: Connection,
-        entry: Entry,
+        entry: StreamEntry,
         streamed: StreamedRequest,
         number: int,
         seen: int,
         close: bool,
     ) -> None:
         chunked = not close  # a connection that ends with its stream needs no chunks
-        reader = Reader(
+        reader = FeedReader(
             streamed.feed, self.timers.now(), seen, self.settings.events_per_s, self.settings.keep_alive_s
         )
         data = _head(close)
         while True:
             now = self.timers.now()
             taken_over = entry.reader != number
-            said = [] if taken_over else reader.take(now)
+            said = [] if taken_over else reader.next_events(now)
             text = b"".join(
-                codec.json_event(
+                codec.encode_json_event(
                     one.name,
                     one.number,
                     one.content,
@@ -236,9 +236,9 @@
                 for one in said
             )
             if taken_over:
-                text = codec.comment("another reader has taken this stream over")
-            elif not text and reader.keep_alive(now):
-                text = codec.comment("alive")
+                text = codec.encode_comment("another reader has taken this stream over")
+            elif not text and reader.keep_alive_due(now):
+                text = codec.encode_comment("alive")
             if text:
                 data += b"%x\r\n%b\r\n" % (len(text), text) if chunked else text
             last = taken_over or reader.done
@@ -251,7 +251,9 @@
                 return
             if entry.reader != number:  # taken over from while the last event was being written
                 continue
-            reading = await self._wait_for_change(connection, streamed, reader.wait(self.timers.now()))
+            reading = await self._wait_for_change(
+                connection, streamed, reader.seconds_to_wait(self.timers.now())
+            )
             if reading.done() and not reading.result():
                 raise Closed
 
--- a/beaconhinge/net/upgrade.py
+++ b/beaconhinge/net/upgrade.py
@@ -146,9 +146,9 @@
         self._predecessor_done = False  # the one before owes nothing any more
         self._predecessor_slots: Counter[int] = Counter()  # slots out by the one before, by worker
         self._reported_slots: Counter[int] = Counter()  # own slots out, as the one after knows them
-        workers.elsewhere = self._forward_callback
-        operators.others = self._forward_operator_call
-        operators.replaces = lambda: self.ready
+        workers.on_unmatched_callback = self._forward_callback
+        operators.forward = self._forward_operator_call
+        operators.may_replace = lambda: self.ready
 
     @property
     def ready(self) -> bool:
@@ -218,7 +218,7 @@
             self.metrics.count_and_log("handover_unusable", why=why)
         self.discovery.take_over_list(hosts, here)
         for host_id in out:
-            self.operators.apply(host_id, True)
+            self.operators.set_out_by_hand(host_id, True)
         self.metrics.log("taken_over", workers=len(hosts.endpoints), out=len(out))
 
     async def announce_serving(self) -> None:
@@ -271,7 +271,7 @@
         form = handover.seal(
             {
                 "module": handover.take(self.policy_runner.dispatcher),
-                "out": sorted(self.operators.out),
+                "out": sorted(self.operators.out_by_hand),
                 "list": self.discovery.list_parser.to_json(
                     self.discovery.version or 0, self.workers.endpoints()
                 ),
@@ -299,13 +299,13 @@
         """
         if self.successor is not link:
             return
-        self.peers.let_go()
+        self.peers.close()
         self.budget.set_share(BUDGET_SHARE)
-        await self.listener.let_go()
+        await self.listener.hand_over()
         if self.successor is link:
-            self.metrics.log("handed_over", owed=self.listener.owing)
+            self.metrics.log("handed_over", owed=self.listener.unanswered)
             link.send(handover.PARTED)
-        while self.successor is link and self.listener.owing:
+        while self.successor is link and self.listener.unanswered:
             await asyncio.sleep(CHECK_INTERVAL_S)
         if self.successor is link:
             link.send(handover.DONE)
@@ -376,11 +376,13 @@
 
     def _receive_shared(self, kind: int, payload: bytes, link: ProcessLink | None) -> None:
         if kind == handover.CALL_BACK:
-            self.workers.news(payload, lambda body, worker: self._forward_callback(body, worker, link))
+            self.workers.receive_callback(
+                payload, lambda body, worker: self._forward_callback(body, worker, link)
+            )
             return
         for other in self._links(link):  # a third, where one upgrade follows close on another
             other.send(kind, payload)
         if kind in (handover.OUT, handover.BACK):
-            self.operators.apply(payload.decode("ascii"), kind == handover.OUT)
+            self.operators.set_out_by_hand(payload.decode("ascii"), kind == handover.OUT)
         else:
-            self.operators.send_away(kind == handover.DRAIN)
+            self.operators.set_drained(kind == handover.DRAIN)
--- a/beaconhinge/net/worker_pool.py
+++ b/beaconhinge/net/worker_pool.py
@@ -63,11 +63,11 @@
         self.timers = timers
         self.budget = budget
         self.metrics = metrics
-        self.max_reuse_s = self.reuse_within = REUSE_PART * config.settings.idle_timeout_s
+        self.max_reuse_s = self.reuse_within_s = REUSE_PART * config.settings.idle_timeout_s
         self.workers: dict[int, _Worker] = {}
-        self.elsewhere: Callable[[bytes, int], None] = lambda _body, _worker: None
-        self.result_late: Callable[[str, str], None] = lambda _request, _result: None
-        self.orphan: Callable[[str, int], None] = lambda _request, _worker: None
+        self.on_unmatched_callback: Callable[[bytes, int], None] = lambda _body, _worker: None
+        self.on_late_result: Callable[[str, str], None] = lambda _request, _result: None
+        self.on_unowned_job: Callable[[str, int], None] = lambda _request, _worker: None
         self.list_usable: Callable[[], bool] = lambda: True
         self.wait_until_list_usable: Callable[[], Awaitable[object]] = lambda: asyncio.sleep(0)
         self.out_by_hand: Callable[[str], bool] = lambda _host_id: False
@@ -87,7 +87,7 @@
         """Send an attempt."""
         self.attempts.start(attempt)
 
-    def news(self, body: bytes, elsewhere: Callable[[bytes, int], None] | None = None) -> None:
+    def receive_callback(self, body: bytes, elsewhere: Callable[[bytes, int], None] | None = None) -> None:
         """Take a call-back of a worker; `elsewhere` hears of it if no attempt is open for it here."""
         self.callbacks.receive(body, elsewhere)
 
@@ -101,8 +101,8 @@
 
     def apply_list(self, hosts: WorkerList) -> None:
         """Take a list or changes, before the policy knows of it: it never sends to a worker unknown here."""
-        named = {host.member.worker for host in hosts.endpoints if host.member.state != WorkerState.GONE}
-        for number in [n for n in self.workers if n not in named] if hosts.is_snapshot else []:
+        listed = {host.member.worker for host in hosts.endpoints if host.member.state != WorkerState.GONE}
+        for number in [n for n in self.workers if n not in listed] if hosts.is_snapshot else []:
             self._forget(number)
         for host in hosts.endpoints:
             if host.member.state == WorkerState.GONE:
@@ -167,7 +167,7 @@
 
     def _sweep(self) -> None:
         self.timers.after(IDLE_SWEEP_INTERVAL_S, self._sweep)
-        oldest = self.timers.now() - self.reuse_within
+        oldest = self.timers.now() - self.reuse_within_s
         for worker in self.workers.values():
             while worker.idle and worker.idle[0].used_at < oldest:
                 worker.idle.pop(0).close()
@@ -177,7 +177,7 @@
         worker = self.workers.get(host.member.worker)
         while worker is not None and worker.idle:
             connection = worker.idle.pop()
-            if self.timers.now() - connection.used_at < self.reuse_within and connection.silent():
+            if self.timers.now() - connection.used_at < self.reuse_within_s and connection.silent():
                 return connection
             connection.close()
         return None
@@ -210,11 +210,11 @@
         time-out and do not say so: each request on such a one is lost. A new connection costs little beside.
         """
         if well:
-            self.reuse_within = min(self.reuse_within * REUSE_GROWTH, self.max_reuse_s)
+            self.reuse_within_s = min(self.reuse_within_s * REUSE_GROWTH, self.max_reuse_s)
         else:
-            self.reuse_within = REUSE_CUT * min(self.reuse_within, idle_for_s)
+            self.reuse_within_s = REUSE_CUT * min(self.reuse_within_s, idle_for_s)
             self.metrics.count_and_log(
-                "kept_connection_stale", idle=idle_for_s, reuse_within=self.reuse_within
+                "kept_connection_stale", idle=idle_for_s, reuse_within=self.reuse_within_s
             )
 
     def keep(self, host: WorkerEndpoint, connection: Connection, message: Message) -> None:
--- a/beaconhinge/progress/codec.py
+++ b/beaconhinge/progress/codec.py
@@ -13,7 +13,7 @@
 _NAME = re.compile(r"[a-z]+\Z")
 
 
-def event(name: str, number: int, data: str, retry_ms: int | None = None) -> bytes:
+def encode_event(name: str, number: int, data: str, retry_ms: int | None = None) -> bytes:
     """One event. Line ends in `data` (CR, LF or both) reach the reader as LF, as the format has it.
 
     `retry_ms` tells how long a reader waits before it comes back. It goes with an event, since some client
@@ -26,7 +26,7 @@
     return f"event: {name}\nid: {number}\n{retry}{lines}\n".encode("utf-8", "replace")
 
 
-def comment(text: str) -> bytes:
+def encode_comment(text: str) -> bytes:
     """Lines that readers pass over: they keep a link alive, or tell a person why a stream ends.
 
     Without an empty line behind them, which some client libraries take for the end of an empty event.
@@ -34,23 +34,25 @@
     return "".join(f": {line}\n" for line in _ENDS.split(text)).encode("utf-8", "replace")
 
 
-def json_event(name: str, number: int, content: Mapping[str, Any], retry_ms: int | None = None) -> bytes:
+def encode_json_event(
+    name: str, number: int, content: Mapping[str, Any], retry_ms: int | None = None
+) -> bytes:
     """An event whose data is one line of JSON, whatever the texts in it hold."""
-    return event(name, number, msgspec.json.encode(content).decode(), retry_ms)
+    return encode_event(name, number, msgspec.json.encode(content).decode(), retry_ms)
 
 
-def last_event_id(text: str) -> int | None:
+def parse_last_event_id(text: str) -> int | None:
     """The number that a reader names, or None for what no stream of ours has given out."""
     return int(text) if text.isascii() and text.isdigit() and len(text) <= 9 else None
 
 
-def accepts(header: str) -> bool:
+def accepts_event_stream(header: str) -> bool:
     """Whether an Accept header asks for a stream of events before anything else (RFC 9110, 12.5.1).
 
     True when `text/event-stream` is named and its weight is above 0 and not under that of any other type.
     Without being named it is not asked for: `*/*` is what every client sends. Raises nothing.
     """
-    local_config, best = 0.0, 0.0
+    stream_weight, best_other_weight = 0.0, 0.0
     for part in header.split(","):
         kind, *parameters = (piece.strip().lower() for piece in part.split(";"))
         weight = 1.0
@@ -59,10 +61,10 @@
             if name.strip() == "q":
                 weight = _weight(value.strip())
         if kind == MEDIA_TYPE:
-            local_config = max(local_config, weight)
+            stream_weight = max(stream_weight, weight)
         elif kind and kind != "*/*":
-            best = max(best, weight)
-    return local_config > 0 and local_config >= best
+            best_other_weight = max(best_other_weight, weight)
+    return stream_weight > 0 and stream_weight >= best_other_weight
 
 
 def _weight(text: str) -> float:
--- a/beaconhinge/progress/registry.py
+++ b/beaconhinge/progress/registry.py
@@ -11,24 +11,24 @@
 from collections import OrderedDict
 from dataclasses import dataclass
 
-from .feed import Feed
+from .feed import ProgressFeed
 
-OVERHEAD = 2048  # bytes counted for a stream beside its outcome
+ENTRY_OVERHEAD_BYTES = 2048  # bytes counted for a stream beside its outcome
 
 
 @dataclass(slots=True, eq=False)
-class Entry:
+class StreamEntry:
     id: str
     tenant: int
     token: str
-    feed: Feed
+    feed: ProgressFeed
     reader: int = 0  # number of the newest reader; an older one has been taken over from
     attached: bool = False
-    until: float = float("inf")  # when it is forgotten, or its job given up
-    size: int = OVERHEAD
+    expires_at: float = float("inf")  # when it is forgotten, or its job given up
+    size_bytes: int = ENTRY_OVERHEAD_BYTES
 
 
-class Registry:
+class StreamRegistry:
     """Times are seconds of any clock that goes forward."""
 
     def __init__(
@@ -38,17 +38,19 @@
         self.keep_outcome_s = keep_outcome_s
         self.max_detached = max_detached
         self.max_kept_bytes = max_kept_bytes
-        self.entries: dict[str, Entry] = {}
-        self.kept: OrderedDict[str, Entry] = OrderedDict()  # with their outcomes, the oldest first
-        self.kept_bytes = 0
+        self.entries: dict[str, StreamEntry] = {}
+        self.finished_entries: OrderedDict[str, StreamEntry] = (
+            OrderedDict()
+        )  # with their outcomes, the oldest first
+        self.finished_bytes = 0
 
-    def add(self, job: str, tenant: int, token: str, feed: Feed) -> Entry:
+    def add(self, job: str, tenant: int, token: str, feed: ProgressFeed) -> StreamEntry:
         """A job that begins. One of the same id whose outcome is kept is forgotten: the id was free again."""
         self._forget(job)
-        entry = self.entries[job] = Entry(job, tenant, token, feed)
+        entry = self.entries[job] = StreamEntry(job, tenant, token, feed)
         return entry
 
-    def find(self, job: str, token: str, tenant: int | None) -> Entry | None:
+    def find(self, job: str, token: str, tenant: int | None) -> StreamEntry | None:
         """The entry that this token opens. Nothing tells a wrong token from a job that is not there; `tenant`
         is None where the reader does not say whose it is.
         """
@@ -59,47 +61,49 @@
             return None
         return entry
 
-    def attach(self, entry: Entry) -> int:
+    def attach(self, entry: StreamEntry) -> int:
         """A reader takes the stream over; its number."""
         entry.reader += 1
         entry.attached = True
-        if not entry.feed.over:
-            entry.until = float("inf")
+        if not entry.feed.finished:
+            entry.expires_at = float("inf")
         return entry.reader
 
     @property
     def detached(self) -> int:
         """Jobs in work that nobody reads."""
-        return sum(not entry.attached and not entry.feed.over for entry in self.entries.values())
+        return sum(not entry.attached and not entry.feed.finished for entry in self.entries.values())
 
-    def left(self, entry: Entry, reader: int, now: float) -> bool:
+    def reader_left(self, entry: StreamEntry, reader: int, now: float) -> bool:
         """A reader has gone. True when its job is to be given up at once."""
         if reader != entry.reader:
             return False  # the newer one goes on
         entry.attached = False
-        if entry.feed.over:
+        if entry.feed.finished:
             return False
         if self.detached_s <= 0 or self.detached > self.max_detached:
             return True
-        entry.until = now + self.detached_s
+        entry.expires_at = now + self.detached_s
         return False
 
-    def ended(self, entry: Entry, size: int, now: float) -> None:
+    def job_ended(self, entry: StreamEntry, size: int, now: float) -> None:
         """The outcome is there: kept for those who come back, the oldest going first where room is short."""
         if self.entries.get(entry.id) is not entry:
             return
-        entry.until, entry.size = now + self.keep_outcome_s, OVERHEAD + size
-        self.kept[entry.id] = entry
-        self.kept_bytes += entry.size
-        while self.kept and (self.kept_bytes > self.max_kept_bytes or self.keep_outcome_s <= 0):
-            self._forget(next(iter(self.kept)))
-
-    def expire(self, now: float) -> list[Entry]:
+        entry.expires_at, entry.size_bytes = now + self.keep_outcome_s, ENTRY_OVERHEAD_BYTES + size
+        self.finished_entries[entry.id] = entry
+        self.finished_bytes += entry.size_bytes
+        while self.finished_entries and (
+            self.finished_bytes > self.max_kept_bytes or self.keep_outcome_s <= 0
+        ):
+            self._forget(next(iter(self.finished_entries)))
+
+    def expire(self, now: float) -> list[StreamEntry]:
         """Forget what is due; the jobs in work that are to be given up."""
         given_up = []
-        for entry in [entry for entry in self.entries.values() if entry.until <= now]:
-            if not entry.feed.over:
-                entry.until = float("inf")
+        for entry in [entry for entry in self.entries.values() if entry.expires_at <= now]:
+            if not entry.feed.finished:
+                entry.expires_at = float("inf")
                 given_up.append(entry)
             elif not entry.attached:
                 self._forget(entry.id)
@@ -107,5 +111,5 @@
 
     def _forget(self, job: str) -> None:
         entry = self.entries.pop(job, None)
-        if entry is not None and self.kept.pop(job, None) is not None:
-            self.kept_bytes -= entry.size
+        if entry is not None and self.finished_entries.pop(job, None) is not None:
+            self.finished_bytes -= entry.size_bytes
--- a/beaconhinge/recovery/stall.py
+++ b/beaconhinge/recovery/stall.py
@@ -41,14 +41,14 @@
     """
 
     def __init__(self, threshold_s: float) -> None:
-        self.after = threshold_s
+        self.threshold_s = threshold_s
         self.stalls: deque[Stall] = deque(maxlen=MAX_STALLS)
         self._last: float | None = None
 
     def observe(self, now: float) -> Stall | None:
         """The stall that has just ended, reported once."""
         last, self._last = self._last, now
-        if last is None or now - last <= self.after:
+        if last is None or now - last <= self.threshold_s:
             return None
         stall = Stall(last, now)
         self.stalls.append(stall)
--- a/beaconhinge/runtime/timer_wheel.py
+++ b/beaconhinge/runtime/timer_wheel.py
@@ -14,15 +14,15 @@
 class Timer:
     """One call at a time to come; `call` is None once it was made or cancelled."""
 
-    __slots__ = ("call", "due")
+    __slots__ = ("callback", "due_tick")
 
     def __init__(self, due_tick: int, callback: Callable[[], object]) -> None:
-        self.due = due_tick
-        self.call: Callable[[], object] | None = callback
+        self.due_tick = due_tick
+        self.callback: Callable[[], object] | None = callback
 
     def cancel(self) -> None:
         """Drop the call; a second time changes nothing."""
-        self.call = None
+        self.callback = None
 
 
 class TimerWheel:
@@ -75,12 +75,14 @@
         for tick in range(max(self._last_tick + 1, target - SLOTS + 1), target + 1):
             slot = self._slots[tick % SLOTS]
             if slot:
-                due += [t for t in slot if t.due <= target]
-                self._slots[tick % SLOTS] = [t for t in slot if t.due > target and t.call is not None]
+                due += [t for t in slot if t.due_tick <= target]
+                self._slots[tick % SLOTS] = [
+                    t for t in slot if t.due_tick > target and t.callback is not None
+                ]
                 self._count -= len(slot) - len(self._slots[tick % SLOTS])
         self._last_tick = max(self._last_tick, target)
-        for timer in sorted(due, key=lambda t: t.due):
-            call, timer.call = timer.call, None
+        for timer in sorted(due, key=lambda t: t.due_tick):
+            call, timer.callback = timer.callback, None
             if call is not None:
                 try:
                     call()
--- a/tests/leases/test_hold.py
+++ b/tests/leases/test_hold.py
@@ -26,7 +26,7 @@
         self.timers = TimerWheel(lambda: self.now, self.metrics.log_exception)
         settings = SimpleNamespace(own_number=0, group_size=1)
         config: Any = SimpleNamespace(name="n0", settings=settings, peer_listen=None)
-        peers: Any = SimpleNamespace(talk={}, config=config, send=lambda number, payload: None)
+        peers: Any = SimpleNamespace(handlers={}, config=config, send=lambda number, payload: None)
         self.leases = LeaseService(
             Settings(enabled=True, span_s=2.0), config, None, peers, self.timers, self.metrics
         )
--- a/tests/progress/test_codec.py
+++ b/tests/progress/test_codec.py
@@ -24,7 +24,7 @@
 
 @given(st.text(max_size=300), st.integers(1, 10**6))
 def test_any_text_comes_back_with_its_line_ends_as_line_feeds(text: str, number: int) -> None:
-    [(name, data, identity, _)] = read(codec.event("progress", number, text))
+    [(name, data, identity, _)] = read(codec.encode_event("progress", number, text))
     expected = text.encode("utf-8", "replace").decode().replace("\r\n", "\n").replace("\r", "\n")
     assert (name, data, identity) == ("progress", expected, str(number))
 
@@ -40,23 +40,27 @@
     )
 )
 def test_json_comes_back_exactly(value: object) -> None:
-    [(_, data, _, _)] = read(codec.json_event("outcome", 3, {"result": value}))
+    [(_, data, _, _)] = read(codec.encode_json_event("outcome", 3, {"result": value}))
     assert json.loads(data) == {"result": value}
 
 
 @pytest.mark.parametrize("text", ["", "\r\n\0é\u2028", "x" * 65536, "event: outcome\n\ndata: forged"])
 def test_a_result_forges_no_event(text: str) -> None:
     [(name, data, _, _)] = read(
-        codec.json_event("outcome", 1, {"result": text}) + codec.comment("end\nof it")
+        codec.encode_json_event("outcome", 1, {"result": text}) + codec.encode_comment("end\nof it")
     )
     assert name == "outcome" and json.loads(data)["result"] == text
 
 
 def test_comments_are_passed_over_and_retry_is_told() -> None:
-    data = codec.event("accepted", 1, "x", 1500) + codec.comment("alive") + codec.event("outcome", 2, "y")
+    data = (
+        codec.encode_event("accepted", 1, "x", 1500)
+        + codec.encode_comment("alive")
+        + codec.encode_event("outcome", 2, "y")
+    )
     assert read(data) == [("accepted", "x", "1", 1500), ("outcome", "y", "2", None)]
     with pytest.raises(ValueError, match="no name"):
-        codec.event("a\nb", 1, "")
+        codec.encode_event("a\nb", 1, "")
 
 
 @pytest.mark.parametrize(
@@ -81,13 +85,13 @@
     ],
 )
 def test_accept_is_weighed(header: str, wanted: bool) -> None:
-    assert codec.accepts(header) is wanted
+    assert codec.accepts_event_stream(header) is wanted
 
 
 @given(st.text(max_size=60))
 def test_no_header_raises(header: str) -> None:
-    assert codec.accepts(header) in (True, False)
-    number = codec.last_event_id(header)
+    assert codec.accepts_event_stream(header) in (True, False)
+    number = codec.parse_last_event_id(header)
     assert number is None or number >= 0
 
 
@@ -96,4 +100,4 @@
     [("", None), ("7", 7), ("-1", None), ("1.5", None), ("٣", None), ("9" * 10, None), ("0", 0)],
 )
 def test_last_event_id_is_a_number_of_ours_or_nothing(text: str, number: int | None) -> None:
-    assert codec.last_event_id(text) == number
+    assert codec.parse_last_event_id(text) == number
--- a/tests/progress/test_feed.py
+++ b/tests/progress/test_feed.py
@@ -5,15 +5,23 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from beaconhinge.progress.feed import ACCEPTED, OUTCOME, PROGRESS, STARTED, Feed, Reader, Said
+from beaconhinge.progress.feed import (
+    ACCEPTED,
+    OUTCOME,
+    PROGRESS,
+    STARTED,
+    FeedReader,
+    ProgressEvent,
+    ProgressFeed,
+)
 
 
-def names(said: list[Said]) -> list[str]:
+def names(said: list[ProgressEvent]) -> list[str]:
     return [one.name for one in said]
 
 
-def begun() -> Feed:
-    feed = Feed()
+def begun() -> ProgressFeed:
+    feed = ProgressFeed()
     feed.accepted({"id": "r1"})
     feed.started(0)
     return feed
@@ -21,40 +29,42 @@
 
 def test_events_are_numbered_and_handed_out_once() -> None:
     feed = begun()
-    reader = Reader(feed, 0.0)
-    assert [(s.number, s.name) for s in reader.take(0.0)] == [(1, ACCEPTED), (2, STARTED)]
+    reader = FeedReader(feed, 0.0)
+    assert [(s.number, s.name) for s in reader.next_events(0.0)] == [(1, ACCEPTED), (2, STARTED)]
     feed.progress(0, 0.25)
-    assert [(s.number, dict(s.content)) for s in reader.take(0.1)] == [(3, {"attempt": 0, "share": 0.25})]
+    assert [(s.number, dict(s.content)) for s in reader.next_events(0.1)] == [
+        (3, {"attempt": 0, "share": 0.25})
+    ]
     feed.outcome({"status": 200})
-    assert names(reader.take(0.2)) == [OUTCOME] and reader.done
-    assert reader.take(9.0) == []
+    assert names(reader.next_events(0.2)) == [OUTCOME] and reader.done
+    assert reader.next_events(9.0) == []
 
 
 def test_of_waiting_progress_the_newest_wins_and_milestones_stay() -> None:
     feed = begun()
-    reader = Reader(feed, 0.0)
+    reader = FeedReader(feed, 0.0)
     for share in (0.1, 0.2, 0.3):
         feed.progress(0, share)
     feed.started(1)
-    said = reader.take(0.0)
+    said = reader.next_events(0.0)
     assert names(said) == [ACCEPTED, STARTED, PROGRESS, STARTED] and said[2].content["share"] == 0.3
 
 
 def test_late_repeated_and_slower_reports_say_nothing() -> None:
     feed = begun()
     feed.progress(0, 0.6)
-    newest = feed.newest
+    newest = feed.latest_progress
     for attempt, share in ((0, 0.6), (0, 0.4), (1, 0.5), (1, float("nan")), (0, 1.5), (0, -1.0)):
         feed.progress(attempt, share)
-    assert feed.newest is newest
+    assert feed.latest_progress is newest
     feed.progress(1, 0.7)  # the copy is ahead now, and is named
-    assert feed.newest is not None and feed.newest.content == {"attempt": 1, "share": 0.7}
+    assert feed.latest_progress is not None and feed.latest_progress.content == {"attempt": 1, "share": 0.7}
 
 
 def test_a_start_from_nothing_is_told_and_the_share_waits_until_it_is_passed() -> None:
     feed = begun()
     feed.progress(0, 0.9)
-    feed.lost(0)
+    feed.attempt_lost(0)
     feed.started(1)
     assert feed.milestones[-1].content == {"attempt": 1, "restart": True}
     feed.progress(1, 0.5)
@@ -77,43 +87,43 @@
     feed.outcome({"status": 200})
     feed.progress(0, 0.5)
     feed.started(3)
-    assert names(feed.milestones) == [ACCEPTED, STARTED, OUTCOME] and feed.newest is None
+    assert names(feed.milestones) == [ACCEPTED, STARTED, OUTCOME] and feed.latest_progress is None
 
 
 def test_progress_keeps_its_pace_and_milestones_do_not_wait() -> None:
     feed = begun()
-    reader = Reader(feed, 0.0, events_per_s=2.0)
-    reader.take(0.0)
+    reader = FeedReader(feed, 0.0, events_per_s=2.0)
+    reader.next_events(0.0)
     feed.progress(0, 0.1)
-    assert names(reader.take(0.0)) == [PROGRESS]
+    assert names(reader.next_events(0.0)) == [PROGRESS]
     feed.progress(0, 0.2)
-    assert reader.take(0.4) == [] and abs(reader.wait(0.4) - 0.1) < 1e-9
+    assert reader.next_events(0.4) == [] and abs(reader.seconds_to_wait(0.4) - 0.1) < 1e-9
     feed.progress(0, 0.3)
-    assert [s.content["share"] for s in reader.take(0.5)] == [0.3]
+    assert [s.content["share"] for s in reader.next_events(0.5)] == [0.3]
     feed.progress(0, 0.4)
     feed.outcome({"status": 200})
-    assert reader.wait(0.6) == 0.0
-    assert names(reader.take(0.6)) == [OUTCOME]
+    assert reader.seconds_to_wait(0.6) == 0.0
+    assert names(reader.next_events(0.6)) == [OUTCOME]
 
 
 def test_a_silent_stream_is_kept_alive_at_the_named_interval() -> None:
-    reader = Reader(begun(), 0.0, keep_alive_s=5.0)
-    reader.take(1.0)
-    assert not reader.keep_alive(5.9) and reader.wait(2.0) == 4.0
-    assert reader.keep_alive(6.0) and not reader.keep_alive(6.1)
+    reader = FeedReader(begun(), 0.0, keep_alive_s=5.0)
+    reader.next_events(1.0)
+    assert not reader.keep_alive_due(5.9) and reader.seconds_to_wait(2.0) == 4.0
+    assert reader.keep_alive_due(6.0) and not reader.keep_alive_due(6.1)
 
 
 def test_one_that_comes_back_gets_what_it_missed() -> None:
     feed = begun()
     feed.progress(0, 0.5)
-    feed.lost(0)
+    feed.attempt_lost(0)
     feed.started(1)
     feed.outcome({"status": 200})
-    assert names(Reader(feed, 0.0, seen=1).take(0.0)) == [STARTED, STARTED, OUTCOME]
-    assert names(Reader(feed, 0.0, seen=4).take(0.0)) == [OUTCOME]
+    assert names(FeedReader(feed, 0.0, last_seen=1).next_events(0.0)) == [STARTED, STARTED, OUTCOME]
+    assert names(FeedReader(feed, 0.0, last_seen=4).next_events(0.0)) == [OUTCOME]
     for beyond in (5, 99, 10**9):  # it has seen all there is, by its own word
-        reader = Reader(feed, 0.0, seen=beyond)
-        assert reader.take(0.0) == [] and reader.done
+        reader = FeedReader(feed, 0.0, last_seen=beyond)
+        assert reader.next_events(0.0) == [] and reader.done
 
 
 EVENTS = st.lists(
@@ -132,25 +142,25 @@
 @given(EVENTS)
 def test_whatever_happens_in_whatever_order(events: list[tuple[object, ...]]) -> None:
     """Numbers rise, shares rise, nothing comes behind the one outcome, and what waits is bounded."""
-    feed, now = Feed(), 0.0
+    feed, now = ProgressFeed(), 0.0
     feed.accepted({})
-    reader = Reader(feed, now)
+    reader = FeedReader(feed, now)
     shares: list[float] = []
-    seen: list[Said] = []
+    seen: list[ProgressEvent] = []
     for what, *rest in events:
         if what == "read":
             now += rest[0]  # type: ignore[operator]
-            seen += reader.take(now)
+            seen += reader.next_events(now)
         elif what == "come back":
             last = seen[-1].number if seen else 0
-            reader = Reader(feed, now, seen=last)
+            reader = FeedReader(feed, now, last_seen=last)
         elif what == "outcome":
             feed.outcome({"status": 200})
         else:
             getattr(feed, what)(*rest)  # type: ignore[call-overload]
-        assert len(feed.since(0)) <= 1 + 4 + 1 + 1  # accepted, four starts, a progress, the outcome
+        assert len(feed.events_after(0)) <= 1 + 4 + 1 + 1  # accepted, four starts, a progress, the outcome
     feed.outcome({"status": 502})
-    seen += reader.take(now + 100.0)
+    seen += reader.next_events(now + 100.0)
     numbers = [said.number for said in seen]
     shares = [float(said.content["share"]) for said in seen if said.name == PROGRESS]
     assert numbers == sorted(set(numbers)) and shares == sorted(set(shares))
--- a/tests/progress/test_registry.py
+++ b/tests/progress/test_registry.py
@@ -2,30 +2,30 @@
 
 from __future__ import annotations
 
-from beaconhinge.progress.feed import Feed
-from beaconhinge.progress.registry import OVERHEAD, Entry, Registry
+from beaconhinge.progress.feed import ProgressFeed
+from beaconhinge.progress.registry import ENTRY_OVERHEAD_BYTES, StreamEntry, StreamRegistry
 
 
-def registry(**changes: float) -> Registry:
+def registry(**changes: float) -> StreamRegistry:
     told = {
         "detached_s": 5.0,
         "keep_outcome_s": 10.0,
         "max_detached": 2,
-        "max_kept_bytes": 10 * OVERHEAD,
+        "max_kept_bytes": 10 * ENTRY_OVERHEAD_BYTES,
         **changes,
     }
-    return Registry(**told)  # type: ignore[arg-type]
+    return StreamRegistry(**told)  # type: ignore[arg-type]
 
 
-def add(book: Registry, job: str = "a") -> Entry:
-    entry = book.add(job, 1, f"token-{job}", Feed())
+def add(book: StreamRegistry, job: str = "a") -> StreamEntry:
+    entry = book.add(job, 1, f"token-{job}", ProgressFeed())
     book.attach(entry)
     return entry
 
 
-def end(book: Registry, entry: Entry, size: int, now: float) -> None:
+def end(book: StreamRegistry, entry: StreamEntry, size: int, now: float) -> None:
     entry.feed.outcome({})
-    book.ended(entry, size, now)
+    book.job_ended(entry, size, now)
 
 
 def test_only_the_right_token_of_the_right_tenant_opens() -> None:
@@ -39,37 +39,37 @@
 def test_a_job_nobody_reads_is_given_up_once_when_its_time_is_over() -> None:
     book = registry()
     entry = add(book)
-    assert not book.left(entry, 1, 100.0) and book.detached == 1
+    assert not book.reader_left(entry, 1, 100.0) and book.detached == 1
     assert book.expire(104.9) == [] and book.expire(105.0) == [entry] and book.expire(200.0) == []
 
 
 def test_one_that_comes_back_in_time_keeps_it() -> None:
     book = registry()
     entry = add(book)
-    book.left(entry, 1, 100.0)
+    book.reader_left(entry, 1, 100.0)
     assert book.attach(entry) == 2 and book.expire(1000.0) == [] and book.detached == 0
-    assert not book.left(entry, 1, 100.0)  # the older reader's going means nothing
+    assert not book.reader_left(entry, 1, 100.0)  # the older reader's going means nothing
     assert entry.attached
 
 
 def test_by_default_and_over_the_limit_a_job_is_given_up_at_once() -> None:
     book = registry(detached_s=0.0)
-    assert book.left(add(book), 1, 100.0)
+    assert book.reader_left(add(book), 1, 100.0)
     book = registry(max_detached=2)
-    assert [book.left(add(book, job), 1, 100.0) for job in "abc"] == [False, False, True]
+    assert [book.reader_left(add(book, job), 1, 100.0) for job in "abc"] == [False, False, True]
 
 
 def test_outcomes_are_kept_for_their_time_within_the_bytes() -> None:
     book = registry()
     entries = [add(book, job) for job in "abcd"]
     for entry in entries:
-        end(book, entry, 2 * OVERHEAD, 100.0)  # three times the overhead each, ten are kept
-    assert list(book.kept) == ["b", "c", "d"] and "a" not in book.entries
+        end(book, entry, 2 * ENTRY_OVERHEAD_BYTES, 100.0)  # three times the overhead each, ten are kept
+    assert list(book.finished_entries) == ["b", "c", "d"] and "a" not in book.entries
     for entry in entries:
-        book.left(entry, 1, 101.0)
+        book.reader_left(entry, 1, 101.0)
     assert book.expire(109.9) == [] and len(book.entries) == 3
     book.expire(110.0)
-    assert not book.entries and not book.kept and book.kept_bytes == 0
+    assert not book.entries and not book.finished_entries and book.finished_bytes == 0
 
 
 def test_one_that_is_being_read_is_not_forgotten_under_its_reader() -> None:
@@ -78,7 +78,7 @@
     end(book, entry, 0, 100.0)
     book.expire(200.0)
     assert book.entries["a"] is entry
-    book.left(entry, 1, 200.0)
+    book.reader_left(entry, 1, 200.0)
     book.expire(200.0)
     assert not book.entries
 
@@ -88,8 +88,8 @@
     old = add(book)
     end(book, old, 100, 100.0)
     new = add(book)
-    book.ended(old, 100, 101.0)
-    assert book.entries["a"] is new and book.kept_bytes == 0
+    book.job_ended(old, 100, 101.0)
+    assert book.entries["a"] is new and book.finished_bytes == 0
 
 
 def test_nothing_is_kept_where_no_time_is_given() -> None:
--- a/tests/recovery/test_keys.py
+++ b/tests/recovery/test_keys.py
@@ -385,14 +385,14 @@
             disk,
             10,
             10,
-            SimpleNamespace(talk={}),
+            SimpleNamespace(handlers={}),
             TimerWheel(lambda: 100.0, metrics.log_exception),
             metrics,
         )  # type: ignore[arg-type]
-        first, second = (Job(name, 0, 0, 9.0, 100.0, b"/", b"", dedup_key="k") for name in ("a", "b"))
-        assert (await wired.enter(first)).registered
-        wired.left(first, False, None)  # spawns the delete
-        assert (await wired.enter(second)).registered
+        first, second = (Job(name, 0, 0, 9.0, 100.0, b"/", b"", idempotency_key="k") for name in ("a", "b"))
+        assert (await wired.register(first)).registered
+        wired.release(first, False, None)  # spawns the delete
+        assert (await wired.register(second)).registered
         await asyncio.sleep(0)
         await asyncio.sleep(0)
         return disk.changes
--- a/tests/recovery/test_phases.py
+++ b/tests/recovery/test_phases.py
@@ -237,19 +237,19 @@
         disk: Any = Disk()
         hands = MaintenanceStore(config, disk, TimerWheel(clock.now, metrics.log_exception), metrics)
         operators = OperatorCalls(config, policy_runner, workers, SimpleNamespace(), SimpleNamespace())  # type: ignore[arg-type]
-        hands.restore(operators.apply)
+        hands.restore(operators.set_out_by_hand)
         assert (
-            operators.out == {"s-1"} and "maintenance_records_foreign" in logged
+            operators.out_by_hand == {"s-1"} and "maintenance_records_foreign" in logged
         )  # another dispatcher's stays out of it
-        operators.keep = hands.write
+        operators.store_out_by_hand = hands.write
         call: Any = SimpleNamespace(name="disable-server", argument="s-3")
-        assert await operators.acts["disable-server"](call) == b"SUCCESS s-3 is out\n"  # type: ignore[misc]
+        assert await operators.handlers["disable-server"](call) == b"SUCCESS s-3 is out\n"  # type: ignore[misc]
         assert disk.changes == [Put(b"hand/s-3", incarnations.sign_record("n0", 0, b""))]
         disk.full, call.argument = True, "s-4"
-        answer = await operators.acts["disable-server"](call)  # type: ignore[misc]
+        answer = await operators.handlers["disable-server"](call)  # type: ignore[misc]
         assert (
             answer.startswith(b"FAILURE s-4 is out, but not after a restart: StoreError")
-            and "s-4" in operators.out
+            and "s-4" in operators.out_by_hand
         )
 
     asyncio.run(scenario())
--- a/tests/recovery/test_requests.py
+++ b/tests/recovery/test_requests.py
@@ -63,7 +63,7 @@
             ["publish"],
         )
         book = requests.keys = Slow(wait)
-        job = Job("a", 0, 0, remaining, clock[0], b"/publish", b"", dedup_key="k")
+        job = Job("a", 0, 0, remaining, clock[0], b"/publish", b"", idempotency_key="k")
         answer = await asyncio.wait_for(requests.take(job).answer, 5)
         await asyncio.sleep(0)
         return [e for e in module.heard if isinstance(e, interface.JobArrived)], book.ended, answer.end
