--- a/tests/progress/test_feed.py
+++ b/tests/progress/test_feed.py
@@ -129,7 +129,7 @@
 EVENTS = st.lists(
     st.one_of(
         st.tuples(st.just("started"), st.integers(0, 3)),
-        st.tuples(st.just("lost"), st.integers(0, 3)),
+        st.tuples(st.just("attempt_lost"), st.integers(0, 3)),
         st.tuples(st.just("progress"), st.integers(0, 3), st.floats(-0.5, 1.5)),
         st.tuples(st.just("read"), st.floats(0, 1)),
         st.tuples(st.just("come back"), st.integers(-2, 30)),
--- a/tests/recovery/test_requests.py
+++ b/tests/recovery/test_requests.py
@@ -33,11 +33,11 @@
         self.wait = wait
         self.ended: list[bool] = []
 
-    async def enter(self, job: Job) -> KeyStatus:
+    async def register(self, job: Job) -> KeyStatus:
         await self.wait()
         return KeyStatus(registered=True)
 
-    def left(self, job: Job, may_have_run: bool, result: bytes | None) -> None:
+    def release(self, job: Job, may_have_run: bool, result: bytes | None) -> None:
         self.ended.append(may_have_run)
 
 
