--- a/beaconhinge/gossip/codec.py
+++ b/beaconhinge/gossip/codec.py
@@ -148,22 +148,24 @@
     return (number ^ number >> 16) * 0x45D9F3B & 0xFFFFFFFF
 
 
-def encode_deltas(news: DeltaMessage) -> bytes:
+def encode_deltas(message: DeltaMessage) -> bytes:
     """Bytes of a message of deltas; those that do not fit are left out."""
-    words = [worker << 2 | kind for worker, kind in news.entries[:_MAX_DELTAS]]
-    head = _DELTAS_HEAD.pack(MessageType.DELTAS, news.incarnation & _MAX_BYTE, news.sequence & SEQUENCE_MASK)
+    words = [worker << 2 | kind for worker, kind in message.entries[:_MAX_DELTAS]]
+    head = _DELTAS_HEAD.pack(
+        MessageType.DELTAS, message.incarnation & _MAX_BYTE, message.sequence & SEQUENCE_MASK
+    )
     return head + struct.pack(f">{len(words)}H", *words)
 
 
-def encode_aggregate(board: AggregateMessage) -> bytes:
+def encode_aggregate(message: AggregateMessage) -> bytes:
     """Bytes of an aggregate; entries that do not fit are left out."""
     head = _AGGREGATE_HEAD.pack(
-        MessageType.REMOTE_AGGREGATE if board.covers_other_groups else MessageType.AGGREGATE,
-        board.incarnation & _MAX_BYTE,
-        board.sequence & SEQUENCE_MASK,
-        min(_MAX_BYTE, board.sends),
+        MessageType.REMOTE_AGGREGATE if message.covers_other_groups else MessageType.AGGREGATE,
+        message.incarnation & _MAX_BYTE,
+        message.sequence & SEQUENCE_MASK,
+        min(_MAX_BYTE, message.sends),
     )
-    return head + b"".join(_encode_load(entry) for entry in board.entries[:MAX_AGGREGATE_ENTRIES])
+    return head + b"".join(_encode_load(entry) for entry in message.entries[:MAX_AGGREGATE_ENTRIES])
 
 
 def _encode_load(entry: WorkerLoad) -> bytes:
--- a/beaconhinge/leases/holder.py
+++ b/beaconhinge/leases/holder.py
@@ -61,13 +61,13 @@
     """A request to all members, and who has answered it.
 
     Attributes:
-        asked_at: When it was sent first.
+        requested_at: When it was sent first.
         denied: Members that denied it, each with the seconds for which it is not worth asking again.
     """
 
     id: int
     number: int
-    asked_at: float  # for the first time
+    requested_at: float  # for the first time
     question: LeaseMessage
     resend_at: float
     granted: set[int] = field(default_factory=set)
@@ -123,7 +123,7 @@
         done = self._expire(now)
         if not self.wanted:
             return done + self._release_now("given up")
-        if self.voting_round is not None and now >= self.voting_round.asked_at + self.terms.round_timeout:
+        if self.voting_round is not None and now >= self.voting_round.requested_at + self.terms.round_timeout:
             done += self._round_lost(now)
         elif self.voting_round is not None and now >= self.voting_round.resend_at:
             self.voting_round.resend_at += self.terms.round_timeout / SENDS_PER_ROUND
@@ -141,29 +141,29 @@
         done = self._expire(now)
         if sender in self.council.members and message.kind in (GRANT, DENY):
             self.highest_seen = max(self.highest_seen, message.number)
-        asked = self.voting_round
+        voting_round = self.voting_round
         if (
-            asked is None
-            or message.round_id != asked.id
+            voting_round is None
+            or message.round_id != voting_round.id
             or message.council != self.council.number
             or sender not in self.council.members
             or not self.wanted
         ):
             # An answer to no question, or to an older one; but who refused may say that it is free by now.
             free = message.kind == DENY and message.round_id == self.failed_round_id and message.value == 0
-            if free and self.wanted and asked is None and self.tenure is None:
+            if free and self.wanted and voting_round is None and self.tenure is None:
                 self.request_at = min(
                     self.request_at, now + BACKOFF_FIRST_SPANS * self.terms.span * self.random()
                 )
             return done
-        if message.kind == GRANT and message.number == asked.number:
-            asked.granted.add(sender)
-            asked.denied.pop(sender, None)
-        elif message.kind == DENY and sender not in asked.granted:
-            asked.denied[sender] = message.value / 1000
-        if len(asked.granted) >= self.council.majority:
-            return done + self._round_won(now, asked)
-        if len(asked.denied) > len(self.council.members) - self.council.majority:
+        if message.kind == GRANT and message.number == voting_round.number:
+            voting_round.granted.add(sender)
+            voting_round.denied.pop(sender, None)
+        elif message.kind == DENY and sender not in voting_round.granted:
+            voting_round.denied[sender] = message.value / 1000
+        if len(voting_round.granted) >= self.council.majority:
+            return done + self._round_won(now, voting_round)
+        if len(voting_round.denied) > len(self.council.members) - self.council.majority:
             done += self._round_lost(now)
             if now >= self.request_at:  # only the number was too low
                 done += self._request(now)
@@ -174,11 +174,11 @@
         """When `advance` has something to do, at the latest; infinite if never."""
         ends = [self.tenure.end] if self.tenure is not None else []
         if self.wanted:
-            asked = self.voting_round
+            voting_round = self.voting_round
             ends += (
                 [self.request_at]
-                if asked is None
-                else [asked.resend_at, asked.asked_at + self.terms.round_timeout]
+                if voting_round is None
+                else [voting_round.resend_at, voting_round.requested_at + self.terms.round_timeout]
             )
         return min(ends, default=math.inf)
 
@@ -226,18 +226,20 @@
         )
         return self._broadcast(question)
 
-    def _round_won(self, now: float, asked: VotingRound) -> list[Action]:
+    def _round_won(self, now: float, voting_round: VotingRound) -> list[Action]:
         self.voting_round, self.back_off = None, 0.0
-        end = asked.asked_at + self.terms.holder_span
-        self.request_at = asked.asked_at + self.terms.span * RENEW_AFTER_SPANS * (0.8 + 0.4 * self.random())
+        end = voting_round.requested_at + self.terms.holder_span
+        self.request_at = voting_round.requested_at + self.terms.span * RENEW_AFTER_SPANS * (
+            0.8 + 0.4 * self.random()
+        )
         if self.tenure is not None:
             self.tenure.end = max(self.tenure.end, end)
             return []
         if now >= end:  # granted too late to be of use
             self.request_at = now
             return []
-        self.tenure = Tenure(asked.number, end, asked.id)
-        return [LeaseAcquired(self.lease, asked.number)]
+        self.tenure = Tenure(voting_round.number, end, voting_round.id)
+        return [LeaseAcquired(self.lease, voting_round.number)]
 
     def _round_lost(self, now: float) -> list[Action]:
         """No majority has granted the request.
@@ -245,18 +247,22 @@
         A renewal is tried again soon. A contender gives back what it got, and waits for as long as a
         majority will deny it, and a little by chance, so that two do not meet without end.
         """
-        asked, self.voting_round = self.voting_round, None
-        assert asked is not None
-        self.failed_round_id = asked.id
+        voting_round, self.voting_round = self.voting_round, None
+        assert voting_round is not None
+        self.failed_round_id = voting_round.id
         if self.tenure is not None:
             self.request_at = now + RENEW_RETRY_SPANS * self.terms.span * self.random()
             return []
-        if not any(asked.denied.values()) and asked.denied and self.highest_seen >= asked.number:
+        if (
+            not any(voting_round.denied.values())
+            and voting_round.denied
+            and self.highest_seen >= voting_round.number
+        ):
             self.request_at = now  # nobody has it; the number was too low, and a higher one is known now
-            return self._broadcast(self._release_message(asked.id))
+            return self._broadcast(self._release_message(voting_round.id))
         self.back_off = min(max(2 * self.back_off, BACKOFF_FIRST_SPANS), BACKOFF_MAX_SPANS)
-        waits = sorted([0.0] * len(asked.granted) + list(asked.denied.values()))
+        waits = sorted([0.0] * len(voting_round.granted) + list(voting_round.denied.values()))
         wait = waits[self.council.majority - 1] if len(waits) >= self.council.majority else 0.0
         spread = self.back_off + (self.terms.spread if wait > 0 else 0.0)
         self.request_at = max(self.request_at, now + wait + self.terms.span * spread * self.random())
-        return self._broadcast(self._release_message(asked.id))
+        return self._broadcast(self._release_message(voting_round.id))
--- a/beaconhinge/leases/node.py
+++ b/beaconhinge/leases/node.py
@@ -42,8 +42,8 @@
 
     def release(self, now: float, lease: int, stay_out: float = 0.0) -> list[Action]:
         """Give a lease up; it is not requested again before `stay_out` seconds are over."""
-        held = self.holders.get(lease)
-        return [] if held is None or self.handed_over else self._route(now, held.release(now, stay_out))
+        holder = self.holders.get(lease)
+        return [] if holder is None or self.handed_over else self._route(now, holder.release(now, stay_out))
 
     def receive(self, now: float, sender: int, message: LeaseMessage) -> list[Action]:
         """Take in a message of another member; what is over by now ends before it counts."""
@@ -66,9 +66,11 @@
 
     def _holder(self, lease: int) -> LeaseHolder:
         """It asks under a number above all that this process has granted itself."""
-        held = self.holders[lease]
-        held.highest_seen = max(held.highest_seen, self.member.highest_granted.get(lease, self.member.floor))
-        return held
+        holder = self.holders[lease]
+        holder.highest_seen = max(
+            holder.highest_seen, self.member.highest_granted.get(lease, self.member.floor)
+        )
+        return holder
 
     @property
     def next_at(self) -> float:
@@ -78,8 +80,8 @@
     def adopt(self, now: float, council: Council, terms: LeaseTerms) -> list[Action]:
         """Go on with another council."""
         self.member.adopt(now, council, terms)
-        for held in self.holders.values():
-            held.adopt(council, terms)
+        for lease_holder in self.holders.values():
+            lease_holder.adopt(council, terms)
         return self._route(now, self.member.announce_council())
 
     # ---- an upgrade ----------------------------------------------------------------------------------------
@@ -94,11 +96,11 @@
             What to do, and the state for `take_over` of the other process.
         """
         lost: list[Action] = []
-        for held in self.holders.values():
-            if held.lease not in busy:
-                lost += self._route(now, held.release(now))
-            elif held.tenure is not None:
-                lost.append(LeaseEnded(held.lease, held.tenure.number, "handed over"))
+        for lease_holder in self.holders.values():
+            if lease_holder.lease not in busy:
+                lost += self._route(now, lease_holder.release(now))
+            elif lease_holder.tenure is not None:
+                lost.append(LeaseEnded(lease_holder.lease, lease_holder.tenure.number, "handed over"))
         member = self.member
         votes = [
             [lease, vote.holder, vote.number, vote.round_id, vote.until - now]
--- a/beaconhinge/leases/votes.py
+++ b/beaconhinge/leases/votes.py
@@ -145,46 +145,46 @@
         if self.council_settled_at == math.inf and self.council.is_settled(self.council_numbers):
             self.council_settled_at = now
 
-    def _answer(self, kind: int, asked: LeaseMessage, number: int, left: float = 0.0) -> LeaseMessage:
+    def _answer(self, kind: int, request: LeaseMessage, number: int, left: float = 0.0) -> LeaseMessage:
         return LeaseMessage(
-            kind, self.council.number, asked.round_id, asked.lease, number, milliseconds(left)
+            kind, self.council.number, request.round_id, request.lease, number, milliseconds(left)
         )
 
-    def _receive_request(self, now: float, sender: int, asked: LeaseMessage) -> list[Action]:
-        highest = self.highest_granted.get(asked.lease, self.floor)
-        vote = self.votes.get(asked.lease)
+    def _receive_request(self, now: float, sender: int, request: LeaseMessage) -> list[Action]:
+        highest = self.highest_granted.get(request.lease, self.floor)
+        vote = self.votes.get(request.lease)
         if vote is not None and now >= vote.until:
-            del self.votes[asked.lease]
+            del self.votes[request.lease]
             vote = None
 
         def no(left: float) -> list[Action]:
-            return [SendMessage(sender, self._answer(DENY, asked, highest, left))]
+            return [SendMessage(sender, self._answer(DENY, request, highest, left))]
 
-        if asked.council != self.council.number or asked.value != milliseconds(self.terms.span):
+        if request.council != self.council.number or request.value != milliseconds(self.terms.span):
             return no(self.terms.span)
         if vote is not None:
             # Who starts again under the same name does not have the tenure that its last life had: an act of
             # that one may be under way.
-            same = (vote.holder, vote.number) == (sender, asked.number)
-            if not same or asked.kind == REQUEST and vote.round_id != asked.round_id:
-                waiting = self.denied.setdefault(asked.lease, {})
-                if asked.kind == REQUEST and (sender in waiting or len(waiting) < MAX_WAITING):
-                    waiting[sender] = asked
+            same = (vote.holder, vote.number) == (sender, request.number)
+            if not same or request.kind == REQUEST and vote.round_id != request.round_id:
+                waiting = self.denied.setdefault(request.lease, {})
+                if request.kind == REQUEST and (sender in waiting or len(waiting) < MAX_WAITING):
+                    waiting[sender] = request
                 left = vote.until - now if vote.renewed else UNRENEWED_RETRY_SPANS * self.terms.span
                 return no(min(left, vote.until - now, self.terms.grant_span))
             if vote.until == math.inf:
                 return []  # asked again while its number is being written
-            vote.until, vote.renewed = now + self.terms.grant_span, asked.kind == RENEW
-            return [SendMessage(sender, self._answer(GRANT, asked, asked.number))]
+            vote.until, vote.renewed = now + self.terms.grant_span, request.kind == RENEW
+            return [SendMessage(sender, self._answer(GRANT, request, request.number))]
         if now < self.voting_at:
             return no(min(self.voting_at - now, self.terms.span))
         # A number is granted once: a higher one came later. But who has missed some renewals, and granted
         # nothing since, votes for the tenure again; else it would wear off.
-        known = asked.lease in self.highest_granted or len(self.highest_granted) < MAX_LEASES
-        if asked.number < highest or asked.number == highest and asked.kind == REQUEST or not known:
+        known = request.lease in self.highest_granted or len(self.highest_granted) < MAX_LEASES
+        if request.number < highest or request.number == highest and request.kind == REQUEST or not known:
             return no(0.0)
-        self.highest_granted[asked.lease] = asked.number
+        self.highest_granted[request.lease] = request.number
         until = math.inf if self.durable else now + self.terms.grant_span
-        self.votes[asked.lease] = Vote(sender, asked.number, until, asked.round_id)
-        grant = SendMessage(sender, self._answer(GRANT, asked, asked.number))
-        return [WriteNumber(asked.lease, asked.number, grant)] if self.durable else [grant]
+        self.votes[request.lease] = Vote(sender, request.number, until, request.round_id)
+        grant = SendMessage(sender, self._answer(GRANT, request, request.number))
+        return [WriteNumber(request.lease, request.number, grant)] if self.durable else [grant]
--- a/beaconhinge/net/attempts.py
+++ b/beaconhinge/net/attempts.py
@@ -186,7 +186,7 @@
                 entry_when_chosen=sent.host.member,
                 current_entry=None if worker is None else worker.host.member,
                 same_address=worker is not None and worker.host.address == sent.host.address,
-                disabled_by_operator=self.pool.out_by_hand(sent.host.id),
+                disabled_by_operator=self.pool.is_in_maintenance(sent.host.id),
                 attempt_open=attempt.open,
                 client_waiting=attempt.client_is_waiting(),
                 time_left_s=attempt.until - self.timers.now(),
--- a/beaconhinge/net/keys.py
+++ b/beaconhinge/net/keys.py
@@ -229,18 +229,18 @@
             del self._inquiries[number]
         return inquiry
 
-    async def _fetch(self, keeper: int, name: int) -> bytes | None:
+    async def _fetch(self, holder: int, name: int) -> bytes | None:
         """The result that another dispatcher keeps; None where it does not come: the client is refused."""
-        assembly, news, number = ResultAssembly(), asyncio.Event(), random.getrandbits(32)
-        self._fetches[number] = keeper, assembly, news
+        assembly, part_arrived, number = ResultAssembly(), asyncio.Event(), random.getrandbits(32)
+        self._fetches[number] = holder, assembly, part_arrived
         try:
             for _ in range(MAX_FETCHES):
-                news.clear()
+                part_arrived.clear()
                 for part in assembly.missing:
-                    self.peers.send(keeper, key_messages.encode(FetchResultPart(number, name, part)))
+                    self.peers.send(holder, key_messages.encode(FetchResultPart(number, name, part)))
                 with contextlib.suppress(TimeoutError):
                     async with self.timers.timeout(QUERY_INTERVAL_S):
-                        await news.wait()
+                        await part_arrived.wait()
                 if not assembly.missing:
                     break
         finally:
@@ -253,8 +253,8 @@
         if isinstance(message, KeyQuery):
             if not self.own_state_known():
                 return  # it may be about to learn that it does not know
-            word = self.registry.claim_for_peer(self.timers.now(), message.key)
-            self.peers.send(number, key_messages.encode(KeyAnswer(message.query_id, word)))
+            state = self.registry.claim_for_peer(self.timers.now(), message.key)
+            self.peers.send(number, key_messages.encode(KeyAnswer(message.query_id, state)))
         elif isinstance(message, KeyAnswer):
             inquiry, settled = self._inquiries.get(message.query_id, (None, None))
             if inquiry is not None and settled is not None:
@@ -267,11 +267,11 @@
             if part is not None:
                 self.peers.send(number, key_messages.encode(part))
         elif isinstance(message, ResultPart):
-            keeper, assembly, news = self._fetches.get(message.query_id, (None, None, None))
-            if keeper == number and assembly is not None and news is not None:
+            holder, assembly, part_arrived = self._fetches.get(message.query_id, (None, None, None))
+            if holder == number and assembly is not None and part_arrived is not None:
                 few = not assembly.parts  # the first part tells how many there are
                 assembly.add(message)
                 if few or not assembly.missing:
-                    news.set()
+                    part_arrived.set()
         else:
             self.metrics.count_and_log("datagram_malformed", sender=number, bytes=len(payload))
--- a/beaconhinge/net/leases.py
+++ b/beaconhinge/net/leases.py
@@ -54,20 +54,20 @@
     @property
     def seconds_left(self) -> float:
         """Seconds for which it holds without a renewal; 0 once it is over."""
-        held = self._leases.current_tenure(self._lease)
-        mine = held is not None and held.number == self.number
-        return max(0.0, held.end - self._leases.timers.now()) if held is not None and mine else 0.0
+        tenure = self._leases.current_tenure(self._lease)
+        mine = tenure is not None and tenure.number == self.number
+        return max(0.0, tenure.end - self._leases.timers.now()) if tenure is not None and mine else 0.0
 
     def may_act(self, longest: float) -> bool:
         """Whether an act of `longest` seconds at most may begin, in this very turn of the event loop.
 
         Until it is over, or `act_done` is called, the lease is not given up, whatever ends the body.
         """
-        held = self._leases.current_tenure(self._lease)
-        if held is None or held.number != self.number:
+        tenure = self._leases.current_tenure(self._lease)
+        if tenure is None or tenure.number != self.number:
             return False
         now = self._leases.timers.now()
-        if not held.covers(now, longest, self._leases.terms.drift):
+        if not tenure.covers(now, longest, self._leases.terms.drift):
             return False
         self._lease.busy_until = now + longest
         return True
--- a/beaconhinge/net/operator_calls.py
+++ b/beaconhinge/net/operator_calls.py
@@ -40,11 +40,11 @@
         self.workers = workers
         self.requests = requests
         self.listener = listener
-        self.out_by_hand: set[str] = set()
-        workers.out_by_hand = self.out_by_hand.__contains__
+        self.in_maintenance: set[str] = set()
+        workers.is_in_maintenance = self.in_maintenance.__contains__
         self.may_replace: Callable[[], bool] = lambda: True
         self.forward: Callable[[OperatorCall], None] = lambda _call: None
-        self.store_out_by_hand: Callable[[str, bool], Awaitable[str]] | None = None
+        self.persist_maintenance: Callable[[str, bool], Awaitable[str]] | None = None
         self.phase: Callable[[], str] | None = None
         self.handlers: dict[str, Callable[[OperatorCall], bytes | Awaitable[bytes]]] = {
             calls.READY: self._ready,
@@ -81,27 +81,27 @@
         )
 
     def _take_out_or_put_back(self, call: OperatorCall) -> bytes | Awaitable[bytes]:
-        if call.argument not in self.out_by_hand and not self.workers.is_listed(call.argument):
+        if call.argument not in self.in_maintenance and not self.workers.is_listed(call.argument):
             return calls.failure(f"{call.argument}: no such worker in the list")
         out = call.name == calls.DISABLE
-        self.set_out_by_hand(call.argument, out)
+        self.set_maintenance(call.argument, out)
         self.forward(call)
         answer = f"{call.argument} is {'out' if out else 'in'}"
         return (
             calls.success(answer)
-            if self.store_out_by_hand is None
-            else self._kept(self.store_out_by_hand(call.argument, out), answer)
+            if self.persist_maintenance is None
+            else self._answer_when_persisted(self.persist_maintenance(call.argument, out), answer)
         )
 
-    async def _kept(self, keeping: Awaitable[str], answer: str) -> bytes:
+    async def _answer_when_persisted(self, keeping: Awaitable[str], answer: str) -> bytes:
         why = await keeping
         return calls.failure(f"{answer}, but not after a restart: {why}") if why else calls.success(answer)
 
-    def set_out_by_hand(self, host_id: str, out: bool) -> None:
+    def set_maintenance(self, host_id: str, out: bool) -> None:
         """Take a worker out or put it back; a second time changes nothing."""
-        if out == (host_id in self.out_by_hand):
+        if out == (host_id in self.in_maintenance):
             return
-        self.out_by_hand ^= {host_id}
+        self.in_maintenance ^= {host_id}
         self.policy_runner.metrics.log("worker_out" if out else "worker_back", worker=host_id)
         self.policy_runner.feed(interface.MaintenanceMode(worker_number(host_id), out))
 
--- a/beaconhinge/net/recovery.py
+++ b/beaconhinge/net/recovery.py
@@ -54,21 +54,21 @@
     From then on jobs and datagrams come.
     """
     recovery = StallRecovery(options.stall_s, policy_runner, timers, requests, discovery, peers, metrics)
-    returning = RestartCoordinator(config, store, timers, peers, metrics, recovery.delay_for_restart)
+    coordinator = RestartCoordinator(config, store, timers, peers, metrics, recovery.delay_for_restart)
     keys = None
     if any(config.needs_key(cls) for cls in range(len(config.settings.classes))):
         keys = IdempotencyKeyService(
             config, store, options.max_keys, options.max_result_bytes, peers, timers, metrics
         )
         requests.keys, workers.on_late_result = keys, keys.record_late_result
-        keys.own_state_known, returning.on_stale_incarnation = (
-            lambda: returning.serving,
+        keys.own_state_known, coordinator.on_stale_incarnation = (
+            lambda: coordinator.serving,
             keys.mark_journal_stale,
         )
-    recovery.on_resumed, discovery.on_list_applied = returning.process_resumed, returning.list_received
-    operators.phase = lambda: returning.stage_name
+    recovery.on_resumed, discovery.on_list_applied = coordinator.process_resumed, coordinator.list_received
+    operators.phase = lambda: coordinator.stage_name
     listed = listener.ready
-    listener.ready = lambda: listed() and returning.serving
+    listener.ready = lambda: listed() and coordinator.serving
     until = timers.now() + max(cls.deadline_s for cls in config.settings.classes)
 
     def stays(request: str) -> bool:
@@ -77,10 +77,10 @@
 
     workers.on_unowned_job = OrphanedJobs(workers, timers, metrics, until, stays).observe
     if store is not None:
-        hands = MaintenanceStore(config, store, timers, metrics)
-        hands.restore(operators.set_out_by_hand)
-        operators.store_out_by_hand = hands.write
-    return returning
+        maintenance_store = MaintenanceStore(config, store, timers, metrics)
+        maintenance_store.restore(operators.set_maintenance)
+        operators.persist_maintenance = maintenance_store.write
+    return coordinator
 
 
 class StallRecovery:
@@ -173,7 +173,7 @@
         return self._timers_postponed_until - self.timers.now()
 
     def _excuse(self, attempt: Attempt, outcome: AttemptOutcome) -> AttemptOutcome:
-        told = self.detector.excused_outcome(attempt.sent_at, outcome)
-        if told != outcome:
+        excused = self.detector.excused_outcome(attempt.sent_at, outcome)
+        if excused != outcome:
             self.metrics.count("outcomes_excused")
-        return told
+        return excused
--- a/beaconhinge/net/upgrade.py
+++ b/beaconhinge/net/upgrade.py
@@ -218,7 +218,7 @@
             self.metrics.count_and_log("handover_unusable", why=why)
         self.discovery.take_over_list(hosts, here)
         for host_id in out:
-            self.operators.set_out_by_hand(host_id, True)
+            self.operators.set_maintenance(host_id, True)
         self.metrics.log("taken_over", workers=len(hosts.endpoints), out=len(out))
 
     async def announce_serving(self) -> None:
@@ -271,7 +271,7 @@
         form = handover.seal(
             {
                 "module": handover.take(self.policy_runner.dispatcher),
-                "out": sorted(self.operators.out_by_hand),
+                "out": sorted(self.operators.in_maintenance),
                 "list": self.discovery.list_parser.to_json(
                     self.discovery.version or 0, self.workers.endpoints()
                 ),
@@ -383,6 +383,6 @@
         for other in self._links(link):  # a third, where one upgrade follows close on another
             other.send(kind, payload)
         if kind in (handover.OUT, handover.BACK):
-            self.operators.set_out_by_hand(payload.decode("ascii"), kind == handover.OUT)
+            self.operators.set_maintenance(payload.decode("ascii"), kind == handover.OUT)
         else:
             self.operators.set_drained(kind == handover.DRAIN)
--- a/beaconhinge/net/worker_pool.py
+++ b/beaconhinge/net/worker_pool.py
@@ -46,7 +46,7 @@
         orphan: hears of a job under way for which no attempt is open: the request's id, worker's number.
         list_usable: whether the list may be acted on.
         list_usable_again: a wait until it may.
-        out_by_hand: whether an operator has taken out the worker with that id.
+        is_in_maintenance: whether an operator has taken out the worker with that id.
     """
 
     def __init__(
@@ -70,7 +70,7 @@
         self.on_unowned_job: Callable[[str, int], None] = lambda _request, _worker: None
         self.list_usable: Callable[[], bool] = lambda: True
         self.wait_until_list_usable: Callable[[], Awaitable[object]] = lambda: asyncio.sleep(0)
-        self.out_by_hand: Callable[[str], bool] = lambda _host_id: False
+        self.is_in_maintenance: Callable[[str], bool] = lambda _host_id: False
         load_reports = LoadReportParser(bool(config.report_names), metrics)
         self.attempts = AttemptSender(config, self, load_reports, policy_runner, timers, metrics)
         self.callbacks = CallbackReceiver(self.attempts.find, self, load_reports, metrics)
--- a/beaconhinge/policy/concurrency_limits.py
+++ b/beaconhinge/policy/concurrency_limits.py
@@ -50,9 +50,9 @@
         if self.reported_load is None:
             return worker.in_flight + self._gossip.in_flight_elsewhere(worker.key, worker.in_flight)
         limit = self.by_kind.get(worker.kind, INITIAL_LIMIT_SLOTS)
-        lasts = self._estimates.mean_latency_s
+        duration_s = self._estimates.mean_latency_s
         return worker.in_flight + self.reported_load.in_flight_elsewhere(
-            self._context.now, worker.key, lasts, limit
+            self._context.now, worker.key, duration_s, limit
         )
 
     def limit_of(self, worker: Worker) -> float:
--- a/beaconhinge/policy/served_work.py
+++ b/beaconhinge/policy/served_work.py
@@ -39,5 +39,5 @@
         seconds, jobs = self._jobs.get((cls, kind), (0.0, 0.0))
         if jobs >= MIN_JOBS_FOR_MEAN:
             return seconds / jobs
-        told = [entry for (of, _), entry in self._jobs.items() if of == cls]
-        return sum(seconds for seconds, _ in told) / max(sum(jobs for _, jobs in told), 1.0)
+        entries = [entry for (of, _), entry in self._jobs.items() if of == cls]
+        return sum(seconds for seconds, _ in entries) / max(sum(jobs for _, jobs in entries), 1.0)
--- a/beaconhinge/progress/feed.py
+++ b/beaconhinge/progress/feed.py
@@ -80,10 +80,10 @@
 
     def events_after(self, number: int) -> list[ProgressEvent]:
         """What a reader that has seen events up to `number` must be told now, in order."""
-        waiting = [said for said in self.milestones if said.number > number]
+        waiting = [event for event in self.milestones if event.number > number]
         if self.latest_progress is not None and self.latest_progress.number > number:
             waiting.append(self.latest_progress)
-            waiting.sort(key=lambda said: said.number)
+            waiting.sort(key=lambda event: event.number)
         return waiting
 
 
@@ -110,12 +110,12 @@
     def next_events(self, now: float) -> list[ProgressEvent]:
         """What to write now. Milestones go at once; progress waits for its turn, and the newest one goes."""
         waiting = self.feed.events_after(self.last_seen)
-        if now < self._next_progress_at and all(said.name == PROGRESS for said in waiting):
+        if now < self._next_progress_at and all(event.name == PROGRESS for event in waiting):
             return []
         if waiting:
             self.last_seen = waiting[-1].number
             self._written_at = now
-            if any(said.name == PROGRESS for said in waiting):
+            if any(event.name == PROGRESS for event in waiting):
                 self._next_progress_at = now + self.min_interval_s
         return waiting
 
@@ -129,8 +129,8 @@
     def seconds_to_wait(self, now: float) -> float:
         """Seconds after which to look again though nothing new has come."""
         until = self._written_at + self.keep_alive_s
-        for said in self.feed.events_after(self.last_seen):  # told while the last event was being written
-            until = min(until, self._next_progress_at if said.name == PROGRESS else now)
+        for event in self.feed.events_after(self.last_seen):  # told while the last event was being written
+            until = min(until, self._next_progress_at if event.name == PROGRESS else now)
         return max(until - now, 0.0)
 
     @property
--- a/beaconhinge/progress/registry.py
+++ b/beaconhinge/progress/registry.py
@@ -32,12 +32,12 @@
     """Times are seconds of any clock that goes forward."""
 
     def __init__(
-        self, detached_s: float, keep_outcome_s: float, max_detached: int, max_kept_bytes: int
+        self, detached_s: float, keep_outcome_s: float, max_detached: int, max_finished_bytes: int
     ) -> None:
         self.detached_s = detached_s
         self.keep_outcome_s = keep_outcome_s
         self.max_detached = max_detached
-        self.max_kept_bytes = max_kept_bytes
+        self.max_finished_bytes = max_finished_bytes
         self.entries: dict[str, StreamEntry] = {}
         self.finished_entries: OrderedDict[str, StreamEntry] = (
             OrderedDict()
@@ -94,7 +94,7 @@
         self.finished_entries[entry.id] = entry
         self.finished_bytes += entry.size_bytes
         while self.finished_entries and (
-            self.finished_bytes > self.max_kept_bytes or self.keep_outcome_s <= 0
+            self.finished_bytes > self.max_finished_bytes or self.keep_outcome_s <= 0
         ):
             self._forget(next(iter(self.finished_entries)))
 
--- a/beaconhinge/quota_snapshots/record.py
+++ b/beaconhinge/quota_snapshots/record.py
@@ -145,12 +145,12 @@
     reports.smoothing_since = now - REPORTS_SMOOTHED * reports.interval_s
     admission.fleet_rate = record.fleet_rate * (1 + RATE_INCREASE_SHARE) ** (age / CONTROL_INTERVAL_S)
     for peer in record.peers:
-        kept = PeerState(peer.incarnation, peer.sequence, now - peer.silent - age, peer.known, peer.span)
+        restored = PeerState(peer.incarnation, peer.sequence, now - peer.silent - age, peer.known, peer.span)
         if peer.silent + age <= MAX_MISSED_REPORTS * peer.span:
-            kept.demand = {(tenant, cls): rate for tenant, cls, rate in peer.demand}
-            kept.admitted = peer.admitted
+            restored.demand = {(tenant, cls): rate for tenant, cls, rate in peer.demand}
+            restored.admitted = peer.admitted
         if peer.number in dispatcher.gossip.group_peers:
-            dispatcher.gossip.peers[peer.number] = kept
+            dispatcher.gossip.peers[peer.number] = restored
     for bucket in record.buckets:
         most = admission.max_tokens(bucket.rate)
         tokens = 0.0 if bucket.rate == INF else min(bucket.tokens + age * bucket.rate, most)
--- a/beaconhinge/recovery/incarnations.py
+++ b/beaconhinge/recovery/incarnations.py
@@ -7,7 +7,7 @@
 
 HELLO = 0x7C  # magic and version in one, beside those of `keys`
 _HELLO = struct.Struct(">BBBII")
-_LIFE = struct.Struct(">I")
+_INCARNATION = struct.Struct(">I")
 _ASKS = 1
 _STALE = 2
 
@@ -25,12 +25,16 @@
 
 def next_incarnation(body: bytes | None) -> int:
     """The incarnation after the one in the record; 1 without a record that can be read."""
-    return _LIFE.unpack(body)[0] % 0xFFFFFFFF + 1 if body is not None and len(body) == _LIFE.size else 1
+    return (
+        _INCARNATION.unpack(body)[0] % 0xFFFFFFFF + 1
+        if body is not None and len(body) == _INCARNATION.size
+        else 1
+    )
 
 
-def incarnation_record(life: int) -> bytes:
+def incarnation_record(incarnation: int) -> bytes:
     """The record of an incarnation, to be signed."""
-    return _LIFE.pack(life)
+    return _INCARNATION.pack(incarnation)
 
 
 @dataclass(frozen=True, slots=True)
--- a/beaconhinge/recovery/stages.py
+++ b/beaconhinge/recovery/stages.py
@@ -8,9 +8,9 @@
 from dataclasses import dataclass, field
 from typing import TypeAlias
 
-READING, LISTENING, ASKING, NORMAL = range(4)
+READING, LISTENING, QUERYING, NORMAL = range(4)
 NAMES = ("reading", "listening", "asking", "normal")
-MOST = {LISTENING: 1.0, ASKING: 0.5}  # seconds in each, at most
+MOST = {LISTENING: 1.0, QUERYING: 0.5}  # seconds in each, at most
 
 
 @dataclass(frozen=True, slots=True)
@@ -76,10 +76,10 @@
         match event:
             case ListenerOpened() if self.stage == READING:
                 return self._enter(now, LISTENING)
-            case PeersQueried() if self.stage in (LISTENING, ASKING):  # the disk may have been slow
+            case PeersQueried() if self.stage in (LISTENING, QUERYING):  # the disk may have been slow
                 self.unanswered = set(event.peers)
                 if self.stage == LISTENING:
-                    return self._enter(now, ASKING)
+                    return self._enter(now, QUERYING)
             case ProcessResumed() if LISTENING < self.stage < NORMAL:
                 # What was heard before may be of a fleet that has lost its power since.
                 self.list_received, self.unanswered, self.peers_serving = False, set(event.peers), set()
@@ -104,7 +104,7 @@
     def _advance(self, now: float) -> list[int]:
         over = now >= self.ends_at
         if self.stage == LISTENING and over:
-            return self._enter(now, ASKING)
-        if self.stage == ASKING and (over or self.list_received and not self.unanswered):
+            return self._enter(now, QUERYING)
+        if self.stage == QUERYING and (over or self.list_received and not self.unanswered):
             return self._enter(now, NORMAL)
         return []
--- a/tests/leases/lease_defects.py
+++ b/tests/leases/lease_defects.py
@@ -20,7 +20,7 @@
 
 def _span_from_the_answer(real: Callable[..., Any]) -> Callable[..., Any]:
     def granted(self: LeaseHolder, now: float, asked: Any) -> Any:
-        asked.asked_at = now
+        asked.requested_at = now
         return real(self, now, asked)
 
     return granted
--- a/tests/progress/test_registry.py
+++ b/tests/progress/test_registry.py
@@ -11,7 +11,7 @@
         "detached_s": 5.0,
         "keep_outcome_s": 10.0,
         "max_detached": 2,
-        "max_kept_bytes": 10 * ENTRY_OVERHEAD_BYTES,
+        "max_finished_bytes": 10 * ENTRY_OVERHEAD_BYTES,
         **changes,
     }
     return StreamRegistry(**told)  # type: ignore[arg-type]
--- a/tests/recovery/test_phases.py
+++ b/tests/recovery/test_phases.py
@@ -16,7 +16,7 @@
 from beaconhinge.net.restart import MAX_CONCURRENT_WITHDRAWALS, OrphanedJobs
 from beaconhinge.recovery import incarnations, stages
 from beaconhinge.recovery.incarnations import Hello, PeerIncarnations
-from beaconhinge.recovery.stages import ASKING, LISTENING, MOST, NORMAL, READING, RecoveryStages
+from beaconhinge.recovery.stages import LISTENING, MOST, NORMAL, QUERYING, READING, RecoveryStages
 from beaconhinge.runtime.clock import Clock
 from beaconhinge.runtime.metrics import Metrics
 from beaconhinge.runtime.timer_wheel import TimerWheel
@@ -46,7 +46,7 @@
         assert machine.stage == entered[-1] >= before
         if before in MOST and now >= ends_at and not isinstance(event, stages.ProcessResumed):
             assert machine.stage > before  # a phase that is over ends with the next turn
-        if before == ASKING and machine.stage == NORMAL and now < ends_at:
+        if before == QUERYING and machine.stage == NORMAL and now < ends_at:
             assert machine.list_received and not machine.unanswered
     assert entered == sorted(set(entered))
 
@@ -54,7 +54,7 @@
 def test_nobody_waits_for_others_or_discovery_beyond_the_bound_and_who_woke_asks_anew() -> None:
     machine = RecoveryStages(100.0)
     assert machine.feed(100.0, stages.ListenerOpened()) == [LISTENING]
-    assert machine.feed(100.0, stages.PeersQueried(OTHERS)) == [ASKING]
+    assert machine.feed(100.0, stages.PeersQueried(OTHERS)) == [QUERYING]
     assert (
         machine.feed(100.1, stages.ListReceived()) == []
         and machine.feed(100.1, stages.PeerAnswered(1, NORMAL)) == []
@@ -68,13 +68,13 @@
     ]
     alone = RecoveryStages(0.0)
     alone.feed(0.0, stages.ListenerOpened())
-    assert alone.feed(0.0, stages.PeersQueried(frozenset())) == [ASKING] and alone.feed(
+    assert alone.feed(0.0, stages.PeersQueried(frozenset())) == [QUERYING] and alone.feed(
         0.01, stages.ListReceived()
     ) == [NORMAL]
     slow_disk = RecoveryStages(0.0)
     slow_disk.feed(0.0, stages.ListenerOpened())
     assert (
-        slow_disk.feed(1.0, stages.TimePassed()) == [ASKING]
+        slow_disk.feed(1.0, stages.TimePassed()) == [QUERYING]
         and slow_disk.feed(1.1, stages.PeersQueried(OTHERS)) == []
     )
     assert slow_disk.unanswered == OTHERS and slow_disk.feed(1.5, stages.TimePassed()) == [NORMAL]
@@ -82,13 +82,13 @@
 
 def test_a_life_told_by_two_starts_is_stale_and_the_same_word_twice_is_not() -> None:
     heard = PeerIncarnations()
-    first = Hello(ASKING, 5, 111)
+    first = Hello(QUERYING, 5, 111)
     assert not heard.observe(1, first) and not heard.observe(1, first)  # repeated on the way
-    assert not heard.observe(1, Hello(ASKING, 6, 222)) and not heard.observe(2, Hello(ASKING, 6, 333))
-    assert heard.observe(1, Hello(ASKING, 6, 444)) and heard.observe(
-        1, Hello(ASKING, 2, 444)
+    assert not heard.observe(1, Hello(QUERYING, 6, 222)) and not heard.observe(2, Hello(QUERYING, 6, 333))
+    assert heard.observe(1, Hello(QUERYING, 6, 444)) and heard.observe(
+        1, Hello(QUERYING, 2, 444)
     )  # a backup put back
-    assert not heard.observe(1, Hello(ASKING, 0, 555)) and not heard.observe(1, Hello(ASKING, 7, 666))
+    assert not heard.observe(1, Hello(QUERYING, 0, 555)) and not heard.observe(1, Hello(QUERYING, 7, 666))
 
 
 def test_records_count_for_their_own_dispatcher_and_words_survive_the_wire() -> None:
@@ -237,11 +237,11 @@
         disk: Any = Disk()
         hands = MaintenanceStore(config, disk, TimerWheel(clock.now, metrics.log_exception), metrics)
         operators = OperatorCalls(config, policy_runner, workers, SimpleNamespace(), SimpleNamespace())  # type: ignore[arg-type]
-        hands.restore(operators.set_out_by_hand)
+        hands.restore(operators.set_maintenance)
         assert (
-            operators.out_by_hand == {"s-1"} and "maintenance_records_foreign" in logged
+            operators.in_maintenance == {"s-1"} and "maintenance_records_foreign" in logged
         )  # another dispatcher's stays out of it
-        operators.store_out_by_hand = hands.write
+        operators.persist_maintenance = hands.write
         call: Any = SimpleNamespace(name="disable-server", argument="s-3")
         assert await operators.handlers["disable-server"](call) == b"SUCCESS s-3 is out\n"  # type: ignore[misc]
         assert disk.changes == [Put(b"hand/s-3", incarnations.sign_record("n0", 0, b""))]
@@ -249,7 +249,7 @@
         answer = await operators.handlers["disable-server"](call)  # type: ignore[misc]
         assert (
             answer.startswith(b"FAILURE s-4 is out, but not after a restart: StoreError")
-            and "s-4" in operators.out_by_hand
+            and "s-4" in operators.in_maintenance
         )
 
     asyncio.run(scenario())
