--- a/beaconhinge/cli/demo.py
+++ b/beaconhinge/cli/demo.py
@@ -90,7 +90,7 @@
         fleet.add_column(name, justify="right")
     for box in made.boxes:
         counts = (str(box.counters[name]) for name in ("taken", "done", "turned_away"))
-        fleet.add_row(box.name, str(len(box.held)), *counts)
+        fleet.add_row(box.name, str(len(box.jobs)), *counts)
     asked = Table(title="clients")
     for name in ("asked", "open", "answers"):
         asked.add_column(name, justify="right")
--- a/beaconhinge/cli/rehearse.py
+++ b/beaconhinge/cli/rehearse.py
@@ -27,12 +27,12 @@
 
     Examples: beaconhinge rehearse deploy/rehearsals/stall.toml; beaconhinge rehearse power.toml --seed 7
     """
-    from ..standin.rig import read, run_scenario
+    from ..standin.rig import read_scenario, run_scenario
     from .terminated import run_until_terminated
 
-    first = read(scenario, seed)
+    first = read_scenario(scenario, seed)
     for number in range(runs):
-        one = first if not number else read(scenario, (first.seed + number) % 65536)
+        one = first if not number else read_scenario(scenario, (first.seed + number) % 65536)
         told = print if runs == 1 and not as_json else lambda line: None
         verdict = run_until_terminated(run_scenario(one, told))
         _show(verdict, as_json)
--- a/beaconhinge/cli/soak.py
+++ b/beaconhinge/cli/soak.py
@@ -110,8 +110,8 @@
     print(f"  again: {command}", flush=True)
     for fault in less.faults:
         print(
-            f"    {fault.at_s:.2f} s {fault.what} for {fault.for_s:.2f} s, dispatchers {fault.who or 'all'}"
-            f"{' ' + fault.how.value if fault.what == 'spoil' else ''}"
-            f"{' ' + fault.trouble.value if fault.what == 'workers' else ''}",
+            f"    {fault.at_s:.2f} s {fault.kind} for {fault.duration_s:.2f} s, dispatchers {fault.dispatchers or 'all'}"
+            f"{' ' + fault.spoil.value if fault.kind == 'spoil' else ''}"
+            f"{' ' + fault.worker_fault.value if fault.kind == 'workers' else ''}",
             flush=True,
         )
--- a/beaconhinge/standin/discovery.py
+++ b/beaconhinge/standin/discovery.py
@@ -33,10 +33,10 @@
         self.servers = {str(entry["id"]): entry for entry in servers}
         self.version = 1
         self.server = Server(self._answer)
-        self.out = False  # it takes calls and ends them without a word
-        self.waiting = 0  # watches that are open
+        self.is_out = False  # it takes calls and ends them without a word
+        self.open_watches = 0  # watches that are open
         self.spoil: Spoil | None = None
-        self.spoilt = 0  # answers that were
+        self.spoilt_answers = 0  # answers that were
         self._muted = asyncio.Event()
         self.calls = 0
         self._changed: dict[str, int] = {}  # the version in which an entry last changed
@@ -60,53 +60,53 @@
         self._news.set()
         self._news = asyncio.Event()
 
-    def go(self) -> None:
+    def take_out(self) -> None:
         """Be out from now on: open watches end."""
-        self.out = True
+        self.is_out = True
         self._wake()
 
     def mute(self) -> int:
         """Let all open watches fall silent, as if their connections led nowhere; how many."""
         self._muted.set()
         self._muted = asyncio.Event()
-        return self.waiting
+        return self.open_watches
 
     async def _wait(self, seconds: float) -> bool:
         """Until there is news, or so long; False if the watch has fallen silent meanwhile."""
         ways = [asyncio.ensure_future(way.wait()) for way in (self._news, self._muted)]
-        self.waiting += 1
+        self.open_watches += 1
         try:
             await asyncio.wait(ways, timeout=seconds, return_when=asyncio.FIRST_COMPLETED)
             return not ways[1].done()
         finally:
-            self.waiting -= 1
+            self.open_watches -= 1
             for way in ways:
                 way.cancel()
 
     async def _answer(self, message: Message) -> bytes | Paced | None:
         self.calls += 1
-        if self.out:
+        if self.is_out:
             return None
         path, _, query = message.target.decode("latin-1").partition("?")
         if path != "/discovery/hosts":
             return http1.response(404)
         asked = {name: values[-1] for name, values in parse_qs(query).items()}
         if "index" not in asked:
-            return self._written(self.whole(), changes=False)
+            return self._encode(self.whole(), changes=False)
         since = int(asked["index"])
         if since >= self.version and not await self._wait(int(asked.get("wait", "0")) / 1000):
             await asyncio.Event().wait()  # nothing more comes on this connection
-        if self.out:
+        if self.is_out:
             return None
         changed = [self.servers[name] for name, version in self._changed.items() if version > since]
-        return self._written({"version": self.version, "full": False, "servers": changed}, bool(changed))
+        return self._encode({"version": self.version, "full": False, "servers": changed}, bool(changed))
 
-    def _written(self, content: dict[str, object], changes: bool) -> bytes | Paced:
+    def _encode(self, content: dict[str, object], changes: bool) -> bytes | Paced:
         """The answer's bytes, spoilt if that is the order of the moment and `changes` are told in it."""
         spoil = self.spoil
         if spoil is None or not changes and spoil not in (Spoil.SLOW_BODY, Spoil.ID_AND_STATE):
             return http1.response(200, json.dumps(content).encode())
-        self.spoilt += 1
+        self.spoilt_answers += 1
         answer = http1.response(200, json.dumps(self._spoilt_content(spoil, content)).encode())
         if spoil is Spoil.SLOW_BODY:
             return Paced(answer, SLOW_ANSWER_S)
--- a/beaconhinge/standin/rig/judge.py
+++ b/beaconhinge/standin/rig/judge.py
@@ -10,17 +10,17 @@
 
 from ...membership.inventory import worker_number
 from . import shim
-from .clients import GRACE
+from .clients import ANSWER_GRACE_S
 from .verdict import (
     Verdict,
-    begun_for_nobody,
-    benched,
-    collisions,
-    overstated,
-    run_twice,
-    served,
-    share,
-    unexcused,
+    attempts_after_disconnect,
+    ejections_logged,
+    keys_run_twice,
+    lease_violations,
+    missing_without_excuse,
+    overstated_deadlines,
+    served_share_of_attempts,
+    served_share_of_jobs,
 )
 
 if TYPE_CHECKING:
@@ -43,11 +43,11 @@
     the word from it then; else 6 s after the change, whatever it knew before, or after discovery is back.
     Where an agent has the list, what the agent has counts for a process from its first moment on.
     """
-    away, stood = run.away.get(number, []), run.processes[number].stood
+    away, stood = run.away.get(number, []), run.processes[number].down_spans
     silent = run.silent.get(number, math.inf)
     if began >= silent:
         return max(began, silent + SILENT_TOLD_S)
-    if run.scenario.pushed:
+    if run.scenario.pushed_membership:
         kept = max([began, *(ended for start, ended in away if start <= began < ended)])
         return max([kept, *(ended for start, ended in stood if start <= kept < ended)])
     reachable = began
@@ -66,23 +66,23 @@
     """
     found = []
     for process in run.processes:
-        for box, began, ended in run.drains:
+        for worker, began, ended in run.drains:
             told = _notified_at(run, process.number, began)
             late = [
                 at - told - DRAIN_GRACE_S
-                for at, port in box.taken
+                for at, port in worker.arrivals
                 if port == process.port and told + DRAIN_GRACE_S < at < ended
             ]
             if late:
-                found.append(f"dispatcher {process.number} sent to {box.name}, {late[-1]:.2f} s too late")
+                found.append(f"dispatcher {process.number} sent to {worker.name}, {late[-1]:.2f} s too late")
     return found
 
 
 def judged(run: ScenarioRun) -> Verdict:
     """What the run came to, once it is over."""
-    scenario, tries, answered = run.scenario, run.clients.tries, run.clients.answered
+    scenario, tries, answered = run.scenario, run.clients.attempts, run.clients.answered
     for counts in run.shim_counts:
-        run.hits.update({f"shim_{kind}": times for kind, times in shim.hits(counts).items()})
+        run.hits.update({f"shim_{kind}": times for kind, times in shim.read_hits(counts).items()})
     counters, runs, ejections = _counters(run), _runs(run), _ejections(run)
     broken = [
         *_broken_by_requests(run, runs),
@@ -94,25 +94,25 @@
     first_fault = run.began + min((fault.at_s for fault in scenario.faults), default=scenario.seconds)
     judged_from = _last_fault_ended(run) + SERVICE_JUDGED_AFTER_S
     end = run.began + scenario.seconds + run.late_by_s
-    back = max((ended for process in run.processes for _, ended in process.stood), default=run.began)
+    back = max((ended for process in run.processes for _, ended in process.down_spans), default=run.began)
     within = [t for t in tries if t.tenant == "north"]
-    greedy = [t for t in tries if t.tenant == "south" and back <= t.at < back + FIRST_SHARES_S]
+    greedy = [t for t in tries if t.tenant == "south" and back <= t.sent_at < back + FIRST_SHARES_S]
     return Verdict(
         name=scenario.name,
         seed=scenario.seed,
         asked=len(tries),
-        ends=dict(sorted(Counter(t.end for t in tries).items())),
+        ends=dict(sorted(Counter(t.outcome for t in tries).items())),
         keys=len(answered),
         keys_unanswered=sum(not done for done in answered.values()),
         runs=runs.total(),
         benched=dict(ejections),
         faults=dict(run.hits),
         counters=dict(sorted(counters.items())),
-        served_before=served(tries, run.began, first_fault),
-        served_after=served(tries, judged_from, end),
-        plain_after=served([t for t in tries if not t.key], judged_from, end),
-        first_share=share(within, back, back + FIRST_SHARES_S),
-        greedy_share=sum(t.end == "200" for t in greedy) / (FIRST_SHARES_S * scenario.quota_rps),
+        served_before=served_share_of_jobs(tries, run.began, first_fault),
+        served_after=served_share_of_jobs(tries, judged_from, end),
+        plain_after=served_share_of_jobs([t for t in tries if not t.key], judged_from, end),
+        first_share=served_share_of_attempts(within, back, back + FIRST_SHARES_S),
+        greedy_share=sum(t.outcome == "200" for t in greedy) / (FIRST_SHARES_S * scenario.quota_rps),
         acts=sum(act.accepted for act in run.acts),
         tenures=len({(act.lease, act.number) for act in run.acts}),
         stale=sum(not act.accepted for act in run.acts),
@@ -133,33 +133,36 @@
 def _runs(run: ScenarioRun) -> Counter[str]:
     """How often each job ran, by its key, or by its request where it has none."""
     total: Counter[str] = Counter()
-    for box in run.boxes:
-        total.update(box.runs)
+    for worker in run.boxes:
+        total.update(worker.runs)
     return total
 
 
 def _ejections(run: ScenarioRun) -> Counter[str]:
     """How often a dispatcher ejected a worker, by the worker's name. All of them are well."""
-    names = {str(worker_number(box.name)): box.name for box in run.boxes}
+    names = {str(worker_number(worker.name)): worker.name for worker in run.boxes}
     total: Counter[str] = Counter()
     for process in run.processes:
-        total.update({names.get(n, n): times for n, times in benched(process.lines).items()})
+        total.update({names.get(n, n): times for n, times in ejections_logged(process.log_lines).items()})
     return total
 
 
 def _last_fault_ended(run: ScenarioRun) -> float:
-    ends = (fault.at_s + fault.for_s for fault in run.scenario.faults)
+    ends = (fault.at_s + fault.duration_s for fault in run.scenario.faults)
     return run.began + max(ends, default=0.0) + run.late_by_s
 
 
 def _broken_by_requests(run: ScenarioRun, runs: Counter[str]) -> Iterator[str]:
-    tries = run.clients.tries
-    for lost in islice(unexcused(tries, [process.stood for process in run.processes], GRACE), EXAMPLES):
-        yield f"no answer from dispatcher {lost.dispatcher} to a {lost.cls}"
-    once = [*run.clients.answered, *(t.request for t in tries if t.cls == "transfer")]
-    for key in run_twice({key: runs[key] for key in once}):
+    tries = run.clients.attempts
+    for lost in islice(
+        missing_without_excuse(tries, [process.down_spans for process in run.processes], ANSWER_GRACE_S),
+        EXAMPLES,
+    ):
+        yield f"no answer from dispatcher {lost.dispatcher} to a {lost.job_class}"
+    once = [*run.clients.answered, *(t.request_id for t in tries if t.job_class == "transfer")]
+    for key in keys_run_twice({key: runs[key] for key in once}):
         yield f"key {key} ran {runs[key]} times"
-    if not any(t.end == "200" for t in tries):
+    if not any(t.outcome == "200" for t in tries):
         yield "nothing was served"
 
 
@@ -171,7 +174,7 @@
         if status:
             yield f"a dispatcher ended with status {status}"
     for process in run.processes:
-        unread = [line["text"] for line in process.lines if line["event"] == "unread"]
+        unread = [line["text"] for line in process.log_lines if line["event"] == "unread"]
         for text in unread[-3:]:
             yield f"dispatcher {process.number} said: {text}"
     for name, count in counters.items():
@@ -180,16 +183,16 @@
 
 
 def _broken_by_sends(run: ScenarioRun) -> list[str]:
-    given = [deadline for box in run.boxes for deadline in box.deadlines]
-    overstatements = overstated(run.clients.tries, given, DEADLINE_SLACK_S)
-    for_nobody = begun_for_nobody(run.clients.tries, given, CLIENT_GRACE_S)
+    given = [deadline for worker in run.boxes for deadline in worker.deadlines]
+    overstatements = overstated_deadlines(run.clients.attempts, given, DEADLINE_SLACK_S)
+    for_nobody = attempts_after_disconnect(run.clients.attempts, given, CLIENT_GRACE_S)
     return [*_sent_to_leaving(run), *overstatements[:EXAMPLES], *for_nobody[:EXAMPLES]]
 
 
 def _broken_by_leases(run: ScenarioRun) -> Iterator[str]:
-    yield from collisions(run.acts)
+    yield from lease_violations(run.acts)
     since = _last_fault_ended(run)
-    until = since + LEASE_HELD_AGAIN * run.scenario.span_s + 1
+    until = since + LEASE_HELD_AGAIN * run.scenario.lease_span_s + 1
     for lease in run.leases:
         if not any(since < act.begin <= until for act in run.acts if act.lease == lease):
             yield f"nobody acted under lease {lease} in time after the last fault"
@@ -200,7 +203,7 @@
     scenario = run.scenario
     if scenario.faults and not run.hits.total():
         yield "no fault hit anything"
-    planned = scenario.faults[: len(scenario.faults) - scenario.drawn]
-    for kind in sorted({fault.what for fault in planned}):
+    planned = scenario.faults[: len(scenario.faults) - scenario.drawn_faults]
+    for kind in sorted({fault.kind for fault in planned}):
         if scenario.every_fault_hits and not run.hits[kind]:
             yield f"the fault {kind} hit nothing"
--- a/beaconhinge/standin/rig/process.py
+++ b/beaconhinge/standin/rig/process.py
@@ -20,24 +20,24 @@
 
     def __init__(
         self,
-        number: int,
+        index: int,
         port: int,
         folder: Path,
         platform: Mapping[str, object],
         local_config: str,
         environment: Mapping[str, str] | None = None,
     ) -> None:
-        self.number = number
+        self.number = index
         self.port = port
         self.folder = folder
         self.platform = platform
         self.local_config = local_config
         self.environment = environment or {}
-        self.lines: list[Mapping[str, Any]] = []
-        self.stood: list[tuple[float, float]] = []
+        self.log_lines: list[Mapping[str, Any]] = []
+        self.down_spans: list[tuple[float, float]] = []
         self.counters: Counter[str] = Counter()  # of all lives, as each last told
-        self._told: Mapping[str, Any] = {}
-        self._ends = 0
+        self._last_counters: Mapping[str, Any] = {}
+        self._end_count = 0
         self.starting = False
         self.ending = False
         self._down_at: float | None = None
@@ -56,26 +56,26 @@
         own = {"BEACONHINGE_CONFIG": str(self.folder / "ours.toml")}
         self._process = await start({**own, **self.environment}, "-O")
         self._reader = asyncio.create_task(self._read(self._process))
-        ends, self.starting = self._ends, True
+        ends, self.starting = self._end_count, True
         try:
-            await until_up(self._process, self.port, self.lines)
+            await until_up(self._process, self.port, self.log_lines)
         except SceneError:
-            if self._ends == ends:
+            if self._end_count == ends:
                 raise
         else:
             self.starting = False
-            self._up()
+            self._mark_up()
 
-    def _up(self) -> None:
+    def _mark_up(self) -> None:
         if self._down_at is not None:
-            self.stood.append((self._down_at, time.monotonic()))
+            self.down_spans.append((self._down_at, time.monotonic()))
             self._down_at = None
 
     async def _read(self, process: asyncio.subprocess.Process) -> None:
         async for told in log_lines(process):
-            self.lines.append(told)
+            self.log_lines.append(told)
             if told["event"] == "counters":
-                self._told = {name: n for name, n in told.items() if isinstance(n, int)}
+                self._last_counters = {name: n for name, n in told.items() if isinstance(n, int)}
 
     def signal(self, number: Signals) -> bool:
         if not self.running:
@@ -84,37 +84,37 @@
         self._process.send_signal(number)
         return True
 
-    def stop(self) -> bool:
+    def pause(self) -> bool:
         stopped = self.signal(SIGSTOP)
         if stopped:
             self._down_at = self._down_at or time.monotonic()
         return stopped
 
-    def go_on(self) -> None:
+    def resume(self) -> None:
         """One that another fault has ended meanwhile stays down until it is started."""
         self.signal(SIGCONT)
         if self.running and not self.starting and not self.ending:
-            self._up()
+            self._mark_up()
 
     async def end(self, number: Signals) -> int:
         """Send that signal and wait; its exit status."""
         assert self._process is not None
-        self._ends += 1
+        self._end_count += 1
         self._down_at = self._down_at or time.monotonic()
         self.ending = True
         status = await end(self._process, number)
         self.ending = False
         if self._reader is not None:
             await self._reader
-        self.counters.update(self._told)
-        self._told = {}
+        self.counters.update(self._last_counters)
+        self._last_counters = {}
         return status
 
-    def forget(self) -> None:
+    def delete_folder(self) -> None:
         """Start next with an empty folder."""
         shutil.rmtree(self.folder, ignore_errors=True)
 
-    def take(self, store: Path) -> None:
+    def restore_store(self, store: Path) -> None:
         """Start next with a copy of that store."""
         shutil.rmtree(self.folder / "store", ignore_errors=True)
         shutil.copytree(store, self.folder / "store")
--- a/beaconhinge/standin/rig/runner.py
+++ b/beaconhinge/standin/rig/runner.py
@@ -29,7 +29,7 @@
 from .judge import judged
 from .links import Links
 from .process import Process
-from .scenario import Fault, Scenario, draw
+from .scenario import Fault, Scenario, draw_faults
 from .verdict import Act, Verdict
 
 UNSAFE_CLASS = {"name": "transfer", "aim": 2.0, "hardLimit": 7.5, "semantics": "fragile"}
@@ -67,7 +67,7 @@
         ports = free_ports(count)
         real = [("127.0.0.1", port) for port in free_ports(count, socket.SOCK_DGRAM)]
         self.links = Links(real, scenario.seed)
-        racks = [DeduplicationGroup(WINDOW) for _ in range(scenario.racks)]
+        racks = [DeduplicationGroup(WINDOW) for _ in range(scenario.deduplication_groups)]
         means = {"render": scenario.render_s, "publish": scenario.publish_s, "transfer": scenario.publish_s}
         self.boxes = [
             FakeWorker(
@@ -77,19 +77,22 @@
                 scenario.slots,
                 4 * scenario.slots,
                 seed=scenario.seed,
-                rack=racks[n % scenario.racks],
+                deduplication_group=racks[n % scenario.deduplication_groups],
             )
-            for n in range(scenario.boxes)
+            for n in range(scenario.workers)
         ]
-        for box in self.boxes:
+        for worker in self.boxes:
             for port in ports[1:]:
-                box.door(port)
+                worker.add_address(port)
         # Each dispatcher reaches a box at an address of its own, and so has a list of its own.
         self.lists = [
             Discovery(
                 [
-                    {**box.entry("ab"[n % 2], "plain", n % scenario.racks), "addr": box.servers[i].address}
-                    for n, box in enumerate(self.boxes)
+                    {
+                        **worker.entry("ab"[n % 2], "plain", n % scenario.deduplication_groups),
+                        "addr": worker.servers[i].address,
+                    }
+                    for n, worker in enumerate(self.boxes)
                 ]
             )
             for i in range(count)
@@ -109,7 +112,9 @@
             scenario,
             ports,
             self.late,
-            lambda request: any(given.request == request for box in self.boxes for given in box.deadlines),
+            lambda request: any(
+                given.request == request for worker in self.boxes for given in worker.deadlines
+            ),
         )
         self.began = 0.0
 
@@ -134,7 +139,7 @@
             "policyLimits": limits,
             "clients": {"marksRetry": True},
             "rules": {"mustAskIn": 10.0, "graceToAnswer": 0.008},
-            "membershipMode": "pushed" if self.scenario.pushed else "on_request",
+            "membershipMode": "pushed" if self.scenario.pushed_membership else "on_request",
         }
         return {
             "name": f"n{number}",
@@ -153,7 +158,7 @@
         if not self.scenario.system_calls or number % 2:
             return {}
         if not self.shim_counts:
-            self._library = shim.build(folder)
+            self._library = shim.build_library(folder)
         self.shim_counts.append(folder / f"shim-{number}")
         return shim.environment(
             self._library,
@@ -197,8 +202,8 @@
                 await self.resource.wait()
             for server in self._servers():
                 await server.stop()
-            for box in self.boxes:
-                box.close()
+            for worker in self.boxes:
+                worker.close()
             self.links.close()
         return judged(self)
 
@@ -214,12 +219,12 @@
         assert self.resource.stdout is not None
         port = json.loads(await self.resource.stdout.readline())["port"]
         for process in self.processes:
-            process.local_config += f"[leases]\nenabled = true\nspan_s = {self.scenario.span_s}\n"
+            process.local_config += f"[leases]\nenabled = true\nspan_s = {self.scenario.lease_span_s}\n"
             for lease in self.leases:
                 process.local_config += (
                     f'[[leases.calls]]\nname = "{lease}"\nto = "127.0.0.1:{port}"\n'
-                    f"every_s = {self.scenario.act_s}\n"
-                    f"longest_s = {0.4 * self.scenario.span_s}\n"
+                    f"every_s = {self.scenario.lease_act_interval_s}\n"
+                    f"longest_s = {0.4 * self.scenario.lease_span_s}\n"
                 )
         self.reading = asyncio.create_task(self._read_acts(self.resource.stdout))
 
@@ -228,7 +233,10 @@
             self.acts.append(msgspec.json.decode(line, type=Act))
 
     def _servers(self) -> list[Server]:
-        return [*(found.server for found in self.lists), *(s for box in self.boxes for s in box.servers)]
+        return [
+            *(found.server for found in self.lists),
+            *(s for worker in self.boxes for s in worker.servers),
+        ]
 
     async def _settle(self, process: Process) -> None:
         """Its folder is that of a dispatcher which has run for long: its journal of keys is whole."""
@@ -251,12 +259,12 @@
         The scenario goes on for as much longer, so that what comes after the faults is as long as meant.
         """
         now = time.monotonic() - self.began
-        return max(0.0, self.late_by_s, *(now - fault.at_s - fault.for_s for fault in self._lasting))
+        return max(0.0, self.late_by_s, *(now - fault.at_s - fault.duration_s for fault in self._lasting))
 
     async def _fault(self, fault: Fault) -> None:
         await asyncio.sleep(max(0.0, self.began + fault.at_s - time.monotonic()))
-        who = self.scenario.hit(fault)
-        self._say(f"{fault.what} {','.join(map(str, who))} for {fault.for_s:g} s")
+        who = self.scenario.affected_dispatchers(fault)
+        self._say(f"{fault.kind} {','.join(map(str, who))} for {fault.duration_s:g} s")
         act = {
             "stop": self._stop,
             "kill": self._restart,
@@ -269,18 +277,18 @@
             "spoil": self._spoil,
             "reload": self._reload,
             "workers": self._trouble_workers,
-        }[fault.what]
+        }[fault.kind]
         hit = await act(fault, who)  # first: another of its kind may have been counted meanwhile
-        self.hits[fault.what] += hit
+        self.hits[fault.kind] += hit
         self.late_by_s = self.late()
         self._lasting.remove(fault)
-        self._say(f"{fault.what} {','.join(map(str, who))} is over")
+        self._say(f"{fault.kind} {','.join(map(str, who))} is over")
 
     async def _stop(self, fault: Fault, who: list[int]) -> int:
-        hit = [self.processes[n] for n in who if self.processes[n].stop()]
-        await asyncio.sleep(fault.for_s)
+        hit = [self.processes[n] for n in who if self.processes[n].pause()]
+        await asyncio.sleep(fault.duration_s)
         for process in hit:
-            process.go_on()
+            process.resume()
         return len(hit)
 
     async def _restart(self, fault: Fault, who: list[int]) -> int:
@@ -289,46 +297,53 @@
         hit = [
             p
             for p in (self.processes[n] for n in who)
-            if p.running and not p.ending and not (p.starting and fault.what == "term")
+            if p.running and not p.ending and not (p.starting and fault.kind == "term")
         ]
         ports = {process.port for process in hit}
-        old = [(box, job) for box in self.boxes for job in box.held if job[0] in ports and job[1] in box.runs]
-        number = signal.SIGKILL if fault.what == "kill" else signal.SIGTERM
+        old = [
+            (worker, job)
+            for worker in self.boxes
+            for job in worker.jobs
+            if job[0] in ports and job[1] in worker.runs
+        ]
+        number = signal.SIGKILL if fault.kind == "kill" else signal.SIGTERM
         statuses = await asyncio.gather(*(process.end(number) for process in hit))
-        self.statuses += statuses if fault.what == "term" else []
-        await asyncio.sleep(fault.for_s)
+        self.statuses += statuses if fault.kind == "term" else []
+        await asyncio.sleep(fault.duration_s)
         for process in hit:
             if fault.folder == "empty":
-                process.forget()
+                process.delete_folder()
             elif fault.folder == "old":
-                process.take(self.old / str(process.number))
+                process.restore_store(self.old / str(process.number))
             elif fault.folder == "other":
-                process.take(self.processes[process.number - 1].folder / "store")
+                process.restore_store(self.processes[process.number - 1].folder / "store")
         await asyncio.gather(*(process.start() for process in hit))
-        if fault.what == "kill":
+        if fault.kind == "kill":
             self._counting.append(asyncio.create_task(self._count(old)))
         return len(hit)
 
     async def _count(self, old: list[tuple[FakeWorker, tuple[int, str]]]) -> None:
         await asyncio.sleep(ORPHANED)
-        self.orphans += sum(job in box.held for box, job in old)
+        self.orphans += sum(job in worker.jobs for worker, job in old)
 
     async def _drop(self, fault: Fault, who: list[int]) -> int:
         """The datagrams that it took. While it has taken none, it lasts up to LONGER beyond its end."""
         before, ways = self.links.counters["dropped"], list[tuple[int, int]]()
-        if fault.what == "cut":
-            ways = [(i, j) for i in who for j in fault.to or range(self.scenario.processes) if i != j]
-            self.links.cut.update(ways)
+        if fault.kind == "cut":
+            ways = [
+                (i, j) for i in who for j in fault.destinations or range(self.scenario.processes) if i != j
+            ]
+            self.links.cuts.update(ways)
         else:
-            self.links.loss.update(dict.fromkeys(who, fault.part))
-        await asyncio.sleep(fault.for_s)
-        until = time.monotonic() + (LONGER if ways or fault.what == "lossy" else 0.0)
+            self.links.loss_shares.update(dict.fromkeys(who, fault.loss_share))
+        await asyncio.sleep(fault.duration_s)
+        until = time.monotonic() + (LONGER if ways or fault.kind == "lossy" else 0.0)
         while self.links.counters["dropped"] == before and time.monotonic() < until:
             await asyncio.sleep(0.02)
-        self.links.cut.subtract(ways)
-        if fault.what == "lossy":
+        self.links.cuts.subtract(ways)
+        if fault.kind == "lossy":
             for number in who:
-                self.links.loss.pop(number, None)
+                self.links.loss_shares.pop(number, None)
         return self.links.counters["dropped"] - before
 
     async def _no_discovery(self, fault: Fault, who: list[int]) -> int:
@@ -336,10 +351,10 @@
         lists, began = [self.lists[n] for n in who], time.monotonic()
         before = sum(found.calls for found in lists)
         for found in lists:
-            found.go()
-        await asyncio.sleep(fault.for_s)
+            found.take_out()
+        await asyncio.sleep(fault.duration_s)
         for found in lists:
-            found.out = False
+            found.is_out = False
         for number in who:
             self.away.setdefault(number, []).append((began, time.monotonic()))
         return sum(found.calls for found in lists) - before
@@ -348,18 +363,18 @@
         """The watches that fell silent."""
         self.silent.update(dict.fromkeys(who, time.monotonic()))
         hit = sum(self.lists[n].mute() for n in who)
-        await asyncio.sleep(fault.for_s)
+        await asyncio.sleep(fault.duration_s)
         return hit
 
     async def _drain(self, fault: Fault, who: list[int]) -> int:
         """The boxes that began to drain. They take what still comes, so that it can be counted."""
-        leaving = self.boxes[: fault.boxes]
+        leaving = self.boxes[: fault.workers]
         began = time.monotonic()
-        names = [box.name for box in leaving]
+        names = [worker.name for worker in leaving]
         for found in self.lists:
             found.change(names, state="Terminating")
-        await asyncio.sleep(fault.for_s)
-        self.drains += [(box, began, time.monotonic()) for box in leaving]
+        await asyncio.sleep(fault.duration_s)
+        self.drains += [(worker, began, time.monotonic()) for worker in leaving]
         for found in self.lists:
             found.change(names, state="Ready")
         return len(leaving)
@@ -370,26 +385,26 @@
 
     async def _trouble_workers(self, fault: Fault, who: list[int]) -> int:
         """The jobs that met the trouble. One more fault of the kind has to wait for a worker of its own."""
-        box = next((box for box in reversed(self.boxes) if box.trouble is None), self.boxes[-1])
-        before, box.trouble = box.troubled, fault.trouble
-        await asyncio.sleep(fault.for_s)
-        box.trouble = None
-        return box.troubled - before
+        worker = next((worker for worker in reversed(self.boxes) if worker.fault is None), self.boxes[-1])
+        before, worker.fault = worker.fault_hits, fault.worker_fault
+        await asyncio.sleep(fault.duration_s)
+        worker.fault = None
+        return worker.fault_hits - before
 
     async def _spoil(self, fault: Fault, who: list[int]) -> int:
         """The answers that it spoilt."""
         lists, began = [self.lists[n] for n in who], time.monotonic()
-        before = sum(found.spoilt for found in lists)
+        before = sum(found.spoilt_answers for found in lists)
         for found in lists:
-            found.spoil = fault.how
-        await asyncio.sleep(fault.for_s)
+            found.spoil = fault.spoil
+        await asyncio.sleep(fault.duration_s)
         for number in who:
             self.lists[number].spoil = None
             self.spoilt.setdefault(number, []).append((began, time.monotonic()))
-        return sum(found.spoilt for found in lists) - before
+        return sum(found.spoilt_answers for found in lists) - before
 
 
 async def run_scenario(scenario: Scenario, told: Callable[[str], None] = lambda line: None) -> Verdict:
     """Run it in a folder of its own, which goes with it. Raises SceneError where a process does not start."""
     with tempfile.TemporaryDirectory(prefix="beaconhinge-") as folder:
-        return await ScenarioRun(draw(scenario), Path(folder), told).run()
+        return await ScenarioRun(draw_faults(scenario), Path(folder), told).run()
--- a/beaconhinge/standin/rig/shim.py
+++ b/beaconhinge/standin/rig/shim.py
@@ -12,7 +12,7 @@
 
 SOURCE = Path(__file__).with_name("shim.c")
 # In the order of its counters.
-KINDS = ("accept", "connect", "short_read", "short_write", "clock_step", "socket")
+COUNTER_NAMES = ("accept", "connect", "short_read", "short_write", "clock_step", "socket")
 COUNTERS = struct.Struct("=8Q")
 
 
@@ -20,7 +20,7 @@
     """The shim could not be built: no C compiler, or it found fault."""
 
 
-def build(folder: Path) -> Path:
+def build_library(folder: Path) -> Path:
     """The shared library, built in that folder. Raises ShimError."""
     compiler = shutil.which("cc")
     if compiler is None:
@@ -45,8 +45,8 @@
     }
 
 
-def hits(counts: Path) -> Counter[str]:
+def read_hits(counts: Path) -> Counter[str]:
     """How often each kind hit, by the file that the shim has counted in; none if there is none."""
     if not counts.exists():
         return Counter()
-    return Counter(dict(zip(KINDS, COUNTERS.unpack(counts.read_bytes()), strict=False)))
+    return Counter(dict(zip(COUNTER_NAMES, COUNTERS.unpack(counts.read_bytes()), strict=False)))
--- a/beaconhinge/standin/rig/soak.py
+++ b/beaconhinge/standin/rig/soak.py
@@ -13,43 +13,45 @@
 from ..workers import WorkerFault
 from .scenario import Fault, Scenario
 
-SECONDS = 17.0
+SCENARIO_S = 17.0
 # When faults begin, so that what holds 6 s later can still be seen.
-FIRST = 0.6
-LAST = 7.5
+FIRST_FAULT_AT_S = 0.6
+LAST_FAULT_AT_S = 7.5
 SYSTEM_CALLS = "accept=0.02,connect=0.01,short=0.2,step=3600,socket=0.01"
-CLOSE = 0.3  # seconds from a fault within which another begins that is to meet it
+MEETING_DISTANCE_S = 0.3  # seconds from a fault within which another begins that is to meet it
 
 
 def draw_soak(seed: int, processes: int) -> Scenario:
     """A drain that stays, and faults of most kinds round it; half of the processes have failing system
     calls."""
     rng = random.Random(f"{seed}/soak")
-    drain = Fault(rng.uniform(1.0, 3.0), "drain", SECONDS - 4.0, boxes=rng.randint(1, 3))
+    drain = Fault(rng.uniform(1.0, 3.0), "drain", SCENARIO_S - 4.0, workers=rng.randint(1, 3))
     faults = [drain]
     pushed = rng.random() < 0.25  # an agent at hand answers at once: its answers are not spoilt
     for _ in range(rng.randint(5, 9)):
-        meets = rng.choice(faults).at_s + rng.uniform(-CLOSE, CLOSE)
-        at = meets if rng.random() < 0.5 else rng.uniform(FIRST, LAST)
-        faults.append(_fault(rng, min(max(at, FIRST), LAST), processes, drain.boxes))
-    faults = [fault for fault in faults if not (pushed and fault.what == "spoil")]
+        meets = rng.choice(faults).at_s + rng.uniform(-MEETING_DISTANCE_S, MEETING_DISTANCE_S)
+        at = meets if rng.random() < 0.5 else rng.uniform(FIRST_FAULT_AT_S, LAST_FAULT_AT_S)
+        faults.append(
+            _draw_fault(rng, min(max(at, FIRST_FAULT_AT_S), LAST_FAULT_AT_S), processes, drain.workers)
+        )
+    faults = [fault for fault in faults if not (pushed and fault.kind == "spoil")]
     recovery = rng.random() < 0.3  # without it nobody knows a key that another dispatcher has
     return Scenario(
         f"soak of {processes}",
         seed=seed,
         processes=processes,
-        boxes=8,
-        racks=4,
+        workers=8,
+        deduplication_groups=4,
         slots=8,
         rate=12.0 * processes,
         keyed=0.15 if recovery else 0.0,
         unsafe=0.15,
-        leaving=0.1,
+        disconnecting=0.1,
         render_s=0.1,
         publish_s=0.3,
-        patience_s=2.0,
-        seconds=SECONDS,
-        pushed=pushed,
+        client_timeout_s=2.0,
+        seconds=SCENARIO_S,
+        pushed_membership=pushed,
         recovery=recovery,
         store=False,
         ejections_judged=False,
@@ -59,7 +61,7 @@
     )
 
 
-def _fault(rng: random.Random, at: float, processes: int, draining: int) -> Fault:
+def _draw_fault(rng: random.Random, at: float, processes: int, draining: int) -> Fault:
     who = rng.sample(range(processes), rng.randint(1, max(1, processes // 2)))
     what = rng.choice(
         (
@@ -91,22 +93,22 @@
     if what == "cut":
         return Fault(at, "cut", rng.uniform(1.0, 4.0), who, rng.sample(range(processes), processes // 2 or 1))
     if what == "lossy":
-        return Fault(at, "lossy", rng.uniform(1.0, 4.0), part=0.5)
+        return Fault(at, "lossy", rng.uniform(1.0, 4.0), loss_share=0.5)
     if what == "discovery":
         return Fault(at, "discovery", rng.uniform(0.5, 4.0), who)
     if what == "mute":
         return Fault(at, "mute", 0.2, who)
     if what == "spoil":
-        return Fault(at, "spoil", rng.uniform(0.5, 3.0), who, how=rng.choice(list(Spoil)))
+        return Fault(at, "spoil", rng.uniform(0.5, 3.0), who, spoil=rng.choice(list(Spoil)))
     return Fault(
-        at, "workers", rng.uniform(0.5, 2.0), boxes=draining + 1, trouble=rng.choice(list(WorkerFault))
+        at, "workers", rng.uniform(0.5, 2.0), workers=draining + 1, worker_fault=rng.choice(list(WorkerFault))
     )
 
 
 def shrink(scenario: Scenario, fails: Callable[[Scenario], bool]) -> Scenario:
     """Leave out one fault after the other, as long as it still fails. The drain stays: without it nothing
     leaves."""
-    for fault in [fault for fault in scenario.faults if fault.what != "drain"]:
+    for fault in [fault for fault in scenario.faults if fault.kind != "drain"]:
         others = [other for other in scenario.faults if other is not fault]
         less = msgspec.structs.replace(scenario, faults=others)
         if fails(less):
--- a/beaconhinge/standin/rig/verdict.py
+++ b/beaconhinge/standin/rig/verdict.py
@@ -10,22 +10,22 @@
 
 from ..workers import ReceivedDeadline
 
-Span = tuple[float, float]
+TimeSpan = tuple[float, float]
 
 
-class Asked(msgspec.Struct):
+class ClientAttempt(msgspec.Struct):
     """One try of a client at one dispatcher. Times are of the rig's clock; `end` is a status or `missing`."""
 
     key: str
-    cls: str
+    job_class: str
     dispatcher: int
-    at: float
-    ended: float = 0.0
-    end: str = ""
+    sent_at: float
+    ended_at: float = 0.0
+    outcome: str = ""
     tenant: str = ""
-    request: str = ""
-    patience_s: float = 0.0  # that it waits
-    left_at: float = 0.0  # when it closed its connection before the answer; 0: it did not
+    request_id: str = ""
+    timeout_s: float = 0.0  # that it waits
+    disconnected_at: float = 0.0  # when it closed its connection before the answer; 0: it did not
 
 
 class Act(msgspec.Struct):
@@ -68,7 +68,7 @@
         return not self.broken
 
 
-def benched(lines: Iterable[Mapping[str, Any]]) -> Counter[str]:
+def ejections_logged(lines: Iterable[Mapping[str, Any]]) -> Counter[str]:
     """Boxes, by number, that the module says it has benched."""
     return Counter(
         str(line["text"]).split()[1]
@@ -77,22 +77,24 @@
     )
 
 
-def unexcused(asked: Iterable[Asked], stood: Sequence[Sequence[Span]], grace: float) -> list[Asked]:
+def missing_without_excuse(
+    asked: Iterable[ClientAttempt], stood: Sequence[Sequence[TimeSpan]], grace: float
+) -> list[ClientAttempt]:
     """Tries without one final answer whose dispatcher ran all the while. A connection that waited in front of
     a process as it went on may be served late, for which it has `grace` seconds.
     """
     return [
         try_
         for try_ in asked
-        if try_.end == "missing"
+        if try_.outcome == "missing"
         and not any(
-            begun - grace <= try_.ended and try_.at <= ended + grace
+            begun - grace <= try_.ended_at and try_.sent_at <= ended + grace
             for begun, ended in stood[try_.dispatcher]
         )
     ]
 
 
-def collisions(acts: Iterable[Act]) -> list[str]:
+def lease_violations(acts: Iterable[Act]) -> list[str]:
     """Acts of two tenures at one time, and numbers accepted after greater ones."""
     found, last = list[str](), dict[str, Act]()
     for act in sorted((act for act in acts if act.accepted), key=lambda act: act.begin):
@@ -108,9 +110,11 @@
     return found
 
 
-def overstated(asked: Iterable[Asked], deadlines: Iterable[ReceivedDeadline], slack: float) -> list[str]:
+def overstated_deadlines(
+    asked: Iterable[ClientAttempt], deadlines: Iterable[ReceivedDeadline], slack: float
+) -> list[str]:
     """Attempts that gave a worker more time than their client had left, with so many seconds of slack."""
-    ends = {try_.request: try_.at + try_.patience_s for try_ in asked}
+    ends = {try_.request_id: try_.sent_at + try_.timeout_s for try_ in asked}
     over = [
         (given.request, given.came_at + given.time_left - ends[given.request])
         for given in deadlines
@@ -123,11 +127,11 @@
     ]
 
 
-def begun_for_nobody(
-    asked: Iterable[Asked], deadlines: Iterable[ReceivedDeadline], grace: float
+def attempts_after_disconnect(
+    asked: Iterable[ClientAttempt], deadlines: Iterable[ReceivedDeadline], grace: float
 ) -> list[str]:
     """Attempts that came to a worker more than so many seconds after their client had left."""
-    left = {try_.request: try_.left_at for try_ in asked if try_.left_at}
+    left = {try_.request_id: try_.disconnected_at for try_ in asked if try_.disconnected_at}
     late = [
         (given.request, given.came_at - left[given.request]) for given in deadlines if given.request in left
     ]
@@ -138,23 +142,23 @@
     ]
 
 
-def run_twice(runs: Mapping[str, int]) -> list[str]:
+def keys_run_twice(runs: Mapping[str, int]) -> list[str]:
     return sorted(key for key, times in runs.items() if times > 1)
 
 
-def share(asked: Sequence[Asked], since: float, until: float) -> float:
-    within = [try_ for try_ in asked if since <= try_.at < until]
-    return sum(try_.end == "200" for try_ in within) / max(1, len(within))
+def served_share_of_attempts(asked: Sequence[ClientAttempt], since: float, until: float) -> float:
+    within = [try_ for try_ in asked if since <= try_.sent_at < until]
+    return sum(try_.outcome == "200" for try_ in within) / max(1, len(within))
 
 
-def served(asked: Sequence[Asked], since: float, until: float) -> float:
+def served_share_of_jobs(asked: Sequence[ClientAttempt], since: float, until: float) -> float:
     """Part of the jobs first asked in a span that one of their tries brought back. A job with a key comes
     again: counted by tries, one that a fault lost before the span would fail in it up to three times.
     """
     jobs, at = dict[object, bool](), dict[object, float]()
     for number, try_ in enumerate(asked):
         job = try_.key or number
-        at.setdefault(job, try_.at)
-        jobs[job] = jobs.get(job, False) or try_.end == "200"
+        at.setdefault(job, try_.sent_at)
+        jobs[job] = jobs.get(job, False) or try_.outcome == "200"
     within = [done for job, done in jobs.items() if since <= at[job] < until]
     return sum(within) / max(1, len(within))
--- a/beaconhinge/standin/workers.py
+++ b/beaconhinge/standin/workers.py
@@ -60,31 +60,31 @@
         self,
         name: str,
         dispatcher: int,
-        means: Mapping[str, float],
+        mean_run_s: Mapping[str, float],
         slots: int = 4,
         queue: int = 4,
         seed: int = 0,
-        rack: DeduplicationGroup | None = None,
+        deduplication_group: DeduplicationGroup | None = None,
     ) -> None:
         self.name = name
-        self.means = means
+        self.means = mean_run_s
         self.slots = slots
         self.queue = queue
         self.random = random.Random(f"{seed}/{name}")
-        self.rack = rack
+        self.rack = deduplication_group
         self.servers: list[Server] = []  # its addresses, one for each dispatcher
         self.callers: list[Caller] = []
-        self.server = self.door(dispatcher)
-        self.held: dict[tuple[int, str], asyncio.Task[None]] = {}  # by port of the dispatcher, and request
+        self.server = self.add_address(dispatcher)
+        self.jobs: dict[tuple[int, str], asyncio.Task[None]] = {}  # by port of the dispatcher, and request
         self.runs: Counter[str] = Counter()  # by idempotency key, or by request where it has none
         self.counters: Counter[str] = Counter()
-        self.taken: list[tuple[float, int]] = []  # when each job came, and the port of its dispatcher
+        self.arrivals: list[tuple[float, int]] = []  # when each job came, and the port of its dispatcher
         self.deadlines: list[ReceivedDeadline] = []  # that it was given
-        self._free = asyncio.Semaphore(slots)
-        self.trouble: WorkerFault | None = None
-        self.troubled = 0  # jobs that met it
+        self._free_slots = asyncio.Semaphore(slots)
+        self.fault: WorkerFault | None = None
+        self.fault_hits = 0  # jobs that met it
 
-    def door(self, dispatcher: int) -> Server:
+    def add_address(self, dispatcher: int) -> Server:
         """Another address of it. Who sends a job there is told of it at that port."""
         back = Caller(dispatcher)
         self.callers.append(back)
@@ -113,7 +113,7 @@
         if message.method == "GET":
             return http1.response(200 if path == "/alive" else 404)
         if message.method == "DELETE":
-            task = self.held.pop((back.port, path.rpartition("/")[2]), None)
+            task = self.jobs.pop((back.port, path.rpartition("/")[2]), None)
             if task is not None:
                 task.cancel()
                 self.counters["withdrawn"] += 1
@@ -123,45 +123,45 @@
             return http1.response(404)
         time_left = int(message.headers.get("x-timeout-ms", "0")) / 1000
         self.deadlines.append(ReceivedDeadline(number, time.monotonic(), time_left))
-        if self.trouble is not None:
-            self.troubled += 1
-        if self.trouble in (WorkerFault.HANG, WorkerFault.RESET):
-            self.taken.append((time.monotonic(), back.port))
-            if self.trouble is WorkerFault.HANG:
+        if self.fault is not None:
+            self.fault_hits += 1
+        if self.fault in (WorkerFault.HANG, WorkerFault.RESET):
+            self.arrivals.append((time.monotonic(), back.port))
+            if self.fault is WorkerFault.HANG:
                 await asyncio.Event().wait()
             return None
-        full = self.trouble is WorkerFault.REJECT or len(self.held) >= self.slots + self.queue
-        if full or (back.port, number) in self.held:
+        full = self.fault is WorkerFault.REJECT or len(self.jobs) >= self.slots + self.queue
+        if full or (back.port, number) in self.jobs:
             self.counters["turned_away"] += 1
             return http1.response(503, headers={"X-Not-Processed": "1"})
         self.counters["taken"] += 1
-        self.taken.append((time.monotonic(), back.port))
+        self.arrivals.append((time.monotonic(), back.port))
         key = message.headers.get("idempotency-key", "")
         if key and self.rack is not None and self.rack.is_duplicate(key, asyncio.get_running_loop().time()):
             self.counters["dropped"] += 1
             return http1.response(202)
         cls = path.strip("/").partition("/")[0]
-        self.held[back.port, number] = self.server.spawn(self._run(back, number, key or number, cls))
-        return http1.response(202) * (2 if self.trouble is WorkerFault.DUPLICATE else 1)
+        self.jobs[back.port, number] = self.server.spawn(self._run(back, number, key or number, cls))
+        return http1.response(202) * (2 if self.fault is WorkerFault.DUPLICATE else 1)
 
     async def _run(self, back: Caller, number: str, key: str, cls: str) -> None:
         length = self.random.expovariate(1 / self.means.get(cls, 0.1))
         try:
-            async with self._free:
+            async with self._free_slots:
                 self.runs[key] += 1
-                await self._tell(back, number, "started")
+                await self._notify(back, number, "started")
                 done = 0.0
                 while length - done > PROGRESS_INTERVAL_S:
                     await asyncio.sleep(PROGRESS_INTERVAL_S)
                     done += PROGRESS_INTERVAL_S
-                    await self._tell(back, number, "running", share=done / length)
+                    await self._notify(back, number, "running", share=done / length)
                 await asyncio.sleep(length - done)
             self.counters["done"] += 1
-            await self._tell(back, number, "done", result=f"{cls} by {self.name}")
+            await self._notify(back, number, "done", result=f"{cls} by {self.name}")
         finally:
-            self.held.pop((back.port, number), None)
+            self.jobs.pop((back.port, number), None)
 
-    async def _tell(self, back: Caller, number: str, state: str, **more: object) -> None:
+    async def _notify(self, back: Caller, number: str, state: str, **more: object) -> None:
         body = json.dumps({"id": number, "from": self.name, "state": state, **more}).encode()
         head = {"Host": "dispatcher", "Content-Length": str(len(body))}
         for _ in range(CALLBACK_ATTEMPTS):
--- a/benchmarks/leases.py
+++ b/benchmarks/leases.py
@@ -120,7 +120,8 @@
                     process
                     for process in self.processes
                     if any(
-                        line["event"] == "lease_held" and line["number"] == number for line in process.lines
+                        line["event"] == "lease_held" and line["number"] == number
+                        for line in process.log_lines
                     )
                 ]
                 died = time.monotonic()
@@ -144,7 +145,15 @@
 
 async def killed(count: int, kills: int) -> dict[str, dict[str, float]]:
     with tempfile.TemporaryDirectory() as folder:
-        scenario = Scenario("killed", processes=count, boxes=1, racks=1, leases=1, span_s=SPAN, act_s=0.05)
+        scenario = Scenario(
+            "killed",
+            processes=count,
+            workers=1,
+            deduplication_groups=1,
+            leases=1,
+            lease_span_s=SPAN,
+            lease_act_interval_s=0.05,
+        )
         play = Killed(scenario, Path(folder))
         play.kills = kills
         name = f"holder killed to next act, {count} processes"
--- a/benchmarks/recovery.py
+++ b/benchmarks/recovery.py
@@ -45,7 +45,7 @@
             slots=8,
             keyed=0.4,
             seconds=14.0,
-            patience_s=4.0,
+            client_timeout_s=4.0,
             recovery=on,
             faults=SCENARIOS[name],
         )
--- a/tests/cli/test_soak.py
+++ b/tests/cli/test_soak.py
@@ -13,7 +13,7 @@
 from beaconhinge.cli import main
 from beaconhinge.standin.discovery import Spoil
 from beaconhinge.standin.rig import shim
-from beaconhinge.standin.rig.soak import LAST, SECONDS, draw_soak, shrink
+from beaconhinge.standin.rig.soak import LAST_FAULT_AT_S, SCENARIO_S, draw_soak, shrink
 from beaconhinge.standin.workers import WorkerFault
 
 KINDS = {"drain", "stop", "kill", "term", "reload", "cut", "lossy", "discovery", "mute", "spoil", "workers"}
@@ -23,16 +23,16 @@
     scenarios = [draw_soak(seed, 12) for seed in range(60)]
     assert draw_soak(7, 12) == scenarios[7] and len({repr(scenario.faults) for scenario in scenarios}) == 60
     faults = [fault for scenario in scenarios for fault in scenario.faults]
-    assert {fault.what for fault in faults} == KINDS
-    assert {fault.how for fault in faults if fault.what == "spoil"} == set(Spoil)
-    assert {fault.trouble for fault in faults if fault.what == "workers"} == set(WorkerFault)
+    assert {fault.kind for fault in faults} == KINDS
+    assert {fault.spoil for fault in faults if fault.kind == "spoil"} == set(Spoil)
+    assert {fault.worker_fault for fault in faults if fault.kind == "workers"} == set(WorkerFault)
     assert all(scenario.problem() is None for scenario in scenarios)
-    assert all(fault.at_s <= LAST < SECONDS - 6.0 for fault in faults)
+    assert all(fault.at_s <= LAST_FAULT_AT_S < SCENARIO_S - 6.0 for fault in faults)
     overlapping = [
         scenario
         for scenario in scenarios
         if any(
-            one.at_s < other.at_s < one.at_s + one.for_s
+            one.at_s < other.at_s < one.at_s + one.duration_s
             for one in scenario.faults[1:]
             for other in scenario.faults[1:]
         )
@@ -67,20 +67,20 @@
 
 
 def test_the_shim_makes_each_kind_of_call_fail_and_counts_it(tmp_path: Path) -> None:
-    library, counts = shim.build(tmp_path), tmp_path / "counts"
+    library, counts = shim.build_library(tmp_path), tmp_path / "counts"
     environment = shim.environment(
         library, counts, "accept=0.2,connect=0.2,short=0.3,step=3600,socket=0.2", 5
     )
     subprocess.run([sys.executable, "-c", PROBE], env=environment, check=True, timeout=30)
-    hits = shim.hits(counts)
-    assert set(hits) == set(shim.KINDS) and min(hits.values()) > 0
-    assert shim.hits(tmp_path / "none") == {}
+    hits = shim.read_hits(counts)
+    assert set(hits) == set(shim.COUNTER_NAMES) and min(hits.values()) > 0
+    assert shim.read_hits(tmp_path / "none") == {}
 
 
 def test_without_a_compiler_the_shim_says_so(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setenv("PATH", str(tmp_path))
     with pytest.raises(shim.ShimError, match="compiler"):
-        shim.build(tmp_path)
+        shim.build_library(tmp_path)
 
 
 @pytest.mark.parametrize("seeds", ["x", "5..1", "-3", "1..x"])
--- a/tests/leases/test_lease_rehearsals.py
+++ b/tests/leases/test_lease_rehearsals.py
@@ -6,17 +6,17 @@
 from typing import Any
 
 from beaconhinge.standin.rig import Fault, Scenario, Verdict, run_scenario
-from beaconhinge.standin.rig.verdict import Act, collisions
+from beaconhinge.standin.rig.verdict import Act, lease_violations
 
 QUIET: dict[str, Any] = {
-    "boxes": 3,
-    "racks": 1,
+    "workers": 3,
+    "deduplication_groups": 1,
     "rate": 5.0,
     "keyed": 0.0,
     "render_s": 0.1,
-    "patience_s": 2.0,
+    "client_timeout_s": 2.0,
     "leases": 4,
-    "span_s": 1.0,
+    "lease_span_s": 1.0,
     "stall_s": 0.5,
 }
 
@@ -36,7 +36,7 @@
 
 def test_no_two_processes_act_at_once_whatever_is_drawn_to_befall_them() -> None:
     scenarios = [
-        Scenario("drawn", seed=seed, processes=processes, seconds=11.0, drawn=8, **QUIET)
+        Scenario("drawn", seed=seed, processes=processes, seconds=11.0, drawn_faults=8, **QUIET)
         for processes, seed in ((3, 31), (3, 32), (3, 33), (5, 34), (5, 35), (9, 36))
     ]
     verdicts = rehearsed(*scenarios)
@@ -86,7 +86,7 @@
 
 def test_the_checker_sees_acts_that_overlap_and_numbers_that_fall() -> None:
     acts = [Act("a", 1, 0.0, 1.0), Act("a", 1, 0.5, 1.5), Act("a", 2, 1.6, 2.0), Act("b", 1, 1.0, 3.0)]
-    assert collisions(acts) == []
-    assert len(collisions([*acts, Act("a", 3, 1.9, 2.1)])) == 1
-    assert len(collisions([*acts, Act("a", 1, 2.5, 2.6)])) == 1
-    assert collisions([*acts, Act("a", 1, 1.9, 2.1, accepted=False)]) == []
+    assert lease_violations(acts) == []
+    assert len(lease_violations([*acts, Act("a", 3, 1.9, 2.1)])) == 1
+    assert len(lease_violations([*acts, Act("a", 1, 2.5, 2.6)])) == 1
+    assert lease_violations([*acts, Act("a", 1, 1.9, 2.1, accepted=False)]) == []
--- a/tests/leases/test_process.py
+++ b/tests/leases/test_process.py
@@ -18,7 +18,7 @@
 from beaconhinge.config.local import convert
 from beaconhinge.standin.harness import DemoFleet, end, log_lines, start, until_up
 from beaconhinge.standin.ports import free_port
-from beaconhinge.standin.rig.verdict import Act, collisions
+from beaconhinge.standin.rig.verdict import Act, lease_violations
 
 SPAN = 0.6
 
@@ -129,7 +129,7 @@
         assert await end(new) == 0
 
     led = played(tmp_path, scenario)
-    assert collisions(led.acts) == []
+    assert lease_violations(led.acts) == []
     assert len({act.number for act in led.acts}) >= 2
 
 
@@ -152,7 +152,7 @@
         assert await end(second) == 0
 
     led = played(tmp_path, scenario)
-    assert collisions(led.acts) == []
+    assert lease_violations(led.acts) == []
     assert len({act.number for act in led.acts}) == 2
 
 
@@ -175,7 +175,7 @@
         await until(lambda: len(led.acts) > count + 5)
         assert await end(process) == 0
 
-    assert collisions(played(tmp_path, scenario).acts) == []
+    assert lease_violations(played(tmp_path, scenario).acts) == []
 
 
 def test_operators_list_run_under_and_hand_over_leases(
--- a/tests/recovery/test_clients_that_leave.py
+++ b/tests/recovery/test_clients_that_leave.py
@@ -5,18 +5,18 @@
 import asyncio
 
 from beaconhinge.standin.rig import Fault, Scenario, run_scenario
-from beaconhinge.standin.rig.verdict import Asked, begun_for_nobody
+from beaconhinge.standin.rig.verdict import ClientAttempt, attempts_after_disconnect
 from beaconhinge.standin.workers import ReceivedDeadline, WorkerFault
 
 SMALL = {
     "processes": 4,
-    "boxes": 6,
+    "workers": 6,
     "slots": 8,
     "rate": 100.0,
     "keyed": 0.0,
     "render_s": 0.15,
     "publish_s": 0.3,
-    "patience_s": 2.0,
+    "client_timeout_s": 2.0,
     "seconds": 7.0,
     "store": False,
     "recovery": False,
@@ -30,11 +30,11 @@
         Fault(1.0, "kill", 0.3, [0]),
         Fault(1.2, "stop", 1.5, [1]),
         Fault(2.0, "term", 0.3, [2]),
-        Fault(1.5, "workers", 1.0, trouble=WorkerFault.HANG),
-        Fault(3.0, "workers", 1.0, trouble=WorkerFault.RESET),
-        Fault(4.2, "workers", 0.8, trouble=WorkerFault.REJECT),
+        Fault(1.5, "workers", 1.0, worker_fault=WorkerFault.HANG),
+        Fault(3.0, "workers", 1.0, worker_fault=WorkerFault.RESET),
+        Fault(4.2, "workers", 0.8, worker_fault=WorkerFault.REJECT),
     ]
-    scenario = Scenario("leaving", seed=71, faults=faults, unsafe=0.4, leaving=0.4, **SMALL)
+    scenario = Scenario("leaving", seed=71, faults=faults, unsafe=0.4, disconnecting=0.4, **SMALL)
     verdict = asyncio.run(run_scenario(scenario))
     assert verdict.broken == [], verdict.last
     assert verdict.ends["left"] > 60 and verdict.ends["200"] > 200
@@ -42,11 +42,13 @@
 
 def test_the_judge_sees_an_attempt_that_begins_for_nobody() -> None:
     asked = [
-        Asked("", "render", 0, 10.0, request="r1", patience_s=3.0, left_at=11.0),
-        Asked("", "render", 0, 10.0, request="r2", patience_s=3.0),
+        ClientAttempt("", "render", 0, 10.0, request_id="r1", timeout_s=3.0, disconnected_at=11.0),
+        ClientAttempt("", "render", 0, 10.0, request_id="r2", timeout_s=3.0),
     ]
     assert (
-        begun_for_nobody(asked, [ReceivedDeadline("r1", 11.05, 1.0), ReceivedDeadline("r2", 12.9, 0.1)], 0.1)
+        attempts_after_disconnect(
+            asked, [ReceivedDeadline("r1", 11.05, 1.0), ReceivedDeadline("r2", 12.9, 0.1)], 0.1
+        )
         == []
     )
-    assert len(begun_for_nobody(asked, [ReceivedDeadline("r1", 11.2, 1.0)], 0.1)) == 1
+    assert len(attempts_after_disconnect(asked, [ReceivedDeadline("r1", 11.2, 1.0)], 0.1)) == 1
--- a/tests/recovery/test_deadlines.py
+++ b/tests/recovery/test_deadlines.py
@@ -7,17 +7,17 @@
 import pytest
 
 from beaconhinge.standin.rig import Fault, Scenario, run_scenario
-from beaconhinge.standin.rig.verdict import Asked, overstated
+from beaconhinge.standin.rig.verdict import ClientAttempt, overstated_deadlines
 from beaconhinge.standin.workers import ReceivedDeadline
 
 SMALL = {
     "processes": 4,
-    "boxes": 6,
+    "workers": 6,
     "slots": 8,
     "rate": 120.0,
     "keyed": 0.0,
     "render_s": 0.1,
-    "patience_s": 3.0,
+    "client_timeout_s": 3.0,
     "seconds": 6.0,
     "store": False,
 }
@@ -37,8 +37,11 @@
 
 
 def test_the_judge_sees_a_worker_that_is_given_too_much_time() -> None:
-    asked = [Asked("", "render", 0, 10.0, request="r1", patience_s=3.0)]
+    asked = [ClientAttempt("", "render", 0, 10.0, request_id="r1", timeout_s=3.0)]
     assert (
-        overstated(asked, [ReceivedDeadline("r1", 12.0, 1.1), ReceivedDeadline("r2", 12.0, 9.0)], 0.4) == []
+        overstated_deadlines(
+            asked, [ReceivedDeadline("r1", 12.0, 1.1), ReceivedDeadline("r2", 12.0, 9.0)], 0.4
+        )
+        == []
     )
-    assert len(overstated(asked, [ReceivedDeadline("r1", 12.0, 2.0)], 0.4)) == 1
+    assert len(overstated_deadlines(asked, [ReceivedDeadline("r1", 12.0, 2.0)], 0.4)) == 1
--- a/tests/recovery/test_drains.py
+++ b/tests/recovery/test_drains.py
@@ -10,17 +10,17 @@
 
 SMALL = {
     "processes": 5,
-    "boxes": 6,
+    "workers": 6,
     "slots": 8,
     "rate": 60.0,
     "keyed": 0.0,
     "render_s": 0.1,
-    "patience_s": 0.8,
+    "client_timeout_s": 0.8,
     "seconds": 9.0,
     "store": False,
     "recovery": False,
 }
-WHOLE = [Fault(0.7, "drain", 8.0, boxes=2)]
+WHOLE = [Fault(0.7, "drain", 8.0, workers=2)]
 
 SCENARIOS = [
     Scenario(
@@ -29,25 +29,27 @@
         faults=[Fault(0.6, "mute", 0.1), *WHOLE],
         **SMALL,
     ),
-    Scenario("the same, pushed", seed=42, pushed=True, faults=[Fault(0.6, "mute", 0.1), *WHOLE], **SMALL),
+    Scenario(
+        "the same, pushed", seed=42, pushed_membership=True, faults=[Fault(0.6, "mute", 0.1), *WHOLE], **SMALL
+    ),
     Scenario(
         "agents away as boxes begin to drain",
         seed=43,
-        pushed=True,
+        pushed_membership=True,
         faults=[Fault(0.5, "discovery", 1.5), *WHOLE],
         **SMALL,
     ),
     Scenario(
         "started again with an old list, pushed",
         seed=44,
-        pushed=True,
+        pushed_membership=True,
         faults=[*WHOLE, Fault(2.0, "kill", 0.2, [1]), Fault(2.5, "term", 0.2, [3])],
         **SMALL,
     ),
     Scenario(
         "stopped as boxes begin to drain",
         seed=45,
-        pushed=True,
+        pushed_membership=True,
         faults=[Fault(0.5, "stop", 1.5, [1, 2]), *WHOLE],
         **{**SMALL, "recovery": True},
     ),
@@ -81,5 +83,10 @@
 
 def test_only_drains_need_a_box_that_stays() -> None:
     """A scenario with one box was refused for any fault."""
-    assert Scenario("one box", boxes=1, racks=1, faults=[Fault(1.0, "stop", 1.0)]).problem() is None
-    assert "boxes" in str(Scenario("one box", boxes=1, racks=1, faults=[Fault(1.0, "drain", 1.0)]).problem())
+    assert (
+        Scenario("one box", workers=1, deduplication_groups=1, faults=[Fault(1.0, "stop", 1.0)]).problem()
+        is None
+    )
+    assert "boxes" in str(
+        Scenario("one box", workers=1, deduplication_groups=1, faults=[Fault(1.0, "drain", 1.0)]).problem()
+    )
--- a/tests/recovery/test_rehearsals.py
+++ b/tests/recovery/test_rehearsals.py
@@ -10,19 +10,25 @@
 import pytest
 
 from beaconhinge.cli import main
-from beaconhinge.standin.rig import Fault, Scenario, ScenarioError, Verdict, read, run_scenario
+from beaconhinge.standin.rig import Fault, Scenario, ScenarioError, Verdict, read_scenario, run_scenario
 from beaconhinge.standin.rig.process import Process
 from beaconhinge.standin.rig.runner import ScenarioRun
-from beaconhinge.standin.rig.verdict import Asked, benched, run_twice, served, unexcused
+from beaconhinge.standin.rig.verdict import (
+    ClientAttempt,
+    ejections_logged,
+    keys_run_twice,
+    missing_without_excuse,
+    served_share_of_jobs,
+)
 
 SMALL = {
     "processes": 4,
-    "boxes": 6,
+    "workers": 6,
     "slots": 8,
     "rate": 50.0,
     "render_s": 0.15,
     "publish_s": 0.4,
-    "patience_s": 0.8,
+    "client_timeout_s": 0.8,
     "seconds": 6.0,
 }
 
@@ -52,7 +58,7 @@
         Scenario(
             "with half of the datagrams lost",
             seed=4,
-            faults=[*stopped, Fault(0.5, "lossy", 4.0, part=0.5)],
+            faults=[*stopped, Fault(0.5, "lossy", 4.0, loss_share=0.5)],
             **SMALL,
         ),
         Scenario(
@@ -64,7 +70,7 @@
     ]
     for scenario, verdict in zip(scenarios, rehearsed(*scenarios), strict=True):
         assert verdict.broken == [], (scenario.name, verdict.last)
-        assert verdict.counters["stalls"] >= len([f for f in scenario.faults if f.what == "stop"])
+        assert verdict.counters["stalls"] >= len([f for f in scenario.faults if f.kind == "stop"])
         assert verdict.counters["datagrams_stale"] > 0 or scenario.name == "all at once"
         assert verdict.served_after > 0.75 and verdict.plain_after > 0.9 and verdict.asked > 150, (
             scenario.name
@@ -136,7 +142,7 @@
         "rate": 8.0,
         "keyed": 0.0,
         "render_s": 3.0,
-        "patience_s": 7.0,
+        "client_timeout_s": 7.0,
         "seconds": 4.0,
     }
     lost, orphans = rehearsed(
@@ -156,7 +162,7 @@
         "rate": 30.0,
         "keyed": 0.6,
         "publish_s": 1.5,
-        "patience_s": 2.5,
+        "client_timeout_s": 2.5,
         "seconds": 4.0,
     }
     verdict = rehearsed(Scenario("power", seed=15, faults=[Fault(1.5, "kill", 0.2)], **patient))[0]
@@ -167,16 +173,16 @@
 
 def test_the_checkers_see_what_is_wrong_and_excuse_what_a_fault_explains() -> None:
     tries = [
-        Asked("k", "publish", 0, 1.0, 2.0, "missing"),
-        Asked("k", "publish", 1, 1.0, 2.0, "missing"),
-        Asked("", "render", 0, 9.0, 9.5, "missing"),
-        Asked("", "render", 0, 9.0, 9.5, "503"),
+        ClientAttempt("k", "publish", 0, 1.0, 2.0, "missing"),
+        ClientAttempt("k", "publish", 1, 1.0, 2.0, "missing"),
+        ClientAttempt("", "render", 0, 9.0, 9.5, "missing"),
+        ClientAttempt("", "render", 0, 9.0, 9.5, "503"),
     ]
-    assert unexcused(tries, [[(1.5, 4.0)], []], 0.5) == [tries[1], tries[2]]
-    assert run_twice({"a": 1, "b": 2, "c": 0}) == ["b"]
+    assert missing_without_excuse(tries, [[(1.5, 4.0)], []], 0.5) == [tries[1], tries[2]]
+    assert keys_run_twice({"a": 1, "b": 2, "c": 0}) == ["b"]
     line = {"event": "module", "text": "worker 17 benched, failure share 0.30"}
     other = {"event": "module", "text": "fleet rate cut to 3.00 after 3 full of 9"}
-    assert benched([line, other, line, {"event": "started"}]) == {"17": 2}
+    assert ejections_logged([line, other, line, {"event": "started"}]) == {"17": 2}
 
 
 def test_the_end_of_a_stop_leaves_a_process_down_that_was_killed_meanwhile(tmp_path: Path) -> None:
@@ -185,12 +191,12 @@
     async def scenario() -> Process:
         process = Process(0, 1, tmp_path, {}, "")
         process._process = await asyncio.create_subprocess_exec("sleep", "60")
-        assert process.stop()
+        assert process.pause()
         await process.end(signal.SIGKILL)
-        process.go_on()
+        process.resume()
         return process
 
-    assert asyncio.run(scenario()).stood == []
+    assert asyncio.run(scenario()).down_spans == []
 
 
 def test_a_process_that_ends_badly_in_the_midst_of_a_story_breaks_it(tmp_path: Path) -> None:
@@ -203,8 +209,8 @@
         "badly",
         seed=16,
         processes=1,
-        boxes=1,
-        racks=1,
+        workers=1,
+        deduplication_groups=1,
         rate=30.0,
         seconds=0.5,
         keyed=0.0,
@@ -219,7 +225,7 @@
             "nobody asks",
             seed=9,
             processes=2,
-            boxes=1,
+            workers=1,
             rate=0.1,
             seconds=0.2,
             keyed=0.0,
@@ -237,7 +243,7 @@
         "brief",
         seed=17,
         processes=2,
-        boxes=1,
+        workers=1,
         rate=30.0,
         seconds=1.0,
         keyed=0.0,
@@ -246,21 +252,26 @@
     play = ScenarioRun(scenario, tmp_path)
     verdict = asyncio.run(play.run())
     assert verdict.broken == [] and verdict.faults["cut"] >= 1
-    assert play.late() > 0.0 and max(t.at for t in play.clients.tries) > play.began + 0.2 + 0.8 * play.late()
+    assert (
+        play.late() > 0.0
+        and max(t.sent_at for t in play.clients.attempts) > play.began + 0.2 + 0.8 * play.late()
+    )
 
 
 def test_a_job_counts_once_however_often_its_client_came_and_where_it_was_first_asked() -> None:
     tries = [
-        Asked("k", "publish", 0, 1.0, 2.0, "missing"),
-        Asked("k", "publish", 1, 2.3, 2.5, "200"),
-        Asked("m", "publish", 0, 2.0, 2.1, "503"),
-        Asked("m", "publish", 1, 2.4, 2.5, "503"),
-        Asked("", "render", 0, 2.0, 2.2, "200"),
-        Asked("", "render", 0, 2.1, 2.2, "502"),
+        ClientAttempt("k", "publish", 0, 1.0, 2.0, "missing"),
+        ClientAttempt("k", "publish", 1, 2.3, 2.5, "200"),
+        ClientAttempt("m", "publish", 0, 2.0, 2.1, "503"),
+        ClientAttempt("m", "publish", 1, 2.4, 2.5, "503"),
+        ClientAttempt("", "render", 0, 2.0, 2.2, "200"),
+        ClientAttempt("", "render", 0, 2.1, 2.2, "502"),
     ]
-    assert served(tries, 0.0, 1.5) == 1.0  # though its own try of that time was lost
-    assert served(tries, 2.0, 3.0) == pytest.approx(1 / 3)  # and that of the first job is not of this span
-    assert served(tries, 5.0, 6.0) == 0.0
+    assert served_share_of_jobs(tries, 0.0, 1.5) == 1.0  # though its own try of that time was lost
+    assert served_share_of_jobs(tries, 2.0, 3.0) == pytest.approx(
+        1 / 3
+    )  # and that of the first job is not of this span
+    assert served_share_of_jobs(tries, 5.0, 6.0) == 0.0
 
 
 def test_a_story_is_data_and_a_faulty_one_is_named_by_its_key(
@@ -276,7 +287,7 @@
     ):
         file.write_text(text)
         with pytest.raises(ScenarioError, match=".") as caught:
-            read(file)
+            read_scenario(file)
         assert named in str(caught.value)
     file.write_text(
         'name = "short"\nseconds = 0.5\nprocesses = 2\nboxes = 2\nracks = 1\nrate = 30.0\nkeyed = 0.0'
@@ -284,4 +295,4 @@
     assert main(["rehearse", str(file), "--seed", "3", "--json"]) == 0
     told = json.loads(capsys.readouterr().out)
     assert told["well"] and told["seed"] == 3 and told["asked"] > 3
-    assert all(read(path).name for path in Path("deploy/rehearsals").glob("*.toml"))
+    assert all(read_scenario(path).name for path in Path("deploy/rehearsals").glob("*.toml"))
--- a/tests/recovery/test_returns_by_old_lists.py
+++ b/tests/recovery/test_returns_by_old_lists.py
@@ -9,7 +9,7 @@
 
 from beaconhinge.standin.rig import Fault, Scenario, run_scenario
 
-LEFT = Fault(0.8, "drain", 10.0, boxes=2)
+LEFT = Fault(0.8, "drain", 10.0, workers=2)
 AWAY = [1, 3, 4, 6, 8, 9, 10, 11]
 
 SCENARIOS = [
--- a/tests/recovery/test_shutdowns.py
+++ b/tests/recovery/test_shutdowns.py
@@ -7,34 +7,35 @@
 
 from beaconhinge.standin.rig import Fault, Scenario, Verdict
 from beaconhinge.standin.rig.runner import ScenarioRun
-from beaconhinge.standin.rig.verdict import Asked
+from beaconhinge.standin.rig.verdict import ClientAttempt
 
 FIVE = {
     "processes": 5,
-    "boxes": 8,
+    "workers": 8,
     "slots": 8,
     "rate": 100.0,
     "keyed": 0.0,
     "render_s": 0.25,
-    "patience_s": 1.5,
+    "client_timeout_s": 1.5,
     "seconds": 4.0,
 }
 ON_ITS_WAY = 0.02  # seconds before the signal, from which on a job may not have been taken yet
 
 
-def ended(scenario: Scenario, folder: Path) -> tuple[Verdict, list[Asked], list[Asked]]:
+def ended(scenario: Scenario, folder: Path) -> tuple[Verdict, list[ClientAttempt], list[ClientAttempt]]:
     """The verdict, what was in work as its dispatcher got the signal, and what of that had no answer."""
     play = ScenarioRun(scenario, folder)
     verdict = asyncio.run(play.run())
-    ends = [(p.number, begun) for p in play.processes for begun, _ in p.stood]
+    ends = [(p.number, begun) for p in play.processes for begun, _ in p.down_spans]
     taken = [
         t
-        for t in play.clients.tries
+        for t in play.clients.attempts
         if any(
-            t.dispatcher == number and t.at < begun - ON_ITS_WAY and t.ended > begun for number, begun in ends
+            t.dispatcher == number and t.sent_at < begun - ON_ITS_WAY and t.ended_at > begun
+            for number, begun in ends
         )
     ]
-    return verdict, taken, [t for t in taken if t.end == "missing"]
+    return verdict, taken, [t for t in taken if t.outcome == "missing"]
 
 
 def test_five_that_end_at_once_lose_nothing_they_had_taken(tmp_path: Path) -> None:
@@ -43,7 +44,7 @@
     )
     assert verdict.broken == [] and verdict.faults["term"] == 5
     assert len(taken) >= 5 and lost == []
-    assert sum(t.end == "200" for t in taken) >= 0.8 * len(taken)
+    assert sum(t.outcome == "200" for t in taken) >= 0.8 * len(taken)
     assert verdict.plain_after > 0.9
 
 
--- a/tests/recovery/test_spoilt_lists.py
+++ b/tests/recovery/test_spoilt_lists.py
@@ -14,18 +14,18 @@
 
 def scenario(name: str, seed: int, hows: list[Spoil], spoilt_s: float) -> Scenario:
     """One dispatcher for each way in which its discovery spoils the answers."""
-    spoils = [Fault(1.0, "spoil", spoilt_s, [number], how=how) for number, how in enumerate(hows)]
+    spoils = [Fault(1.0, "spoil", spoilt_s, [number], spoil=how) for number, how in enumerate(hows)]
     return Scenario(
         name,
         seed=seed,
         processes=len(hows),
-        boxes=6,
+        workers=6,
         rate=80.0,
         keyed=0.0,
         seconds=11.0,
         recovery=False,
         store=False,
-        faults=[Fault(DRAIN_S, "drain", LEFT_S, boxes=2), *spoils],
+        faults=[Fault(DRAIN_S, "drain", LEFT_S, workers=2), *spoils],
     )
 
 
