--- a/beaconhinge/cli/soak.py
+++ b/beaconhinge/cli/soak.py
@@ -110,7 +110,8 @@
     print(f"  again: {command}", flush=True)
     for fault in less.faults:
         print(
-            f"    {fault.at_s:.2f} s {fault.kind} for {fault.duration_s:.2f} s, dispatchers {fault.dispatchers or 'all'}"
+            f"    {fault.at_s:.2f} s {fault.kind} for {fault.duration_s:.2f} s, "
+            f"dispatchers {fault.dispatchers or 'all'}"
             f"{' ' + fault.spoil.value if fault.kind == 'spoil' else ''}"
             f"{' ' + fault.worker_fault.value if fault.kind == 'workers' else ''}",
             flush=True,
--- a/beaconhinge/standin/rig/clients.py
+++ b/beaconhinge/standin/rig/clients.py
@@ -1,4 +1,4 @@
-"""Clients that ask on schedule at any dispatcher, and with a key come again until they have a result."""
+"""Clients that send jobs on schedule to any dispatcher, and repeat one with a key until they have its result."""
 
 from __future__ import annotations
 
@@ -13,45 +13,62 @@
 from .scenario import Scenario
 from .verdict import ClientAttempt
 
-ANSWER_GRACE_S = 2.0  # seconds beyond a try's own time after which its answer counts as missing
-# Times the patience that a client with a key gives each try, of three times in all.
+# Seconds beyond an attempt's own time-out after which its answer counts as missing.
+ANSWER_GRACE_S = 2.0
+# Times the client's time-out that one attempt with a key may take, of the three times that all have together.
 KEYED_TIMEOUT_FACTOR = 1.5
-RETRY_DELAY_S = 0.3  # seconds until it comes again
+# Seconds until a client with a key comes again.
+RETRY_DELAY_S = 0.3
 
 
 class Clients:
+    """All clients of a scenario: jobs come by a Poisson process, each at a dispatcher of its own choice."""
+
     def __init__(
         self,
         scenario: Scenario,
         ports: list[int],
-        extra_seconds: Callable[[], float],
+        extra_s: Callable[[], float],
         reached_worker: Callable[[str], bool],
     ) -> None:
-        """`late`: seconds for which they go on asking beyond the scenario's own end. `sent`: whether a worker
-        has had that request.
+        """Take what the clients ask for, and whom.
+
+        Args:
+            scenario: Rates, classes and time-outs, and the seed.
+            ports: Of the dispatchers, by number.
+            extra_s: Returns for how many seconds jobs come beyond the scenario's own end.
+            reached_worker: Whether a worker has had the request of that id.
         """
         self.scenario = scenario
-        self.late = extra_seconds
-        self.sent = reached_worker
+        self.extra_s = extra_s
+        self.reached_worker = reached_worker
         self.random = random.Random(scenario.seed)
         self.callers = [Caller(port) for port in ports]
         self.attempts: list[ClientAttempt] = []
-        self.answered: dict[str, bool] = {}  # keys: whether one try had the result
+        # By key: whether one attempt had the result.
+        self.answered: dict[str, bool] = {}
         self._open_jobs: set[asyncio.Task[None]] = set()
 
     async def run(self) -> None:
+        """Send jobs until the scenario's end, and wait for the last answers."""
         loop, scenario = asyncio.get_running_loop(), self.scenario
         due = loop.time()
         end = due + scenario.seconds
-        greedy = scenario.over_quota_factor * scenario.quota_rps
-        while (due := due + self.random.expovariate(scenario.rate + greedy)) < end + self.late():
-            beyond_quota = greedy and self.random.random() * (scenario.rate + greedy) < greedy
+        over_quota_rate = scenario.over_quota_factor * scenario.quota_rps
+        rate = scenario.rate + over_quota_rate
+        while (due := due + self.random.expovariate(rate)) < end + self.extra_s():
+            beyond_quota = over_quota_rate and self.random.random() * rate < over_quota_rate
             tenant = "south" if beyond_quota else "north"
             keyed = tenant == "north" and self.random.random() < scenario.keyed
-            number = f"{self.random.getrandbits(64):016x}"
+            job_id = f"{self.random.getrandbits(64):016x}"
             order = self.random.sample(range(scenario.processes), scenario.processes)
             await asyncio.sleep(max(0.0, due - loop.time()))
-            task = asyncio.create_task(self._run_job(tenant, keyed, number, order))
+            job = (
+                self._run_keyed_job(tenant, job_id, order)
+                if keyed
+                else self._run_job(tenant, job_id, order[0])
+            )
+            task = asyncio.create_task(job)
             self._open_jobs.add(task)
             task.add_done_callback(self._open_jobs.discard)
         if self._open_jobs:
@@ -59,67 +76,87 @@
         for caller in self.callers:
             caller.close()
 
-    async def _run_job(self, tenant: str, keyed: bool, number: str, order: list[int]) -> None:
-        if not keyed:
-            cls = "transfer" if self._chance(self.scenario.unsafe) else "render"
-            await self._attempt(tenant, cls, "", number, order[0], self.scenario.client_timeout_s, False)
-            return
-        self.answered[number] = False
-        until, turn = time.monotonic() + 3 * self.scenario.client_timeout_s, 0
-        while not self.answered[number] and (left := until - time.monotonic()) > RETRY_DELAY_S:
-            name = f"{number[:-2]}{turn % 256:02x}"
-            at = order[turn % len(order)]
-            most = min(left, KEYED_TIMEOUT_FACTOR * self.scenario.client_timeout_s)
-            status = await self._attempt(tenant, "publish", number, name, at, most, turn > 0)
-            self.answered[number] = status == "200"
-            turn += 1
-            await asyncio.sleep(0.0 if self.answered[number] else RETRY_DELAY_S)
-
-    async def _attempt(
-        self, tenant: str, cls: str, key: str, name: str, at: int, seconds: float, again: bool
-    ) -> str:
-        head = {"Host": "service", "X-Request-ID": name, "X-Tenant-Id": tenant, "Content-Length": "4"}
-        head |= {"Idempotency-Key": key} if key else {}
-        head |= {"X-Retried": "1"} if again else {}
-        try_ = ClientAttempt(
-            key, cls, at, time.monotonic(), tenant=tenant, request_id=name, timeout_s=seconds
-        )
-        self.attempts.append(try_)
-        leaves = not key and self._chance(self.scenario.disconnecting)
-        waits = (
-            self.random.uniform(0.0, seconds / 2)
-            if leaves
-            else seconds + (ANSWER_GRACE_S / 2 if key else ANSWER_GRACE_S)
+    async def _run_job(self, tenant: str, job_id: str, dispatcher: int) -> None:
+        """Send a job without a key, once."""
+        job_class = "transfer" if self._chance(self.scenario.unsafe) else "render"
+        await self._send_attempt(
+            ClientAttempt(
+                "",
+                job_class,
+                dispatcher,
+                time.monotonic(),
+                tenant=tenant,
+                request_id=job_id,
+                timeout_s=self.scenario.client_timeout_s,
+            )
         )
-        try_.outcome = "missing"
+
+    async def _run_keyed_job(self, tenant: str, key: str, order: list[int]) -> None:
+        """Send a job with a key to one dispatcher after the other, until one has the result or time is up."""
+        self.answered[key] = False
+        until, number = time.monotonic() + 3 * self.scenario.client_timeout_s, 0
+        while not self.answered[key] and (left_s := until - time.monotonic()) > RETRY_DELAY_S:
+            attempt = ClientAttempt(
+                key,
+                "publish",
+                order[number % len(order)],
+                time.monotonic(),
+                tenant=tenant,
+                request_id=f"{key[:-2]}{number % 256:02x}",
+                timeout_s=min(left_s, KEYED_TIMEOUT_FACTOR * self.scenario.client_timeout_s),
+            )
+            outcome = await self._send_attempt(attempt, is_retry=number > 0)
+            self.answered[key] = outcome == "200"
+            number += 1
+            await asyncio.sleep(0.0 if self.answered[key] else RETRY_DELAY_S)
+
+    async def _send_attempt(self, attempt: ClientAttempt, is_retry: bool = False) -> str:
+        """Send it, wait for the answer, and return the outcome, which is recorded too."""
+        headers = {
+            "Host": "service",
+            "X-Request-ID": attempt.request_id,
+            "X-Tenant-Id": attempt.tenant,
+            "Content-Length": "4",
+        }
+        headers |= {"Idempotency-Key": attempt.key} if attempt.key else {}
+        headers |= {"X-Retried": "1"} if is_retry else {}
+        self.attempts.append(attempt)
+        disconnects = not attempt.key and self._chance(self.scenario.disconnecting)
+        if disconnects:
+            wait_s = self.random.uniform(0.0, attempt.timeout_s / 2)
+        else:
+            wait_s = attempt.timeout_s + (ANSWER_GRACE_S / 2 if attempt.key else ANSWER_GRACE_S)
+        attempt.outcome = "missing"
         try:
-            async with asyncio.timeout(waits):
-                try_.outcome = str((await self._send(try_, head)).status)
+            async with asyncio.timeout(wait_s):
+                attempt.outcome = str((await self._call(attempt, headers)).status)
         except TimeoutError:
-            if leaves:
-                try_.outcome, try_.disconnected_at = "left", time.monotonic()
+            if disconnects:
+                attempt.outcome, attempt.disconnected_at = "left", time.monotonic()
         except (OSError, Closed, BadMessage):
             pass
-        try_.ended_at = time.monotonic()
-        return try_.outcome
+        attempt.ended_at = time.monotonic()
+        return attempt.outcome
+
+    async def _call(self, attempt: ClientAttempt, headers: dict[str, str]) -> Message:
+        """Return the answer.
 
-    async def _send(self, try_: ClientAttempt, head: dict[str, str]) -> Message:
-        """The answer. A request that crossed the end of a kept connection goes once more, on a new one and
-        with the time that is left; one that must not run twice only if no worker has had it.
+        A request that crossed the end of a kept connection goes once more, on a new one and with the time
+        that is left; one that must not run twice only if no worker has had it.
         """
-        caller = self.callers[try_.dispatcher]
+        caller = self.callers[attempt.dispatcher]
         try:
-            return await caller.call(self._encode(try_, head))
+            return await caller.call(self._encode(attempt, headers))
         except (Closed, ConnectionError):
-            if try_.job_class == "transfer" and self.sent(try_.request_id):
+            if attempt.job_class == "transfer" and self.reached_worker(attempt.request_id):
                 raise
-            return await caller.call(self._encode(try_, head), fresh=True)
+            return await caller.call(self._encode(attempt, headers), fresh=True)
 
-    def _encode(self, try_: ClientAttempt, head: dict[str, str]) -> bytes:
-        left = try_.sent_at + try_.timeout_s - time.monotonic()
-        timed = {**head, "X-Timeout-Ms": str(max(1, int(1000 * left)))}
-        return http1.request("POST", f"/{try_.job_class}".encode(), timed, b"work")
+    def _encode(self, attempt: ClientAttempt, headers: dict[str, str]) -> bytes:
+        left_s = attempt.sent_at + attempt.timeout_s - time.monotonic()
+        timed = {**headers, "X-Timeout-Ms": str(max(1, int(1000 * left_s)))}
+        return http1.request("POST", f"/{attempt.job_class}".encode(), timed, b"work")
 
-    def _chance(self, part: float) -> bool:
-        """Whether this one is among such a part of all; nothing is drawn for none."""
-        return part > 0 and self.random.random() < part
+    def _chance(self, share: float) -> bool:
+        """Whether this one is among such a share of all; nothing is drawn for none."""
+        return share > 0 and self.random.random() < share
--- a/beaconhinge/standin/rig/judge.py
+++ b/beaconhinge/standin/rig/judge.py
@@ -5,12 +5,13 @@
 import math
 from collections import Counter
 from collections.abc import Iterator
+from dataclasses import dataclass
 from itertools import islice
-from typing import TYPE_CHECKING
 
 from ...membership.inventory import worker_number
 from . import shim
 from .clients import ANSWER_GRACE_S
+from .record import FinishedRun
 from .verdict import (
     Verdict,
     attempts_after_disconnect,
@@ -23,67 +24,38 @@
     served_share_of_jobs,
 )
 
-if TYPE_CHECKING:
-    from .runner import ScenarioRun
-
-EVENTS_TOLD = 12  # last events of a run, where a rule was broken
-EXAMPLES = 5  # of one broken rule that are told
-SERVICE_JUDGED_AFTER_S = 0.5  # from the last fault
-FIRST_SHARES_S = 5.0  # after the last fault, in which who gets what is judged
-LEASE_HELD_AGAIN = 3.0  # spans after the last fault, and a second, by which a lease has a holder again
-SILENT_TOLD_S = 6.0  # after which what a silent watch misses counts as notified
-WRITTEN_S = 0.1  # after a change, in which discovery writes it to those that watch
-DRAIN_GRACE_S = 0.45  # in which sends to a leaving worker have to stop, with the slack of the page
-DEADLINE_SLACK_S = 0.4  # 0.15 of the page, and what the stand-ins' own loop may be late
-CLIENT_GRACE_S = 0.5  # 0.1 of the page, and the same
-
-
-def _notified_at(run: ScenarioRun, number: int, began: float) -> float:
-    """When a dispatcher counts as notified of a change made at `began`: at once, unless something kept
-    the word from it then; else 6 s after the change, whatever it knew before, or after discovery is back.
-    Where an agent has the list, what the agent has counts for a process from its first moment on.
-    """
-    away, stood = run.away.get(number, []), run.processes[number].down_spans
-    silent = run.silent.get(number, math.inf)
-    if began >= silent:
-        return max(began, silent + SILENT_TOLD_S)
-    if run.scenario.pushed_membership:
-        kept = max([began, *(ended for start, ended in away if start <= began < ended)])
-        return max([kept, *(ended for start, ended in stood if start <= kept < ended)])
-    reachable = began
-    for start, ended in sorted(away):
-        if start < reachable + SILENT_TOLD_S and ended > reachable:
-            reachable = ended
-    spans = [*away, *stood, *run.spoilt.get(number, [])]
-    kept_from = any(start <= began + WRITTEN_S < ended for start, ended in spans)
-    kept_from |= any(began < ended for _, ended in stood)  # what it heard before it ended is gone
-    return reachable + SILENT_TOLD_S if kept_from else began
-
-
-def _sent_to_leaving(run: ScenarioRun) -> list[str]:
-    """Jobs that came to a box later than its dispatcher has after it counts as notified, and until the
-    box was put back.
-    """
-    found = []
-    for process in run.processes:
-        for worker, began, ended in run.drains:
-            told = _notified_at(run, process.number, began)
-            late = [
-                at - told - DRAIN_GRACE_S
-                for at, port in worker.arrivals
-                if port == process.port and told + DRAIN_GRACE_S < at < ended
-            ]
-            if late:
-                found.append(f"dispatcher {process.number} sent to {worker.name}, {late[-1]:.2f} s too late")
-    return found
+# Last events of a run that a verdict names where a rule was broken.
+MAX_EVENTS = 12
+# Examples of one broken rule that a verdict names.
+MAX_EXAMPLES = 5
+# Log lines of one process that could not be read, and that a verdict names.
+MAX_UNREAD_LINES = 3
+# Seconds from the last fault to the span in which service is judged.
+SERVICE_JUDGED_AFTER_S = 0.5
+# Seconds after the last return of a process in which the tenants' shares are judged.
+TENANT_SHARES_JUDGED_S = 5.0
+# Lease spans after the last fault, and a second, by which a lease has a holder again.
+LEASE_HELD_WITHIN_SPANS = 3.0
+LEASE_HELD_SLACK_S = 1.0
+# Seconds after which what a silent watch misses counts as notified.
+SILENT_WATCH_NOTICED_S = 6.0
+# Seconds after a change in which discovery writes it to those that watch.
+CHANGE_WRITTEN_S = 0.1
+# Seconds in which sends to a draining worker have to stop, with the slack of the page.
+DRAIN_GRACE_S = 0.45
+# Seconds that a deadline may be overstated: 0.15 of the page, and the lag of the stand-ins' own loop.
+DEADLINE_SLACK_S = 0.4
+# Seconds after a client's disconnect in which an attempt may begin: 0.1 of the page, and the same lag.
+DISCONNECT_GRACE_S = 0.5
 
 
-def judged(run: ScenarioRun) -> Verdict:
-    """What the run came to, once it is over."""
-    scenario, tries, answered = run.scenario, run.clients.attempts, run.clients.answered
-    for counts in run.shim_counts:
-        run.hits.update({f"shim_{kind}": times for kind, times in shim.read_hits(counts).items()})
-    counters, runs, ejections = _counters(run), _runs(run), _ejections(run)
+def judge(run: FinishedRun) -> Verdict:
+    """Return what a run came to, with the rules that it broke."""
+    scenario, record = run.scenario, run.record
+    for counts in run.topology.shim_counts:
+        hits = shim.read_hits(counts)
+        record.fault_hits.update({f"shim_{kind}": times for kind, times in hits.items()})
+    counters, runs, ejections = _counters(run), _job_runs(run), _ejections(run)
     broken = [
         *_broken_by_requests(run, runs),
         *_broken_by_processes(run, counters, ejections),
@@ -91,119 +63,198 @@
         *_broken_by_leases(run),
         *_nothing_shown(run),
     ]
-    first_fault = run.began + min((fault.at_s for fault in scenario.faults), default=scenario.seconds)
-    judged_from = _last_fault_ended(run) + SERVICE_JUDGED_AFTER_S
-    end = run.began + scenario.seconds + run.late_by_s
-    back = max((ended for process in run.processes for _, ended in process.down_spans), default=run.began)
-    within = [t for t in tries if t.tenant == "north"]
-    greedy = [t for t in tries if t.tenant == "south" and back <= t.sent_at < back + FIRST_SHARES_S]
+    attempts, answered, acts = run.clients.attempts, run.clients.answered, record.lease_acts
+    service = _judge_service(run)
     return Verdict(
         name=scenario.name,
         seed=scenario.seed,
-        asked=len(tries),
-        ends=dict(sorted(Counter(t.outcome for t in tries).items())),
+        asked=len(attempts),
+        ends=dict(sorted(Counter(attempt.outcome for attempt in attempts).items())),
         keys=len(answered),
         keys_unanswered=sum(not done for done in answered.values()),
         runs=runs.total(),
         benched=dict(ejections),
-        faults=dict(run.hits),
+        faults=dict(record.fault_hits),
         counters=dict(sorted(counters.items())),
-        served_before=served_share_of_jobs(tries, run.began, first_fault),
-        served_after=served_share_of_jobs(tries, judged_from, end),
-        plain_after=served_share_of_jobs([t for t in tries if not t.key], judged_from, end),
-        first_share=served_share_of_attempts(within, back, back + FIRST_SHARES_S),
-        greedy_share=sum(t.outcome == "200" for t in greedy) / (FIRST_SHARES_S * scenario.quota_rps),
-        acts=sum(act.accepted for act in run.acts),
-        tenures=len({(act.lease, act.number) for act in run.acts}),
-        stale=sum(not act.accepted for act in run.acts),
-        orphans=run.orphans,
+        served_before=service.before_faults,
+        served_after=service.after_faults,
+        plain_after=service.plain_after_faults,
+        first_share=service.within_quota_on_return,
+        greedy_share=service.over_quota_on_return,
+        acts=sum(act.accepted for act in acts),
+        tenures=len({(act.lease, act.number) for act in acts}),
+        stale=sum(not act.accepted for act in acts),
+        orphans=record.orphaned_jobs,
         broken=broken,
-        last=run.events[-EVENTS_TOLD:] if broken else [],
+        last=record.events[-MAX_EVENTS:] if broken else [],
+    )
+
+
+@dataclass(frozen=True, slots=True)
+class _Service:
+    """Parts of the jobs that were served, round the faults."""
+
+    before_faults: float
+    after_faults: float
+    plain_after_faults: float  # of the jobs without a key
+    within_quota_on_return: float  # of the attempts after the last return of a process
+    over_quota_on_return: float  # what the tenant beyond its quota got then, in quotas
+
+
+def _judge_service(run: FinishedRun) -> _Service:
+    scenario, record, attempts = run.scenario, run.record, run.clients.attempts
+    first_fault = record.began_at + min((fault.at_s for fault in scenario.faults), default=scenario.seconds)
+    judged_from = _last_fault_ended(run) + SERVICE_JUDGED_AFTER_S
+    end = record.began_at + scenario.seconds + record.faults_late_s
+    returned = max(
+        (ended for process in run.topology.processes for _, ended in process.down_spans),
+        default=record.began_at,
+    )
+    shares_until = returned + TENANT_SHARES_JUDGED_S
+    within_quota = [attempt for attempt in attempts if attempt.tenant == "north"]
+    over_quota = [
+        attempt
+        for attempt in attempts
+        if attempt.tenant == "south" and returned <= attempt.sent_at < shares_until
+    ]
+    plain = [attempt for attempt in attempts if not attempt.key]
+    return _Service(
+        before_faults=served_share_of_jobs(attempts, record.began_at, first_fault),
+        after_faults=served_share_of_jobs(attempts, judged_from, end),
+        plain_after_faults=served_share_of_jobs(plain, judged_from, end),
+        within_quota_on_return=served_share_of_attempts(within_quota, returned, shares_until),
+        over_quota_on_return=sum(attempt.outcome == "200" for attempt in over_quota)
+        / (TENANT_SHARES_JUDGED_S * scenario.quota_rps),
     )
 
 
-def _counters(run: ScenarioRun) -> Counter[str]:
+def _counters(run: FinishedRun) -> Counter[str]:
     """Of all processes, over all their lives."""
     total: Counter[str] = Counter()
-    for process in run.processes:
+    for process in run.topology.processes:
         total.update(process.counters)
     return total
 
 
-def _runs(run: ScenarioRun) -> Counter[str]:
+def _job_runs(run: FinishedRun) -> Counter[str]:
     """How often each job ran, by its key, or by its request where it has none."""
     total: Counter[str] = Counter()
-    for worker in run.boxes:
+    for worker in run.topology.workers:
         total.update(worker.runs)
     return total
 
 
-def _ejections(run: ScenarioRun) -> Counter[str]:
+def _ejections(run: FinishedRun) -> Counter[str]:
     """How often a dispatcher ejected a worker, by the worker's name. All of them are well."""
-    names = {str(worker_number(worker.name)): worker.name for worker in run.boxes}
+    names = {str(worker_number(worker.name)): worker.name for worker in run.topology.workers}
     total: Counter[str] = Counter()
-    for process in run.processes:
+    for process in run.topology.processes:
         total.update({names.get(n, n): times for n, times in ejections_logged(process.log_lines).items()})
     return total
 
 
-def _last_fault_ended(run: ScenarioRun) -> float:
+def _last_fault_ended(run: FinishedRun) -> float:
     ends = (fault.at_s + fault.duration_s for fault in run.scenario.faults)
-    return run.began + max(ends, default=0.0) + run.late_by_s
+    return run.record.began_at + max(ends, default=0.0) + run.record.faults_late_s
 
 
-def _broken_by_requests(run: ScenarioRun, runs: Counter[str]) -> Iterator[str]:
-    tries = run.clients.attempts
-    for lost in islice(
-        missing_without_excuse(tries, [process.down_spans for process in run.processes], ANSWER_GRACE_S),
-        EXAMPLES,
-    ):
+def _broken_by_requests(run: FinishedRun, runs: Counter[str]) -> Iterator[str]:
+    attempts = run.clients.attempts
+    down_spans = [process.down_spans for process in run.topology.processes]
+    for lost in islice(missing_without_excuse(attempts, down_spans, ANSWER_GRACE_S), MAX_EXAMPLES):
         yield f"no answer from dispatcher {lost.dispatcher} to a {lost.job_class}"
-    once = [*run.clients.answered, *(t.request_id for t in tries if t.job_class == "transfer")]
+    once = [*run.clients.answered, *(a.request_id for a in attempts if a.job_class == "transfer")]
     for key in keys_run_twice({key: runs[key] for key in once}):
         yield f"key {key} ran {runs[key]} times"
-    if not any(t.outcome == "200" for t in tries):
+    if not any(attempt.outcome == "200" for attempt in attempts):
         yield "nothing was served"
 
 
-def _broken_by_processes(run: ScenarioRun, counters: Counter[str], ejections: Counter[str]) -> Iterator[str]:
+def _broken_by_processes(run: FinishedRun, counters: Counter[str], ejections: Counter[str]) -> Iterator[str]:
     if run.scenario.ejections_judged:
         for name, times in ejections.items():
-            yield f"{name}, a healthy box, was benched {times} times"
-    for status in run.statuses:
+            yield f"{name}, a healthy worker, was ejected {times} times"
+    for status in run.record.exit_statuses:
         if status:
             yield f"a dispatcher ended with status {status}"
-    for process in run.processes:
+    for process in run.topology.processes:
         unread = [line["text"] for line in process.log_lines if line["event"] == "unread"]
-        for text in unread[-3:]:
+        for text in unread[-MAX_UNREAD_LINES:]:
             yield f"dispatcher {process.number} said: {text}"
     for name, count in counters.items():
         if name == "task_failed" or name.startswith(("broken_", "invariant_violations_")):
             yield f"{name}: {count}"
 
 
-def _broken_by_sends(run: ScenarioRun) -> list[str]:
-    given = [deadline for worker in run.boxes for deadline in worker.deadlines]
-    overstatements = overstated_deadlines(run.clients.attempts, given, DEADLINE_SLACK_S)
-    for_nobody = attempts_after_disconnect(run.clients.attempts, given, CLIENT_GRACE_S)
-    return [*_sent_to_leaving(run), *overstatements[:EXAMPLES], *for_nobody[:EXAMPLES]]
+def _broken_by_sends(run: FinishedRun) -> list[str]:
+    deadlines = [deadline for worker in run.topology.workers for deadline in worker.deadlines]
+    overstatements = overstated_deadlines(run.clients.attempts, deadlines, DEADLINE_SLACK_S)
+    for_nobody = attempts_after_disconnect(run.clients.attempts, deadlines, DISCONNECT_GRACE_S)
+    return [*_sent_to_draining(run), *overstatements[:MAX_EXAMPLES], *for_nobody[:MAX_EXAMPLES]]
 
 
-def _broken_by_leases(run: ScenarioRun) -> Iterator[str]:
-    yield from lease_violations(run.acts)
+def _broken_by_leases(run: FinishedRun) -> Iterator[str]:
+    yield from lease_violations(run.record.lease_acts)
     since = _last_fault_ended(run)
-    until = since + LEASE_HELD_AGAIN * run.scenario.lease_span_s + 1
-    for lease in run.leases:
-        if not any(since < act.begin <= until for act in run.acts if act.lease == lease):
+    until = since + LEASE_HELD_WITHIN_SPANS * run.scenario.lease_span_s + LEASE_HELD_SLACK_S
+    for lease in run.lease_names:
+        if not any(since < act.begin <= until for act in run.record.lease_acts if act.lease == lease):
             yield f"nobody acted under lease {lease} in time after the last fault"
 
 
-def _nothing_shown(run: ScenarioRun) -> Iterator[str]:
-    """A run in which the faults hit nothing has shown nothing."""
+def _nothing_shown(run: FinishedRun) -> Iterator[str]:
+    """Find faults that hit nothing: such a run has shown nothing."""
     scenario = run.scenario
-    if scenario.faults and not run.hits.total():
+    if scenario.faults and not run.record.fault_hits.total():
         yield "no fault hit anything"
     planned = scenario.faults[: len(scenario.faults) - scenario.drawn_faults]
     for kind in sorted({fault.kind for fault in planned}):
-        if scenario.every_fault_hits and not run.hits[kind]:
+        if scenario.every_fault_hits and not run.record.fault_hits[kind]:
             yield f"the fault {kind} hit nothing"
+
+
+# ---- sends to draining workers -----------------------------------------------------------------------------
+
+
+def _notified_at(run: FinishedRun, number: int, changed_at: float) -> float:
+    """Return when a dispatcher counts as notified of a change of the list.
+
+    That is at once, unless something kept the notice from it then; else 6 s after the change, whatever it
+    knew before, or after discovery is back. Where an agent has the list, what the agent has counts for a
+    process from its first moment on.
+    """
+    outages = run.record.discovery_outages.get(number, [])
+    down = run.topology.processes[number].down_spans
+    silent_since = run.record.silent_since.get(number, math.inf)
+    if changed_at >= silent_since:
+        return max(changed_at, silent_since + SILENT_WATCH_NOTICED_S)
+    if run.scenario.pushed_membership:
+        fetched_at = max([changed_at, *(ended for start, ended in outages if start <= changed_at < ended)])
+        return max([fetched_at, *(ended for start, ended in down if start <= fetched_at < ended)])
+    reachable_at = changed_at
+    for start, ended in sorted(outages):
+        if start < reachable_at + SILENT_WATCH_NOTICED_S and ended > reachable_at:
+            reachable_at = ended
+    spans = [*outages, *down, *run.record.spoilt_spans.get(number, [])]
+    kept_away = any(start <= changed_at + CHANGE_WRITTEN_S < ended for start, ended in spans)
+    # What it heard before it ended is lost.
+    kept_away |= any(changed_at < ended for _, ended in down)
+    return reachable_at + SILENT_WATCH_NOTICED_S if kept_away else changed_at
+
+
+def _sent_to_draining(run: FinishedRun) -> list[str]:
+    """Find jobs that came to a draining worker too late, counted until the worker was put back."""
+    found = []
+    for process in run.topology.processes:
+        for drain in run.record.drains:
+            notified_at = _notified_at(run, process.number, drain.began_at)
+            late = [
+                at - notified_at - DRAIN_GRACE_S
+                for at, port in drain.worker.arrivals
+                if port == process.port and notified_at + DRAIN_GRACE_S < at < drain.ended_at
+            ]
+            if late:
+                found.append(
+                    f"dispatcher {process.number} sent to {drain.worker.name}, {late[-1]:.2f} s too late"
+                )
+    return found
--- a/beaconhinge/standin/rig/process.py
+++ b/beaconhinge/standin/rig/process.py
@@ -16,18 +16,21 @@
 
 
 class Process:
-    """Several lives of one dispatcher. `stood` are the spans of the rig's clock in which it did not run."""
+    """One dispatcher's process, which is ended and started again in the course of a run.
+
+    `down_spans` are the spans of the rig's clock in which it did not run.
+    """
 
     def __init__(
         self,
-        index: int,
+        number: int,
         port: int,
         folder: Path,
         platform: Mapping[str, object],
         local_config: str,
         environment: Mapping[str, str] | None = None,
     ) -> None:
-        self.number = index
+        self.number = number
         self.port = port
         self.folder = folder
         self.platform = platform
@@ -35,7 +38,7 @@
         self.environment = environment or {}
         self.log_lines: list[Mapping[str, Any]] = []
         self.down_spans: list[tuple[float, float]] = []
-        self.counters: Counter[str] = Counter()  # of all lives, as each last told
+        self.counters: Counter[str] = Counter()  # of all incarnations, as each last reported
         self._last_counters: Mapping[str, Any] = {}
         self._end_count = 0
         self.starting = False
@@ -46,10 +49,15 @@
 
     @property
     def running(self) -> bool:
+        """Whether it was started and has not ended; a paused one runs."""
         return self._process is not None and self._process.returncode is None
 
     async def start(self) -> None:
-        """Raises SceneError when it is not up in time, unless the scenario has ended it meanwhile."""
+        """Start it and wait until it is up.
+
+        Raises:
+            SceneError: It is not up in time, and no fault has ended it meanwhile.
+        """
         self.folder.mkdir(exist_ok=True)
         (self.folder / "balancer.json").write_text(json.dumps(self.platform))
         (self.folder / "ours.toml").write_text(self.local_config)
@@ -72,12 +80,13 @@
             self._down_at = None
 
     async def _read(self, process: asyncio.subprocess.Process) -> None:
-        async for told in log_lines(process):
-            self.log_lines.append(told)
-            if told["event"] == "counters":
-                self._last_counters = {name: n for name, n in told.items() if isinstance(n, int)}
+        async for line in log_lines(process):
+            self.log_lines.append(line)
+            if line["event"] == "counters":
+                self._last_counters = {name: n for name, n in line.items() if isinstance(n, int)}
 
     def signal(self, number: Signals) -> bool:
+        """Send a signal, if it runs; whether it does."""
         if not self.running:
             return False
         assert self._process is not None
@@ -85,19 +94,20 @@
         return True
 
     def pause(self) -> bool:
+        """Stop it by SIGSTOP; whether it ran."""
         stopped = self.signal(SIGSTOP)
         if stopped:
             self._down_at = self._down_at or time.monotonic()
         return stopped
 
     def resume(self) -> None:
-        """One that another fault has ended meanwhile stays down until it is started."""
+        """Let it go on. One that another fault has ended meanwhile stays down until it is started."""
         self.signal(SIGCONT)
         if self.running and not self.starting and not self.ending:
             self._mark_up()
 
     async def end(self, number: Signals) -> int:
-        """Send that signal and wait; its exit status."""
+        """Send a signal, wait for the end, and return the exit status."""
         assert self._process is not None
         self._end_count += 1
         self._down_at = self._down_at or time.monotonic()
--- a/beaconhinge/standin/rig/scenario.py
+++ b/beaconhinge/standin/rig/scenario.py
@@ -14,9 +14,19 @@
 from ..discovery import Spoil
 from ..workers import WorkerFault
 
+FaultKind = Literal[
+    "stop", "kill", "term", "cut", "lossy", "discovery", "mute", "drain", "spoil", "reload", "workers"
+]
 DrawnKind = Literal["stop", "kill", "term", "cut", "lossy"]
+# `stop` is drawn twice as often as each other kind.
 DRAWN_KINDS: tuple[DrawnKind, ...] = ("stop", "stop", "kill", "term", "cut", "lossy")
-MOST_PROCESSES, MOST_BOXES, MOST_SECONDS, MOST_RATE = 40, 200, 600.0, 2000.0
+MAX_PROCESSES = 40
+MAX_WORKERS = 200
+MAX_SCENARIO_S = 600.0
+# Jobs a second.
+MAX_RATE = 2000.0
+# Chance that a drawn kill hits all dispatchers.
+KILL_ALL_CHANCE = 0.2
 
 
 class ScenarioError(Error):
@@ -24,83 +34,126 @@
 
 
 class Fault(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """`stop`: SIGSTOP, and SIGCONT after `for_s`. `kill`, `term`: that signal, and a start again after
-    `for_s`, with the same or an empty folder. `cut`: datagrams from `who` to `to` are dropped. `lossy`: a
-    `part` of all datagrams of `who` is lost, and as many come twice. `discovery`: it is out. `mute`: the
-    watches of `who` that are open then fall silent for good. `drain`: so many `boxes` drain for `for_s`, in
-    one version. `spoil`: answers of discovery to `who` are spoilt as `how` says. `reload`: SIGHUP. `workers`:
-    the last box, beyond those that drain, treats its jobs as `trouble` says.
+    """One fault, with its time. The attributes carry other names in files, which stand in brackets.
+
+    Kinds: `stop`: SIGSTOP, and SIGCONT after the duration. `kill`, `term`: that signal, and a start again
+    after the duration, with the same, an empty or another folder. `cut`: datagrams to the destinations are
+    dropped. `lossy`: a share of all datagrams is lost, and as many come twice. `discovery`: it is out.
+    `mute`: the watches that are open fall silent for good. `drain`: the first workers drain, in one version
+    of the list. `spoil`: answers of discovery are spoilt. `reload`: SIGHUP. `workers`: the last worker that
+    has no fault yet treats its jobs as the worker fault says.
+
+    Attributes:
+        at_s: Seconds from the scenario's beginning.
+        kind: What happens [what].
+        duration_s: Seconds that it lasts [for_s].
+        dispatchers: Numbers of those that it meets; none: all [who].
+        destinations: For `cut`, numbers; none: all [to].
+        loss_share: For `lossy`, a part of 1 [part].
+        workers: For `drain`, how many [boxes].
+        spoil: For `spoil` [how].
+        worker_fault: For `workers` [trouble].
+        folder: For `kill`: `other` is a copy of another's store, `old` its own as it was before the scenario.
     """
 
     at_s: float
-    kind: Literal[
-        "stop", "kill", "term", "cut", "lossy", "discovery", "mute", "drain", "spoil", "reload", "workers"
-    ] = msgspec.field(name="what")
+    kind: FaultKind = msgspec.field(name="what")
     duration_s: float = msgspec.field(name="for_s")
-    # Dispatchers, by number; none: all of them.
+
     dispatchers: list[int] = msgspec.field(default_factory=list, name="who")
-    destinations: list[int] = msgspec.field(default_factory=list, name="to")  # for `cut`; none: all of them
-    loss_share: float = msgspec.field(default=0.5, name="part")  # for `lossy`
-    workers: int = msgspec.field(default=1, name="boxes")  # for `drain`
-    spoil: Spoil = msgspec.field(default=Spoil.NO_ENTRIES, name="how")  # for `spoil`
-    worker_fault: WorkerFault = msgspec.field(default=WorkerFault.HANG, name="trouble")  # for `workers`
-    folder: Literal["same", "empty", "other", "old"] = "same"  # `other`: a copy; `old`: as before
+    destinations: list[int] = msgspec.field(default_factory=list, name="to")
+    loss_share: float = msgspec.field(default=0.5, name="part")
+    workers: int = msgspec.field(default=1, name="boxes")
+    spoil: Spoil = msgspec.field(default=Spoil.NO_ENTRIES, name="how")
+    worker_fault: WorkerFault = msgspec.field(default=WorkerFault.HANG, name="trouble")
+    folder: Literal["same", "empty", "other", "old"] = "same"
 
 
 class Scenario(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """Times in seconds. `render` jobs are harmless to repeat; a `publish` has a key and may run once."""
+    """Sizes, rates and faults of one run; times in seconds, file keys of other names in brackets.
+
+    Jobs of the class `render` are harmless to repeat; a `publish` has a key and may run once; a `transfer`
+    must never run twice.
+
+    Attributes:
+        workers: How many [boxes].
+        deduplication_groups: Of workers that share what keys they have seen [racks].
+        slots: Of a worker.
+        rate: Jobs a second, over all dispatchers.
+        keyed: Share of the jobs that is `publish`.
+        unsafe: Share of those without a key that is `transfer`.
+        disconnecting: Share of those without a key whose client disconnects before the answer [leaving].
+        render_s: Mean run time; so is `publish_s`, which holds for `transfer` too.
+        client_timeout_s: That a client waits; three times that for `publish`, over several attempts
+            [patience_s].
+        seconds: In which clients send jobs.
+        quota_rps: Of a second tenant.
+        over_quota_factor: How many times its quota the second tenant asks for, in `render` [greedy].
+        pushed_membership: Whether an agent of each dispatcher has the list, and what it has counts as
+            notified [pushed].
+        store: Whether dispatchers keep one in their folder.
+        leases: How many, each with a call on a resource that writes down who acts.
+        lease_span_s: Of each lease [span_s].
+        lease_act_interval_s: Between two acts of a holder [act_s].
+        ejections_judged: Whether the ejection of a healthy worker breaks the scenario.
+        every_fault_hits: Whether a fault that hits nothing breaks the scenario.
+        system_calls: How those of every second process fail, as `shim.environment` has it.
+        drawn_faults: How many more, of every kind, are drawn from the seed [drawn].
+    """
 
     name: str
     seed: int = 1
     processes: int = 5
     workers: int = msgspec.field(default=9, name="boxes")
     deduplication_groups: int = msgspec.field(default=3, name="racks")
-    slots: int = 4  # of a box
-    rate: float = 60.0  # jobs a second, over all dispatchers
-    keyed: float = 0.2  # part of them that is `publish`
-    unsafe: float = 0.0  # part of those without a key that are a `transfer`, which must never run twice
-    # Part of the clients without a key that close their connection before the answer.
+    slots: int = 4
+    rate: float = 60.0
+    keyed: float = 0.2
+    unsafe: float = 0.0
+
     disconnecting: float = msgspec.field(default=0.0, name="leaving")
-    render_s: float = 0.25  # mean run time
+    render_s: float = 0.25
     publish_s: float = 1.0
-    # That a client waits; three times that for `publish`, over several tries.
+
     client_timeout_s: float = msgspec.field(default=3.0, name="patience_s")
-    seconds: float = 10.0  # in which clients ask
-    quota_rps: float = 10.0  # of a second tenant, and how many times that it asks for, in `render`
+    seconds: float = 10.0
+    quota_rps: float = 10.0
     over_quota_factor: float = msgspec.field(default=0.0, name="greedy")
     recovery: bool = True
-    # Whether an agent of each dispatcher has the list, and what it has counts as told.
+
     pushed_membership: bool = msgspec.field(default=False, name="pushed")
-    store: bool = True  # whether dispatchers keep one in their folder
+    store: bool = True
     stall_s: float = 1.0
-    leases: int = 0  # so many, each with a call every `act_s` to a resource that writes down who acts
+    leases: int = 0
     lease_span_s: float = msgspec.field(default=1.0, name="span_s")
     lease_act_interval_s: float = msgspec.field(default=0.1, name="act_s")
-    ejections_judged: bool = True  # whether the ejection of a worker that is well breaks the scenario
-    every_fault_hits: bool = True  # whether a fault that hits nothing breaks the scenario
-    system_calls: str = ""  # how those of every second process fail, as `shim.environment` has it
-    # Faults more, of every kind, drawn from the seed.
+    ejections_judged: bool = True
+    every_fault_hits: bool = True
+    system_calls: str = ""
+
     drawn_faults: int = msgspec.field(default=0, name="drawn")
     faults: list[Fault] = []
 
     def affected_dispatchers(self, fault: Fault) -> list[int]:
+        """Return the numbers of the dispatchers that a fault meets."""
         return fault.dispatchers or list(range(self.processes))
 
     def problem(self) -> str | None:
+        """Return what is wrong with the sizes and faults, by file key; None if nothing is."""
         bounds = {
-            "processes": (1, MOST_PROCESSES),
-            "boxes": (1, MOST_BOXES),
+            "processes": (1, MAX_PROCESSES),
+            "boxes": (1, MAX_WORKERS),
             "racks": (1, self.workers),
             "slots": (1, 64),
-            "rate": (0.1, MOST_RATE),
-            "seconds": (0.1, MOST_SECONDS),
+            "rate": (0.1, MAX_RATE),
+            "seconds": (0.1, MAX_SCENARIO_S),
             "keyed": (0, 1),
             "unsafe": (0, 1),
             "leaving": (0, 1),
             "render_s": (0.001, 60),
             "publish_s": (0.001, 60),
             "patience_s": (0.1, 60),
-            "quota_rps": (0.1, MOST_RATE),
+            "quota_rps": (0.1, MAX_RATE),
             "greedy": (0, 10),
             "span_s": (0.5, 60),
             "act_s": (0.05, 60),
@@ -112,7 +165,7 @@
             if not least <= getattr(self, names[key]) <= most:
                 return f"{key}: must be between {least} and {most}"
         for number, fault in enumerate(self.faults):
-            if not (0 <= fault.at_s <= self.seconds and 0 < fault.duration_s <= MOST_SECONDS):
+            if not (0 <= fault.at_s <= self.seconds and 0 < fault.duration_s <= MAX_SCENARIO_S):
                 return f"faults[{number}]: at_s must lie within the scenario, for_s be more than 0"
             if fault.kind == "drain" and not 1 <= fault.workers < self.workers:
                 return f"faults[{number}]: boxes must be between 1 and {self.workers - 1}"
@@ -122,38 +175,44 @@
 
 
 def draw_faults(scenario: Scenario) -> Scenario:
-    """Its faults, and as many more as it wants drawn: in the first half of it, none longer than two spans,
-    so that what holds again in the end can be seen.
+    """Return the scenario with as many more faults as it wants drawn from its seed.
+
+    They begin in its first half and last at most two lease spans, so that what holds again in the end can be
+    seen.
     """
-    rng, spans = random.Random(f"{scenario.seed}/faults"), scenario.lease_span_s
+    rng, lease_span = random.Random(f"{scenario.seed}/faults"), scenario.lease_span_s
     found = list(scenario.faults)
     for _ in range(scenario.drawn_faults):
-        what = rng.choice(DRAWN_KINDS)
+        kind = rng.choice(DRAWN_KINDS)
         at = rng.uniform(0.1, 0.5) * scenario.seconds
         who = rng.sample(range(scenario.processes), rng.randint(1, max(1, scenario.processes // 2)))
-        if what in ("kill", "term"):
-            every = what == "kill" and rng.random() < 0.2
+        if kind in ("kill", "term"):
+            hits_all = kind == "kill" and rng.random() < KILL_ALL_CHANCE
             found.append(
                 Fault(
                     at,
-                    what,
+                    kind,
                     rng.uniform(0.05, 0.5),
-                    [] if every else who,
-                    folder=rng.choice(("same", "empty")) if what == "kill" else "same",
+                    [] if hits_all else who,
+                    folder=rng.choice(("same", "empty")) if kind == "kill" else "same",
                 )
             )
-        elif what == "stop":
-            found.append(Fault(at, what, spans * rng.choice((0.33, 0.9, 1.1, 2.0)), who))
-        elif what == "cut":
+        elif kind == "stop":
+            found.append(Fault(at, kind, lease_span * rng.choice((0.33, 0.9, 1.1, 2.0)), who))
+        elif kind == "cut":
             to = rng.sample(range(scenario.processes), rng.randint(1, scenario.processes))
-            found.append(Fault(at, what, spans * rng.uniform(0.5, 2.0), who, to))
+            found.append(Fault(at, kind, lease_span * rng.uniform(0.5, 2.0), who, to))
         else:
-            found.append(Fault(at, what, spans * rng.uniform(1.0, 2.0), loss_share=0.5))
+            found.append(Fault(at, kind, lease_span * rng.uniform(1.0, 2.0), loss_share=0.5))
     return msgspec.structs.replace(scenario, faults=found)
 
 
 def read_scenario(path: str | os.PathLike[str], seed: int | None = None) -> Scenario:
-    """Raises ScenarioError."""
+    """Read a scenario from a TOML file, with another seed if one is given.
+
+    Raises:
+        ScenarioError: The file can't be read, or does not hold a scenario.
+    """
     try:
         content = tomllib.loads(Path(path).read_text(encoding="utf-8"))
         scenario = msgspec.convert(content if seed is None else {**content, "seed": seed}, Scenario)
--- a/beaconhinge/standin/rig/shim.py
+++ b/beaconhinge/standin/rig/shim.py
@@ -21,7 +21,11 @@
 
 
 def build_library(folder: Path) -> Path:
-    """The shared library, built in that folder. Raises ShimError."""
+    """Build the shared library in a folder, and return its path.
+
+    Raises:
+        ShimError: There is no compiler, or it found fault.
+    """
     compiler = shutil.which("cc")
     if compiler is None:
         raise ShimError("no C compiler (cc) is on the path")
@@ -34,8 +38,9 @@
 
 
 def environment(library: Path, counts: Path, failing: str, seed: int) -> dict[str, str]:
-    """For a process whose calls fail as `failing` says:
-    "accept=0.02,connect=0.02,short=0.2,step=3600,socket=0.02".
+    """Return the variables for a process whose calls fail as `failing` says.
+
+    An example of it: "accept=0.02,connect=0.02,short=0.2,step=3600,socket=0.02".
     """
     return {
         "LD_PRELOAD": str(library),
@@ -46,7 +51,7 @@
 
 
 def read_hits(counts: Path) -> Counter[str]:
-    """How often each kind hit, by the file that the shim has counted in; none if there is none."""
+    """Return how often each kind hit, by the file that the shim counts in; nothing if there is none."""
     if not counts.exists():
         return Counter()
     return Counter(dict(zip(COUNTER_NAMES, COUNTERS.unpack(counts.read_bytes()), strict=False)))
--- a/beaconhinge/standin/rig/soak.py
+++ b/beaconhinge/standin/rig/soak.py
@@ -1,5 +1,6 @@
-"""Scenarios of random faults that overlap in time, from a seed; and the least of one that still fails. Pure
-but for the run that is handed in.
+"""Scenarios of random faults that overlap in time, from a seed; and the least of one that still fails.
+
+Pure, but for the run that is passed in.
 """
 
 from __future__ import annotations
@@ -11,31 +12,56 @@
 
 from ..discovery import Spoil
 from ..workers import WorkerFault
-from .scenario import Fault, Scenario
+from .scenario import Fault, FaultKind, Scenario
 
 SCENARIO_S = 17.0
-# When faults begin, so that what holds 6 s later can still be seen.
+# When faults begin, in seconds: so that what holds 6 s later can still be seen.
 FIRST_FAULT_AT_S = 0.6
 LAST_FAULT_AT_S = 7.5
 SYSTEM_CALLS = "accept=0.02,connect=0.01,short=0.2,step=3600,socket=0.01"
-MEETING_DISTANCE_S = 0.3  # seconds from a fault within which another begins that is to meet it
+# Kinds that are drawn; one that stands here twice is drawn twice as often.
+FAULT_KINDS: tuple[FaultKind, ...] = (
+    "stop",
+    "stop",
+    "kill",
+    "kill",
+    "term",
+    "reload",
+    "cut",
+    "lossy",
+    "discovery",
+    "mute",
+    "spoil",
+    "spoil",
+    "spoil",
+    "workers",
+    "workers",
+)
+# Seconds from a fault within which another begins that is to meet it.
+MEETING_DISTANCE_S = 0.3
+# Chances that a scenario, or a fault, is of a kind.
+PUSHED_CHANCE = 0.25
+RECOVERY_CHANCE = 0.3
+MEETING_CHANCE = 0.5
 
 
 def draw_soak(seed: int, processes: int) -> Scenario:
-    """A drain that stays, and faults of most kinds round it; half of the processes have failing system
-    calls."""
+    """Draw a drain that stays, and faults of most kinds round it.
+
+    Half of the processes have failing system calls.
+    """
     rng = random.Random(f"{seed}/soak")
     drain = Fault(rng.uniform(1.0, 3.0), "drain", SCENARIO_S - 4.0, workers=rng.randint(1, 3))
     faults = [drain]
-    pushed = rng.random() < 0.25  # an agent at hand answers at once: its answers are not spoilt
+    pushed = rng.random() < PUSHED_CHANCE  # an agent at hand answers at once: its answers are not spoilt
     for _ in range(rng.randint(5, 9)):
-        meets = rng.choice(faults).at_s + rng.uniform(-MEETING_DISTANCE_S, MEETING_DISTANCE_S)
-        at = meets if rng.random() < 0.5 else rng.uniform(FIRST_FAULT_AT_S, LAST_FAULT_AT_S)
+        meeting_at = rng.choice(faults).at_s + rng.uniform(-MEETING_DISTANCE_S, MEETING_DISTANCE_S)
+        at = meeting_at if rng.random() < MEETING_CHANCE else rng.uniform(FIRST_FAULT_AT_S, LAST_FAULT_AT_S)
         faults.append(
             _draw_fault(rng, min(max(at, FIRST_FAULT_AT_S), LAST_FAULT_AT_S), processes, drain.workers)
         )
     faults = [fault for fault in faults if not (pushed and fault.kind == "spoil")]
-    recovery = rng.random() < 0.3  # without it nobody knows a key that another dispatcher has
+    recovery = rng.random() < RECOVERY_CHANCE  # without it nobody knows a key that another dispatcher has
     return Scenario(
         f"soak of {processes}",
         seed=seed,
@@ -62,52 +88,41 @@
 
 
 def _draw_fault(rng: random.Random, at: float, processes: int, draining: int) -> Fault:
-    who = rng.sample(range(processes), rng.randint(1, max(1, processes // 2)))
-    what = rng.choice(
-        (
-            "stop",
-            "stop",
-            "kill",
-            "kill",
-            "term",
-            "reload",
-            "cut",
-            "lossy",
-            "discovery",
-            "mute",
-            "spoil",
-            "spoil",
-            "spoil",
-            "workers",
-            "workers",
-        )
-    )
-    if what == "stop":
-        return Fault(at, "stop", rng.choice((0.2, 0.5, 2.0, 7.0)), who)
-    if what == "kill":
-        return Fault(at, "kill", rng.choice((0.1, 1.0, 6.5)), who)
-    if what == "term":
-        return Fault(at, "term", rng.uniform(0.05, 0.5), who)
-    if what == "reload":
-        return Fault(at, "reload", 0.1, who)
-    if what == "cut":
-        return Fault(at, "cut", rng.uniform(1.0, 4.0), who, rng.sample(range(processes), processes // 2 or 1))
-    if what == "lossy":
-        return Fault(at, "lossy", rng.uniform(1.0, 4.0), loss_share=0.5)
-    if what == "discovery":
-        return Fault(at, "discovery", rng.uniform(0.5, 4.0), who)
-    if what == "mute":
-        return Fault(at, "mute", 0.2, who)
-    if what == "spoil":
-        return Fault(at, "spoil", rng.uniform(0.5, 3.0), who, spoil=rng.choice(list(Spoil)))
-    return Fault(
-        at, "workers", rng.uniform(0.5, 2.0), workers=draining + 1, worker_fault=rng.choice(list(WorkerFault))
-    )
+    dispatchers = rng.sample(range(processes), rng.randint(1, max(1, processes // 2)))
+    kind = rng.choice(FAULT_KINDS)
+    match kind:
+        case "stop":
+            fault = Fault(at, kind, rng.choice((0.2, 0.5, 2.0, 7.0)), dispatchers)
+        case "kill":
+            fault = Fault(at, kind, rng.choice((0.1, 1.0, 6.5)), dispatchers)
+        case "term":
+            fault = Fault(at, kind, rng.uniform(0.05, 0.5), dispatchers)
+        case "reload":
+            fault = Fault(at, kind, 0.1, dispatchers)
+        case "cut":
+            duration_s = rng.uniform(1.0, 4.0)
+            destinations = rng.sample(range(processes), processes // 2 or 1)
+            fault = Fault(at, kind, duration_s, dispatchers, destinations)
+        case "lossy":
+            fault = Fault(at, kind, rng.uniform(1.0, 4.0), loss_share=0.5)
+        case "discovery":
+            fault = Fault(at, kind, rng.uniform(0.5, 4.0), dispatchers)
+        case "mute":
+            fault = Fault(at, kind, 0.2, dispatchers)
+        case "spoil":
+            fault = Fault(at, kind, rng.uniform(0.5, 3.0), dispatchers, spoil=rng.choice(list(Spoil)))
+        case _:
+            duration_s = rng.uniform(0.5, 2.0)
+            worker_fault = rng.choice(list(WorkerFault))
+            fault = Fault(at, "workers", duration_s, workers=draining + 1, worker_fault=worker_fault)
+    return fault
 
 
 def shrink(scenario: Scenario, fails: Callable[[Scenario], bool]) -> Scenario:
-    """Leave out one fault after the other, as long as it still fails. The drain stays: without it nothing
-    leaves."""
+    """Leave out one fault after the other, as long as the scenario still fails.
+
+    The drain stays: without it no worker leaves.
+    """
     for fault in [fault for fault in scenario.faults if fault.kind != "drain"]:
         others = [other for other in scenario.faults if other is not fault]
         less = msgspec.structs.replace(scenario, faults=others)
--- a/beaconhinge/standin/rig/verdict.py
+++ b/beaconhinge/standin/rig/verdict.py
@@ -14,7 +14,10 @@
 
 
 class ClientAttempt(msgspec.Struct):
-    """One try of a client at one dispatcher. Times are of the rig's clock; `end` is a status or `missing`."""
+    """One attempt of a client at one dispatcher. Times are of the rig's clock.
+
+    `outcome` is a status, `missing` or `left`; `disconnected_at` is 0 unless the client left before it.
+    """
 
     key: str
     job_class: str
@@ -24,8 +27,8 @@
     outcome: str = ""
     tenant: str = ""
     request_id: str = ""
-    timeout_s: float = 0.0  # that it waits
-    disconnected_at: float = 0.0  # when it closed its connection before the answer; 0: it did not
+    timeout_s: float = 0.0
+    disconnected_at: float = 0.0
 
 
 class Act(msgspec.Struct):
@@ -39,7 +42,31 @@
 
 
 class Verdict(msgspec.Struct):
-    """`broken`: rules, in words. Nothing done, or a fault that hit nothing, is a break too."""
+    """What a run came to; the fields are the keys of its JSON.
+
+    Attributes:
+        name: Of the scenario.
+        seed: Of the scenario.
+        asked: Attempts of clients.
+        ends: Attempts by outcome.
+        keys: Jobs with a key.
+        keys_unanswered: Those that no attempt brought a result of.
+        runs: Runs of jobs, on all workers.
+        benched: Healthy workers that a dispatcher ejected: how often, by name.
+        faults: What faults hit, by kind.
+        counters: Of all dispatchers, over all their incarnations.
+        served_before: Share of the jobs served that were first sent before the first fault.
+        served_after: The same after the last fault.
+        plain_after: The same as `served_after`, of the jobs without a key, which are sent once.
+        first_share: Share of the attempts within quota served in the 5 s after the last return of a process.
+        greedy_share: What the tenant beyond its quota got then, in quotas.
+        acts: Under a lease.
+        tenures: That the acts were of.
+        stale: Acts that the resource refused for their number.
+        orphans: Plain jobs of a killed process that workers still ran some time after its return.
+        broken: Broken rules, in words. Nothing done, or a fault that hit nothing, is a break too.
+        last: The last events, where a rule was broken.
+    """
 
     name: str
     seed: int
@@ -48,28 +75,29 @@
     keys: int
     keys_unanswered: int
     runs: int
-    benched: dict[str, int]  # healthy boxes that a dispatcher benched: how often
-    faults: dict[str, int]  # what faults hit, by kind
-    counters: dict[str, int]  # of all dispatchers
-    served_before: float  # part of the jobs served that were first asked before the first fault,
-    served_after: float  # and after the last
-    plain_after: float  # the same as `served_after`, of the jobs without a key, which come once
-    first_share: float  # of the tries within quota in the 5 s after the last fault, served
-    greedy_share: float  # what the tenant beyond its quota got then, in quotas
-    acts: int  # under a lease, and the tenures that they were of
+    benched: dict[str, int]
+    faults: dict[str, int]
+    counters: dict[str, int]
+    served_before: float
+    served_after: float
+    plain_after: float
+    first_share: float
+    greedy_share: float
+    acts: int
     tenures: int
-    stale: int  # acts that the resource refused for their number
-    orphans: int  # plain jobs of an old life that boxes still ran ORPHANED s after a return
+    stale: int
+    orphans: int
     broken: list[str]
-    last: list[str]  # the last events, where a rule was broken
+    last: list[str]
 
     @property
     def well(self) -> bool:
+        """Whether no rule was broken."""
         return not self.broken
 
 
 def ejections_logged(lines: Iterable[Mapping[str, Any]]) -> Counter[str]:
-    """Boxes, by number, that the module says it has benched."""
+    """Count the ejections that a dispatcher's log reports, by number of the worker."""
     return Counter(
         str(line["text"]).split()[1]
         for line in lines
@@ -80,8 +108,10 @@
 def missing_without_excuse(
     asked: Iterable[ClientAttempt], stood: Sequence[Sequence[TimeSpan]], grace: float
 ) -> list[ClientAttempt]:
-    """Tries without one final answer whose dispatcher ran all the while. A connection that waited in front of
-    a process as it went on may be served late, for which it has `grace` seconds.
+    """Return the attempts without one final answer whose dispatcher ran all the while.
+
+    A connection that waited in front of a process as it went on may be served late, for which it has `grace`
+    seconds.
     """
     return [
         try_
@@ -95,7 +125,7 @@
 
 
 def lease_violations(acts: Iterable[Act]) -> list[str]:
-    """Acts of two tenures at one time, and numbers accepted after greater ones."""
+    """Find acts of two tenures at one time, and numbers accepted after greater ones."""
     found, last = list[str](), dict[str, Act]()
     for act in sorted((act for act in acts if act.accepted), key=lambda act: act.begin):
         before = last.get(act.lease, act)
@@ -113,7 +143,7 @@
 def overstated_deadlines(
     asked: Iterable[ClientAttempt], deadlines: Iterable[ReceivedDeadline], slack: float
 ) -> list[str]:
-    """Attempts that gave a worker more time than their client had left, with so many seconds of slack."""
+    """Find attempts that gave a worker more time than their client had left, beyond so many seconds."""
     ends = {try_.request_id: try_.sent_at + try_.timeout_s for try_ in asked}
     over = [
         (given.request, given.came_at + given.time_left - ends[given.request])
@@ -130,7 +160,7 @@
 def attempts_after_disconnect(
     asked: Iterable[ClientAttempt], deadlines: Iterable[ReceivedDeadline], grace: float
 ) -> list[str]:
-    """Attempts that came to a worker more than so many seconds after their client had left."""
+    """Find attempts that came to a worker more than `grace` seconds after their client had left."""
     left = {try_.request_id: try_.disconnected_at for try_ in asked if try_.disconnected_at}
     late = [
         (given.request, given.came_at - left[given.request]) for given in deadlines if given.request in left
@@ -143,17 +173,21 @@
 
 
 def keys_run_twice(runs: Mapping[str, int]) -> list[str]:
+    """Return the keys that ran more than once, sorted."""
     return sorted(key for key, times in runs.items() if times > 1)
 
 
 def served_share_of_attempts(asked: Sequence[ClientAttempt], since: float, until: float) -> float:
+    """Return the part of the attempts sent in a span that were served."""
     within = [try_ for try_ in asked if since <= try_.sent_at < until]
     return sum(try_.outcome == "200" for try_ in within) / max(1, len(within))
 
 
 def served_share_of_jobs(asked: Sequence[ClientAttempt], since: float, until: float) -> float:
-    """Part of the jobs first asked in a span that one of their tries brought back. A job with a key comes
-    again: counted by tries, one that a fault lost before the span would fail in it up to three times.
+    """Return the part of the jobs first sent in a span that one of their attempts brought back.
+
+    A job with a key comes again: counted by attempts, one that a fault lost before the span would fail in it
+    up to three times.
     """
     jobs, at = dict[object, bool](), dict[object, float]()
     for number, try_ in enumerate(asked):
--- a/benchmarks/leases.py
+++ b/benchmarks/leases.py
@@ -104,21 +104,19 @@
     kills = 10
 
     async def waits(self) -> list[float]:
-        self.links.start()
-        await self._start_resource()
-        for server in self._servers():
-            server.start()
+        acts, processes = self.record.lease_acts, self.topology.processes
+        await self.start_stand_ins()
         found = []
         try:
-            await asyncio.gather(*(process.start() for process in self.processes))
+            await asyncio.gather(*(process.start() for process in processes))
             while len(found) < self.kills:
-                count = len(self.acts)
-                while len(self.acts) < count + 10:
+                count = len(acts)
+                while len(acts) < count + 10:
                     await asyncio.sleep(0.01)
-                number = self.acts[-1].number
+                number = acts[-1].number
                 [holder] = [
                     process
-                    for process in self.processes
+                    for process in processes
                     if any(
                         line["event"] == "lease_held" and line["number"] == number
                         for line in process.log_lines
@@ -126,20 +124,13 @@
                 ]
                 died = time.monotonic()
                 await holder.end(signal.SIGKILL)
-                while self.acts[-1].number == number:
+                while acts[-1].number == number:
                     await asyncio.sleep(0.005)
-                found.append(self.acts[-1].begin - died)
+                found.append(acts[-1].begin - died)
                 await holder.start()
                 await asyncio.sleep(1.2 * SPAN)  # it votes again
         finally:
-            for process in self.processes:
-                process.signal(signal.SIGKILL)
-            assert self.resource is not None
-            self.resource.kill()
-            await self.resource.wait()
-            for server in self._servers():
-                await server.stop()
-            self.links.close()
+            await self.stop()
         return found
 
 
@@ -154,10 +145,10 @@
             lease_span_s=SPAN,
             lease_act_interval_s=0.05,
         )
-        play = Killed(scenario, Path(folder))
-        play.kills = kills
+        run = Killed(scenario, Path(folder))
+        run.kills = kills
         name = f"holder killed to next act, {count} processes"
-        return {name: shown(name, await play.waits())}
+        return {name: shown(name, await run.waits())}
 
 
 async def measure(rounds: int, kills: int) -> dict[str, dict[str, float]]:
--- a/tests/recovery/test_rehearsals.py
+++ b/tests/recovery/test_rehearsals.py
@@ -11,6 +11,7 @@
 
 from beaconhinge.cli import main
 from beaconhinge.standin.rig import Fault, Scenario, ScenarioError, Verdict, read_scenario, run_scenario
+from beaconhinge.standin.rig.faults import FaultInjector
 from beaconhinge.standin.rig.process import Process
 from beaconhinge.standin.rig.runner import ScenarioRun
 from beaconhinge.standin.rig.verdict import (
@@ -199,12 +200,14 @@
     assert asyncio.run(scenario()).down_spans == []
 
 
-def test_a_process_that_ends_badly_in_the_midst_of_a_story_breaks_it(tmp_path: Path) -> None:
-    class Badly(ScenarioRun):
-        async def _restart(self, fault: Fault, who: list[int]) -> int:
-            self.statuses.append(7)
-            return len(who)
+def test_a_process_that_ends_badly_in_the_midst_of_a_story_breaks_it(
+    tmp_path: Path, monkeypatch: pytest.MonkeyPatch
+) -> None:
+    async def end_badly(self: FaultInjector, fault: Fault, numbers: list[int]) -> int:
+        self.record.exit_statuses.append(7)
+        return len(numbers)
 
+    monkeypatch.setattr(FaultInjector, "_restart", end_badly)
     scenario = Scenario(
         "badly",
         seed=16,
@@ -216,7 +219,7 @@
         keyed=0.0,
         faults=[Fault(0.1, "term", 0.1, [0])],
     )
-    assert asyncio.run(Badly(scenario, tmp_path).run()).broken == ["a dispatcher ended with status 7"]
+    assert asyncio.run(ScenarioRun(scenario, tmp_path).run()).broken == ["a dispatcher ended with status 7"]
 
 
 def test_a_fault_that_hits_nothing_and_a_story_without_service_are_broken() -> None:
@@ -249,12 +252,13 @@
         keyed=0.0,
         faults=[Fault(0.2, "cut", 0.0, [0, 1])],
     )
-    play = ScenarioRun(scenario, tmp_path)
-    verdict = asyncio.run(play.run())
+    run = ScenarioRun(scenario, tmp_path)
+    verdict = asyncio.run(run.run())
     assert verdict.broken == [] and verdict.faults["cut"] >= 1
     assert (
-        play.late() > 0.0
-        and max(t.sent_at for t in play.clients.attempts) > play.began + 0.2 + 0.8 * play.late()
+        run.fault_injector.late_s() > 0.0
+        and max(t.sent_at for t in run.clients.attempts)
+        > run.record.began_at + 0.2 + 0.8 * run.fault_injector.late_s()
     )
 
 
--- a/tests/recovery/test_shutdowns.py
+++ b/tests/recovery/test_shutdowns.py
@@ -24,12 +24,12 @@
 
 def ended(scenario: Scenario, folder: Path) -> tuple[Verdict, list[ClientAttempt], list[ClientAttempt]]:
     """The verdict, what was in work as its dispatcher got the signal, and what of that had no answer."""
-    play = ScenarioRun(scenario, folder)
-    verdict = asyncio.run(play.run())
-    ends = [(p.number, begun) for p in play.processes for begun, _ in p.down_spans]
+    run = ScenarioRun(scenario, folder)
+    verdict = asyncio.run(run.run())
+    ends = [(p.number, begun) for p in run.topology.processes for begun, _ in p.down_spans]
     taken = [
         t
-        for t in play.clients.attempts
+        for t in run.clients.attempts
         if any(
             t.dispatcher == number and t.sent_at < begun - ON_ITS_WAY and t.ended_at > begun
             for number, begun in ends
