--- a/beaconhinge/standin/rig/__init__.py
+++ b/beaconhinge/standin/rig/__init__.py
@@ -1,4 +1,4 @@
-"""Several real processes of the program among stand-ins, with faults between them, played from a scenario."""
+"""Several real processes of the program among stand-ins, with faults between them, as a scenario says."""
 
 from .runner import run_scenario
 from .scenario import Fault, Scenario, ScenarioError, read_scenario
--- a/beaconhinge/standin/rig/clients.py
+++ b/beaconhinge/standin/rig/clients.py
@@ -1,4 +1,4 @@
-"""Clients that send jobs on schedule to any dispatcher, and repeat one with a key until they have its result."""
+"""Clients that send jobs on schedule to any dispatcher, and repeat one with a key until it has a result."""
 
 from __future__ import annotations
 
--- a/beaconhinge/standin/rig/scenario.py
+++ b/beaconhinge/standin/rig/scenario.py
@@ -30,7 +30,7 @@
 
 
 class ScenarioError(Error):
-    """A scenario that cannot be played; the text names file and key."""
+    """A scenario that cannot be run; the text names file and key."""
 
 
 class Fault(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
--- a/beaconhinge/standin/rig/verdict.py
+++ b/beaconhinge/standin/rig/verdict.py
@@ -1,4 +1,4 @@
-"""What a scenario came to, by what clients, boxes and logs wrote down. Pure."""
+"""What a scenario came to, by what clients, workers and logs wrote down. Pure."""
 
 from __future__ import annotations
 
@@ -106,7 +106,7 @@
 
 
 def missing_without_excuse(
-    asked: Iterable[ClientAttempt], stood: Sequence[Sequence[TimeSpan]], grace: float
+    attempts: Iterable[ClientAttempt], down_spans: Sequence[Sequence[TimeSpan]], grace: float
 ) -> list[ClientAttempt]:
     """Return the attempts without one final answer whose dispatcher ran all the while.
 
@@ -114,12 +114,12 @@
     seconds.
     """
     return [
-        try_
-        for try_ in asked
-        if try_.outcome == "missing"
+        attempt
+        for attempt in attempts
+        if attempt.outcome == "missing"
         and not any(
-            begun - grace <= try_.ended_at and try_.sent_at <= ended + grace
-            for begun, ended in stood[try_.dispatcher]
+            begun - grace <= attempt.ended_at and attempt.sent_at <= ended + grace
+            for begun, ended in down_spans[attempt.dispatcher]
         )
     ]
 
@@ -141,10 +141,10 @@
 
 
 def overstated_deadlines(
-    asked: Iterable[ClientAttempt], deadlines: Iterable[ReceivedDeadline], slack: float
+    attempts: Iterable[ClientAttempt], deadlines: Iterable[ReceivedDeadline], slack: float
 ) -> list[str]:
     """Find attempts that gave a worker more time than their client had left, beyond so many seconds."""
-    ends = {try_.request_id: try_.sent_at + try_.timeout_s for try_ in asked}
+    ends = {attempt.request_id: attempt.sent_at + attempt.timeout_s for attempt in attempts}
     over = [
         (given.request, given.came_at + given.time_left - ends[given.request])
         for given in deadlines
@@ -158,10 +158,10 @@
 
 
 def attempts_after_disconnect(
-    asked: Iterable[ClientAttempt], deadlines: Iterable[ReceivedDeadline], grace: float
+    attempts: Iterable[ClientAttempt], deadlines: Iterable[ReceivedDeadline], grace: float
 ) -> list[str]:
     """Find attempts that came to a worker more than `grace` seconds after their client had left."""
-    left = {try_.request_id: try_.disconnected_at for try_ in asked if try_.disconnected_at}
+    left = {attempt.request_id: attempt.disconnected_at for attempt in attempts if attempt.disconnected_at}
     late = [
         (given.request, given.came_at - left[given.request]) for given in deadlines if given.request in left
     ]
@@ -177,22 +177,22 @@
     return sorted(key for key, times in runs.items() if times > 1)
 
 
-def served_share_of_attempts(asked: Sequence[ClientAttempt], since: float, until: float) -> float:
+def served_share_of_attempts(attempts: Sequence[ClientAttempt], since: float, until: float) -> float:
     """Return the part of the attempts sent in a span that were served."""
-    within = [try_ for try_ in asked if since <= try_.sent_at < until]
-    return sum(try_.outcome == "200" for try_ in within) / max(1, len(within))
+    within = [attempt for attempt in attempts if since <= attempt.sent_at < until]
+    return sum(attempt.outcome == "200" for attempt in within) / max(1, len(within))
 
 
-def served_share_of_jobs(asked: Sequence[ClientAttempt], since: float, until: float) -> float:
+def served_share_of_jobs(attempts: Sequence[ClientAttempt], since: float, until: float) -> float:
     """Return the part of the jobs first sent in a span that one of their attempts brought back.
 
     A job with a key comes again: counted by attempts, one that a fault lost before the span would fail in it
     up to three times.
     """
     jobs, at = dict[object, bool](), dict[object, float]()
-    for number, try_ in enumerate(asked):
-        job = try_.key or number
-        at.setdefault(job, try_.sent_at)
-        jobs[job] = jobs.get(job, False) or try_.outcome == "200"
+    for number, attempt in enumerate(attempts):
+        job = attempt.key or number
+        at.setdefault(job, attempt.sent_at)
+        jobs[job] = jobs.get(job, False) or attempt.outcome == "200"
     within = [done for job, done in jobs.items() if since <= at[job] < until]
     return sum(within) / max(1, len(within))
