--- a/beaconhinge/standin/fleet/__init__.py
+++ b/beaconhinge/standin/fleet/__init__.py
@@ -4,8 +4,8 @@
 the modules say, plays what goes wrong, and counts. Times are in seconds, work in seconds of a standard core.
 """
 
-from .plan import Kind, Plan
+from .plan import Plan, WorkerKind
 from .result import Result, result
 from .world import SimulatedFleet
 
-__all__ = ["Kind", "Plan", "Result", "SimulatedFleet", "result"]
+__all__ = ["WorkerKind", "Plan", "Result", "SimulatedFleet", "result"]
--- a/beaconhinge/standin/fleet/discovery.py
+++ b/beaconhinge/standin/fleet/discovery.py
@@ -10,10 +10,10 @@
 from ...policy.interface import UpdateKind
 from .clock import Clock
 
-PATIENCE = 2.0  # seconds that a call may wait for its turn
-BOUND = 4.0  # seconds of work in hand, beyond which a call is refused at once
-ANSWER = 0.003
-SPREAD = (0.02, 0.1)  # seconds in which watchers hear of a change
+MAX_WAIT_S = 2.0  # seconds that a call may wait for its turn
+MAX_BACKLOG_S = 4.0  # seconds of work in hand, beyond which a call is refused at once
+ANSWER_S = 0.003
+NOTICE_DELAY_S = (0.02, 0.1)  # seconds in which watchers hear of a change
 
 
 class Discovery:
@@ -24,63 +24,63 @@
         clock: Clock,
         rng: random.Random,
         calls_a_second: float,
-        tell: Callable[[int, interface.MembershipUpdate], None],
+        on_update: Callable[[int, interface.MembershipUpdate], None],
     ) -> None:
         self.clock = clock
         self.random = rng
         self.calls_a_second = calls_a_second
-        self.tell = tell
+        self.tell = on_update
         self.calls = self.refusals = 0
         self.late_until = 0.0  # till then watchers hear of no change
         self._busy_until = 0.0
         self._version = 0
-        self._log: list[tuple[int, interface.MemberEntry]] = []
-        self._known: dict[int, int] = {}  # of those that watch
-        self._call: dict[int, int] = {}  # the last one of each
+        self._changes: list[tuple[int, interface.MemberEntry]] = []
+        self._watchers: dict[int, int] = {}  # of those that watch
+        self._last_call: dict[int, int] = {}  # the last one of each
 
     def publish(self, members: list[interface.MemberEntry]) -> None:
         self._version += 1
-        self._log += [(self._version, member) for member in members]
+        self._changes += [(self._version, member) for member in members]
         late = max(0.0, self.late_until - self.clock.now)
-        for number in self._known:
-            self.clock.after(late + self.random.uniform(*SPREAD), partial(self._push, number))
+        for number in self._watchers:
+            self.clock.after(late + self.random.uniform(*NOTICE_DELAY_S), partial(self._push, number))
 
     def call(self, number: int, known: int) -> None:
         """Ask for what has changed since, and watch from then on."""
         self.calls += 1
-        self._call[number] = self.calls
+        self._last_call[number] = self.calls
         work = max(0.0, self._busy_until - self.clock.now)
-        if work > BOUND:
-            self.clock.after(ANSWER, partial(self._refuse, number, self.calls))
+        if work > MAX_BACKLOG_S:
+            self.clock.after(ANSWER_S, partial(self._refuse, number, self.calls))
             return
         self._busy_until = self.clock.now + work + 1 / self.calls_a_second
-        if work > PATIENCE:
-            self.clock.after(PATIENCE, partial(self._refuse, number, self.calls))
+        if work > MAX_WAIT_S:
+            self.clock.after(MAX_WAIT_S, partial(self._refuse, number, self.calls))
         else:
-            self.clock.after(work + ANSWER, partial(self._answer, number, known, self.calls))
+            self.clock.after(work + ANSWER_S, partial(self._answer, number, known, self.calls))
 
     def leave(self, number: int) -> None:
         """Who asked is no more: no answer to it."""
-        self._known.pop(number, None)
-        self._call.pop(number, None)
+        self._watchers.pop(number, None)
+        self._last_call.pop(number, None)
 
     def _refuse(self, number: int, call: int) -> None:
-        if self._call.get(number) == call:
+        if self._last_call.get(number) == call:
             self.refusals += 1
             self.tell(number, interface.MembershipUpdate(UpdateKind.REFUSED))
 
     def _answer(self, number: int, known: int, call: int) -> None:
-        if self._call.get(number) == call:
-            self._changes(number, known)
+        if self._last_call.get(number) == call:
+            self._send_changes(number, known)
 
     def _push(self, number: int) -> None:
-        known = self._known.get(number)
+        known = self._watchers.get(number)
         if known is not None and known < self._version:
-            self._changes(number, known)
+            self._send_changes(number, known)
 
-    def _changes(self, number: int, known: int) -> None:
-        self._known[number] = self._version
-        changed = {member.worker: member for version, member in self._log if version > known}
+    def _send_changes(self, number: int, known: int) -> None:
+        self._watchers[number] = self._version
+        changed = {member.worker: member for version, member in self._changes if version > known}
         self.tell(
             number,
             interface.MembershipUpdate(UpdateKind.CHANGES, self._version, list(changed.values())),
--- a/beaconhinge/standin/fleet/result.py
+++ b/beaconhinge/standin/fleet/result.py
@@ -5,58 +5,86 @@
 from dataclasses import asdict, dataclass
 
 from ...policy.interface import AttemptOutcome
-from .world import SimulatedFleet, Wish
+from .world import ClientJob, SimulatedFleet
 
-WINDOW = 10  # seconds
-PEER_PRICE, CROSS_PRICE, WASTE_PRICE = 0.01, 0.03, 0.04
+WINDOW_S = 10
+# From a send to its start, in seconds.
+LONG_WAIT_S = 0.1
+# For a datagram of 256 bytes, for an attempt that crosses zones, and for wasted work, each for a job.
+PEER_PRICE = 0.01
+CROSS_PRICE = 0.03
+WASTE_PRICE = 0.04
 
 
 @dataclass(frozen=True)
 class Result:
-    """Parts of the worth asked for, parts of the jobs asked for, and counts."""
+    """Parts of the priorities asked for, parts of the jobs asked for, and counts.
+
+    Attributes:
+        G: The operators' figure.
+        whole: Part of the priorities served in time.
+        worst: The same in the worst 10 s.
+        worst_class: The same of the worst class.
+        worst_tenant: The same of the worst tenant.
+        peer: Price of the datagrams.
+        cross: Price of attempts in another zone.
+        waste: Price of work for jobs that were not served.
+        late: Part of the jobs served, but not in time.
+        refused: Part of the jobs.
+        failed: Part of the jobs.
+        waited: Part of the starts that came over 0.1 s after their send.
+        attempts: For each job.
+        no_connection: Attempts.
+        calls: To discovery.
+        calls_refused: Of these.
+        datagrams: Between dispatchers.
+        cold_most: Work sent to a cold worker in any window, as a part of what overloads it.
+        broken: Rules.
+    """
 
     G: float
     whole: float
-    worst: float  # 10 s
+    worst: float
     worst_class: float
     worst_tenant: float
-    peer: float  # prices
+    peer: float
     cross: float
     waste: float
     late: float
     refused: float
     failed: float
-    waited: float  # part of the starts that came over 0.1 s after their send
-    attempts: float  # for each job
+    waited: float
+    attempts: float
     no_connection: int
-    calls: int  # to discovery, and those refused
+    calls: int
     calls_refused: int
     datagrams: int
-    cold_most: float  # work sent to a cold box in any window, as a part of what pushes it over
-    broken: int  # rules
+    cold_most: float
+    broken: int
 
     def row(self) -> dict[str, float]:
+        """Return the figures by name."""
         return asdict(self)
 
 
-def result(world: SimulatedFleet) -> Result:
-    wishes, count = world.wishes, world.count
+def result(fleet: SimulatedFleet) -> Result:
+    """Return the figures of a day that is over."""
+    jobs, counters = fleet.jobs, fleet.counters
     windows = [
-        [w for w in wishes if start <= w.at < start + WINDOW]
-        for start in range(max(1, int(world.plan.seconds) - WINDOW + 1))
+        [job for job in jobs if start <= job.sent_at < start + WINDOW_S]
+        for start in range(max(1, int(fleet.plan.seconds) - WINDOW_S + 1))
     ]
-    whole, worst = _worth(wishes), min(map(_worth, windows))
-    worst_class = min(classes(world).values())
-    worst_tenant = min(
-        _worth([w for w in wishes if w.tenant == t]) for t in range(max(1, len(world.plan.site.shares)))
-    )
-    jobs = max(1, len(wishes))
-    peer = PEER_PRICE * count["charged"] / (256 * jobs)
-    cross = CROSS_PRICE * count["cross_zone"] / jobs
-    served = [w for w in wishes if w.end == "served"]
-    spent = sum(box.spent for box in world.boxes.values())
-    asked = max(1e-9, sum(w.work for w in wishes))
-    waste = WASTE_PRICE * max(0.0, spent - sum(w.work for w in served)) / asked
+    whole, worst = _served_share(jobs), min(map(_served_share, windows))
+    worst_class = min(served_by_class(fleet).values())
+    tenants = range(max(1, len(fleet.plan.site.tenant_shares)))
+    worst_tenant = min(_served_share([job for job in jobs if job.tenant == tenant]) for tenant in tenants)
+    job_count = max(1, len(jobs))
+    peer = PEER_PRICE * counters["charged"] / (256 * job_count)
+    cross = CROSS_PRICE * counters["cross_zone"] / job_count
+    served = [job for job in jobs if job.outcome == "served"]
+    work_done = sum(worker.work_done for worker in fleet.workers.values())
+    work_wanted = max(1e-9, sum(job.work for job in jobs))
+    waste = WASTE_PRICE * max(0.0, work_done - sum(job.work for job in served)) / work_wanted
     figure = 0.25 * whole + 0.45 * worst + 0.2 * worst_class + 0.1 * worst_tenant - peer - cross - waste
     return Result(
         figure,
@@ -67,29 +95,33 @@
         peer,
         cross,
         waste,
-        late=sum(not w.in_time for w in served) / jobs,
-        refused=_ended(wishes, "refused"),
-        failed=_ended(wishes, "failed"),
-        waited=sum(w > 0.1 for w in world.waits) / max(1, len(world.waits)),
-        attempts=count["attempts"] / jobs,
-        no_connection=count["outcome_" + AttemptOutcome.NO_CONNECTION],
-        calls=world.discovery.calls,
-        calls_refused=world.discovery.refusals,
-        datagrams=count["datagrams"],
-        cold_most=max(box.most_sent for box in world.boxes.values()),
-        broken=len(world.broken),
+        late=sum(not job.in_time for job in served) / job_count,
+        refused=_outcome_share(jobs, "refused"),
+        failed=_outcome_share(jobs, "failed"),
+        waited=sum(wait > LONG_WAIT_S for wait in fleet.start_waits_s) / max(1, len(fleet.start_waits_s)),
+        attempts=counters["attempts"] / job_count,
+        no_connection=counters["outcome_" + AttemptOutcome.NO_CONNECTION],
+        calls=fleet.discovery.calls,
+        calls_refused=fleet.discovery.refusals,
+        datagrams=counters["datagrams"],
+        cold_most=max(worker.peak_cold_load for worker in fleet.workers.values()),
+        broken=len(fleet.broken),
     )
 
 
-def classes(world: SimulatedFleet) -> dict[str, float]:
-    """The part of each class that was served in time."""
-    return {sort.name: _worth([w for w in world.wishes if w.sort is sort]) for sort in world.plan.site.sorts}
+def served_by_class(fleet: SimulatedFleet) -> dict[str, float]:
+    """Return the part of each class that was served in time, by name."""
+    return {
+        job_class.name: _served_share([job for job in fleet.jobs if job.job_class is job_class])
+        for job_class in fleet.plan.site.job_classes
+    }
 
 
-def _worth(wishes: list[Wish]) -> float:
-    asked = sum(w.sort.worth for w in wishes)
-    return sum(w.sort.worth for w in wishes if w.in_time) / asked if asked else 1.0
+def _served_share(jobs: list[ClientJob]) -> float:
+    """Return the part of the jobs' priorities that was served in time."""
+    wanted = sum(job.job_class.priority for job in jobs)
+    return sum(job.job_class.priority for job in jobs if job.in_time) / wanted if wanted else 1.0
 
 
-def _ended(wishes: list[Wish], end: str) -> float:
-    return sum(w.end == end for w in wishes) / max(1, len(wishes))
+def _outcome_share(jobs: list[ClientJob], outcome: str) -> float:
+    return sum(job.outcome == outcome for job in jobs) / max(1, len(jobs))
--- a/beaconhinge/standin/fleet/world.py
+++ b/beaconhinge/standin/fleet/world.py
@@ -22,8 +22,8 @@
 )
 from .clock import Clock
 from .discovery import Discovery
-from .plan import Plan, Sort, settings
-from .workers import Attempt, FakeWorker, Reports
+from .plan import JobClass, Plan, settings
+from .workers import Attempt, FakeWorker, WorkerCallbacks
 
 EPOCH = 1e6  # the modules' clock does not begin at nought
 LEAST_DATAGRAM = 16  # bytes that a datagram is charged with at least, as the operators' price shows
@@ -45,28 +45,28 @@
     AttemptOutcome.TIMEOUT,
     AttemptOutcome.CANCELLED,
 )  # outcomes that a dispatcher finds by itself
-Modules = Callable[[interface.Settings, int], Dispatcher]
+DispatcherFactory = Callable[[interface.Settings, int], Dispatcher]
 
 
 @dataclass(eq=False)
-class Wish:
+class ClientJob:
     """What a client wants, over all its tries."""
 
-    at: float
-    cls: int
-    sort: Sort
+    sent_at: float
+    class_index: int
+    job_class: JobClass
     tenant: int
     zone: int
     work: float
     slots: int = 1
-    tries: int = 0
-    end: str = ""  # served, refused, failed
+    attempts: int = 0
+    outcome: str = ""  # served, refused, failed
     in_time: bool = False
 
     @property
-    def harmless(self) -> bool:
+    def safe_to_repeat(self) -> bool:
         """To run it twice, wherever that is."""
-        sort = self.sort
+        sort = self.job_class
         return (
             sort.semantics == Semantics.RETRYABLE
             or sort.semantics == Semantics.DEDUPLICATED
@@ -78,9 +78,9 @@
 class Request:
     """One try, as one life of one dispatcher has it."""
 
-    wish: Wish
+    job: ClientJob
     node: Node
-    life: int
+    incarnation: int
     number: int
     deadline: float
     attempts: list[Attempt] = field(default_factory=list)
@@ -88,7 +88,7 @@
 
     @property
     def live(self) -> bool:
-        return self.node.up and self.node.life == self.life
+        return self.node.up and self.node.incarnation == self.incarnation
 
 
 @dataclass(eq=False)
@@ -97,38 +97,42 @@
 
     number: int
     zone: int
-    module: Dispatcher
-    life: int = 0
+    dispatcher: Dispatcher
+    incarnation: int = 0
     up: bool = False
     admitted: bool = True  # by the front, which notices late
-    version: int = 0  # of its list
-    last_number: int = 0
+    list_version: int = 0  # of its list
+    last_request_number: int = 0
     requests: dict[int, Request] = field(default_factory=dict)
-    drained: dict[int, float] = field(default_factory=dict)  # boxes that it knows to have left: since when
+    draining_since: dict[int, float] = field(
+        default_factory=dict
+    )  # boxes that it knows to have left: since when
 
 
 class SimulatedFleet:
-    def __init__(self, plan: Plan, modules: Modules = Dispatcher) -> None:
+    def __init__(self, plan: Plan, create_dispatcher: DispatcherFactory = Dispatcher) -> None:
         self.plan = plan
-        self.modules = modules
+        self.modules = create_dispatcher
         self.random = random.Random(plan.seed)
         self.clock = Clock()
-        self.count: Counter[str] = Counter()
+        self.counters: Counter[str] = Counter()
         self.broken: list[str] = []  # rules, in words
-        self.wishes: list[Wish] = []
-        self.waits: list[float] = []  # from a send to its start
+        self.jobs: list[ClientJob] = []
+        self.start_waits_s: list[float] = []  # from a send to its start
         # What cold boxes were sent by those that knew of their start: when, and work, by box and start.
         self.cold: defaultdict[tuple[int, float], deque[tuple[float, float]]] = defaultdict(deque)
-        self.reports = Reports(self._started, self._progress, self._ended)
-        self.boxes: dict[int, FakeWorker] = {}
+        self.reports = WorkerCallbacks(self._started, self._progress, self._ended)
+        self.workers: dict[int, FakeWorker] = {}
         self._make_boxes()
-        self.capacity = sum(b.of.cores * b.speed for b in self.boxes.values())  # cores of standard speed
+        self.capacity = sum(
+            b.worker_kind.cores * b.speed for b in self.workers.values()
+        )  # cores of standard speed
         self.jobs_a_second = self.capacity / plan.site.mean_work
-        self.told = settings(self.jobs_a_second, plan.peers, plan.site)
-        self.discovery = Discovery(self.clock, self.random, plan.calls_a_second, self._listed)
+        self.site_settings = settings(self.jobs_a_second, plan.peers, plan.site)
+        self.discovery = Discovery(self.clock, self.random, plan.discovery_calls_per_s, self._listed)
         self.cut_until = -math.inf  # till then the zones' dispatchers do not hear each other
         self.split_until = -math.inf  # till then no dispatcher reaches a box of the other zone
-        self.remembered = [self._member(box) for box in self.boxes.values()]
+        self.bootstrap_members = [self._member(worker) for worker in self.workers.values()]
         self.nodes = [Node(n, n % plan.site.zones, self._module(n)) for n in range(plan.dispatchers)]
         for node in self.nodes:
             self._start(node)
@@ -142,20 +146,20 @@
 
     def _make_boxes(self) -> None:
         plan, kinds, share = self.plan, list[int](), 0.0
-        for number, kind in enumerate(plan.site.kinds):
+        for number, kind in enumerate(plan.site.worker_kinds):
             share += kind.share
-            kinds += [number] * (round(plan.boxes * share) - len(kinds))
+            kinds += [number] * (round(plan.workers * share) - len(kinds))
         for i, number in enumerate(kinds):
-            first = plan.site.zones == 1 or (i * plan.first_zone) % 1 < plan.first_zone
-            box = self._new_box(number, 0 if first else 1)
-            if plan.pause > 0:
-                self.clock.after(self.random.uniform(0, 8), partial(self._stall, box))
+            first = plan.site.zones == 1 or (i * plan.first_zone_share) % 1 < plan.first_zone_share
+            worker = self._new_box(number, 0 if first else 1)
+            if plan.max_stall_s > 0:
+                self.clock.after(self.random.uniform(0, 8), partial(self._stall, worker))
 
     def _new_box(self, kind: int, zone: int) -> FakeWorker:
-        of, rng = self.plan.site.kinds[kind], self.random
+        of, rng = self.plan.site.worker_kinds[kind], self.random
         speed = of.speed * max(0.5, rng.gauss(1, self.plan.speed_cv))
         cell = 2 * rng.randrange(3) + zone
-        box = FakeWorker(
+        worker = FakeWorker(
             self.clock,
             rng,
             self.reports,
@@ -167,26 +171,28 @@
             speed,
             cold_share=rng.uniform(0.4, 0.55),
         )
-        self.boxes[box.id] = box
-        return box
+        self.workers[worker.id] = worker
+        return worker
 
-    def _stall(self, box: FakeWorker) -> None:
-        box.stall(self.random.uniform(0.0, self.plan.pause))
-        self.clock.after(self.random.uniform(4, 11), partial(self._stall, box))
+    def _stall(self, worker: FakeWorker) -> None:
+        worker.stall(self.random.uniform(0.0, self.plan.max_stall_s))
+        self.clock.after(self.random.uniform(4, 11), partial(self._stall, worker))
 
-    def _member(self, box: FakeWorker, state: WorkerState | None = None) -> interface.MemberEntry:
-        started = EPOCH + box.started_at if box.started_at else 0.0
-        return interface.MemberEntry(box.id, state or box.state, box.kind, box.cell, box.zone, 1.0, started)
+    def _member(self, worker: FakeWorker, state: WorkerState | None = None) -> interface.MemberEntry:
+        started = EPOCH + worker.started_at if worker.started_at else 0.0
+        return interface.MemberEntry(
+            worker.id, state or worker.state, worker.kind, worker.cell, worker.zone, 1.0, started
+        )
 
-    def _publish(self, boxes: list[FakeWorker], state: WorkerState) -> None:
-        self.discovery.publish([self._member(box, state) for box in boxes])
+    def _publish(self, workers: list[FakeWorker], state: WorkerState) -> None:
+        self.discovery.publish([self._member(worker, state) for worker in workers])
 
     # ---- dispatchers ---------------------------------------------------------------------------------------
 
     def _module(self, number: int) -> Dispatcher:
         told = interface.Settings.from_pairs(
             {
-                **self.told,
+                **self.site_settings,
                 "groupSize": str(self.plan.dispatchers),
                 "myNumber": str(number),
                 "zone": str(number % self.plan.site.zones),
@@ -195,52 +201,52 @@
         return self.modules(told, self.random.getrandbits(48))
 
     def _start(self, node: Node) -> None:
-        node.life += 1
+        node.incarnation += 1
         node.up = node.admitted = True
-        node.version = 0
-        if node.life > 1:
-            node.module = self._module(node.number)
+        node.list_version = 0
+        if node.incarnation > 1:
+            node.dispatcher = self._module(node.number)
         self.feed(node, interface.Start())
-        self.feed(node, interface.MembershipUpdate(UpdateKind.BOOTSTRAP, 0, list(self.remembered)))
+        self.feed(node, interface.MembershipUpdate(UpdateKind.BOOTSTRAP, 0, list(self.bootstrap_members)))
 
     def _kill(self, node: Node) -> None:
         node.up = False
         self.discovery.leave(node.number)
-        node.drained.clear()
+        node.draining_since.clear()
         requests, node.requests = list(node.requests.values()), {}
         for request in requests:
             for attempt in request.attempts:
                 attempt.open = False
             if not request.answered:
                 request.answered = True
-                self._answer(request.wish, "failed", 0.0)
+                self._answer(request.job, "failed", 0.0)
 
     def feed(self, node: Node, event: interface.Event) -> None:
         if not node.up:
             return
         if isinstance(event, interface.MembershipUpdate) and event.kind != UpdateKind.REFUSED:
-            node.version = event.version
+            node.list_version = event.version
             for member in event.members:
                 if member.state == WorkerState.READY:
-                    node.drained.pop(member.worker, None)
+                    node.draining_since.pop(member.worker, None)
                 else:
-                    node.drained.setdefault(member.worker, self.clock.now)
-        for action in node.module.handle(EPOCH + self.clock.now, event):
+                    node.draining_since.setdefault(member.worker, self.clock.now)
+        for action in node.dispatcher.handle(EPOCH + self.clock.now, event):
             self._carry_out(node, action)
 
     def _listed(self, number: int, event: interface.MembershipUpdate) -> None:
         self.feed(self.nodes[number], event)
 
     def _timer(self, node: Node, life: int, token: int) -> None:
-        if node.life == life:
+        if node.incarnation == life:
             self.feed(node, interface.TimerFired(token))
 
     def _carry_out(self, node: Node, action: interface.Action) -> None:
         match action:
             case interface.SetTimer():
-                self.clock.after(action.after, partial(self._timer, node, node.life, action.token))
+                self.clock.after(action.after, partial(self._timer, node, node.incarnation, action.token))
             case interface.SendAttempt():
-                self._send(node.requests[action.request], self.boxes[action.worker])
+                self._send(node.requests[action.request], self.workers[action.worker])
             case interface.Reject() | interface.Fail():
                 self._final(node.requests[action.request], action)
             case interface.CancelAttempt():
@@ -252,61 +258,67 @@
             case interface.SendToPeer():
                 self._tell(node, action)
             case interface.ProbeWorker():
-                self.count["probes"] += 1
-                self._probe(node, self.boxes[action.worker])
+                self.counters["probes"] += 1
+                self._probe(node, self.workers[action.worker])
             case interface.SubscribeMembership():
-                self.discovery.call(node.number, node.version)
+                self.discovery.call(node.number, node.list_version)
 
     def _tell(self, node: Node, action: interface.SendToPeer) -> None:
         for other in self.nodes if action.peer < 0 else [self.nodes[action.peer]]:
             if other is not node:
-                self.count["datagrams"] += 1
+                self.counters["datagrams"] += 1
                 if self.clock.now < self.plan.seconds:
-                    self.count["charged"] += max(LEAST_DATAGRAM, len(action.payload))
+                    self.counters["charged"] += max(LEAST_DATAGRAM, len(action.payload))
                 cut = self.clock.now < self.cut_until and node.zone != other.zone
-                if not cut and self.random.random() >= self.plan.loss:
+                if not cut and self.random.random() >= self.plan.datagram_loss:
                     message = interface.PeerMessage(node.number, action.payload)
                     self.clock.after(self.random.uniform(*PEER_HOP), partial(self.feed, other, message))
 
-    def _probe(self, node: Node, box: FakeWorker) -> None:
-        if box.reachable and not box.hung and not self._apart(node, box):
-            told = interface.ProbeResult(box.id, AttemptOutcome.SERVED, 0.001, box.load)
+    def _probe(self, node: Node, worker: FakeWorker) -> None:
+        if worker.reachable and not worker.hung and not self._apart(node, worker):
+            told = interface.ProbeResult(worker.id, AttemptOutcome.SERVED, 0.001, worker.load)
             self.clock.after(2 * self._hop(), partial(self.feed, node, told))
 
-    def _apart(self, node: Node, box: FakeWorker) -> bool:
-        return box.silent or node.zone != box.zone and self.clock.now < self.split_until
+    def _apart(self, node: Node, worker: FakeWorker) -> bool:
+        return worker.unreachable_silently or node.zone != worker.zone and self.clock.now < self.split_until
 
     # ---- attempts ------------------------------------------------------------------------------------------
 
     def _hop(self) -> float:
         return self.random.uniform(*HOP)
 
-    def _send(self, request: Request, box: FakeWorker) -> None:
-        node, wish, now = request.node, request.wish, self.clock.now
-        self._check_send(request, box)
+    def _send(self, request: Request, worker: FakeWorker) -> None:
+        node, wish, now = request.node, request.job, self.clock.now
+        self._check_send(request, worker)
         work = wish.work * max(0.3, self.random.gauss(1, 0.15))
         attempt = Attempt(
-            request, len(request.attempts), box, now, work, wish.sort.work * wish.slots, slots=wish.slots
+            request,
+            len(request.attempts),
+            worker,
+            now,
+            work,
+            wish.job_class.mean_work * wish.slots,
+            slots=wish.slots,
         )
         request.attempts.append(attempt)
-        self.count["attempts"] += 1
-        self.count["cross_zone"] += box.zone != node.zone
-        if not box.reachable or self._apart(node, box):
+        self.counters["attempts"] += 1
+        self.counters["cross_zone"] += worker.zone != node.zone
+        if not worker.reachable or self._apart(node, worker):
             self.clock.after(CONNECT, partial(self._ended, attempt, AttemptOutcome.NO_CONNECTION, None))
-        elif box.state == WorkerState.GONE:
+        elif worker.state == WorkerState.GONE:
             self.clock.after(self._hop(), partial(self._ended, attempt, AttemptOutcome.NO_CONNECTION, None))
         else:
-            self.clock.after(self._hop(), partial(box.arrive, attempt))
+            self.clock.after(self._hop(), partial(worker.arrive, attempt))
         self.clock.after(request.deadline - now, partial(self._ended, attempt, AttemptOutcome.TIMEOUT, None))
 
-    def _check_send(self, request: Request, box: FakeWorker) -> None:
-        gone = request.node.drained.get(box.id)
+    def _check_send(self, request: Request, worker: FakeWorker) -> None:
+        gone = request.node.draining_since.get(worker.id)
         if gone is not None and self.clock.now > gone + 0.4 + GRACE:
             self.broken.append(f"a send to a box known to drain for {self.clock.now - gone:.2f} s")
-        sort, ran = request.wish.sort, [a for a in request.attempts if a.started or a.open]
+        sort, ran = request.job.job_class, [a for a in request.attempts if a.started or a.open]
         if sort.semantics == Semantics.DEDUPLICATED and ran:
-            apart = {"cell": ran[0].box.cell != box.cell, "zone": ran[0].box.zone != box.zone}
-            if apart.get(sort.group) or self.clock.now > ran[0].sent_at + sort.window + GRACE:
+            apart = {"cell": ran[0].worker.cell != worker.cell, "zone": ran[0].worker.zone != worker.zone}
+            if apart.get(sort.group) or self.clock.now > ran[0].sent_at + sort.deduplication_window_s + GRACE:
                 self.broken.append("a keyed job that may have run was sent out of its group, or too late")
         if sort.semantics == Semantics.UNSAFE and ran:
             self.broken.append("a fragile job that may have run was sent again")
@@ -314,29 +326,34 @@
             self.broken.append("two attempts out of one request")
         if len(request.attempts) >= self.plan.site.attempts:
             self.broken.append("more attempts than are allowed")
-        if any(a.open and a.box is box for a in request.attempts):
+        if any(a.open and a.worker is worker for a in request.attempts):
             self.broken.append("two attempts of one request at one box")
-        self._check_cold(request, box)
+        self._check_cold(request, worker)
 
-    def _check_cold(self, request: Request, box: FakeWorker) -> None:
+    def _check_cold(self, request: Request, worker: FakeWorker) -> None:
         """The sum of all dispatchers: beyond the N jobs of mean work that the settings allow in the time that
         they name, twice the root of N and 2 are chance.
         """
-        told, now, site = request.node.module.settings, self.clock.now, self.plan.site
-        knows = request.node.module.workers[box.id].started_at > 0
-        if not box.started_at or now >= box.started_at + told.slow_start_s - WARM_FROM or not knows:
+        told, now, site = request.node.dispatcher.settings, self.clock.now, self.plan.site
+        knows = request.node.dispatcher.workers[worker.id].started_at > 0
+        if not worker.started_at or now >= worker.started_at + told.slow_start_s - WARM_FROM or not knows:
             return
-        self.count["cold_sends"] += 1
-        sent = self.cold[box.id, box.started_at]
-        sent.append((now, request.wish.sort.work * request.wish.slots / site.mean_work))
+        self.counters["cold_sends"] += 1
+        sent = self.cold[worker.id, worker.started_at]
+        sent.append((now, request.job.job_class.mean_work * request.job.slots / site.mean_work))
         while sent[0][0] < now - told.overload_window_s:
             sent.popleft()
         ramp = (
             told.slow_start_min_share
-            + (1 - told.slow_start_min_share) * (now - box.started_at) / told.slow_start_s
+            + (1 - told.slow_start_min_share) * (now - worker.started_at) / told.slow_start_s
         )
         allowed = (
-            told.overload_multiple * ramp * told.overload_window_s * box.of.cores * box.speed / site.mean_work
+            told.overload_multiple
+            * ramp
+            * told.overload_window_s
+            * worker.worker_kind.cores
+            * worker.speed
+            / site.mean_work
         )
         got = sum(work for _, work in sent)
         if got > allowed + 2 * math.sqrt(allowed) + 2:
@@ -344,7 +361,7 @@
 
     def _started(self, attempt: Attempt) -> None:
         if attempt.open:
-            self.waits.append(self.clock.now - attempt.sent_at)
+            self.start_waits_s.append(self.clock.now - attempt.sent_at)
             self.clock.after(self._hop(), partial(self._notice, attempt, NoticeKind.STARTED, 0.0))
 
     def _progress(self, attempt: Attempt, share: float) -> None:
@@ -353,10 +370,10 @@
     def _notice(self, attempt: Attempt, what: int, share: float) -> None:
         request = attempt.owner
         assert isinstance(request, Request)
-        if attempt.open and request.live and not self._apart(request.node, attempt.box):
+        if attempt.open and request.live and not self._apart(request.node, attempt.worker):
             self.feed(
                 request.node,
-                interface.ProgressNotice(request.number, attempt.box.id, attempt.number, what, share),
+                interface.ProgressNotice(request.number, attempt.worker.id, attempt.number, what, share),
             )
 
     def _ended(self, attempt: Attempt, outcome: AttemptOutcome, load: dict[str, float] | None) -> None:
@@ -364,14 +381,14 @@
         assert isinstance(request, Request)
         if not attempt.open or not request.live:
             return
-        if outcome not in OWN_WORD and self._apart(request.node, attempt.box):
+        if outcome not in OWN_WORD and self._apart(request.node, attempt.worker):
             return  # lost on the way: its sender finds out by time
         attempt.open = False
         attempt.started = attempt.started or outcome not in PROVEN_UNRUN
-        self.count["outcome_" + outcome] += 1
+        self.counters["outcome_" + outcome] += 1
         if outcome == AttemptOutcome.SERVED and not request.answered:
             request.answered = True
-            self._answer(request.wish, "served", 0.0)
+            self._answer(request.job, "served", 0.0)
         # The module hears of it when its present event is dealt with.
         self.clock.after(0.0, partial(self._outcome, attempt, outcome, load))
 
@@ -383,7 +400,13 @@
             self.feed(
                 request.node,
                 interface.AttemptEnded(
-                    request.number, attempt.box.id, attempt.number, outcome, request.answered, latency, load
+                    request.number,
+                    attempt.worker.id,
+                    attempt.number,
+                    outcome,
+                    request.answered,
+                    latency,
+                    load,
                 ),
             )
             self._forget(request)
@@ -394,42 +417,47 @@
         refused = isinstance(action, interface.Reject)
         if request.answered:
             self.broken.append("a second final answer")
-        elif refused and not request.wish.harmless and any(a.started or a.open for a in request.attempts):
+        elif (
+            refused and not request.job.safe_to_repeat and any(a.started or a.open for a in request.attempts)
+        ):
             self.broken.append("a job was refused that may have run")
         request.answered = True
         after = action.retry_after if isinstance(action, interface.Reject) else 0.0
-        self._answer(request.wish, "refused" if refused else "failed", after)
+        self._answer(request.job, "refused" if refused else "failed", after)
         self._forget(request)
 
     def _forget(self, request: Request) -> None:
         if request.answered and not any(a.open for a in request.attempts):
             self.clock.after(0.01, partial(request.node.requests.pop, request.number, None))
 
-    def _answer(self, wish: Wish, end: str, retry_after: float) -> None:
-        wish.end = end
+    def _answer(self, wish: ClientJob, end: str, retry_after: float) -> None:
+        wish.outcome = end
         if end == "served":
-            wish.in_time = self.clock.now <= wish.at + wish.sort.aim + wish.sort.stretch * wish.work
-        elif wish.tries == 1 and self.random.random() < self.plan.retries:
+            wish.in_time = (
+                self.clock.now
+                <= wish.sent_at + wish.job_class.latency_objective_s + wish.job_class.stretch * wish.work
+            )
+        elif wish.attempts == 1 and self.random.random() < self.plan.client_retry_chance:
             wait = max(retry_after, self.random.uniform(0.01, 0.08))
             self.clock.after(wait, partial(self._ask, wish))
 
-    def _ask(self, wish: Wish) -> None:
-        wish.tries += 1
-        self.count["tries"] += 1
-        repeat = wish.tries > 1
+    def _ask(self, wish: ClientJob) -> None:
+        wish.attempts += 1
+        self.counters["tries"] += 1
+        repeat = wish.attempts > 1
         admitted = [n for n in self.nodes if n.admitted] or self.nodes
         node = self.random.choice([n for n in admitted if n.zone == wish.zone] or admitted)
-        left = wish.sort.deadline - (self.clock.now - wish.at)
+        left = wish.job_class.deadline_s - (self.clock.now - wish.sent_at)
         if not node.up or left <= 0:
             self._answer(wish, "failed", 0.0)
             return
-        node.last_number += 1
-        request = Request(wish, node, node.life, node.last_number, self.clock.now + left)
+        node.last_request_number += 1
+        request = Request(wish, node, node.incarnation, node.last_request_number, self.clock.now + left)
         node.requests[request.number] = request
         self.clock.after(left + GRACE, partial(self._overdue, request))
         flags = RETRY_FLAG if repeat else 0
         job = interface.JobArrived(
-            request.number, wish.cls, wish.tenant, left, slots=float(wish.slots), flags=flags
+            request.number, wish.class_index, wish.tenant, left, slots=float(wish.slots), flags=flags
         )
         self.feed(node, job)
 
@@ -442,124 +470,124 @@
         plan, rng, at = self.plan, self.random, 0.0
         phase = rng.uniform(0, 11)
         while True:
-            swing = 1 + plan.swing * math.sin(2 * math.pi * (at + phase) / 11)
-            if plan.trouble == "burst" and plan.at <= at < plan.at + CAUSE:
+            swing = 1 + plan.load_swing * math.sin(2 * math.pi * (at + phase) / 11)
+            if plan.fault == "burst" and plan.fault_at_s <= at < plan.fault_at_s + CAUSE:
                 swing *= BURST
             at += rng.expovariate(plan.load * self.jobs_a_second * swing)
             if at >= plan.seconds:
                 return
-            sorts, shares = plan.site.sorts, plan.site.shares or (1.0,)
-            cls = rng.choices(range(len(sorts)), [sort.part for sort in sorts])[0]
+            sorts, shares = plan.site.job_classes, plan.site.tenant_shares or (1.0,)
+            cls = rng.choices(range(len(sorts)), [sort.share for sort in sorts])[0]
             work = sorts[cls].draw(rng)
             tenant = rng.choices(range(len(shares)), shares)[0]
-            zone = 0 if plan.site.zones == 1 or rng.random() < 0.5 * (1 + plan.skew) else 1
-            slots = 2 if sorts[cls].wide and rng.random() < sorts[cls].wide else 1
-            wish = Wish(at, cls, sorts[cls], tenant, zone, work, slots)
-            self.wishes.append(wish)
+            zone = 0 if plan.site.zones == 1 or rng.random() < 0.5 * (1 + plan.zone_skew) else 1
+            slots = 2 if sorts[cls].two_slot_share and rng.random() < sorts[cls].two_slot_share else 1
+            wish = ClientJob(at, cls, sorts[cls], tenant, zone, work, slots)
+            self.jobs.append(wish)
             self.clock.after(at, partial(self._ask, wish))
 
     # ---- troubles ------------------------------------------------------------------------------------------
 
     def _plan_troubles(self) -> None:
         plan, rng = self.plan, self.random
-        for box in rng.sample(list(self.boxes.values()), plan.bad):
-            self.clock.after(rng.uniform(0.5, 3), partial(setattr, box, "fails_fast", True))
-        if plan.trouble == "zone":
-            self.clock.after(plan.at, self._lose_zone)
-        elif plan.trouble == "join":
-            self.clock.after(plan.at, self._replace)
-        elif plan.trouble == "herd":
-            self.clock.after(plan.at, self._release)
-        elif plan.trouble == "roll":
+        for worker in rng.sample(list(self.workers.values()), plan.failing_workers):
+            self.clock.after(rng.uniform(0.5, 3), partial(setattr, worker, "fails_fast", True))
+        if plan.fault == "zone":
+            self.clock.after(plan.fault_at_s, self._lose_zone)
+        elif plan.fault == "join":
+            self.clock.after(plan.fault_at_s, self._replace)
+        elif plan.fault == "herd":
+            self.clock.after(plan.fault_at_s, self._release)
+        elif plan.fault == "roll":
             order = rng.sample(self.nodes, len(self.nodes) // 2)
             for step in range(5):
-                self.clock.after(plan.at + 0.5 * step, partial(self._kill_all, order[step::5]))
-        elif plan.trouble == "hub":
-            self.clock.after(plan.at, self._kill_hubs)
-        elif plan.trouble == "cut":
-            self.clock.after(plan.at, partial(setattr, self, "cut_until", plan.at + CUT))
-        elif plan.trouble in ("split", "mute"):
-            self.clock.after(plan.at, self._cut_off)
-        elif plan.trouble == "drain":
-            self.clock.after(plan.at, self._drain_some)
-        elif plan.trouble == "hang":
-            for box in rng.sample(list(self.boxes.values()), max(1, round(HUNG * len(self.boxes)))):
-                self.clock.after(plan.at, box.hang)
-        elif plan.trouble == "slow":
-            for box in self.boxes.values():
-                self.clock.after(plan.at, partial(box.slow, SLOWED))
-                self.clock.after(plan.at + CAUSE, partial(box.slow, 1.0))
+                self.clock.after(plan.fault_at_s + 0.5 * step, partial(self._kill_all, order[step::5]))
+        elif plan.fault == "hub":
+            self.clock.after(plan.fault_at_s, self._kill_hubs)
+        elif plan.fault == "cut":
+            self.clock.after(plan.fault_at_s, partial(setattr, self, "cut_until", plan.fault_at_s + CUT))
+        elif plan.fault in ("split", "mute"):
+            self.clock.after(plan.fault_at_s, self._cut_off)
+        elif plan.fault == "drain":
+            self.clock.after(plan.fault_at_s, self._drain_some)
+        elif plan.fault == "hang":
+            for worker in rng.sample(list(self.workers.values()), max(1, round(HUNG * len(self.workers)))):
+                self.clock.after(plan.fault_at_s, worker.hang)
+        elif plan.fault == "slow":
+            for worker in self.workers.values():
+                self.clock.after(plan.fault_at_s, partial(worker.set_pace, SLOWED))
+                self.clock.after(plan.fault_at_s + CAUSE, partial(worker.set_pace, 1.0))
 
     def _cut_off(self) -> None:
         """A zone, or a fifth of the boxes, is out of reach; zones do not hear each other; lists come late."""
         self.cut_until = self.clock.now + SPLIT
         self.discovery.late_until = self.clock.now + LATE_LIST
-        if self.plan.trouble == "split":
+        if self.plan.fault == "split":
             self.split_until = self.cut_until
             return
-        for box in self.random.sample(list(self.boxes.values()), int(SILENT * len(self.boxes))):
-            box.silent = True
-            self.clock.after(SPLIT, partial(setattr, box, "silent", False))
+        for worker in self.random.sample(list(self.workers.values()), int(SILENT * len(self.workers))):
+            worker.unreachable_silently = True
+            self.clock.after(SPLIT, partial(setattr, worker, "silent", False))
 
     def _kill_hubs(self) -> None:
-        self._kill_all([node for node in self.nodes if node.module.fleet.is_aggregator])
+        self._kill_all([node for node in self.nodes if node.dispatcher.fleet.is_aggregator])
 
     def _lose_zone(self) -> None:
         """A zone is cut off, listed as gone seconds later, and comes back cold."""
-        lost = [box for box in self.boxes.values() if box.zone == 1]
+        lost = [worker for worker in self.workers.values() if worker.zone == 1]
         if self.plan.site.zones == 1:
-            lost = self.random.sample(list(self.boxes.values()), max(1, round(LOST * len(self.boxes))))
-        for box in lost:
-            box.lose()
+            lost = self.random.sample(list(self.workers.values()), max(1, round(LOST * len(self.workers))))
+        for worker in lost:
+            worker.cut_off()
         for wave in range(3):
             part = lost[wave::3]
             self.clock.after(3.0 + 0.4 * wave, partial(self._publish, part, WorkerState.GONE))
-            self.clock.after(self.plan.lost_for + 0.35 * wave, partial(self._come_back, part))
+            self.clock.after(self.plan.zone_lost_s + 0.35 * wave, partial(self._come_back, part))
 
-    def _come_back(self, boxes: list[FakeWorker]) -> None:
-        for box in boxes:
-            box.start(self.random.uniform(*COLD))
-        self.clock.after(self.random.uniform(0.2, 0.5), partial(self._publish, boxes, WorkerState.READY))
+    def _come_back(self, workers: list[FakeWorker]) -> None:
+        for worker in workers:
+            worker.start(self.random.uniform(*COLD))
+        self.clock.after(self.random.uniform(0.2, 0.5), partial(self._publish, workers, WorkerState.READY))
 
     def _swap(self, old: list[FakeWorker]) -> None:
         """Drain some boxes, and start as many new ones."""
-        for box in old:
-            box.drain()
-            self.clock.after(self.random.uniform(2.0, 4.0), partial(self._end_box, box))
+        for worker in old:
+            worker.drain()
+            self.clock.after(self.random.uniform(2.0, 4.0), partial(self._end_box, worker))
         self.clock.after(0.45, partial(self._publish, old, WorkerState.DRAINING))
-        fresh = [self._new_box(box.kind, box.zone) for box in old]
-        for box in fresh:
-            box.state = WorkerState.GONE
+        fresh = [self._new_box(worker.kind, worker.zone) for worker in old]
+        for worker in fresh:
+            worker.state = WorkerState.GONE
         self.clock.after(1.5, partial(self._come_up, fresh))
 
-    def _come_up(self, boxes: list[FakeWorker]) -> None:
-        for box in boxes:
-            box.start(self.random.uniform(*COLD))
-        self.clock.after(0.7, partial(self._publish, boxes, WorkerState.READY))
+    def _come_up(self, workers: list[FakeWorker]) -> None:
+        for worker in workers:
+            worker.start(self.random.uniform(*COLD))
+        self.clock.after(0.7, partial(self._publish, workers, WorkerState.READY))
 
     def _drain_some(self) -> None:
         """Some begin to drain and stay so, and nobody takes their place."""
-        leaving = self.random.sample(list(self.boxes.values()), max(1, round(DRAINED * len(self.boxes))))
-        for box in leaving:
-            box.drain()
+        leaving = self.random.sample(list(self.workers.values()), max(1, round(DRAINED * len(self.workers))))
+        for worker in leaving:
+            worker.drain()
         self.clock.after(0.45, partial(self._publish, leaving, WorkerState.DRAINING))
 
-    def _end_box(self, box: FakeWorker) -> None:
-        if box.running:
-            self.clock.after(0.5, partial(self._end_box, box))
+    def _end_box(self, worker: FakeWorker) -> None:
+        if worker.running:
+            self.clock.after(0.5, partial(self._end_box, worker))
         else:
-            box.state = WorkerState.GONE
-            self.clock.after(2.0, partial(self._publish, [box], WorkerState.GONE))
+            worker.state = WorkerState.GONE
+            self.clock.after(2.0, partial(self._publish, [worker], WorkerState.GONE))
 
     def _replace(self) -> None:
         """Six in ten boxes are replaced within 7 s."""
-        old = self.random.sample(list(self.boxes.values()), int(0.6 * len(self.boxes)))
+        old = self.random.sample(list(self.workers.values()), int(0.6 * len(self.workers)))
         self._swap(old[: len(old) // 2])
         self.clock.after(4.5, partial(self._swap, old[len(old) // 2 :]))
 
     def _release(self) -> None:
         """Boxes are replaced in waves, and seven in ten dispatchers are killed at once and start again."""
-        order = self.random.sample(list(self.boxes.values()), int(0.6 * len(self.boxes)))
+        order = self.random.sample(list(self.workers.values()), int(0.6 * len(self.workers)))
         for wave in range(4):
             self.clock.after(0.5 + 2.5 * wave, partial(self._swap, order[wave::4]))
         killed = self.random.sample(self.nodes, int(0.7 * len(self.nodes)))
--- a/tests/test_large_fleet.py
+++ b/tests/test_large_fleet.py
@@ -12,21 +12,21 @@
 from beaconhinge.standin.fleet.result import result
 from beaconhinge.standin.fleet.world import SimulatedFleet
 
-SIZE = {"dispatchers": 200, "boxes": 200, "seconds": 2.5, "at": 1.0, "load": 0.6}
+SIZE = {"dispatchers": 200, "workers": 200, "seconds": 2.5, "fault_at_s": 1.0, "load": 0.6}
 UNTIL = 5.5  # seconds: hubs have been followed, restarted dispatchers are back
 
 
 @pytest.mark.parametrize(
-    ("trouble", "loss", "served"), [("hub", 0.0, 0.9), ("cut", 0.0, 0.9), ("roll", 0.0, 0.8), ("", 1.0, 0.9)]
+    ("fault", "loss", "served"), [("hub", 0.0, 0.9), ("cut", 0.0, 0.9), ("roll", 0.0, 0.8), ("", 1.0, 0.9)]
 )
-def test_the_rules_hold_at_full_size(trouble: str, loss: float, served: float) -> None:
-    world = SimulatedFleet(Plan(trouble=trouble, loss=loss, **SIZE))  # type: ignore[arg-type]
+def test_the_rules_hold_at_full_size(fault: str, loss: float, served: float) -> None:
+    world = SimulatedFleet(Plan(fault=fault, datagram_loss=loss, **SIZE))  # type: ignore[arg-type]
     world.clock.run(UNTIL)
     assert world.broken == []
-    ended = [wish.end for wish in world.wishes if wish.end]  # some are longer, or asked for once more
+    ended = [job.outcome for job in world.jobs if job.outcome]  # some are longer, or asked for once more
     assert ended.count("served") >= served * len(ended) > 600
     if not loss:  # each circle has its one hub again, which works
-        fleets = [node.module.fleet for node in world.nodes]
+        fleets = [node.dispatcher.fleet for node in world.nodes]
         hubs = {(fleet.own_number * fleet.group_count // 200, fleet.hub) for fleet in fleets}
         assert len(hubs) == fleets[0].group_count == 5
         assert all(hub is not None and fleets[hub].is_aggregator for _, hub in hubs)
@@ -35,29 +35,29 @@
 def test_a_fleet_of_two_hundred_finds_its_way_back_from_a_slow_down() -> None:
     """Each circle knew its own fifth alone and queued the rest at random: 0.61 were in time to the end, 0.77 now."""
     plan = Plan(
-        trouble="slow",
+        fault="slow",
         dispatchers=200,
-        boxes=200,
+        workers=200,
         seconds=11.0,
-        at=1.0,
+        fault_at_s=1.0,
         load=0.85,
-        swing=0.0,
-        calls_a_second=30.0,
+        load_swing=0.0,
+        discovery_calls_per_s=30.0,
         seed=2,
     )
     world = SimulatedFleet(plan)
     world.clock.run(12.0)
     assert world.broken == []
-    last = [wish for wish in world.wishes if 8.0 <= wish.at < 11.0]
-    during = [wish for wish in world.wishes if 3.0 <= wish.at < 6.0]
-    assert sum(wish.in_time for wish in during) < 0.7 * len(during)  # the cause was felt
-    assert sum(wish.in_time for wish in last) > 0.7 * len(last) > 1000
+    last = [job for job in world.jobs if 8.0 <= job.sent_at < 11.0]
+    during = [job for job in world.jobs if 3.0 <= job.sent_at < 6.0]
+    assert sum(job.in_time for job in during) < 0.7 * len(during)  # the cause was felt
+    assert sum(job.in_time for job in last) > 0.7 * len(last) > 1000
 
 
-@pytest.mark.parametrize(("trouble", "loss"), [("herd", 0.0), ("join", 0.3)])
-def test_the_rules_hold_with_forty_through_a_release_and_a_replacement(trouble: str, loss: float) -> None:
+@pytest.mark.parametrize(("fault", "loss"), [("herd", 0.0), ("join", 0.3)])
+def test_the_rules_hold_with_forty_through_a_release_and_a_replacement(fault: str, loss: float) -> None:
     world = SimulatedFleet(
-        Plan(trouble=trouble, loss=loss, dispatchers=40, boxes=60, seconds=9.0, at=1.0, seed=3)
+        Plan(fault=fault, datagram_loss=loss, dispatchers=40, workers=60, seconds=9.0, fault_at_s=1.0, seed=3)
     )
     world.run()
     assert world.broken == []
@@ -74,9 +74,9 @@
 ]
 
 
-@pytest.mark.parametrize(("dispatchers", "boxes", "site", "trouble", "seed"), COLD)
+@pytest.mark.parametrize(("dispatchers", "workers", "site", "fault", "seed"), COLD)
 def test_cold_boxes_stay_under_their_budget_by_the_sum_of_all_with_every_datagram_lost(
-    dispatchers: int, boxes: int, site: Site, trouble: str, seed: int
+    dispatchers: int, workers: int, site: Site, fault: str, seed: int
 ) -> None:
     """In a full fleet. The world counts as the operators do: N jobs of mean work, and twice the root of N and 2 for
     chance. Twenty sent a box 6.9 where 1.8 were allowed, five 30.6 where 13.2 were: jobs were counted at the mean
@@ -85,30 +85,32 @@
     plan = Plan(
         site=site,
         peers=site is SCRIPTS,
-        trouble=trouble,
-        loss=1.0,
+        fault=fault,
+        datagram_loss=1.0,
         load=0.95,
         dispatchers=dispatchers,
-        boxes=boxes,
+        workers=workers,
         seconds=14.0,
-        at=1.0,
+        fault_at_s=1.0,
         seed=seed,
     )
     world = SimulatedFleet(plan)
     world.clock.run(12.0 if dispatchers < 100 else 8.0)
     assert world.broken == []
-    assert world.count["cold_sends"] > 20  # they were used
+    assert world.counters["cold_sends"] > 20  # they were used
 
 
 def test_calls_to_discovery_after_a_common_start_are_spread_and_all_get_a_list() -> None:
-    world = SimulatedFleet(Plan(trouble="herd", dispatchers=40, boxes=60, seconds=8.0, at=0.5, seed=2))
+    world = SimulatedFleet(
+        Plan(fault="herd", dispatchers=40, workers=60, seconds=8.0, fault_at_s=0.5, seed=2)
+    )
     world.run()
     assert world.discovery.calls < 5 * len(world.nodes)
-    assert all(node.version > 0 for node in world.nodes)
+    assert all(node.list_version > 0 for node in world.nodes)
 
 
 def test_the_same_events_give_the_same_day() -> None:
-    plan = Plan(trouble="join", dispatchers=12, boxes=12, seconds=4.0, at=0.5, seed=5)
+    plan = Plan(fault="join", dispatchers=12, workers=12, seconds=4.0, fault_at_s=0.5, seed=5)
     first, second = SimulatedFleet(plan), SimulatedFleet(plan)
     first.run()
     second.run()
