--- a/beaconhinge/standin/fleet/discovery.py
+++ b/beaconhinge/standin/fleet/discovery.py
@@ -10,14 +10,21 @@
 from ...policy.interface import UpdateKind
 from .clock import Clock
 
-MAX_WAIT_S = 2.0  # seconds that a call may wait for its turn
-MAX_BACKLOG_S = 4.0  # seconds of work in hand, beyond which a call is refused at once
+# That a call may wait for its turn.
+MAX_WAIT_S = 2.0
+# Of work in hand, beyond which a call is refused at once.
+MAX_BACKLOG_S = 4.0
+# That an answer takes beside its wait.
 ANSWER_S = 0.003
-NOTICE_DELAY_S = (0.02, 0.1)  # seconds in which watchers hear of a change
+# Least and greatest seconds until watchers are notified of a change.
+NOTICE_DELAY_S = (0.02, 0.1)
 
 
 class Discovery:
-    """A call that has waited too long has failed, and is worked on all the same."""
+    """Discovery for all dispatchers; it has one queue of calls.
+
+    A call that has waited too long has failed, and is worked on all the same.
+    """
 
     def __init__(
         self,
@@ -31,14 +38,16 @@
         self.calls_a_second = calls_a_second
         self.tell = on_update
         self.calls = self.refusals = 0
-        self.late_until = 0.0  # till then watchers hear of no change
+        self.late_until = 0.0  # till then watchers are not notified
         self._busy_until = 0.0
         self._version = 0
         self._changes: list[tuple[int, interface.MemberEntry]] = []
-        self._watchers: dict[int, int] = {}  # of those that watch
-        self._last_call: dict[int, int] = {}  # the last one of each
+        # By dispatcher: the version that a watch has sent, and the number of the last call.
+        self._watchers: dict[int, int] = {}
+        self._last_call: dict[int, int] = {}
 
     def publish(self, members: list[interface.MemberEntry]) -> None:
+        """Make these entries a new version, and notify those that watch."""
         self._version += 1
         self._changes += [(self._version, member) for member in members]
         late = max(0.0, self.late_until - self.clock.now)
@@ -46,7 +55,7 @@
             self.clock.after(late + self.random.uniform(*NOTICE_DELAY_S), partial(self._push, number))
 
     def call(self, number: int, known: int) -> None:
-        """Ask for what has changed since, and watch from then on."""
+        """Ask for what has changed since a version, and watch from then on."""
         self.calls += 1
         self._last_call[number] = self.calls
         work = max(0.0, self._busy_until - self.clock.now)
@@ -60,7 +69,7 @@
             self.clock.after(work + ANSWER_S, partial(self._answer, number, known, self.calls))
 
     def leave(self, number: int) -> None:
-        """Who asked is no more: no answer to it."""
+        """Forget a dispatcher that has ended: no answer to it."""
         self._watchers.pop(number, None)
         self._last_call.pop(number, None)
 
--- a/beaconhinge/standin/fleet/plan.py
+++ b/beaconhinge/standin/fleet/plan.py
@@ -1,4 +1,4 @@
-"""What a day is like, and what dispatchers are told of the site."""
+"""What a day is like, and how dispatchers are configured."""
 
 from __future__ import annotations
 
@@ -25,9 +25,13 @@
 )
 
 
+# Seconds that a burst of traffic, or a slow-down of all workers, lasts.
+BURST_S = 5.0
+
+
 @dataclass(frozen=True)
 class WorkerKind:
-    """Boxes of one machine kind: their part of the fleet, cores, jobs at once, speed of a core."""
+    """Workers of one machine kind: their part of the fleet, cores, jobs at once, speed of a core."""
 
     share: float
     cores: int
@@ -37,11 +41,19 @@
 
 @dataclass(frozen=True)
 class JobClass:
-    """One class of jobs, as clients ask for it and as dispatchers are told of it."""
+    """One class of jobs, as clients ask for it and as dispatchers are configured with it.
+
+    Attributes:
+        share: Of the jobs.
+        mean_work: Seconds of a standard core.
+        deduplication_window_s: In which a group drops a repeat.
+        two_slot_share: Part of its jobs that take two slots.
+        work_variation: Coefficient of variation of the work, which is lognormal; 0: a heavy tail.
+    """
 
     name: str
-    share: float  # of the jobs
-    mean_work: float  # seconds of a standard core, in the mean
+    share: float
+    mean_work: float
     latency_objective_s: float
     stretch: float
     deadline_s: float
@@ -49,26 +61,27 @@
     semantics: str = Semantics.RETRYABLE
     group: str = "all"
     deduplication_window_s: float = 5.0
-    two_slot_share: float = 0.0  # part of its jobs that take two slots
-    work_variation: float = 0.0  # of the work, lognormal; 0: a heavy tail
+    two_slot_share: float = 0.0
+    work_variation: float = 0.0
 
     def draw(self, rng: random.Random) -> float:
-        if self.work_variation == 0.0:
-            return self.mean_work * min(0.4 * rng.paretovariate(1.6), 12.0)  # a few are much longer than most
+        """Draw the work of one job, in seconds of a standard core."""
+        if self.work_variation == 0.0:  # a few are much longer than most
+            return self.mean_work * min(0.4 * rng.paretovariate(1.6), 12.0)
         spread = math.log(1 + self.work_variation**2)
         return self.mean_work * rng.lognormvariate(-spread / 2, math.sqrt(spread))
 
 
 @dataclass(frozen=True)
 class Site:
-    """What does not change from day to day: a deployment."""
+    """What does not change from day to day: a deployment. `quota_share` is of the capacity, in all."""
 
     job_classes: tuple[JobClass, ...]
     worker_kinds: tuple[WorkerKind, ...]
-    tenant_shares: tuple[float, ...] = ()  # of the tenants
+    tenant_shares: tuple[float, ...] = ()
     zones: int = 2
-    report_fields: tuple[str, ...] = ("x0",)  # fields of a load report
-    quota_share: float = 0.8  # of the capacity, in all
+    report_fields: tuple[str, ...] = ("x0",)
+    quota_share: float = 0.8
     pushed_membership: bool = False
     cancel: bool = True
     may_duplicate: bool = True
@@ -124,7 +137,22 @@
 
 @dataclass(frozen=True)
 class Plan:
-    """One day. `load` is the part of the fleet's capacity that is asked for."""
+    """One day. `load` is the part of the fleet's capacity that is asked for.
+
+    Attributes:
+        load_swing: Of the traffic, up and down.
+        zone_skew: More traffic in the first zone, less in the other.
+        first_zone_share: Part of the workers in the zone that is never lost.
+        speed_cv: Coefficient of variation of the workers' speed.
+        max_stall_s: Longest stall of a worker, which comes every 4 to 11 s.
+        failing_workers: How many fail fast from the first seconds on.
+        datagram_loss: Part of the datagrams that is lost.
+        client_retry_chance: That a client asks once more.
+        discovery_calls_per_s: That discovery answers.
+        fault: One of FAULTS.
+        fault_at_s: When it begins.
+        zone_lost_s: For how long a zone is lost.
+    """
 
     site: Site = SCRIPTS
     dispatchers: int = 40
@@ -132,19 +160,19 @@
     load: float = 0.68
     seconds: float = 24.0
     seed: int = 1
-    load_swing: float = 0.2  # of the traffic, up and down
-    zone_skew: float = 0.2  # more traffic in the first zone, less in the other
-    first_zone_share: float = 0.45  # part of the boxes in the zone that is never lost
+    load_swing: float = 0.2
+    zone_skew: float = 0.2
+    first_zone_share: float = 0.45
     speed_cv: float = 0.15
-    max_stall_s: float = 0.07  # longest stall of a box, which comes every 4 to 11 s
-    failing_workers: int = 0  # boxes that fail fast from the first seconds on
-    datagram_loss: float = 0.0  # part of the datagrams that is lost
+    max_stall_s: float = 0.07
+    failing_workers: int = 0
+    datagram_loss: float = 0.0
     peers: bool = True
-    client_retry_chance: float = 0.7  # chance that a client asks once more
-    discovery_calls_per_s: float = 6.0  # that discovery answers
-    fault: str = ""  # one of TROUBLES
-    fault_at_s: float = 6.0  # when it begins
-    zone_lost_s: float = 6.3  # seconds that a zone is lost
+    client_retry_chance: float = 0.7
+    discovery_calls_per_s: float = 6.0
+    fault: str = ""
+    fault_at_s: float = 6.0
+    zone_lost_s: float = 6.3
 
     def __post_init__(self) -> None:
         if self.fault not in FAULTS:
@@ -152,8 +180,8 @@
 
 
 def settings(capacity: float, peers: bool, site: Site = SCRIPTS) -> dict[str, str]:
-    """Pairs as a site gives them. `capacity` is in jobs a second."""
-    told = {
+    """Return the settings of a dispatcher as pairs; `capacity` is in jobs a second."""
+    pairs = {
         "requestClasses.count": str(len(site.job_classes)),
         "membershipMode": "pushed" if site.pushed_membership else "on_request",
         "clients.marksRetry": str(site.marks_retry).lower(),
@@ -188,7 +216,7 @@
     }
     for i, sort in enumerate(site.job_classes):
         path = f"requestClasses.{i}."
-        told |= {
+        pairs |= {
             path + "aim": str(sort.latency_objective_s),
             path + "hardLimit": str(sort.deadline_s),
             path + "group": sort.group,
@@ -198,8 +226,8 @@
             path + "name": sort.name,
         }
     for i, share in enumerate(site.tenant_shares):
-        told |= {
+        pairs |= {
             f"orgs.{i}.share": str(share),
             f"orgs.{i}.quotaRps": f"{site.quota_share * capacity * share:.1f}",
         }
-    return told
+    return pairs
--- a/beaconhinge/standin/fleet/result.py
+++ b/beaconhinge/standin/fleet/result.py
@@ -5,7 +5,8 @@
 from dataclasses import asdict, dataclass
 
 from ...policy.interface import AttemptOutcome
-from .world import ClientJob, SimulatedFleet
+from .entities import ClientJob
+from .world import SimulatedFleet
 
 WINDOW_S = 10
 # From a send to its start, in seconds.
--- a/beaconhinge/standin/fleet/workers.py
+++ b/beaconhinge/standin/fleet/workers.py
@@ -1,4 +1,4 @@
-"""Script boxes: slots and cores, a queue, cold starts, stalls, drains, load reports that lag."""
+"""Workers: slots and cores, a queue, cold starts, stalls, drains, load reports that lag."""
 
 from __future__ import annotations
 
@@ -13,25 +13,35 @@
 from .plan import WorkerKind
 
 QUEUE_PER_CORE = 12
-PROGRESS_INTERVAL_S = 1.0  # seconds between notices of a running job
-MAX_STEP_S = 0.5  # seconds after which a box looks at its jobs again at the latest: it warms up meanwhile
-# Multiple of its present capacity for so many seconds that pushes a cold box over.
+# Between notices of a running job.
+PROGRESS_INTERVAL_S = 1.0
+# After which a worker computes its progress anew at the latest: it warms up meanwhile.
+MAX_STEP_S = 0.5
+# Multiple of its present capacity for so many seconds that overloads a cold worker.
 OVERLOAD_MULTIPLE = 4.0
 OVERLOAD_WINDOW_S = 1.5
-FAIL_FAST_S = 0.02  # seconds in which a bad box answers
+# In which a worker that fails fast answers.
+FAIL_FAST_S = 0.02
+# Work left, in seconds of a standard core, that counts as none.
+WORK_EPSILON = 1e-5
 
 
 @dataclass(eq=False)
 class Attempt:
-    """One send to one box. `owner` is who sent it."""
+    """One attempt at one worker. `owner` is who sent it.
+
+    Attributes:
+        expected_work: As nobody is told the true one.
+        open: Whether its sender waits for the outcome.
+    """
 
     owner: object
     number: int
     worker: FakeWorker
     sent_at: float
     work: float
-    expected_work: float  # as nobody is told the true one
-    open: bool = True  # its sender waits for the outcome
+    expected_work: float
+    open: bool = True
     started: bool = False
     work_left: float = 0.0
     slots: int = 1
@@ -39,7 +49,7 @@
 
 @dataclass
 class WorkerCallbacks:
-    """Whom a box tells of its jobs, and whom it hands their outcomes."""
+    """What a worker calls as a job starts, goes on, and ends."""
 
     started: Callable[[Attempt], object]
     progress: Callable[[Attempt, float], object]
@@ -48,6 +58,19 @@
 
 @dataclass(eq=False)
 class FakeWorker:
+    """One worker: slots, cores that they share, and a queue.
+
+    Attributes:
+        started_at: 0: long ago.
+        cold_for: Seconds that it takes to warm up.
+        cold_share: Of its speed, as it starts.
+        pace: Beside its own, while something that all share is short.
+        unreachable_silently: Nothing comes in and nothing goes out, though it works on.
+        hung: It takes jobs, and never starts or ends one.
+        work_done: In seconds of a standard core.
+        peak_cold_load: Work sent while cold in any window, as a part of what overloads it.
+    """
+
     clock: Clock
     random: random.Random
     callbacks: WorkerCallbacks
@@ -59,22 +82,22 @@
     speed: float
     state: WorkerState = WorkerState.READY
     reachable: bool = True
-    started_at: float = 0.0  # 0: long ago
+    started_at: float = 0.0
     cold_for: float = 0.0
     cold_share: float = 0.45
     fails_fast: bool = False
     paused_until: float = 0.0
-    pace: float = 1.0  # pace beside its own, while something that all share is short
-    unreachable_silently: bool = False  # nothing comes in and nothing goes out, though it works on
-    hung: bool = False  # it takes jobs, and never starts or ends one
+    pace: float = 1.0
+    unreachable_silently: bool = False
+    hung: bool = False
     running: list[Attempt] = field(default_factory=list)
     queue: deque[Attempt] = field(default_factory=deque)
-    work_done: float = 0.0  # work done
-    peak_cold_load: float = 0.0  # work sent while cold in any window, as a part of what pushes it over
+    work_done: float = 0.0
+    peak_cold_load: float = 0.0
     _cold_sends: deque[tuple[float, float]] = field(default_factory=deque)
     _advanced_at: float = 0.0
-    _step_version: int = 0  # of its next look: earlier ones are void
-    _reported_free_slots: float = 0.0  # slots, as its answers have it, and jobs that wait
+    _step_version: int = 0  # of its next step: earlier ones are void
+    _reported_free_slots: float = 0.0
     _reported_queue_depth: float = 0.0
 
     def __post_init__(self) -> None:
@@ -92,6 +115,7 @@
 
     @property
     def load(self) -> dict[str, float]:
+        """Its last load report; it lags behind."""
         return {"x0": self._reported_free_slots, "depth": self._reported_queue_depth}
 
     @property
@@ -101,6 +125,7 @@
     # ---- capacity ------------------------------------------------------------------------------------------
 
     def warmth(self, at: float) -> float:
+        """Return the part of its speed that it has at a time."""
         if at >= self.started_at + self.cold_for:
             return 1.0
         return self.cold_share + (1 - self.cold_share) * max(0.0, at - self.started_at) / self.cold_for
@@ -132,7 +157,7 @@
         if version != self._step_version:
             return
         self._advance()
-        for attempt in [a for a in self.running if a.work_left <= 1e-5]:
+        for attempt in [a for a in self.running if a.work_left <= WORK_EPSILON]:
             self.running.remove(attempt)
             self.callbacks.ended(attempt, AttemptOutcome.SERVED, self.load)
         self._start_queued()
@@ -156,6 +181,7 @@
     # ---- what happens to it --------------------------------------------------------------------------------
 
     def arrive(self, attempt: Attempt) -> None:
+        """Take a job, queue it or reject it."""
         if not attempt.open or not self.reachable or self.hung:
             return  # given up, lost on the way, or taken for ever: its sender finds out by time
         if self.state != WorkerState.READY or len(self.queue) >= QUEUE_PER_CORE * self.worker_kind.cores:
@@ -182,29 +208,32 @@
         self.peak_cold_load = max(self.peak_cold_load, part)
 
     def set_pace(self, pace: float) -> None:
+        """Work at so many times its own speed from now on."""
         self._advance()
         self.pace = pace
         self._schedule_step()
 
     def stall(self, seconds: float) -> None:
+        """Do nothing for so many seconds."""
         self._advance()
         self.paused_until = max(self.paused_until, self.clock.now + seconds)
         self._schedule_step()
 
     def hang(self) -> None:
+        """Lose what it has, and take jobs without starting them from now on."""
         self._advance()
         self.hung, self.running = True, []
         self.queue.clear()
 
     def drain(self) -> None:
-        """Complete what runs, hand back what waits, take nothing new."""
+        """Complete what runs, reject what is queued, take nothing new."""
         self.state = WorkerState.DRAINING
         waiting, self.queue = self.queue, deque()
         for attempt in waiting:
             self.callbacks.ended(attempt, AttemptOutcome.REJECTED, {"x0": 0.0})
 
     def cut_off(self) -> None:
-        """The machine is cut off: what it held breaks, and nobody hears from it any more."""
+        """Lose the machine: connections break, and nobody hears from it any more."""
         self._advance()
         self.reachable, self.state = False, WorkerState.GONE
         held, self.running, self.queue = [*self.running, *self.queue], [], deque()
@@ -213,7 +242,7 @@
             self.callbacks.ended(attempt, AttemptOutcome.CONNECTION_LOST, None)
 
     def start(self, cold_for: float) -> None:
-        """Up again, or for the first time, and cold."""
+        """Be up again, or for the first time, and cold."""
         self.reachable, self.state = True, WorkerState.READY
         self.started_at, self.cold_for = self.clock.now, cold_for
         self._cold_sends.clear()
