--- a/beaconhinge/cli/rehearse.py
+++ b/beaconhinge/cli/rehearse.py
@@ -33,14 +33,18 @@
     first = read_scenario(scenario, seed)
     for number in range(runs):
         one = first if not number else read_scenario(scenario, (first.seed + number) % 65536)
-        told = print if runs == 1 and not as_json else lambda line: None
-        verdict = run_until_terminated(run_scenario(one, told))
+        on_event = print if runs == 1 and not as_json else _ignore
+        verdict = run_until_terminated(run_scenario(one, on_event))
         _show(verdict, as_json)
         if not verdict.well:
             return 3
     return 0
 
 
+def _ignore(_line: str) -> None:
+    """Print nothing."""
+
+
 def _show(verdict: Verdict, as_json: bool) -> None:
     import msgspec
 
--- a/beaconhinge/standin/clients.py
+++ b/beaconhinge/standin/clients.py
@@ -12,7 +12,8 @@
 from ..net.http1 import BadMessage, Closed
 from .http import Caller
 
-GRACE = 2.0  # seconds beyond a request's own time-out after which its answer counts as missing
+# Seconds beyond a request's own time-out after which its answer counts as missing.
+ANSWER_GRACE_S = 2.0
 
 
 @dataclass(frozen=True)
@@ -26,6 +27,8 @@
 
 
 class Clients:
+    """Clients of one dispatcher, whose requests come by a Poisson process."""
+
     def __init__(
         self,
         port: int,
@@ -46,7 +49,7 @@
         self._open: set[asyncio.Task[None]] = set()
 
     async def run(self, seconds: float) -> None:
-        """Ask for so long, then wait for what is open still."""
+        """Ask for so many seconds, then wait for what is open still."""
         loop = asyncio.get_running_loop()
         end = due = loop.time()
         end += seconds
@@ -61,6 +64,7 @@
 
     @property
     def open(self) -> int:
+        """Requests without an answer yet."""
         return len(self._open)
 
     async def _ask(self) -> None:
@@ -80,7 +84,7 @@
         begun = asyncio.get_running_loop().time()
         status = "missing"
         try:
-            async with asyncio.timeout(kind.timeout_ms / 1000 + GRACE):
+            async with asyncio.timeout(kind.timeout_ms / 1000 + ANSWER_GRACE_S):
                 data = http1.request("POST", f"/{kind.name}".encode(), head, b"work")
                 message = await self.caller.ask(data)
             status = str(message.status)
--- a/beaconhinge/standin/committer.py
+++ b/beaconhinge/standin/committer.py
@@ -1,5 +1,6 @@
-"""A process that commits without end and prints what was acknowledged, to be killed: `python -m … FOLDER
-START`.
+"""A process that commits without end and prints what was acknowledged, to be killed.
+
+    python -m beaconhinge.standin.committer FOLDER START
 
 Each batch holds two keys of one number, so that half a batch shows; every tenth deletes an earlier one. A
 line is written only after its commit has returned.
@@ -18,10 +19,12 @@
 
 
 def keys(number: int) -> tuple[bytes, bytes]:
+    """Return the two keys of a number."""
     return b"a%09d" % number, b"b%09d" % number
 
 
 async def run(folder: str, start: int) -> None:
+    """Commit from a number on, with several writers, until killed."""
     store = Store.open(folder, OPTIONS)
     os.write(1, b"open\n")
     numbers = iter(range(start, 10**9))
--- a/beaconhinge/standin/discovery.py
+++ b/beaconhinge/standin/discovery.py
@@ -13,12 +13,15 @@
 from ..net.http1 import Message
 from .http import Paced, Server
 
-SLOW_ANSWER_S = 2.0  # from the first byte of an answer to its last while answers are slow
+# From the first byte of an answer to its last while answers are slow.
+SLOW_ANSWER_S = 2.0
 
 
 class Spoil(enum.Enum):
-    """How answers are spoilt. All but SLOW_BODY and ID_AND_STATE leave answers of the whole list as they
-    are."""
+    """How answers are spoilt.
+
+    All but SLOW_BODY and ID_AND_STATE leave answers of the whole list as they are.
+    """
 
     NO_ENTRIES = "no-entries"  # changes: the new version, and none of the entries
     MISSING_ENTRY = "missing-entry"  # changes: the last of the entries is left out
@@ -29,22 +32,24 @@
 
 
 class Discovery:
+    """The list of workers at one address; `spoil` says how answers are spoilt now, if they are."""
+
     def __init__(self, servers: list[dict[str, object]]) -> None:
         self.servers = {str(entry["id"]): entry for entry in servers}
         self.version = 1
         self.server = Server(self._answer)
-        self.is_out = False  # it takes calls and ends them without a word
+        self.is_out = False  # it takes calls, and closes their connections without an answer
         self.open_watches = 0  # watches that are open
         self.spoil: Spoil | None = None
-        self.spoilt_answers = 0  # answers that were
-        self._muted = asyncio.Event()
+        self.spoilt_answers = 0
+        self._mute_event = asyncio.Event()
         self.calls = 0
         self._changed: dict[str, int] = {}  # the version in which an entry last changed
         self._before = copy.deepcopy(self.servers)  # the entries as they were before the last change
-        self._news = asyncio.Event()
+        self._changed_event = asyncio.Event()
 
     def change(self, names: str | Sequence[str], **fields: object) -> None:
-        """Change one or more entries in one new version, and tell those who watch."""
+        """Change one or more entries in one new version, and notify those who watch."""
         self.version += 1
         self._before = copy.deepcopy(self.servers)
         for name in [names] if isinstance(names, str) else names:
@@ -53,12 +58,13 @@
         self._wake()
 
     def whole(self) -> dict[str, object]:
+        """Return the whole list, as an answer has it."""
         return {"version": self.version, "full": True, "servers": list(self.servers.values())}
 
     def _wake(self) -> None:
         """All open watches have their answer."""
-        self._news.set()
-        self._news = asyncio.Event()
+        self._changed_event.set()
+        self._changed_event = asyncio.Event()
 
     def take_out(self) -> None:
         """Be out from now on: open watches end."""
@@ -66,22 +72,22 @@
         self._wake()
 
     def mute(self) -> int:
-        """Let all open watches fall silent, as if their connections led nowhere; how many."""
-        self._muted.set()
-        self._muted = asyncio.Event()
+        """Let all open watches fall silent, as if their connections led nowhere; return how many."""
+        self._mute_event.set()
+        self._mute_event = asyncio.Event()
         return self.open_watches
 
     async def _wait(self, seconds: float) -> bool:
         """Until there is news, or so long; False if the watch has fallen silent meanwhile."""
-        ways = [asyncio.ensure_future(way.wait()) for way in (self._news, self._muted)]
+        waits = [asyncio.ensure_future(event.wait()) for event in (self._changed_event, self._mute_event)]
         self.open_watches += 1
         try:
-            await asyncio.wait(ways, timeout=seconds, return_when=asyncio.FIRST_COMPLETED)
-            return not ways[1].done()
+            await asyncio.wait(waits, timeout=seconds, return_when=asyncio.FIRST_COMPLETED)
+            return not waits[1].done()
         finally:
             self.open_watches -= 1
-            for way in ways:
-                way.cancel()
+            for wait in waits:
+                wait.cancel()
 
     async def _answer(self, message: Message) -> bytes | Paced | None:
         self.calls += 1
@@ -90,11 +96,11 @@
         path, _, query = message.target.decode("latin-1").partition("?")
         if path != "/discovery/hosts":
             return http1.response(404)
-        asked = {name: values[-1] for name, values in parse_qs(query).items()}
-        if "index" not in asked:
+        query_values = {name: values[-1] for name, values in parse_qs(query).items()}
+        if "index" not in query_values:
             return self._encode(self.whole(), changes=False)
-        since = int(asked["index"])
-        if since >= self.version and not await self._wait(int(asked.get("wait", "0")) / 1000):
+        since = int(query_values["index"])
+        if since >= self.version and not await self._wait(int(query_values.get("wait", "0")) / 1000):
             await asyncio.Event().wait()  # nothing more comes on this connection
         if self.is_out:
             return None
--- a/beaconhinge/standin/disk.py
+++ b/beaconhinge/standin/disk.py
@@ -15,7 +15,10 @@
 from dataclasses import dataclass, field
 from typing import TypeAlias
 
-HOLE = 16  # bytes of a block that is lost from the middle of a write: small, as the tests' writes are
+# Size of a block that is lost from the middle of a write: small, as the tests' writes are.
+HOLE_BYTES = 16
+# Draws from which on a change survives a cut.
+KEEP_FROM = 0.5
 
 
 class Cut(BaseException):
@@ -80,16 +83,29 @@
         names[change.new] = change.inode
 
 
-Fault: TypeAlias = "OSError | int"  # an int: a write that stops after so many bytes
+# An int: a write that stops after so many bytes.
+Fault: TypeAlias = "OSError | int"
+
+
+def _no_fault(_what: str, _name: str, _size: int) -> Fault | None:
+    return None
 
 
 class SimFile:
+    """An open file of the disk in memory."""
+
     def __init__(self, disk: SimDisk, name: str, inode: _Inode) -> None:
         self._disk = disk
         self._name = name
         self._inode = inode
 
     def write(self, data: bytes | memoryview, offset: int) -> int:
+        """Write at an offset; return how many bytes, which a fault may make fewer.
+
+        Raises:
+            Cut: The power went.
+            OSError: A fault.
+        """
         data = bytes(data)
         fault = self._disk.step("write", self._name, len(data))
         if fault is not None:
@@ -101,19 +117,23 @@
         return len(data)
 
     def read(self, offset: int, size: int) -> bytes:
+        """Read up to so many bytes; raise OSError if the file is unreadable."""
         if self._name in self._disk.unreadable:
             raise OSError(errno.EIO, "unreadable")
         return bytes(self._inode.current[offset : offset + size])
 
     def size(self) -> int:
+        """Return the size in bytes."""
         return len(self._inode.current)
 
     def truncate(self, size: int) -> None:
+        """Set the size; a hole reads as zeros."""
         self._disk.step("truncate", self._name)
         self._disk.used -= len(self._inode.current) - size
         self._put(_Truncate(size))
 
     def sync(self) -> None:
+        """Make what was written so far durable."""
         self._disk.step("sync", self._name)
         self._inode.synced = bytearray(self._inode.current)
         self._inode.pending.clear()
@@ -123,12 +143,14 @@
         self._inode.pending.append(op)
 
     def close(self) -> None:
+        """Do nothing: an open file holds no resource."""
         pass
 
 
 class SimDisk:
-    """One folder. `cut_at` is the operation before which the power goes, and for a write, after which byte of
-    it.
+    """One folder.
+
+    `cut_at` is the operation before which the power goes, and for a write, `cut_byte` the byte of it.
     """
 
     def __init__(self, cut_at: int | None = None, cut_byte: int = 0) -> None:
@@ -137,7 +159,7 @@
         self.cutting = False
         self.steps = 0
         self.log: list[tuple[str, str, int]] = []  # of operations: what, file, bytes
-        self.faults: Callable[[str, str, int], Fault | None] = lambda what, name, size: None
+        self.faults: Callable[[str, str, int], Fault | None] = _no_fault
         self.unreadable: set[str] = set()
         self.used = 0
         self._names: dict[str, _Inode] = {}
@@ -146,7 +168,7 @@
         self._locked = False
 
     def step(self, what: str, name: str, size: int = 0) -> int | None:
-        """Count one operation that changes the disk; the bytes that a write is stopped after, if it is."""
+        """Count an operation that changes the disk; return the bytes that a write stops after, if it does."""
         if self.cutting:
             raise Cut
         number, self.steps = self.steps, self.steps + 1
@@ -164,17 +186,21 @@
     # ---- the interface of beaconhinge.store.disk.Disk ------------------------------------------------------
 
     def lock(self) -> None:
+        """Lock the folder; raise BlockingIOError if it is."""
         if self._locked:
             raise BlockingIOError
         self._locked = True
 
     def unlock(self) -> None:
+        """Unlock the folder."""
         self._locked = False
 
     def names(self) -> list[str]:
+        """Return the names of all files, sorted."""
         return sorted(self._names)
 
     def create(self, name: str) -> SimFile:
+        """Create a file and open it; raise FileExistsError if there is one."""
         self.step("create", name)
         if name in self._names:
             raise FileExistsError(name)
@@ -182,16 +208,19 @@
         self._change(_Link(name, inode))
         return SimFile(self, name, inode)
 
-    def open(self, name: str, write: bool = False) -> SimFile:
+    def open(self, name: str, write: bool = False) -> SimFile:  # noqa: ARG002 - the interface has it
+        """Open a file; raise FileNotFoundError if there is none."""
         if name not in self._names:
             raise FileNotFoundError(name)
         return SimFile(self, name, self._names[name])
 
     def rename(self, old: str, new: str) -> None:
+        """Rename a file; the other one of that name goes."""
         self.step("rename", new)
         self._change(_Rename(old, new, self._names[old]))
 
     def remove(self, name: str) -> None:
+        """Remove a file; raise FileNotFoundError if there is none."""
         self.step("remove", name)
         if name not in self._names:
             raise FileNotFoundError(name)
@@ -199,6 +228,7 @@
         self._change(_Unlink(name))
 
     def sync_names(self) -> None:
+        """Make all changes of names durable."""
         self.step("sync", ".")
         self._synced = dict(self._names)
         self._changes.clear()
@@ -210,14 +240,16 @@
     # ---- cuts and damage -----------------------------------------------------------------------------------
 
     def after_cut(self, keep: Callable[[], float]) -> SimDisk:
-        """What is found at the next start. `keep` draws a number for each thing that was not synced: it is
-        lost below 1/3, whole above 2/3, and a write is torn or has a hole in between.
+        """Return what is found at the next start.
+
+        `keep` draws a number for each thing that was not synced: it is lost below 1/3, complete above 2/3,
+        and a write is torn or has a hole in between.
         """
         left = SimDisk()
         copies: dict[_Inode, _Inode] = {}
         names = dict(self._synced)
         for change in self._changes:
-            if keep() >= 0.5:
+            if keep() >= KEEP_FROM:
                 _do_name(names, change)
         for name, inode in names.items():
             if inode not in copies:
@@ -236,15 +268,15 @@
             if isinstance(op, _Write) and drawn < 2 / 3:
                 # Its blocks reach the disk in any order: it stops short, or a block in its middle is lost.
                 part = int((drawn * 6 - 2) % 1 * (len(op.data) + 1))
-                _do(content, _Write(op.offset, op.data[:part] if drawn < 0.5 else op.data))
-                if drawn >= 0.5:
-                    _do(content, _Write(op.offset + part, bytes(min(HOLE, len(op.data) - part))))
+                _do(content, _Write(op.offset, op.data[:part] if drawn < KEEP_FROM else op.data))
+                if drawn >= KEEP_FROM:
+                    _do(content, _Write(op.offset + part, bytes(min(HOLE_BYTES, len(op.data) - part))))
                 continue
             _do(content, op)
         return _Inode(bytearray(content), content)
 
     def killed(self) -> SimDisk:
-        """What is found after the process alone has died: everything, and all that was unsynced still is."""
+        """Return what is found after the process alone has died: everything, synced or not as before."""
         left = SimDisk()
         copies: dict[_Inode, _Inode] = {}
         for inode in [
@@ -267,7 +299,7 @@
         return left
 
     def torn(self, name: str, byte: int) -> SimDisk:
-        """`killed`, with the last write to a file stopped after so many bytes."""
+        """Return `killed`, with the last write to a file stopped after so many bytes."""
         left = self.killed()
         inode = left._names[name]
         last = inode.pending[-1]
@@ -279,6 +311,7 @@
         return left
 
     def content(self, name: str) -> bytes:
+        """Return what a reader sees of a file."""
         return bytes(self._names[name].current)
 
     def put(self, name: str, content: bytes) -> None:
@@ -286,7 +319,7 @@
         self._names[name] = self._synced[name] = _Inode(bytearray(content), bytearray(content))
 
     def drop(self, name: str) -> None:
-        """A file is gone, as if somebody had deleted it."""
+        """Delete a file durably, as if somebody had deleted it."""
         del self._names[name], self._synced[name]
 
     def flip(self, name: str, offset: int, bit: int) -> None:
@@ -296,7 +329,7 @@
             content[offset] ^= 1 << bit
 
     def fresh(self) -> SimDisk:
-        """The same files, all of them durable, on a disk without a past."""
+        """Return the same files, all of them durable, on a disk without a past."""
         return self.killed().after_cut(lambda: 1.0)
 
 
@@ -304,7 +337,7 @@
     """Faults of a disk that holds so many more bytes: a write stops at the edge, the next one gets ENOSPC."""
     limit = disk.used + after_bytes
 
-    def fault(what: str, name: str, size: int) -> Fault | None:
+    def fault(what: str, _name: str, size: int) -> Fault | None:
         if what != "write" or disk.used + size <= limit:
             return None
         return limit - disk.used or OSError(errno.ENOSPC, os.strerror(errno.ENOSPC))
@@ -316,7 +349,7 @@
     """Faults that let the first operations of a kind (on files whose names end so) fail with an errno."""
     left = [times]
 
-    def fault(done: str, file: str, size: int) -> Fault | None:
+    def fault(done: str, file: str, _size: int) -> Fault | None:
         if done != what or not file.endswith(name) or not left[0]:
             return None
         left[0] -= 1
--- a/beaconhinge/standin/harness.py
+++ b/beaconhinge/standin/harness.py
@@ -1,4 +1,4 @@
-"""A dispatcher as a process among stand-in discovery, boxes and clients on free loopback ports."""
+"""A dispatcher as a process among stand-in discovery, workers and clients on free loopback ports."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 from .workers import FakeWorker
 
 KINDS = (Kind("render", 0.9, 7500), Kind("publish", 0.1, 25000, keyed=True))
-MEANS = {"render": 0.15, "publish": 1.5}
+MEAN_RUN_S = {"render": 0.15, "publish": 1.5}
 TENANTS = (("north", 0.54), ("south", 0.29), ("east", 0.17))
 SETTINGS: dict[str, Any] = {
     "membershipMode": "on_request",
@@ -54,9 +54,11 @@
         "mostHeld": 2000,
     },
 }
-# Seconds that a dispatcher may take to be up, and to end.
-START = 10.0
-ENDING = 10.0
+# That a dispatcher may take to be up, and to end.
+START_TIMEOUT_S = 10.0
+END_TIMEOUT_S = 10.0
+HTTP_OK = 200
+UP_POLL_S = 0.02
 
 
 class SceneError(Error):
@@ -99,26 +101,30 @@
 async def until_up(
     process: asyncio.subprocess.Process, port: int, lines: Sequence[Mapping[str, Any]]
 ) -> None:
-    """Raises SceneError when it ends, or is not up in time; `lines` are its log so far."""
-    caller, asked = Caller(port), http1.request("GET", b"/up", {"Host": "x"})
+    """Wait until the dispatcher is up; `lines` are its log so far.
+
+    Raises:
+        SceneError: It ended, or is not up in time.
+    """
+    caller, request = Caller(port), http1.request("GET", b"/up", {"Host": "x"})
     try:
-        async with asyncio.timeout(START):
+        async with asyncio.timeout(START_TIMEOUT_S):
             while process.returncode is None:
                 with contextlib.suppress(OSError, Closed, BadMessage):
-                    if (await caller.call(asked, fresh=True)).status == 200:
+                    if (await caller.call(request, fresh=True)).status == HTTP_OK:
                         return
-                await asyncio.sleep(0.02)
+                await asyncio.sleep(UP_POLL_S)
     except TimeoutError:
-        raise SceneError(f"the dispatcher was not up after {START:g} s: {lines[-1:]}") from None
+        raise SceneError(f"the dispatcher was not up after {START_TIMEOUT_S:g} s: {lines[-1:]}") from None
     raise SceneError(f"the dispatcher ended with status {process.returncode}: {lines[-1:]}")
 
 
 async def end(process: asyncio.subprocess.Process, number: signal.Signals = signal.SIGTERM) -> int:
-    """Its exit status after that signal; one that does not heed it within ENDING is killed."""
+    """Send a signal and return the exit status; a process that does not end in time is killed."""
     if process.returncode is None:
         process.send_signal(number)
         try:
-            async with asyncio.timeout(ENDING):
+            async with asyncio.timeout(END_TIMEOUT_S):
                 await process.wait()
         except TimeoutError:
             process.kill()
@@ -138,12 +144,14 @@
 
 
 class DemoFleet:
+    """A dispatcher as a process, and the stand-ins around it."""
+
     def __init__(self, boxes: int, rate: float, seed: int, folder: Path) -> None:
         self.port = free_port()
         self.folder = folder
         names = [f"s-{seed:04x}{number:04x}" for number in range(boxes)]
-        self.boxes = [FakeWorker(name, self.port, MEANS, seed=seed) for name in names]
-        entries = [box.entry("ab"[i % 2], "plain", i % 3) for i, box in enumerate(self.boxes)]
+        self.boxes = [FakeWorker(name, self.port, MEAN_RUN_S, seed=seed) for name in names]
+        entries = [worker.entry("ab"[i % 2], "plain", i % 3) for i, worker in enumerate(self.boxes)]
         self.discovery = Discovery(entries)
         self.clients = Clients(self.port, KINDS, TENANTS, rate, seed)
         self.counters: dict[str, int] = {}  # of the dispatcher, as last told
@@ -151,7 +159,7 @@
         self.process: asyncio.subprocess.Process
 
     def platform(self, **more: object) -> dict[str, object]:
-        """The platform's configuration of the dispatcher."""
+        """Return the platform's configuration of the dispatcher."""
         return {
             "name": "demo",
             "listen": f"127.0.0.1:{self.port}",
@@ -163,6 +171,7 @@
         }
 
     def write_configuration(self) -> Path:
+        """Write both configurations; return the path of the local one."""
         (self.folder / "balancer.json").write_text(json.dumps(self.platform()))
         local_config = self.folder / "edge.toml"
         local_config.write_text(
@@ -171,33 +180,35 @@
         return local_config
 
     async def start(self) -> None:
-        """Raises SceneError."""
-        for server in (self.discovery.server, *(box.server for box in self.boxes)):
+        """Start the stand-ins and the dispatcher; raise SceneError if it is not up in time."""
+        for server in (self.discovery.server, *(worker.server for worker in self.boxes)):
             server.start()
         self.process = await start({"BEACONHINGE_CONFIG": str(self.write_configuration())})
         self.discovery.server.spawn(self._read_log())
         await until_up(self.process, self.port, self.lines)
 
     async def _read_log(self) -> None:
-        async for told in log_lines(self.process):
-            self.lines.append(told)
-            if told["event"] == "counters":
-                self.counters = {name: n for name, n in told.items() if isinstance(n, int)}
+        async for line in log_lines(self.process):
+            self.lines.append(line)
+            if line["event"] == "counters":
+                self.counters = {name: n for name, n in line.items() if isinstance(n, int)}
 
     def ask_for_counters(self) -> None:
+        """Have the dispatcher log its counters now."""
         if self.process.returncode is None:
             self.process.send_signal(signal.SIGUSR1)
 
     async def stop(self) -> int:
-        """End the dispatcher in order, and all the rest; its exit status."""
+        """End the dispatcher in order, and all the rest; return its exit status."""
         status = await end(self.process)
-        for server in (self.discovery.server, *(box.server for box in self.boxes)):
+        for server in (self.discovery.server, *(worker.server for worker in self.boxes)):
             await server.stop()
-        for box in self.boxes:
-            box.close()
+        for worker in self.boxes:
+            worker.close()
         return status
 
     def figures(self, seconds: float, exit_status: int) -> Figures:
+        """Return what the run came to."""
         answers, waits = self.clients.answers, sorted(self.clients.waits) or [0.0]
         known = {name: answers[name] for name in ("200", "503", "502", "missing")}
         return Figures(
@@ -210,14 +221,14 @@
             answers.total() - sum(known.values()),
             1000 * waits[len(waits) // 2],
             1000 * waits[int(0.99 * len(waits))],
-            sum(box.runs.total() for box in self.boxes),
+            sum(worker.runs.total() for worker in self.boxes),
             exit_status,
         )
 
 
 @contextlib.asynccontextmanager
 async def running_demo_fleet(boxes: int, rate: float, seed: int) -> AsyncIterator[DemoFleet]:
-    """A scene that is up. Its folder goes with it."""
+    """Run a fleet that is up, in a folder that is deleted afterwards."""
     with tempfile.TemporaryDirectory(prefix="beaconhinge-") as folder:
         made = DemoFleet(boxes, rate, seed, Path(folder))
         try:
--- a/beaconhinge/standin/http.py
+++ b/beaconhinge/standin/http.py
@@ -11,13 +11,16 @@
 from ..net.http1 import BadMessage, Closed, Connection, Message
 from ..net.sockets import connect
 
-PIECES = 20  # in which a paced answer is written
+# In which a paced answer is written.
+PIECES = 20
 
 
 @dataclass(frozen=True, slots=True)
 class Paced:
-    """An answer that takes so many seconds from its first byte to its last; `cut`: the connection ends after
-    it."""
+    """An answer that takes so many seconds from its first byte to its last.
+
+    With `cut` the connection ends after it.
+    """
 
     data: bytes
     seconds: float
@@ -42,12 +45,15 @@
 
     @property
     def address(self) -> str:
+        """Host and port, as lists of workers have them."""
         return f"127.0.0.1:{self.port}"
 
     def start(self) -> None:
+        """Accept connections from now on."""
         self.spawn(self._accept())
 
     def spawn(self, work: Awaitable[None]) -> asyncio.Task[None]:
+        """Run a task that ends with the server."""
         task = asyncio.ensure_future(work)
         assert isinstance(task, asyncio.Task)
         self.tasks.add(task)
@@ -80,6 +86,7 @@
             connection.close()
 
     async def stop(self) -> None:
+        """Accept no more, and cancel all tasks."""
         self._listener.close()
         for task in list(self.tasks):
             task.cancel()
@@ -102,7 +109,12 @@
         self._idle: list[Connection] = []
 
     async def call(self, data: bytes, fresh: bool = False) -> Message:
-        """The answer. Raises OSError or Closed; nothing is sent again from here."""
+        """Send a request and return the answer. Nothing is sent again from here.
+
+        Raises:
+            OSError: No connection.
+            Closed: The connection ended before the answer.
+        """
         kept = None if fresh else self._take()
         connection = kept or Connection(await connect(("127.0.0.1", self.port)), False, lambda: None)
         try:
@@ -118,7 +130,7 @@
         return message
 
     async def ask(self, data: bytes) -> Message:
-        """As clients do: a request that crossed the end of a kept connection goes once more, on a new one."""
+        """Call as clients do: what crossed the end of a kept connection goes once more, on a new one."""
         try:
             return await self.call(data)
         except (Closed, ConnectionError):
@@ -133,6 +145,7 @@
         return None
 
     def close(self) -> None:
+        """Close the kept connections."""
         with contextlib.suppress(IndexError):
             while True:
                 self._idle.pop().close()
--- a/beaconhinge/standin/ports.py
+++ b/beaconhinge/standin/ports.py
@@ -23,7 +23,7 @@
 
 
 def free_port(kind: int = socket.SOCK_STREAM) -> int:
-    """A port of 127.0.0.1 at which nobody listens, and which nobody else gets from here for now."""
+    """Return a port of 127.0.0.1 at which nobody listens, and which nobody else gets from here for now."""
     while True:
         port = random.randrange(FIRST_PORT, PORTS_END)
         reservation = _reserve(port)
@@ -39,7 +39,7 @@
 
 
 def free_ports(count: int, kind: int = socket.SOCK_STREAM) -> list[int]:
-    """So many ports, all different."""
+    """Return so many ports, all different."""
     return [free_port(kind) for _ in range(count)]
 
 
--- a/beaconhinge/standin/resource.py
+++ b/beaconhinge/standin/resource.py
@@ -1,8 +1,8 @@
-"""What is acted on under leases, as a process with its own clock: each act is told in a line of JSON.
+"""What is acted on under leases, as a process with its own clock: each act is printed as a line of JSON.
 
     python -m beaconhinge.standin.resource SEED
 
-The first line tells the port. A number under the highest seen is refused, and told as well.
+The first line has the port. A number under the highest seen is refused, and printed as well.
 """
 
 from __future__ import annotations
@@ -17,12 +17,13 @@
 from ..net.http1 import Message
 from .http import Server
 
-# Seconds that an act takes.
-SHORTEST = 0.01
-LONGEST = 0.06
+# Least and greatest seconds that an act takes.
+ACT_S = (0.01, 0.06)
 
 
 class Resource:
+    """Refuses acts under a lease number below the highest that it has seen."""
+
     def __init__(self, seed: int) -> None:
         self.random = random.Random(seed)
         self.highest: dict[str, int] = {}
@@ -36,19 +37,20 @@
         except ValueError:
             return http1.response(400)
         if number < self.highest.get(lease, 0):
-            self._tell(lease, number, begin, begin, False)
+            self._print_act(lease, number, begin, begin, False)
             return http1.response(409)
         self.highest[lease] = number
-        await asyncio.sleep(self.random.uniform(SHORTEST, LONGEST))
-        self._tell(lease, number, begin, time.monotonic(), True)
+        await asyncio.sleep(self.random.uniform(*ACT_S))
+        self._print_act(lease, number, begin, time.monotonic(), True)
         return http1.response(200)
 
-    def _tell(self, lease: str, number: int, begin: float, end: float, accepted: bool) -> None:
-        told = {"lease": lease, "number": number, "begin": begin, "end": end, "accepted": accepted}
-        print(json.dumps(told), flush=True)
+    def _print_act(self, lease: str, number: int, begin: float, end: float, accepted: bool) -> None:
+        act = {"lease": lease, "number": number, "begin": begin, "end": end, "accepted": accepted}
+        print(json.dumps(act), flush=True)
 
 
 async def main(seed: int) -> None:
+    """Print the port, and serve until killed."""
     resource = Resource(seed)
     print(json.dumps({"port": resource.server.port}), flush=True)
     resource.server.start()
--- a/beaconhinge/standin/workers.py
+++ b/beaconhinge/standin/workers.py
@@ -1,4 +1,4 @@
-"""Script boxes on real sockets: slots and a queue, starts and progress told, results by call-back."""
+"""Workers on real sockets: slots and a queue, notices of start and progress, results by call-back."""
 
 from __future__ import annotations
 
@@ -16,20 +16,26 @@
 from ..net.http1 import BadMessage, Closed, Message
 from .http import Caller, Server
 
-CALLBACK_ATTEMPTS = 10  # times that a call-back is tried
-PROGRESS_INTERVAL_S = 1.0  # seconds between reports of a running job
+# Times that a call-back is tried, and seconds between two.
+CALLBACK_ATTEMPTS = 10
+CALLBACK_RETRY_S = 0.1
+# Seconds between reports of a running job.
+PROGRESS_INTERVAL_S = 1.0
+# Mean run time of a class that none is given for.
+DEFAULT_RUN_S = 0.1
 
 
 class DeduplicationGroup:
-    """Boxes that share what keys they have seen: a repeat within `window` seconds is dropped unsaid."""
+    """Workers that share what keys they have seen: a repeat within the window is dropped silently."""
 
-    def __init__(self, window: float) -> None:
-        self.window = window
+    def __init__(self, window_s: float) -> None:
+        self.window_s = window_s
         self._seen: dict[str, float] = {}
 
     def is_duplicate(self, key: str, now: float) -> bool:
+        """Whether the key was seen within the window; if not, it is remembered."""
         seen = self._seen.get(key)
-        if seen is not None and now - seen < self.window:
+        if seen is not None and now - seen < self.window_s:
             return True
         self._seen[key] = now
         return False
@@ -54,7 +60,10 @@
 
 
 class FakeWorker:
-    """One worker. `means` gives each class's mean run time in seconds; runs are drawn from the seed."""
+    """One worker.
+
+    `mean_run_s` gives each class's mean run time in seconds; runs are drawn from the seed.
+    """
 
     def __init__(
         self,
@@ -67,36 +76,41 @@
         deduplication_group: DeduplicationGroup | None = None,
     ) -> None:
         self.name = name
-        self.means = mean_run_s
+        self.mean_run_s = mean_run_s
         self.slots = slots
         self.queue = queue
         self.random = random.Random(f"{seed}/{name}")
-        self.rack = deduplication_group
-        self.servers: list[Server] = []  # its addresses, one for each dispatcher
+        self.deduplication_group = deduplication_group
+        # One for each dispatcher.
+        self.servers: list[Server] = []
         self.callers: list[Caller] = []
         self.server = self.add_address(dispatcher)
-        self.jobs: dict[tuple[int, str], asyncio.Task[None]] = {}  # by port of the dispatcher, and request
-        self.runs: Counter[str] = Counter()  # by idempotency key, or by request where it has none
+        # Those queued or running, by port of the dispatcher, and request.
+        self.jobs: dict[tuple[int, str], asyncio.Task[None]] = {}
+        # By idempotency key, or by request where a job has none.
+        self.runs: Counter[str] = Counter()
         self.counters: Counter[str] = Counter()
-        self.arrivals: list[tuple[float, int]] = []  # when each job came, and the port of its dispatcher
-        self.deadlines: list[ReceivedDeadline] = []  # that it was given
+        # When each job came, and the port of its dispatcher.
+        self.arrivals: list[tuple[float, int]] = []
+        self.deadlines: list[ReceivedDeadline] = []
         self._free_slots = asyncio.Semaphore(slots)
         self.fault: WorkerFault | None = None
-        self.fault_hits = 0  # jobs that met it
+        self.fault_hits = 0
 
     def add_address(self, dispatcher: int) -> Server:
-        """Another address of it. Who sends a job there is told of it at that port."""
+        """Add an address, and return its server. Who sends a job there is notified at that port."""
         back = Caller(dispatcher)
         self.callers.append(back)
         self.servers.append(Server(partial(self._answer, back)))
         return self.servers[-1]
 
     def close(self) -> None:
+        """Close the connections for call-backs."""
         for caller in self.callers:
             caller.close()
 
     def entry(self, zone: str, kind: str, cell: int) -> dict[str, object]:
-        """This box as discovery lists it."""
+        """Return this worker as discovery lists it."""
         return {
             "id": self.name,
             "addr": self.server.address,
@@ -137,15 +151,16 @@
         self.counters["taken"] += 1
         self.arrivals.append((time.monotonic(), back.port))
         key = message.headers.get("idempotency-key", "")
-        if key and self.rack is not None and self.rack.is_duplicate(key, asyncio.get_running_loop().time()):
+        now, group = asyncio.get_running_loop().time(), self.deduplication_group
+        if key and group is not None and group.is_duplicate(key, now):
             self.counters["dropped"] += 1
             return http1.response(202)
-        cls = path.strip("/").partition("/")[0]
-        self.jobs[back.port, number] = self.server.spawn(self._run(back, number, key or number, cls))
+        job_class = path.strip("/").partition("/")[0]
+        self.jobs[back.port, number] = self.server.spawn(self._run(back, number, key or number, job_class))
         return http1.response(202) * (2 if self.fault is WorkerFault.DUPLICATE else 1)
 
-    async def _run(self, back: Caller, number: str, key: str, cls: str) -> None:
-        length = self.random.expovariate(1 / self.means.get(cls, 0.1))
+    async def _run(self, back: Caller, number: str, key: str, job_class: str) -> None:
+        length = self.random.expovariate(1 / self.mean_run_s.get(job_class, DEFAULT_RUN_S))
         try:
             async with self._free_slots:
                 self.runs[key] += 1
@@ -157,7 +172,7 @@
                     await self._notify(back, number, "running", share=done / length)
                 await asyncio.sleep(length - done)
             self.counters["done"] += 1
-            await self._notify(back, number, "done", result=f"{cls} by {self.name}")
+            await self._notify(back, number, "done", result=f"{job_class} by {self.name}")
         finally:
             self.jobs.pop((back.port, number), None)
 
@@ -170,5 +185,5 @@
                 if answer.status in (200, 204):
                     return
             except (OSError, Closed, BadMessage):
-                await asyncio.sleep(0.1)
+                await asyncio.sleep(CALLBACK_RETRY_S)
         self.counters["untold"] += 1
