--- a/beaconhinge/cli/demo.py
+++ b/beaconhinge/cli/demo.py
@@ -12,12 +12,13 @@
 if TYPE_CHECKING:
     from ..standin.harness import DemoFleet, Figures
 
-LOOK = 0.5  # seconds between two pictures
+# Between two refreshes of the tables.
+REFRESH_S = 0.5
 
 
 def demo(
     seconds: Annotated[float, typer.Option(min=1, max=3600, help="How long clients ask.")] = 10.0,
-    boxes: Annotated[int, typer.Option(min=1, max=200)] = 6,
+    workers: Annotated[int, typer.Option("--boxes", min=1, max=200)] = 6,
     rate: Annotated[float, typer.Option(min=0.1, max=2000, help="Jobs a second.")] = 40.0,
     seed: Annotated[int, typer.Option(min=0, max=65535)] = 1,
     as_json: Annotated[bool, typer.Option("--json", help="Closing figures alone.")] = False,
@@ -28,7 +29,7 @@
 
     Examples: beaconhinge demo; beaconhinge demo --seconds 5 --json; beaconhinge demo --rate 200 --boxes 4
     """
-    figures = asyncio.run(_play(seconds, boxes, rate, seed, not as_json))
+    figures = asyncio.run(_run_demo(seconds, workers, rate, seed, not as_json))
     if as_json:
         import msgspec
 
@@ -42,61 +43,61 @@
     return 0 if figures.well else 1
 
 
-async def _play(seconds: float, boxes: int, rate: float, seed: int, live: bool) -> Figures:
+async def _run_demo(seconds: float, workers: int, rate: float, seed: int, live: bool) -> Figures:
     from ..standin.harness import running_demo_fleet
 
-    async with running_demo_fleet(boxes, rate, seed) as made:
-        asking = asyncio.create_task(made.clients.run(seconds))
+    async with running_demo_fleet(workers, rate, seed) as fleet:
+        requests = asyncio.create_task(fleet.clients.run(seconds))
         if live and sys.stdout.isatty():
-            await _show(made, asking)
-        await asking
-        return made.figures(seconds, await made.stop())
+            await _show(fleet, requests)
+        await requests
+        return fleet.figures(seconds, await fleet.stop())
 
 
-async def _show(made: DemoFleet, asking: asyncio.Task[None]) -> None:
+async def _show(fleet: DemoFleet, requests: asyncio.Task[None]) -> None:
     from rich.live import Live
 
-    with Live(_picture(made), refresh_per_second=4, transient=True) as live:
-        while not asking.done():
-            made.ask_for_counters()
-            await asyncio.wait({asking}, timeout=LOOK)
-            live.update(_picture(made))
+    with Live(_render(fleet), refresh_per_second=4, transient=True) as live:
+        while not requests.done():
+            fleet.ask_for_counters()
+            await asyncio.wait({requests}, timeout=REFRESH_S)
+            live.update(_render(fleet))
 
 
-def _picture(made: DemoFleet) -> Any:
+def _render(fleet: DemoFleet) -> Any:
     from rich.console import Group
     from rich.table import Table
 
-    told, clients = made.counters, made.clients
-    dispatcher = Table(title=f"dispatcher on 127.0.0.1:{made.port}")
+    counters, clients = fleet.counters, fleet.clients
+    dispatcher = Table(title=f"dispatcher on 127.0.0.1:{fleet.port}")
     for name in ("taken", "in work", "sent", "served", "refused", "failed"):
         dispatcher.add_column(name, justify="right")
-    answered = sum(n for name, n in told.items() if name.startswith("answer_"))
+    answered = sum(n for name, n in counters.items() if name.startswith("answer_"))
     dispatcher.add_row(
         *(
             str(n)
             for n in (
-                told.get("requests_taken", 0),
-                told.get("requests_taken", 0) - answered,
-                told.get("attempts", 0),
-                told.get("answer_served", 0),
-                told.get("answer_refused", 0),
-                told.get("answer_failed", 0),
+                counters.get("requests_taken", 0),
+                counters.get("requests_taken", 0) - answered,
+                counters.get("attempts", 0),
+                counters.get("answer_served", 0),
+                counters.get("answer_refused", 0),
+                counters.get("answer_failed", 0),
             )
         )
     )
-    fleet = Table(title="script boxes")
+    workers = Table(title="script boxes")
     for name in ("box", "in work", "taken", "done", "turned away"):
-        fleet.add_column(name, justify="right")
-    for box in made.boxes:
-        counts = (str(box.counters[name]) for name in ("taken", "done", "turned_away"))
-        fleet.add_row(box.name, str(len(box.jobs)), *counts)
-    asked = Table(title="clients")
+        workers.add_column(name, justify="right")
+    for worker in fleet.boxes:
+        counts = (str(worker.counters[name]) for name in ("taken", "done", "turned_away"))
+        workers.add_row(worker.name, str(len(worker.jobs)), *counts)
+    client_table = Table(title="clients")
     for name in ("asked", "open", "answers"):
-        asked.add_column(name, justify="right")
-    asked.add_row(
+        client_table.add_column(name, justify="right")
+    client_table.add_row(
         str(clients.asked),
         str(clients.open),
         " ".join(f"{status}: {n}" for status, n in sorted(clients.answers.items())),
     )
-    return Group(dispatcher, fleet, asked)
+    return Group(dispatcher, workers, client_table)
--- a/beaconhinge/cli/soak.py
+++ b/beaconhinge/cli/soak.py
@@ -12,23 +12,23 @@
     from ..standin.rig import Verdict
     from ..standin.rig.scenario import Scenario
 
-MOST_PROCESSES = 40
+MAX_PROCESSES = 40
 
 
-def _range(text: str) -> range:
+def _parse_seeds(text: str) -> range:
     first, separator, last = text.partition("..")
     try:
-        found = range(int(first), int(last if separator else first) + 1)
+        seeds = range(int(first), int(last if separator else first) + 1)
     except ValueError:
-        found = range(0)
-    if not found or found[0] < 0:
+        seeds = range(0)
+    if not seeds or seeds[0] < 0:
         raise typer.BadParameter(f"{text}: a seed, or two as FIRST..LAST")
-    return found
+    return seeds
 
 
 def soak(
     seeds: Annotated[str, typer.Option(help="FIRST..LAST, or one seed.")] = "1..5",
-    processes: Annotated[int, typer.Option(min=2, max=MOST_PROCESSES, help="Dispatchers.")] = 12,
+    processes: Annotated[int, typer.Option(min=2, max=MAX_PROCESSES, help="Dispatchers.")] = 12,
     only: Annotated[str, typer.Option(help="Numbers of the faults to keep.")] = "",
     shrink: Annotated[bool, typer.Option(help="Leave out faults while a seed still fails.")] = True,
     as_json: Annotated[bool, typer.Option("--json", help="A line a seed, and the sum.")] = False,
@@ -43,35 +43,15 @@
     from ..standin.rig.soak import draw_soak
 
     failed, hits = list[int](), Counter[str]()
-    for seed in _range(seeds):
-        scenario = _kept(draw_soak(seed, processes), only)
-        verdict = _played(scenario)
+    for seed in _parse_seeds(seeds):
+        scenario = _keep_faults(draw_soak(seed, processes), only)
+        verdict = _run_scenario(scenario)
         hits.update(verdict.faults)
         failed += [] if verdict.well else [seed]
-        if as_json:
-            print(
-                json.dumps(
-                    {
-                        "seed": seed,
-                        "asked": verdict.asked,
-                        "ends": verdict.ends,
-                        "faults": verdict.faults,
-                        "broken": verdict.broken,
-                    }
-                ),
-                flush=True,
-            )
-        else:
-            print(
-                f"seed {seed}: {verdict.asked} tries, {sum(verdict.faults.values())} hits of "
-                f"{len(verdict.faults)} kinds: {'well' if verdict.well else 'broken'}",
-                flush=True,
-            )
-            for line in verdict.broken:
-                print(f"  broken: {line}", flush=True)
+        _print_verdict(seed, verdict, as_json)
         if not verdict.well and shrink:
-            _shrink(scenario, processes)
-    total = {"seeds": len(_range(seeds)), "failed": failed, "faults": dict(sorted(hits.items()))}
+            _print_shrunk(scenario, processes)
+    total = {"seeds": len(_parse_seeds(seeds)), "failed": failed, "faults": dict(sorted(hits.items()))}
     print(
         json.dumps(total)
         if as_json
@@ -81,14 +61,34 @@
     return 3 if failed or not hits.total() else 0
 
 
-def _played(scenario: Scenario) -> Verdict:
+def _print_verdict(seed: int, verdict: Verdict, as_json: bool) -> None:
+    if as_json:
+        line = {
+            "seed": seed,
+            "asked": verdict.asked,
+            "ends": verdict.ends,
+            "faults": verdict.faults,
+            "broken": verdict.broken,
+        }
+        print(json.dumps(line), flush=True)
+        return
+    print(
+        f"seed {seed}: {verdict.asked} tries, {sum(verdict.faults.values())} hits of "
+        f"{len(verdict.faults)} kinds: {'well' if verdict.well else 'broken'}",
+        flush=True,
+    )
+    for broken in verdict.broken:
+        print(f"  broken: {broken}", flush=True)
+
+
+def _run_scenario(scenario: Scenario) -> Verdict:
     from ..standin.rig import run_scenario
     from .terminated import run_until_terminated
 
     return run_until_terminated(run_scenario(scenario))
 
 
-def _kept(scenario: Scenario, only: str) -> Scenario:
+def _keep_faults(scenario: Scenario, only: str) -> Scenario:
     """The scenario with the faults of these numbers alone; all of them if none is named."""
     import msgspec
 
@@ -101,14 +101,14 @@
         raise typer.BadParameter(f"--only {only}: the faults are 0 to {len(scenario.faults) - 1}") from None
 
 
-def _shrink(scenario: Scenario, processes: int) -> None:
+def _print_shrunk(scenario: Scenario, processes: int) -> None:
     from ..standin.rig.soak import shrink
 
-    less = shrink(scenario, lambda tried: not _played(tried).well)
-    numbers = ",".join(str(scenario.faults.index(fault)) for fault in less.faults)
+    shrunk = shrink(scenario, lambda candidate: not _run_scenario(candidate).well)
+    numbers = ",".join(str(scenario.faults.index(fault)) for fault in shrunk.faults)
     command = f"beaconhinge soak --seeds {scenario.seed} --processes {processes} --only {numbers}"
     print(f"  again: {command}", flush=True)
-    for fault in less.faults:
+    for fault in shrunk.faults:
         print(
             f"    {fault.at_s:.2f} s {fault.kind} for {fault.duration_s:.2f} s, "
             f"dispatchers {fault.dispatchers or 'all'}"
