--- a/tests/test_own_sites.py
+++ b/tests/standin/test_own_sites.py
@@ -11,7 +11,7 @@
 from beaconhinge.config import Config, ConfigError, parse
 from beaconhinge.policy.interface import Semantics
 
-SITES = Path(__file__).parent.parent / "deploy" / "sites"
+SITES = Path(__file__).parent.parent.parent / "deploy" / "sites"
 EFFECTS = {
     "safe": Semantics.RETRYABLE,
     "keyed": Semantics.DEDUPLICATED,
