--- a/tests/cli/test_soak.py
+++ b/tests/cli/test_soak.py
@@ -40,7 +40,7 @@
     assert len(overlapping) > 50
 
 
-def test_a_failing_story_is_shrunk_to_the_faults_that_it_needs() -> None:
+def test_a_failing_scenario_is_shrunk_to_the_faults_that_it_needs() -> None:
     scenario = draw_soak(3, 12)
     needed = scenario.faults[2]
     less = shrink(scenario, lambda tried: needed in tried.faults)
@@ -112,7 +112,7 @@
     assert not [pid for pid in started if Path(f"/proc/{pid}/cmdline").exists()]
 
 
-def test_a_fixed_seed_is_played_and_breaks_nothing(capsys: pytest.CaptureFixture[str]) -> None:
+def test_a_fixed_seed_runs_and_breaks_nothing(capsys: pytest.CaptureFixture[str]) -> None:
     """A drain with three ways of being spoilt, a stop, a kill and a worker that hangs, and failing system calls."""
     assert main(["soak", "--seeds", "104", "--processes", "10"]) == 0
     out = capsys.readouterr().out
--- a/tests/leases/test_lease_rehearsals.py
+++ b/tests/leases/test_lease_rehearsals.py
@@ -21,7 +21,7 @@
 }
 
 
-def rehearsed(*scenarios: Scenario) -> list[Verdict]:
+def run_scenarios(*scenarios: Scenario) -> list[Verdict]:
     async def all_of_them() -> list[Verdict]:
         limit = asyncio.Semaphore(3)
 
@@ -34,12 +34,12 @@
     return asyncio.run(all_of_them())
 
 
-def test_no_two_processes_act_at_once_whatever_is_drawn_to_befall_them() -> None:
+def test_no_two_processes_act_at_once_through_drawn_faults() -> None:
     scenarios = [
         Scenario("drawn", seed=seed, processes=processes, seconds=11.0, drawn_faults=8, **QUIET)
         for processes, seed in ((3, 31), (3, 32), (3, 33), (5, 34), (5, 35), (9, 36))
     ]
-    verdicts = rehearsed(*scenarios)
+    verdicts = run_scenarios(*scenarios)
     for verdict in verdicts:
         assert verdict.broken == [], (verdict.seed, verdict.last)
         assert verdict.acts > 150 and verdict.tenures >= 4
@@ -58,7 +58,7 @@
     stops = [Fault(1.5 + 2.0 * n, "stop", length, [n]) for n, length in enumerate((0.9, 1.1, 1.8))]
     cuts = [Fault(2.0, "cut", 4.0, [0], [1, 2]), Fault(2.0, "cut", 4.0, [1, 2], [0])]
     one_way = [Fault(2.0, "cut", 2.5, [0], [1, 2]), Fault(5.0, "cut", 2.5, [1, 2], [0])]
-    verdicts = rehearsed(
+    verdicts = run_scenarios(
         *(
             Scenario(name, seed=seed, processes=3, seconds=11.0, faults=faults, **QUIET)
             for name, seed, faults in (("stops", 41, stops), ("cut off", 42, cuts), ("one way", 43, one_way))
@@ -80,7 +80,7 @@
         **QUIET,
         faults=[Fault(3.0, "kill", 0.2, folder="empty")],
     )
-    verdict = rehearsed(scenario)[0]
+    verdict = run_scenarios(scenario)[0]
     assert verdict.broken == [] and verdict.tenures >= 8 and verdict.acts > 100
 
 
--- a/tests/recovery/test_clients_that_leave.py
+++ b/tests/recovery/test_clients_that_leave.py
@@ -40,7 +40,7 @@
     assert verdict.ends["left"] > 60 and verdict.ends["200"] > 200
 
 
-def test_the_judge_sees_an_attempt_that_begins_for_nobody() -> None:
+def test_the_judge_finds_an_attempt_that_begins_after_its_client_left() -> None:
     asked = [
         ClientAttempt("", "render", 0, 10.0, request_id="r1", timeout_s=3.0, disconnected_at=11.0),
         ClientAttempt("", "render", 0, 10.0, request_id="r2", timeout_s=3.0),
--- a/tests/recovery/test_drains.py
+++ b/tests/recovery/test_drains.py
@@ -1,4 +1,4 @@
-"""Real processes that hear late, or not at all, that boxes leave: judged by when boxes got their jobs."""
+"""Real processes that hear late, or not at all, that workers leave: judged by when workers got their jobs."""
 
 from __future__ import annotations
 
@@ -71,9 +71,7 @@
 
 
 @pytest.mark.parametrize("scenario", SCENARIOS, ids=lambda scenario: scenario.name)
-def test_nothing_goes_to_a_box_that_counts_as_leaving(
-    scenario: Scenario, verdicts: dict[str, Verdict]
-) -> None:
+def test_nothing_is_sent_to_a_worker_known_to_drain(scenario: Scenario, verdicts: dict[str, Verdict]) -> None:
     """Silent watches were noticed when what they missed counted as told; agents were never asked at all."""
     verdict = verdicts[scenario.name]
     assert verdict.broken == [], verdict.last
@@ -81,7 +79,7 @@
     assert verdict.counters.get("watch_silent", 0) >= 4 or "silent" not in scenario.name
 
 
-def test_only_drains_need_a_box_that_stays() -> None:
+def test_only_drains_need_a_worker_that_stays() -> None:
     """A scenario with one box was refused for any fault."""
     assert (
         Scenario("one box", workers=1, deduplication_groups=1, faults=[Fault(1.0, "stop", 1.0)]).problem()
--- a/tests/recovery/test_spoilt_lists.py
+++ b/tests/recovery/test_spoilt_lists.py
@@ -29,7 +29,7 @@
     )
 
 
-def test_a_change_told_in_a_spoilt_answer_holds_six_seconds_later() -> None:
+def test_a_change_in_a_spoilt_answer_is_applied_within_six_seconds() -> None:
     """A version was taken without its content, and nothing ever compared the two again."""
 
     async def both() -> list[str]:
--- a/tests/standin/test_large_fleet.py
+++ b/tests/standin/test_large_fleet.py
@@ -1,4 +1,4 @@
-"""Two hundred dispatchers and as many boxes in virtual time: the real modules through losses, kills and cuts."""
+"""Two hundred dispatchers and as many workers in virtual time: the real modules through losses, kills and cuts."""
 
 from __future__ import annotations
 
@@ -75,12 +75,12 @@
 
 
 @pytest.mark.parametrize(("dispatchers", "workers", "site", "fault", "seed"), COLD)
-def test_cold_boxes_stay_under_their_budget_by_the_sum_of_all_with_every_datagram_lost(
+def test_cold_workers_stay_under_their_budget_by_the_sum_of_all_with_every_datagram_lost(
     dispatchers: int, workers: int, site: Site, fault: str, seed: int
 ) -> None:
     """In a full fleet. The world counts as the operators do: N jobs of mean work, and twice the root of N and 2 for
-    chance. Twenty sent a box 6.9 where 1.8 were allowed, five 30.6 where 13.2 were: jobs were counted at the mean
-    of all classes and kinds, weighed to short ones, and slots by the most that a box had ever seemed to have.
+    chance. Twenty sent a worker 6.9 where 1.8 were allowed, five 30.6 where 13.2 were: jobs were counted at the mean
+    of all classes and kinds, weighed to short ones, and slots by the most that a worker had ever seemed to have.
     """
     plan = Plan(
         site=site,
--- a/tests/standin/test_rehearsals.py
+++ b/tests/standin/test_rehearsals.py
@@ -1,4 +1,4 @@
-"""Several processes of the program with faults between them, judged by what clients, boxes and logs wrote down."""
+"""Several processes of the program with faults between them, judged by what clients, workers and logs wrote down."""
 
 from __future__ import annotations
 
@@ -34,7 +34,7 @@
 }
 
 
-def rehearsed(*scenarios: Scenario) -> list[Verdict]:
+def run_scenarios(*scenarios: Scenario) -> list[Verdict]:
     async def all_of_them() -> list[Verdict]:
         limit = asyncio.Semaphore(3)  # more starve the stand-ins, which share one event loop
 
@@ -47,8 +47,8 @@
     return asyncio.run(all_of_them())
 
 
-def test_stopped_processes_blame_nobody_and_are_believed_by_nobody() -> None:
-    """Without the stall watch no stall is told, and timed-out jobs bench boxes here and at the others."""
+def test_stopped_processes_cause_no_ejections_here_or_at_the_others() -> None:
+    """Without the stall watch no stall is told, and timed-out jobs eject workers here and at the others."""
     stopped = [Fault(1.0, "stop", 2.0, [1])]
     scenarios = [
         Scenario("one", seed=1, faults=stopped, **SMALL),
@@ -69,7 +69,7 @@
             "discovery out as it wakes", seed=6, faults=[*stopped, Fault(0.5, "discovery", 3.5)], **SMALL
         ),
     ]
-    for scenario, verdict in zip(scenarios, rehearsed(*scenarios), strict=True):
+    for scenario, verdict in zip(scenarios, run_scenarios(*scenarios), strict=True):
         assert verdict.broken == [], (scenario.name, verdict.last)
         assert verdict.counters["stalls"] >= len([f for f in scenario.faults if f.kind == "stop"])
         assert verdict.counters["datagrams_stale"] > 0 or scenario.name == "all at once"
@@ -83,12 +83,12 @@
         Scenario("killed", seed=7, keyed=0.0, faults=[Fault(1.0, "kill", 0.5, [1], folder="empty")], **SMALL),
         Scenario("ended", seed=8, keyed=0.0, faults=[Fault(1.0, "term", 0.5, [0])], **SMALL),
     ]
-    for verdict in rehearsed(*scenarios):
+    for verdict in run_scenarios(*scenarios):
         assert verdict.broken == [], verdict.last
         assert verdict.served_after > 0.75 and verdict.plain_after > 0.9
 
 
-def test_no_key_runs_twice_whatever_befalls_the_processes_and_links() -> None:
+def test_no_key_runs_twice_through_faults_of_processes_and_links() -> None:
     """Without the book of keys a client that comes again elsewhere has its job run in a second rack."""
     many = {**SMALL, "processes": 3, "rate": 30.0, "keyed": 0.6, "publish_s": 0.8}
     halves = [Fault(0.5, "cut", 4.0, [0], [1, 2]), Fault(0.5, "cut", 4.0, [1, 2], [0])]
@@ -108,7 +108,7 @@
             faults=[Fault(1.0, "stop", 3.5, [2]), *halves],
         ),
     ]
-    for scenario, verdict in zip(scenarios, rehearsed(*scenarios), strict=True):
+    for scenario, verdict in zip(scenarios, run_scenarios(*scenarios), strict=True):
         assert verdict.broken == [], (scenario.name, verdict.last)
         assert verdict.keys > 40 and verdict.runs > 40, scenario.name
         assert (
@@ -116,19 +116,19 @@
         ), scenario.name
 
 
-def test_a_folder_of_before_or_of_another_is_told_by_the_others_and_not_trusted() -> None:
-    """Without the count of lives a backup that is put back says of its keys that it never had them."""
+def test_an_old_folder_or_that_of_another_is_recognised_and_not_trusted() -> None:
+    """Without the count of incarnations a backup that is put back says of its keys that it never had them."""
     many = {**SMALL, "processes": 3, "rate": 30.0, "keyed": 0.6, "publish_s": 0.8, "seconds": 5.0}
     scenarios = [
         Scenario(folder, seed=seed, faults=[Fault(2.0, "kill", 0.3, [1], folder=folder)], **many)
         for folder, seed in (("old", 26), ("old", 27), ("other", 28))
     ]
-    for scenario, verdict in zip(scenarios, rehearsed(*scenarios), strict=True):
+    for scenario, verdict in zip(scenarios, run_scenarios(*scenarios), strict=True):
         assert verdict.broken == [], (scenario.name, verdict.last)
         assert verdict.counters["folder_stale"] == 1 and verdict.counters["keys_unknown"] > 0, scenario.name
 
 
-def test_a_start_comes_through_its_phases_though_it_is_lost_again_stopped_and_told_nothing() -> None:
+def test_a_start_completes_its_stages_through_kills_stops_and_missing_discovery() -> None:
     many = {**SMALL, "processes": 3, "rate": 30.0, "keyed": 0.4, "publish_s": 0.8}
     again = [
         Fault(1.0, "kill", 0.3),
@@ -146,7 +146,7 @@
         "client_timeout_s": 7.0,
         "seconds": 4.0,
     }
-    lost, orphans = rehearsed(
+    lost, orphans = run_scenarios(
         Scenario("lost again", seed=23, faults=again, **many),
         Scenario("orphans", seed=24, faults=[Fault(2.0, "kill", 0.3)], **long),
     )
@@ -156,7 +156,7 @@
     assert orphans.counters["orphans_withdrawn"] > 3 and orphans.orphans == 0
 
 
-def test_a_client_that_comes_again_has_the_result_that_was_told_to_the_next_life_at_any_dispatcher() -> None:
+def test_a_retry_at_any_dispatcher_gets_the_result_reported_to_a_restarted_one() -> None:
     patient = {
         **SMALL,
         "processes": 3,
@@ -166,13 +166,13 @@
         "client_timeout_s": 2.5,
         "seconds": 4.0,
     }
-    verdict = rehearsed(Scenario("power", seed=15, faults=[Fault(1.5, "kill", 0.2)], **patient))[0]
+    verdict = run_scenarios(Scenario("power", seed=15, faults=[Fault(1.5, "kill", 0.2)], **patient))[0]
     assert verdict.broken == []
     assert verdict.counters["keys_results_late"] > 0 and verdict.counters["keys_answered"] > 0
     assert verdict.counters["keys_fetched"] > 0
 
 
-def test_the_checkers_see_what_is_wrong_and_excuse_what_a_fault_explains() -> None:
+def test_the_checks_find_violations_and_excuse_what_a_fault_explains() -> None:
     tries = [
         ClientAttempt("k", "publish", 0, 1.0, 2.0, "missing"),
         ClientAttempt("k", "publish", 1, 1.0, 2.0, "missing"),
@@ -186,7 +186,7 @@
     assert ejections_logged([line, other, line, {"event": "started"}]) == {"17": 2}
 
 
-def test_the_end_of_a_stop_leaves_a_process_down_that_was_killed_meanwhile(tmp_path: Path) -> None:
+def test_resuming_a_process_that_was_killed_meanwhile_leaves_it_down(tmp_path: Path) -> None:
     """It counted as up from then on: the soak's seed 720 missed answers of a process that was not there."""
 
     async def scenario() -> Process:
@@ -200,7 +200,7 @@
     assert asyncio.run(scenario()).down_spans == []
 
 
-def test_a_process_that_ends_badly_in_the_midst_of_a_story_breaks_it(
+def test_a_process_that_ends_with_an_error_breaks_the_scenario(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     async def end_badly(self: FaultInjector, fault: Fault, numbers: list[int]) -> int:
@@ -222,8 +222,8 @@
     assert asyncio.run(ScenarioRun(scenario, tmp_path).run()).broken == ["a dispatcher ended with status 7"]
 
 
-def test_a_fault_that_hits_nothing_and_a_story_without_service_are_broken() -> None:
-    none = rehearsed(
+def test_a_fault_that_hits_nothing_and_a_scenario_without_service_are_broken() -> None:
+    none = run_scenarios(
         Scenario(
             "nobody asks",
             seed=9,
@@ -238,7 +238,7 @@
     assert "nothing was served" in none.broken and "the fault cut hit nothing" in none.broken
 
 
-def test_a_fault_of_links_lasts_until_it_has_hit_and_the_story_goes_on_for_as_much_longer(
+def test_a_link_fault_lasts_until_it_has_hit_and_extends_the_scenario_as_much(
     tmp_path: Path,
 ) -> None:
     """On a busy machine the processes that should have told each other something were still starting."""
@@ -262,7 +262,7 @@
     )
 
 
-def test_a_job_counts_once_however_often_its_client_came_and_where_it_was_first_asked() -> None:
+def test_a_job_counts_once_for_all_its_attempts_and_in_the_span_of_the_first() -> None:
     tries = [
         ClientAttempt("k", "publish", 0, 1.0, 2.0, "missing"),
         ClientAttempt("k", "publish", 1, 2.3, 2.5, "200"),
@@ -278,7 +278,7 @@
     assert served_share_of_jobs(tries, 5.0, 6.0) == 0.0
 
 
-def test_a_story_is_data_and_a_faulty_one_is_named_by_its_key(
+def test_a_scenario_is_read_from_a_file_and_a_wrong_one_is_refused_by_its_key(
     tmp_path: Path, capsys: pytest.CaptureFixture[str]
 ) -> None:
     file = tmp_path / "scenario.toml"
--- a/tests/standin/test_sites.py
+++ b/tests/standin/test_sites.py
@@ -58,7 +58,7 @@
 
 
 def fault_hit_something(fleet: SimulatedFleet) -> bool:
-    """Whether the day's trouble touched anything: a box drained or gone, or jobs taken for ever."""
+    """Whether the day's fault hit anything: a worker drained or gone, or jobs taken for ever."""
     return any(worker.hung or worker.state != WorkerState.READY for worker in fleet.workers.values())
 
 
@@ -122,16 +122,18 @@
     assert min(served_by_class(fleet).values()) > 0.5, served_by_class(fleet)
 
 
-def test_a_hung_box_that_takes_jobs_is_not_given_one_after_the_other() -> None:
-    """A withdrawn job counted against nobody: the box looked free, and got the next."""
+def test_a_hung_worker_that_takes_jobs_is_not_given_one_after_the_other() -> None:
+    """A withdrawn job counted against nobody: the worker looked free, and got the next."""
     fleet = simulated(fault="hang", dispatchers=6, workers=12, seconds=20.0)
     assert fault_hit_something(fleet)
     assert min(served_by_class(fleet).values()) > 0.86, served_by_class(fleet)
 
 
 @pytest.mark.parametrize("dispatchers", [5, 8])
-def test_a_handful_uses_cold_boxes_whose_budget_is_less_than_a_job_for_each(dispatchers: int) -> None:
-    """A fifth of it was no job, so that few were sent: the boxes stood idle until they counted as warm. Over six days,
+def test_a_few_dispatchers_use_cold_workers_whose_budget_is_less_than_a_job_for_each(
+    dispatchers: int,
+) -> None:
+    """A fifth of it was no job, so that few were sent: the workers stood idle until they counted as warm. Over six days,
     since one has too few jobs of a class to tell: of the shortest 0.74 to 0.91 are in time on a day.
     """
     fleets = [
