--- a/benchmarks/lean.py
+++ b/benchmarks/lean.py
@@ -20,23 +20,28 @@
 from beaconhinge.standin.harness import DemoFleet
 
 HERE = Path(__file__).resolve().parents[1]
-RATE, SECONDS = 60.0, 6.0
+# Jobs a second, for so many seconds.
+RATE = 60.0
+SECONDS = 6.0
 
 
 def resident(pid: int) -> float:
+    """Return the resident memory of a process in megabytes."""
     return int(Path(f"/proc/{pid}/statm").read_text().split()[1]) * os.sysconf("SC_PAGE_SIZE") / 1e6
 
 
 def cpu(pid: int) -> float:
+    """Return the CPU that a process has used, in seconds."""
     user, system = Path(f"/proc/{pid}/stat").read_text().rsplit(")", 1)[1].split()[11:13]
     return (int(user) + int(system)) / os.sysconf("SC_CLK_TCK")
 
 
-async def play(checkout: Path, seed: int, seconds: float = SECONDS) -> dict[str, float]:
+async def measure(checkout: Path, seed: int, seconds: float = SECONDS) -> dict[str, float]:
+    """Start a checkout among the stand-ins; with seconds, have it serve for so long. Return the figures."""
     with tempfile.TemporaryDirectory() as folder:
         made = DemoFleet(6, RATE, seed, Path(folder))
         made.write_configuration()
-        for server in (made.discovery.server, *(box.server for box in made.boxes)):
+        for server in (made.discovery.server, *(worker.server for worker in made.boxes)):
             server.start()
         environment = {
             "RELAY_CONFIG": f"{folder}/balancer.json",
@@ -75,29 +80,30 @@
 
 
 def paired(
-    measure: Callable[[Path], dict[str, float]], other: Path, number: int
+    measure_one: Callable[[Path], dict[str, float]], other: Path, number: int
 ) -> tuple[dict[str, float], dict[str, float]]:
-    """This checkout and the other, in an order that alternates: the second has warmer caches."""
+    """Measure this checkout and the other, in an order that alternates: the second has warmer caches."""
     if number % 2:
-        second = measure(other)
-        return measure(HERE), second
-    return measure(HERE), measure(other)
+        second = measure_one(other)
+        return measure_one(HERE), second
+    return measure_one(HERE), measure_one(other)
 
 
 def main() -> None:
+    """Print the ratios of this checkout to the other, and write them to a file."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("other", type=Path)
     parser.add_argument("file", nargs="?", type=Path, default=Path("build/benchmarks/lean.json"))
     parser.add_argument("--rounds", type=int, default=5)
-    told = parser.parse_args()
-    other = told.other.resolve()
+    options = parser.parse_args()
+    other = options.other.resolve()
     rounds = [
-        paired(lambda checkout: asyncio.run(play(checkout, 1)), other, number)
-        for number in range(told.rounds)
+        paired(lambda checkout: asyncio.run(measure(checkout, 1)), other, number)
+        for number in range(options.rounds)
     ]
     starts = [
-        paired(lambda checkout: asyncio.run(play(checkout, 0, 0.0)), other, number)
-        for number in range(4 * told.rounds)
+        paired(lambda checkout: asyncio.run(measure(checkout, 0, 0.0)), other, number)
+        for number in range(4 * options.rounds)
     ]
     for name in ("start, s", "memory at the start, MB"):  # cheap enough for more rounds
         print(
@@ -119,8 +125,8 @@
             f"{name:26} here {result[name]['here']:8.3f}  other {result[name]['other']:8.3f}  "
             f"ratio {result[name]['ratio']:.3f}"
         )
-    told.file.parent.mkdir(parents=True, exist_ok=True)
-    told.file.write_text(json.dumps(result, indent=1) + "\n")
+    options.file.parent.mkdir(parents=True, exist_ok=True)
+    options.file.write_text(json.dumps(result, indent=1) + "\n")
 
 
 if __name__ == "__main__":
--- a/benchmarks/leases.py
+++ b/benchmarks/leases.py
@@ -1,4 +1,4 @@
-"""How long it takes until a lease is held: free, handed over, and after its holder was killed.
+"""How long it takes until a lease is held: free, given_up over, and after its holder was killed.
 
     python benchmarks/leases.py [--rounds 200] [--kills 10] [--write FILE]
 
@@ -35,10 +35,17 @@
 from beaconhinge.standin.rig.runner import ScenarioRun
 from beaconhinge.store import Store
 
-SPAN = 2.0
+LEASE_SPAN_S = 2.0
+# Of a wait for a change, between two looks.
+POLL_S = 0.005
 
 
-def shown(name: str, seconds: Sequence[float]) -> dict[str, float]:
+def _ignore(*_: object) -> None:
+    """Take no notice of an event."""
+
+
+def summarize(name: str, seconds: Sequence[float]) -> dict[str, float]:
+    """Print median and 99th percentile in milliseconds, and return them."""
     ordered = sorted(1000 * value for value in seconds)
     last = ordered[min(len(ordered) - 1, int(0.99 * len(ordered)))]
     figures = {"p50": statistics.median(ordered), "p99": last, "rounds": len(ordered)}
@@ -47,11 +54,12 @@
 
 
 async def nodes(count: int, folder: Path | None) -> list[LeaseService]:
+    """Start so many members on loopback, with a store in a folder or without, and wait until they vote."""
     addresses = [("127.0.0.1", free_port(socket.SOCK_DGRAM)) for _ in range(count)]
     made = []
     for number in range(count):
         clock = Clock()
-        metrics = Metrics(clock.now, writer=lambda event, fields: None)
+        metrics = Metrics(clock.now, writer=_ignore)
         timers = TimerWheel(clock.now, metrics.log_exception)
         settings = SimpleNamespace(own_number=number, group_size=count)
         config: Any = SimpleNamespace(
@@ -62,21 +70,24 @@
             peers_all=addresses[number],
             mgmt=None,
         )
-        policy_runner: Any = SimpleNamespace(owners={}, feed=lambda event: None)
+        policy_runner: Any = SimpleNamespace(action_handlers={}, feed=_ignore)
         peers = PeerSocket(config, policy_runner, timers, metrics)
         peers.listen()
         store = None if folder is None else Store.open(folder / str(number))
-        leases = LeaseService(Settings(enabled=True, span_s=SPAN), config, store, peers, timers, metrics)
+        leases = LeaseService(
+            Settings(enabled=True, span_s=LEASE_SPAN_S), config, store, peers, timers, metrics
+        )
         leases.open()
         made.append(leases)
-    await asyncio.sleep(1.05 * SPAN)
+    await asyncio.sleep(1.05 * LEASE_SPAN_S)
     return made
 
 
 async def granted(count: int, rounds: int, disk: bool) -> dict[str, dict[str, float]]:
+    """Measure the time to a free lease, and to one that its holder gives up."""
     with tempfile.TemporaryDirectory() as folder:
         made = await nodes(count, Path(folder) if disk else None)
-        free, handed = [], []
+        free, given_up = [], []
         for number in range(rounds):
             first, second = random.sample(made, 2)
             name, began = f"lease-{number}", time.perf_counter()
@@ -86,33 +97,34 @@
                 await asyncio.sleep(0.01)
                 began = time.perf_counter()
             await waiting
-            handed.append(time.perf_counter() - began)
+            given_up.append(time.perf_counter() - began)
             second.release(second.lease(name))
         for leases in made:
             if leases.store is not None:
                 await leases.store.close()
     where = f"{count} members, {'with a disk' if disk else 'without'}"
     return {
-        name: shown(name, values)
-        for name, values in ((f"free to granted, {where}", free), (f"given up to next, {where}", handed))
+        name: summarize(name, values)
+        for name, values in ((f"free to granted, {where}", free), (f"given up to next, {where}", given_up))
     }
 
 
-class Killed(ScenarioRun):
+class KilledHolders(ScenarioRun):
     """Kills whoever holds, again and again, and measures until somebody else acts."""
 
     kills = 10
 
-    async def waits(self) -> list[float]:
+    async def measure_waits(self) -> list[float]:
+        """Return the seconds from each kill to the next act."""
         acts, processes = self.record.lease_acts, self.topology.processes
         await self.start_stand_ins()
-        found = []
+        found: list[float] = []
         try:
             await asyncio.gather(*(process.start() for process in processes))
             while len(found) < self.kills:
                 count = len(acts)
-                while len(acts) < count + 10:
-                    await asyncio.sleep(0.01)
+                while len(acts) < count + 10:  # noqa: ASYNC110 - the resource reports in lines of text
+                    await asyncio.sleep(POLL_S)
                 number = acts[-1].number
                 [holder] = [
                     process
@@ -124,17 +136,18 @@
                 ]
                 died = time.monotonic()
                 await holder.end(signal.SIGKILL)
-                while acts[-1].number == number:
-                    await asyncio.sleep(0.005)
+                while acts[-1].number == number:  # noqa: ASYNC110 - the same
+                    await asyncio.sleep(POLL_S)
                 found.append(acts[-1].begin - died)
                 await holder.start()
-                await asyncio.sleep(1.2 * SPAN)  # it votes again
+                await asyncio.sleep(1.2 * LEASE_SPAN_S)  # it votes again
         finally:
             await self.stop()
         return found
 
 
 async def killed(count: int, kills: int) -> dict[str, dict[str, float]]:
+    """Measure the time from a holder's kill to the next act."""
     with tempfile.TemporaryDirectory() as folder:
         scenario = Scenario(
             "killed",
@@ -142,16 +155,17 @@
             workers=1,
             deduplication_groups=1,
             leases=1,
-            lease_span_s=SPAN,
+            lease_span_s=LEASE_SPAN_S,
             lease_act_interval_s=0.05,
         )
-        run = Killed(scenario, Path(folder))
+        run = KilledHolders(scenario, Path(folder))
         run.kills = kills
         name = f"holder killed to next act, {count} processes"
-        return {name: shown(name, await run.waits())}
+        return {name: summarize(name, await run.measure_waits())}
 
 
 async def measure(rounds: int, kills: int) -> dict[str, dict[str, float]]:
+    """Return all figures, by name."""
     found: dict[str, dict[str, float]] = {}
     for count in (3, 5, 9):
         for disk in (False, True):
@@ -162,6 +176,7 @@
 
 
 def main() -> None:
+    """Measure, print, and write the figures to a file if one is named."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--rounds", type=int, default=200)
     parser.add_argument("--kills", type=int, default=10)
--- a/benchmarks/loglines.py
+++ b/benchmarks/loglines.py
@@ -1,5 +1,6 @@
-"""What a log line costs in each form, and what its library costs at the start: `python
-benchmarks/loglines.py`.
+"""What a log line costs in each form, and what its library costs at the start.
+
+python benchmarks/loglines.py
 """
 
 from __future__ import annotations
@@ -15,7 +16,8 @@
 from beaconhinge.logs import writer
 from beaconhinge.runtime.metrics import Metrics
 
-LINES, ROUNDS = 20_000, 5
+LINES = 20_000
+ROUNDS = 5
 IMPORT = """
 import time
 def resident(): return int(open("/proc/self/statm").read().split()[1]) * 4096 / 1e6
@@ -26,6 +28,7 @@
 
 
 def line_cost(metrics: Metrics) -> float:
+    """Return the microseconds that a line costs."""
     begun = time.perf_counter()
     for number in range(LINES):
         metrics.log(
@@ -41,6 +44,8 @@
 
 
 def main() -> None:
+    """Print the cost of a line and of each library."""
+
     def structured(form: Literal["logfmt", "json"]) -> Callable[[TextIO], Metrics]:
         return lambda sink: Metrics(time.time, writer=writer(form, sink, time.time))
 
--- a/benchmarks/module.py
+++ b/benchmarks/module.py
@@ -19,12 +19,17 @@
 from beaconhinge.policy.interface import AttemptOutcome, NoticeKind, UpdateKind
 from beaconhinge.standin.fleet.plan import settings
 
-GROUPS, FLEETS, EVENTS = (2, 10, 40, 200), (10, 60, 200, 600), 1500
+# Dispatchers, workers, and jobs of each measurement.
+GROUP_SIZES = (2, 10, 40, 200)
+FLEET_SIZES = (10, 60, 200, 600)
+JOBS = 1500
+KINDS = ("job", "notice", "outcome", "datagram", "timer")
 
 
-def module(group: int, workers: int) -> Dispatcher:
-    told = {**settings(5.0 * workers, True), "groupSize": str(group), "myNumber": "0"}
-    made = Dispatcher(interface.Settings.from_pairs(told), 1)
+def create_dispatcher(group: int, workers: int) -> Dispatcher:
+    """Return a dispatcher that has its list of workers."""
+    pairs = {**settings(5.0 * workers, True), "groupSize": str(group), "myNumber": "0"}
+    made = Dispatcher(interface.Settings.from_pairs(pairs), 1)
     made.handle(1000.0, interface.Start())
     made.handle(
         1000.0,
@@ -37,18 +42,19 @@
     return made
 
 
-def play(group: int, workers: int) -> dict[str, float]:
-    """Seconds of CPU, in microseconds for each event of a kind."""
-    made, draw, now, spent = module(group, workers), random.Random(1), 1000.0, dict.fromkeys(KINDS, 0.0)
-    counted = dict.fromkeys(KINDS, 0)
+def measure(group: int, workers: int) -> dict[str, float]:
+    """Return the CPU for each event of a kind, in microseconds."""
+    dispatcher, rng, now = create_dispatcher(group, workers), random.Random(1), 1000.0
+    spent_s = dict.fromkeys(KINDS, 0.0)
+    counts = dict.fromkeys(KINDS, 0)
     out: deque[interface.SendAttempt] = deque()
     depth = max(2, 3 * workers // group)
 
     def feed(kind: str, event: interface.Event) -> None:
         begun = time.process_time()
-        actions = made.handle(now, event)
-        spent[kind] += time.process_time() - begun
-        counted[kind] += 1
+        actions = dispatcher.handle(now, event)
+        spent_s[kind] += time.process_time() - begun
+        counts[kind] += 1
         for sent in actions:
             if isinstance(sent, interface.SendAttempt):
                 out.append(sent)
@@ -57,7 +63,7 @@
                     interface.ProgressNotice(sent.request, sent.worker, 0, NoticeKind.STARTED),
                 )
 
-    for number in range(EVENTS):
+    for number in range(JOBS):
         now += 0.01
         feed("job", interface.JobArrived(number, number % 2, number % 3, 20.0))
         while len(out) > depth:
@@ -68,29 +74,27 @@
                     done.request, done.worker, 0, AttemptOutcome.SERVED, True, 0.4, {"x0": 2.0}
                 ),
             )
-        news = [(draw.getrandbits(14), codec.SENT) for _ in range(3)]
+        notices = [codec.Delta(rng.getrandbits(14), codec.SENT) for _ in range(3)]
         peer = 1 + number % min(group - 1, 39)
-        payload = codec.encode_news(codec.News(peer & 255, number & 255, news))
+        payload = codec.encode_news(codec.News(peer & 255, number & 255, notices))
         feed("datagram", interface.PeerMessage(peer, payload))
         if number % 10 == 0:
             feed("timer", interface.TimerFired(TICK))
-    return {kind: 1e6 * spent[kind] / max(1, counted[kind]) for kind in KINDS}
-
-
-KINDS = ("job", "notice", "outcome", "datagram", "timer")
+    return {kind: 1e6 * spent_s[kind] / max(1, counts[kind]) for kind in KINDS}
 
 
 def main() -> None:
+    """Measure every size, print and write the figures."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("file", nargs="?", type=Path, default=Path("build/benchmarks/module.json"))
     file = parser.parse_args().file
     result: dict[str, dict[str, float]] = {}
     print(f"{'dispatchers x workers':>22} " + " ".join(f"{kind + ', us (ratio)':>20}" for kind in KINDS))
-    for group in GROUPS:
-        for workers in FLEETS:
+    for group in GROUP_SIZES:
+        for workers in FLEET_SIZES:
             name = f"{group} x {workers}"
-            result[name] = play(group, workers)
-            first = result[f"{GROUPS[0]} x {FLEETS[0]}"]
+            result[name] = measure(group, workers)
+            first = result[f"{GROUP_SIZES[0]} x {FLEET_SIZES[0]}"]
             print(
                 f"{name:>22} "
                 + " ".join(
--- a/benchmarks/recovery.py
+++ b/benchmarks/recovery.py
@@ -1,8 +1,8 @@
-"""Keyed jobs, blame and service through faults between real processes, recovery on and off, seed by seed.
+"""Keyed jobs, ejections and service through faults between real processes, recovery on and off, seed by seed.
 
     python benchmarks/recovery.py [--seeds 10] [--write FILE]
 
-Each play takes some 16 s; four run at a time. Run it on a machine that does nothing else.
+Each run takes some 16 s; four run at a time. Run it on a machine that does nothing else.
 """
 
 from __future__ import annotations
@@ -15,7 +15,7 @@
 
 from beaconhinge.standin.rig import Fault, Scenario, Verdict, run_scenario
 
-AT_A_TIME = 4
+MAX_CONCURRENT_RUNS = 4
 SCENARIOS = {
     "power": [Fault(4.0, "kill", 1.0), Fault(4.0, "discovery", 5.0)],
     "one killed": [Fault(4.0, "kill", 1.0, [1])],
@@ -24,6 +24,7 @@
 
 
 def figures(verdict: Verdict) -> dict[str, float]:
+    """Return the figures of one run."""
     twice = sum(1 for line in verdict.broken if line.startswith("key "))
     return {
         "keys": verdict.keys,
@@ -34,8 +35,10 @@
     }
 
 
-async def all_plays(seeds: int) -> dict[str, dict[str, list[dict[str, float]]]]:
-    limit, found = asyncio.Semaphore(AT_A_TIME), {name: {"off": [], "on": []} for name in SCENARIOS}
+async def run_all(seeds: int) -> dict[str, dict[str, list[dict[str, float]]]]:
+    """Run each scenario under each seed, with recovery on and off."""
+    limit = asyncio.Semaphore(MAX_CONCURRENT_RUNS)
+    found: dict[str, dict[str, list[dict[str, float]]]] = {name: {"off": [], "on": []} for name in SCENARIOS}
 
     async def one(name: str, on: bool, seed: int) -> None:
         scenario = Scenario(
@@ -59,16 +62,17 @@
 
 
 def main() -> None:
+    """Run, print, and write the figures to a file if one is named."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--seeds", type=int, default=10)
     parser.add_argument("--write", type=Path)
     options = parser.parse_args()
-    found = asyncio.run(all_plays(options.seeds))
+    found = asyncio.run(run_all(options.seeds))
     print(f"{'scenario':<12} {'recovery':<8} {'figure':<24} {'sum':>6} {'median':>7} {'worst':>6}")
     for name, both in found.items():
-        for way, plays in both.items():
-            for figure in plays[0]:
-                values = [row[figure] for row in plays]
+        for way, rows in both.items():
+            for figure in rows[0]:
+                values = [row[figure] for row in rows]
                 print(
                     f"{name:<12} {way:<8} {figure:<24} {sum(values):>6} {statistics.median(values):>7g} "
                     f"{max(values):>6}"
--- a/benchmarks/store.py
+++ b/benchmarks/store.py
@@ -1,5 +1,6 @@
-"""The store beside SQLite, LMDB and bare append with fdatasync, in one run: `python benchmarks/store.py
-[FILE]`.
+"""The store beside SQLite, LMDB and bare append with fdatasync, in one run.
+
+    python benchmarks/store.py [FILE]
 
 Prints a table and writes the same figures as JSON. Everything lies in one temporary folder of the current
 one, so that the same disk is measured. Rounds alternate, and ratios are taken round by round; their medians
@@ -40,13 +41,15 @@
 
 
 def key(number: int) -> bytes:
+    """Return the key of a number."""
     return b"%016d" % number
 
 
 # ---- the others ------------------------------------------------------------------------------------------
 
 
-def sqlite_open(file: Path) -> sqlite3.Connection:
+def open_sqlite(file: Path) -> sqlite3.Connection:
+    """Open a base that syncs each commit."""
     base = sqlite3.connect(file, isolation_level=None, timeout=60)
     base.execute("PRAGMA journal_mode=WAL")
     base.execute("PRAGMA synchronous=FULL")
@@ -55,10 +58,11 @@
 
 
 def sqlite_commits(file: Path, count: int, writers: int) -> float:
-    sqlite_open(file).close()
+    """Return SQLite's commits a second."""
+    open_sqlite(file).close()
 
     def write(writer: int) -> None:
-        base = sqlite_open(file)
+        base = open_sqlite(file)
         for number in range(count // writers):
             base.execute("INSERT OR REPLACE INTO t VALUES (?, ?)", (b"%08d%08d" % (writer, number), VALUE))
         base.close()
@@ -66,12 +70,14 @@
     return _threads(write, writers, count)
 
 
-def lmdb_open(file: Path) -> Any:
+def open_lmdb(file: Path) -> Any:
+    """Open an LMDB environment."""
     return lmdb.open(str(file), map_size=1 << 32, max_readers=512)
 
 
 def lmdb_commits(file: Path, count: int, writers: int) -> float:
-    base = lmdb_open(file)
+    """Return LMDB's commits a second."""
+    base = open_lmdb(file)
 
     def write(writer: int) -> None:
         for number in range(count // writers):
@@ -96,7 +102,7 @@
 def sqlite_through_a_thread(file: Path, count: int) -> float:
     """SQLite as an event loop would have to call it: each commit on another thread, awaited."""
     base = sqlite3.connect(file, isolation_level=None, check_same_thread=False)
-    sqlite_open(file).close()
+    open_sqlite(file).close()
     base.execute("PRAGMA synchronous=FULL")
 
     async def write() -> float:
@@ -115,6 +121,7 @@
 
 
 def commits(folder: Path, count: int) -> dict[str, Any]:
+    """Return commits a second of all stores, and their ratios."""
     rounds: dict[str, list[float]] = {}
     for number in range(ROUNDS):
         place = folder / f"commits{number}"
@@ -157,11 +164,11 @@
         return store
 
     store = asyncio.run(fill())
-    base = sqlite_open(folder / "reads.db")
+    base = open_sqlite(folder / "reads.db")
     base.execute("BEGIN")
     base.executemany("INSERT INTO t VALUES (?, ?)", ((key(number), VALUE) for number in range(count)))
     base.execute("COMMIT")
-    other = lmdb_open(folder / "reads.lmdb")
+    other = open_lmdb(folder / "reads.lmdb")
     with other.begin(write=True) as transaction:
         for number in range(count):
             transaction.put(key(number), VALUE)
@@ -210,6 +217,7 @@
 
 
 def recover(folder: Path) -> tuple[float, int, int]:
+    """Open a store in a process of its own; return seconds, keys and bytes of memory."""
     command = [sys.executable, "-c", RECOVER, str(folder)]
     done = subprocess.run(command, capture_output=True, text=True, check=True)
     passed, keys, memory = done.stdout.split()
@@ -217,7 +225,7 @@
 
 
 def recovery(folder: Path, sizes: list[int]) -> dict[str, Any]:
-    """Start with and without index files, memory a key, and the cost of a commit, by the number of keys."""
+    """Measure starts with and without index files, memory a key, and a commit, by the number of keys."""
     figures: dict[str, Any] = {}
 
     async def fill(place: Path, count: int) -> float:
@@ -246,7 +254,7 @@
 
 
 def cleaning(folder: Path, count: int) -> dict[str, Any]:
-    """p99 of a commit while old segments are cleaned, and while none are."""
+    """Measure the 99th percentile of a commit while old segments are cleaned, and while none are."""
 
     async def run(name: str, dead_share: float) -> tuple[list[float], int]:
         options = Options(segment_bytes=2 * 1024 * 1024, compact_dead_share=dead_share)
@@ -278,21 +286,22 @@
 
 
 def main() -> None:
+    """Measure, print a table, and write the figures."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("file", nargs="?", type=Path, default=Path("build/benchmarks/store.json"))
     parser.add_argument("--commits", type=int, default=3000)
     parser.add_argument("--keys", type=int, default=1_000_000)
-    told = parser.parse_args()
+    options = parser.parse_args()
     figures: dict[str, Any] = {
         "machine": f"{platform.machine()}, {os.cpu_count()} cores, Python "
         f"{platform.python_version()}, {platform.system()} {platform.release()}"
     }
-    sizes = [size for size in (10_000, 100_000, 1_000_000) if size <= told.keys]
-    told.file.parent.mkdir(parents=True, exist_ok=True)
-    with tempfile.TemporaryDirectory(prefix="bench-", dir=told.file.parent) as place:
+    sizes = [size for size in (10_000, 100_000, 1_000_000) if size <= options.keys]
+    options.file.parent.mkdir(parents=True, exist_ok=True)
+    with tempfile.TemporaryDirectory(prefix="bench-", dir=options.file.parent) as place:
         folder = Path(place)
-        figures |= commits(folder, told.commits)
-        figures |= reads(folder, min(100_000, told.keys))
+        figures |= commits(folder, options.commits)
+        figures |= reads(folder, min(100_000, options.keys))
         figures |= recovery(folder, sizes)
         figures |= cleaning(folder, 4000)
     figures["peak memory of this run, MB"] = resource.getrusage(resource.RUSAGE_SELF).ru_maxrss / 1024
@@ -301,7 +310,7 @@
         form = ",.3f" if isinstance(value, float) else "," if isinstance(value, int) else ""
         table.add_row(name, format(value, form))
     Console(width=110).print(table)
-    told.file.write_text(json.dumps(figures, indent=1) + "\n")
+    options.file.write_text(json.dumps(figures, indent=1) + "\n")
 
 
 if __name__ == "__main__":
