--- a/beaconhinge/standin/disk.py
+++ b/beaconhinge/standin/disk.py
@@ -245,7 +245,7 @@
         `keep` draws a number for each thing that was not synced: it is lost below 1/3, complete above 2/3,
         and a write is torn or has a hole in between.
         """
-        left = SimDisk()
+        survivor = SimDisk()
         copies: dict[_Inode, _Inode] = {}
         names = dict(self._synced)
         for change in self._changes:
@@ -254,9 +254,9 @@
         for name, inode in names.items():
             if inode not in copies:
                 copies[inode] = self._survivor(inode, keep)
-            left._names[name] = copies[inode]
-        left._synced = dict(left._names)
-        return left
+            survivor._names[name] = copies[inode]
+        survivor._synced = dict(survivor._names)
+        return survivor
 
     @staticmethod
     def _survivor(inode: _Inode, keep: Callable[[], float]) -> _Inode:
@@ -277,7 +277,7 @@
 
     def killed(self) -> SimDisk:
         """Return what is found after the process alone has died: everything, synced or not as before."""
-        left = SimDisk()
+        survivor = SimDisk()
         copies: dict[_Inode, _Inode] = {}
         for inode in [
             *self._names.values(),
@@ -287,28 +287,28 @@
             copies.setdefault(
                 inode, _Inode(bytearray(inode.synced), bytearray(inode.current), list(inode.pending))
             )
-        left._names = {name: copies[inode] for name, inode in self._names.items()}
-        left._synced = {name: copies[inode] for name, inode in self._synced.items()}
+        survivor._names = {name: copies[inode] for name, inode in self._names.items()}
+        survivor._synced = {name: copies[inode] for name, inode in self._synced.items()}
         for change in self._changes:
             if isinstance(change, _Unlink):
-                left._changes.append(change)
+                survivor._changes.append(change)
             elif isinstance(change, _Link):
-                left._changes.append(_Link(change.name, copies[change.inode]))
+                survivor._changes.append(_Link(change.name, copies[change.inode]))
             else:
-                left._changes.append(_Rename(change.old, change.new, copies[change.inode]))
-        return left
+                survivor._changes.append(_Rename(change.old, change.new, copies[change.inode]))
+        return survivor
 
     def torn(self, name: str, byte: int) -> SimDisk:
         """Return `killed`, with the last write to a file stopped after so many bytes."""
-        left = self.killed()
-        inode = left._names[name]
+        survivor = self.killed()
+        inode = survivor._names[name]
         last = inode.pending[-1]
         assert isinstance(last, _Write)
         last = inode.pending[-1] = _Write(last.offset, last.data[:byte])
         inode.current = bytearray(inode.synced)
         for op in inode.pending:
             _do(inode.current, op)
-        return left
+        return survivor
 
     def content(self, name: str) -> bytes:
         """Return what a reader sees of a file."""
@@ -347,12 +347,12 @@
 
 def failing(what: str, code: int, times: int = 1, name: str = "") -> Callable[[str, str, int], Fault | None]:
     """Faults that let the first operations of a kind (on files whose names end so) fail with an errno."""
-    left = [times]
+    remaining = [times]
 
     def fault(done: str, file: str, _size: int) -> Fault | None:
-        if done != what or not file.endswith(name) or not left[0]:
+        if done != what or not file.endswith(name) or not remaining[0]:
             return None
-        left[0] -= 1
+        remaining[0] -= 1
         return OSError(code, os.strerror(code))
 
     return fault
--- a/beaconhinge/standin/fleet/plan.py
+++ b/beaconhinge/standin/fleet/plan.py
@@ -94,7 +94,10 @@
     @property
     def mean_work(self) -> float:
         """Of a job, in slot-seconds of a standard core."""
-        return sum(sort.share * sort.mean_work * (1 + sort.two_slot_share) for sort in self.job_classes)
+        return sum(
+            job_class.share * job_class.mean_work * (1 + job_class.two_slot_share)
+            for job_class in self.job_classes
+        )
 
 
 SCRIPTS = Site(
@@ -176,7 +179,7 @@
 
     def __post_init__(self) -> None:
         if self.fault not in FAULTS:
-            raise ValueError(f"trouble: {self.fault!r} is none of {', '.join(filter(None, FAULTS))}")
+            raise ValueError(f"fault: {self.fault!r} is none of {', '.join(filter(None, FAULTS))}")
 
 
 def settings(capacity: float, peers: bool, site: Site = SCRIPTS) -> dict[str, str]:
@@ -196,7 +199,7 @@
         "policyLimits.idleClose": "5",
         "familyInfo.tellsStart": str(site.reports_start).lower(),
         "familyInfo.progress": "1" if site.reports_start else "0",
-        "familyInfo.classStretch": ",".join(str(sort.stretch) for sort in site.job_classes),
+        "familyInfo.classStretch": ",".join(str(job_class.stretch) for job_class in site.job_classes),
         "familyInfo.reportX0": "free_slots",
         "report.source": "answers" if site.report_fields else "none",
         "report.names": ",".join(site.report_fields),
@@ -214,20 +217,23 @@
         "costs.peer": "0.01",
         "orgs.count": str(len(site.tenant_shares)),
     }
-    for i, sort in enumerate(site.job_classes):
-        path = f"requestClasses.{i}."
+    for number, job_class in enumerate(site.job_classes):
+        pairs |= _class_settings(f"requestClasses.{number}.", job_class)
+    for number, share in enumerate(site.tenant_shares):
         pairs |= {
-            path + "aim": str(sort.latency_objective_s),
-            path + "hardLimit": str(sort.deadline_s),
-            path + "group": sort.group,
-            path + "semantics": sort.semantics,
-            path + "dedupWindow": str(sort.deduplication_window_s),
-            path + "importance": str(sort.priority),
-            path + "name": sort.name,
-        }
-    for i, share in enumerate(site.tenant_shares):
-        pairs |= {
-            f"orgs.{i}.share": str(share),
-            f"orgs.{i}.quotaRps": f"{site.quota_share * capacity * share:.1f}",
+            f"orgs.{number}.share": str(share),
+            f"orgs.{number}.quotaRps": f"{site.quota_share * capacity * share:.1f}",
         }
     return pairs
+
+
+def _class_settings(path: str, job_class: JobClass) -> dict[str, str]:
+    return {
+        path + "aim": str(job_class.latency_objective_s),
+        path + "hardLimit": str(job_class.deadline_s),
+        path + "group": job_class.group,
+        path + "semantics": job_class.semantics,
+        path + "dedupWindow": str(job_class.deduplication_window_s),
+        path + "importance": str(job_class.priority),
+        path + "name": job_class.name,
+    }
