--- a/beaconhinge/standin/rig/process.py
+++ b/beaconhinge/standin/rig/process.py
@@ -16,7 +16,10 @@
 
 
 class Process:
-    """Several lives of one dispatcher. `stood` are the spans of the rig's clock in which it did not run."""
+    """One dispatcher's process, which is ended and started again in the course of a run.
+
+    `down_spans` are the spans of the rig's clock in which it did not run.
+    """
 
     def __init__(
         self,
@@ -33,11 +36,11 @@
         self.platform = platform
         self.local_config = local_config
         self.environment = environment or {}
-        self.lines: list[Mapping[str, Any]] = []
-        self.stood: list[tuple[float, float]] = []
-        self.counters: Counter[str] = Counter()  # of all lives, as each last told
-        self._told: Mapping[str, Any] = {}
-        self._ends = 0
+        self.log_lines: list[Mapping[str, Any]] = []
+        self.down_spans: list[tuple[float, float]] = []
+        self.counters: Counter[str] = Counter()  # of all incarnations, as each last reported
+        self._last_counters: Mapping[str, Any] = {}
+        self._end_count = 0
         self.starting = False
         self.ending = False
         self._down_at: float | None = None
@@ -46,75 +49,82 @@
 
     @property
     def running(self) -> bool:
+        """Whether it was started and has not ended; a paused one runs."""
         return self._process is not None and self._process.returncode is None
 
     async def start(self) -> None:
-        """Raises SceneError when it is not up in time, unless the scenario has ended it meanwhile."""
+        """Start it and wait until it is up.
+
+        Raises:
+            SceneError: It is not up in time, and no fault has ended it meanwhile.
+        """
         self.folder.mkdir(exist_ok=True)
         (self.folder / "balancer.json").write_text(json.dumps(self.platform))
         (self.folder / "ours.toml").write_text(self.local_config)
         own = {"BEACONHINGE_CONFIG": str(self.folder / "ours.toml")}
         self._process = await start({**own, **self.environment}, "-O")
         self._reader = asyncio.create_task(self._read(self._process))
-        ends, self.starting = self._ends, True
+        ends, self.starting = self._end_count, True
         try:
-            await until_up(self._process, self.port, self.lines)
+            await until_up(self._process, self.port, self.log_lines)
         except SceneError:
-            if self._ends == ends:
+            if self._end_count == ends:
                 raise
         else:
             self.starting = False
-            self._up()
+            self._mark_up()
 
-    def _up(self) -> None:
+    def _mark_up(self) -> None:
         if self._down_at is not None:
-            self.stood.append((self._down_at, time.monotonic()))
+            self.down_spans.append((self._down_at, time.monotonic()))
             self._down_at = None
 
     async def _read(self, process: asyncio.subprocess.Process) -> None:
-        async for told in log_lines(process):
-            self.lines.append(told)
-            if told["event"] == "counters":
-                self._told = {name: n for name, n in told.items() if isinstance(n, int)}
+        async for line in log_lines(process):
+            self.log_lines.append(line)
+            if line["event"] == "counters":
+                self._last_counters = {name: n for name, n in line.items() if isinstance(n, int)}
 
     def signal(self, number: Signals) -> bool:
+        """Send a signal, if it runs; whether it does."""
         if not self.running:
             return False
         assert self._process is not None
         self._process.send_signal(number)
         return True
 
-    def stop(self) -> bool:
+    def pause(self) -> bool:
+        """Stop it by SIGSTOP; whether it ran."""
         stopped = self.signal(SIGSTOP)
         if stopped:
             self._down_at = self._down_at or time.monotonic()
         return stopped
 
-    def go_on(self) -> None:
-        """One that another fault has ended meanwhile stays down until it is started."""
+    def resume(self) -> None:
+        """Let it go on. One that another fault has ended meanwhile stays down until it is started."""
         self.signal(SIGCONT)
         if self.running and not self.starting and not self.ending:
-            self._up()
+            self._mark_up()
 
     async def end(self, number: Signals) -> int:
-        """Send that signal and wait; its exit status."""
+        """Send a signal, wait for the end, and return the exit status."""
         assert self._process is not None
-        self._ends += 1
+        self._end_count += 1
         self._down_at = self._down_at or time.monotonic()
         self.ending = True
         status = await end(self._process, number)
         self.ending = False
         if self._reader is not None:
             await self._reader
-        self.counters.update(self._told)
-        self._told = {}
+        self.counters.update(self._last_counters)
+        self._last_counters = {}
         return status
 
-    def forget(self) -> None:
+    def delete_folder(self) -> None:
         """Start next with an empty folder."""
         shutil.rmtree(self.folder, ignore_errors=True)
 
-    def take(self, store: Path) -> None:
+    def restore_store(self, store: Path) -> None:
         """Start next with a copy of that store."""
         shutil.rmtree(self.folder / "store", ignore_errors=True)
         shutil.copytree(store, self.folder / "store")
--- a/tests/leases/test_lease_rehearsals.py
+++ b/tests/leases/test_lease_rehearsals.py
@@ -6,22 +6,22 @@
 from typing import Any
 
 from beaconhinge.standin.rig import Fault, Scenario, Verdict, run_scenario
-from beaconhinge.standin.rig.verdict import Act, collisions
+from beaconhinge.standin.rig.verdict import Act, lease_violations
 
 QUIET: dict[str, Any] = {
-    "boxes": 3,
-    "racks": 1,
+    "workers": 3,
+    "deduplication_groups": 1,
     "rate": 5.0,
     "keyed": 0.0,
     "render_s": 0.1,
-    "patience_s": 2.0,
+    "client_timeout_s": 2.0,
     "leases": 4,
-    "span_s": 1.0,
+    "lease_span_s": 1.0,
     "stall_s": 0.5,
 }
 
 
-def rehearsed(*scenarios: Scenario) -> list[Verdict]:
+def run_scenarios(*scenarios: Scenario) -> list[Verdict]:
     async def all_of_them() -> list[Verdict]:
         limit = asyncio.Semaphore(3)
 
@@ -34,12 +34,12 @@
     return asyncio.run(all_of_them())
 
 
-def test_no_two_processes_act_at_once_whatever_is_drawn_to_befall_them() -> None:
+def test_no_two_processes_act_at_once_through_drawn_faults() -> None:
     scenarios = [
-        Scenario("drawn", seed=seed, processes=processes, seconds=11.0, drawn=8, **QUIET)
+        Scenario("drawn", seed=seed, processes=processes, seconds=11.0, drawn_faults=8, **QUIET)
         for processes, seed in ((3, 31), (3, 32), (3, 33), (5, 34), (5, 35), (9, 36))
     ]
-    verdicts = rehearsed(*scenarios)
+    verdicts = run_scenarios(*scenarios)
     for verdict in verdicts:
         assert verdict.broken == [], (verdict.seed, verdict.last)
         assert verdict.acts > 150 and verdict.tenures >= 4
@@ -58,7 +58,7 @@
     stops = [Fault(1.5 + 2.0 * n, "stop", length, [n]) for n, length in enumerate((0.9, 1.1, 1.8))]
     cuts = [Fault(2.0, "cut", 4.0, [0], [1, 2]), Fault(2.0, "cut", 4.0, [1, 2], [0])]
     one_way = [Fault(2.0, "cut", 2.5, [0], [1, 2]), Fault(5.0, "cut", 2.5, [1, 2], [0])]
-    verdicts = rehearsed(
+    verdicts = run_scenarios(
         *(
             Scenario(name, seed=seed, processes=3, seconds=11.0, faults=faults, **QUIET)
             for name, seed, faults in (("stops", 41, stops), ("cut off", 42, cuts), ("one way", 43, one_way))
@@ -80,13 +80,13 @@
         **QUIET,
         faults=[Fault(3.0, "kill", 0.2, folder="empty")],
     )
-    verdict = rehearsed(scenario)[0]
+    verdict = run_scenarios(scenario)[0]
     assert verdict.broken == [] and verdict.tenures >= 8 and verdict.acts > 100
 
 
 def test_the_checker_sees_acts_that_overlap_and_numbers_that_fall() -> None:
     acts = [Act("a", 1, 0.0, 1.0), Act("a", 1, 0.5, 1.5), Act("a", 2, 1.6, 2.0), Act("b", 1, 1.0, 3.0)]
-    assert collisions(acts) == []
-    assert len(collisions([*acts, Act("a", 3, 1.9, 2.1)])) == 1
-    assert len(collisions([*acts, Act("a", 1, 2.5, 2.6)])) == 1
-    assert collisions([*acts, Act("a", 1, 1.9, 2.1, accepted=False)]) == []
+    assert lease_violations(acts) == []
+    assert len(lease_violations([*acts, Act("a", 3, 1.9, 2.1)])) == 1
+    assert len(lease_violations([*acts, Act("a", 1, 2.5, 2.6)])) == 1
+    assert lease_violations([*acts, Act("a", 1, 1.9, 2.1, accepted=False)]) == []
--- a/tests/recovery/test_returns_by_old_lists.py
+++ b/tests/recovery/test_returns_by_old_lists.py
@@ -9,7 +9,7 @@
 
 from beaconhinge.standin.rig import Fault, Scenario, run_scenario
 
-LEFT = Fault(0.8, "drain", 10.0, boxes=2)
+LEFT = Fault(0.8, "drain", 10.0, workers=2)
 AWAY = [1, 3, 4, 6, 8, 9, 10, 11]
 
 SCENARIOS = [
@@ -27,12 +27,12 @@
         scenario,
         seed=3502,
         processes=12,
-        boxes=8,
+        workers=8,
         rate=240.0,
         keyed=0.0,
         seconds=11.0,
         render_s=0.1,
-        patience_s=1.5,
+        client_timeout_s=1.5,
         recovery=False,
         store=False,
     )
