--- a/tests/cli/test_cli.py
+++ b/tests/cli/test_cli.py
@@ -65,12 +65,16 @@
         ["logs", "sum"],
     ):
         status, out, _ = told(capsys, *arguments, "--help")
-        assert status == 0 and f"beaconhinge {' '.join(arguments)}" in out and "Example" in out
+        assert status == 0
+        assert f"beaconhinge {' '.join(arguments)}" in out
+        assert "Example" in out
 
 
 def test_what_cannot_be_done_ends_with_status_1(capsys: pytest.CaptureFixture[str], tmp_path: Path) -> None:
     status, _, err = told(capsys, "store", "stat", str(tmp_path))
-    assert status == 1 and "no store is in this folder" in err and err.count("\n") == 1
+    assert status == 1
+    assert "no store is in this folder" in err
+    assert err.count("\n") == 1
     assert list(tmp_path.iterdir()) == []
     store = Store.open(tmp_path / "s")
     try:
@@ -79,7 +83,8 @@
             ["repair", str(tmp_path / "s"), str(tmp_path / "new")],
         ):
             status, _, err = told(capsys, "store", *command)
-            assert status == 1 and "another process" in err
+            assert status == 1
+            assert "another process" in err
     finally:
         store.shut()
 
@@ -88,14 +93,18 @@
     folder = str(filled(tmp_path / "s"))
     status, out, _ = told(capsys, "store", "stat", folder, "--json")
     figures = json.loads(out)
-    assert status == 0 and figures["keys"] == 29 and figures["segments"] > 2
+    assert status == 0
+    assert figures["keys"] == 29
+    assert figures["segments"] > 2
     status, out, _ = told(capsys, "store", "dump", folder, "--prefix", "k1", "--json", "--values")
     lines = [json.loads(line) for line in out.splitlines()]
     assert [line["key"] for line in lines] == [f"k{n}" for n in range(10, 20)]
     assert lines[0]["hex"] == "76" * 100
     status, out, _ = told(capsys, "store", "compact", folder, "--json")
     done = json.loads(out)
-    assert status == 0 and done["bytes_after"] < done["bytes_before"] and done["keys"] == 29
+    assert status == 0
+    assert done["bytes_after"] < done["bytes_before"]
+    assert done["keys"] == 29
     assert told(capsys, "store", "verify", folder)[0] == 0
 
 
@@ -108,13 +117,17 @@
     data[200] ^= 4
     segment.write_bytes(data)
     status, out, _ = told(capsys, "store", "verify", str(folder))
-    assert status == 3 and f"damage: {segment.name} at byte" in out
+    assert status == 3
+    assert f"damage: {segment.name} at byte" in out
     status, out, _ = told(capsys, "store", "verify", str(folder), "--json")
-    assert status == 3 and json.loads(out)["well"] is False
+    assert status == 3
+    assert json.loads(out)["well"] is False
     before = {path.name: path.read_bytes() for path in folder.iterdir()}
     status, out, _ = told(capsys, "store", "repair", str(folder), str(tmp_path / "new"), "--json")
     found = json.loads(out)
-    assert status == 0 and found["keys"] >= 28 and [one["file"] for one in found["lost"]] == [segment.name]
+    assert status == 0
+    assert found["keys"] >= 28
+    assert [one["file"] for one in found["lost"]] == [segment.name]
     assert before == {path.name: path.read_bytes() for path in folder.iterdir()}
     assert told(capsys, "store", "verify", str(tmp_path / "new"))[0] == 0
     (folder / "MANIFEST").write_bytes(b"x")
@@ -125,7 +138,9 @@
     status, out, _ = told(
         capsys, "store", "bench", str(tmp_path), "--commits", "20", "--writers", "4", "--json"
     )
-    assert status == 0 and json.loads(out)["one_writer_per_s"] > 0 and list(tmp_path.iterdir()) == []
+    assert status == 0
+    assert json.loads(out)["one_writer_per_s"] > 0
+    assert list(tmp_path.iterdir()) == []
 
 
 # ---- configuration ---------------------------------------------------------------------------------------
@@ -133,7 +148,8 @@
 
 def test_the_deployed_file_shows_every_key_with_its_default(capsys: pytest.CaptureFixture[str]) -> None:
     status, out, _ = told(capsys, "config", "show", "--defaults")
-    assert status == 0 and tomllib.loads(out) == tomllib.loads((ROOT / "deploy" / "edge.toml").read_text())
+    assert status == 0
+    assert tomllib.loads(out) == tomllib.loads((ROOT / "deploy" / "edge.toml").read_text())
     assert told(capsys, "config", "check", str(ROOT / "deploy" / "edge.toml"))[0] == 0
 
 
@@ -158,20 +174,21 @@
     file = tmp_path / "edge.toml"
     file.write_text(text)
     status, out, err = told(capsys, "config", "check", str(file))
-    assert (status, out) == (2, "") and err.count("\n") == 1
-    assert err.startswith(f"beaconhinge: {file}: ") and says in err
+    assert (status, out) == (2, "")
+    assert err.count("\n") == 1
+    assert err.startswith(f"beaconhinge: {file}: ")
+    assert says in err
     status, out, _ = told(capsys, "config", "check", str(file), "--json")
-    assert status == 2 and json.loads(out)["well"] is False
+    assert status == 2
+    assert json.loads(out)["well"] is False
 
 
 def test_paths_count_from_the_files_folder(tmp_path: Path) -> None:
     file = tmp_path / "edge.toml"
     file.write_text('[store]\nfolder = "data"\n[platform]\nconfig = "/etc/balancer.json"\n')
     local_config = read(file)
-    assert (
-        local_config.store.folder == str(tmp_path / "data")
-        and local_config.platform.config == "/etc/balancer.json"
-    )
+    assert local_config.store.folder == str(tmp_path / "data")
+    assert local_config.platform.config == "/etc/balancer.json"
     with pytest.raises(ConfigError, match="not there"):
         read(tmp_path / "not there")
     assert convert({}, "x").store.folder == ""
@@ -181,7 +198,8 @@
     file = tmp_path / "balancer.json"
     file.write_text('{"settings": {}}')
     status, _, err = told(capsys, "config", "check", str(file))
-    assert status == 2 and "requestClasses.count" in err
+    assert status == 2
+    assert "requestClasses.count" in err
     (tmp_path / "edge.toml").write_text('[platform]\nconfig = "balancer.json"\n')
     assert "requestClasses.count" in told(capsys, "config", "check", str(tmp_path / "edge.toml"))[2]
 
--- a/tests/cli/test_demo.py
+++ b/tests/cli/test_demo.py
@@ -15,7 +15,9 @@
 def test_the_demo_ends_well_and_says_so_in_json(capsys: pytest.CaptureFixture[str]) -> None:
     status = main(["demo", "--seconds", "1", "--rate", "30", "--boxes", "3", "--json"])
     figures = json.loads(capsys.readouterr().out)
-    assert status == 0 and figures["well"] and figures["missing"] == 0
+    assert status == 0
+    assert figures["well"]
+    assert figures["missing"] == 0
     assert figures["asked"] == figures["served"] + figures["refused"] + figures["failed"] > 10
 
 
@@ -45,7 +47,7 @@
             return made.figures(2.0, await made.stop()), names
 
     figures, names = asyncio.run(scenario())
-    assert figures.missing > 0 and not figures.well
-    assert "quota_snapshot_restored" in names and names.index("quota_snapshot_restored") < names.index(
-        "started"
-    )
+    assert figures.missing > 0
+    assert not figures.well
+    assert "quota_snapshot_restored" in names
+    assert names.index("quota_snapshot_restored") < names.index("started")
--- a/tests/cli/test_logs_sum.py
+++ b/tests/cli/test_logs_sum.py
@@ -45,13 +45,15 @@
     files = [str(tmp_path / "n0.log"), str(tmp_path / "n1.log")]
     assert main(["logs", "sum", "--json", *files]) == 0
     told = json.loads(capsys.readouterr().out)
-    assert told["counters"]["requests_taken"] == 2 * (15 + 20) and told["unread"] == 2
+    assert told["counters"]["requests_taken"] == 2 * (15 + 20)
+    assert told["unread"] == 2
     assert told["seconds"]["1"] == {"counters": 2, "discovery_failed": 1, "started": 1}
     assert told["dispatchers"]["n1"] == {"counters": 4, "discovery_failed": 1, "started": 2}
     assert main(["logs", "sum", *files]) == 0
     lines = capsys.readouterr().out.splitlines()
     assert lines[0].split() == ["second", "counters", "started", "discovery_failed"]
-    assert "requests_taken 70" in lines and lines[-1].startswith("2 lines")
+    assert "requests_taken 70" in lines
+    assert lines[-1].startswith("2 lines")
 
 
 @pytest.mark.parametrize(
--- a/tests/cli/test_soak.py
+++ b/tests/cli/test_soak.py
@@ -21,7 +21,8 @@
 
 def test_the_draw_is_the_same_for_a_seed_and_holds_every_kind_over_some() -> None:
     scenarios = [draw_soak(seed, 12) for seed in range(60)]
-    assert draw_soak(7, 12) == scenarios[7] and len({repr(scenario.faults) for scenario in scenarios}) == 60
+    assert draw_soak(7, 12) == scenarios[7]
+    assert len({repr(scenario.faults) for scenario in scenarios}) == 60
     faults = [fault for scenario in scenarios for fault in scenario.faults]
     assert {fault.kind for fault in faults} == KINDS
     assert {fault.spoil for fault in faults if fault.kind == "spoil"} == set(Spoil)
@@ -73,7 +74,8 @@
     )
     subprocess.run([sys.executable, "-c", PROBE], env=environment, check=True, timeout=30)
     hits = shim.read_hits(counts)
-    assert set(hits) == set(shim.COUNTER_NAMES) and min(hits.values()) > 0
+    assert set(hits) == set(shim.COUNTER_NAMES)
+    assert min(hits.values()) > 0
     assert shim.read_hits(tmp_path / "none") == {}
 
 
@@ -116,4 +118,6 @@
     """A drain with three ways of being spoilt, a stop, a kill and a worker that hangs, and failing system calls."""
     assert main(["soak", "--seeds", "104", "--processes", "10"]) == 0
     out = capsys.readouterr().out
-    assert "failed: none" in out and "drain 2" in out and "shim_short_write" in out
+    assert "failed: none" in out
+    assert "drain 2" in out
+    assert "shim_short_write" in out
--- a/tests/golden/simulated_fleet.py
+++ b/tests/golden/simulated_fleet.py
@@ -32,7 +32,8 @@
 
     def reply(self, batch: str) -> list[str]:
         """The lines of the answer to a batch, without its last; of RECORD lines the first two fields."""
-        assert self.process.stdin is not None and self.process.stdout is not None
+        assert self.process.stdin is not None
+        assert self.process.stdout is not None
         self.process.stdin.write(batch)
         self.process.stdin.flush()
         lines = []
--- a/tests/golden/test_simulator.py
+++ b/tests/golden/test_simulator.py
@@ -61,7 +61,8 @@
 def test_actions_of_one_that_probes_are_the_same() -> None:
     fleet = Fleet(3, 4, rate=60.0, pushed=True, peers=False)
     replies = play(fleet, 5.0)
-    assert fleet.actions["INSPECT"] and not kinds(replies)
+    assert fleet.actions["INSPECT"]
+    assert not kinds(replies)
     check_text("simulator_probes.txt", in_full(replies))
 
 
--- a/tests/golden/test_stored_data.py
+++ b/tests/golden/test_stored_data.py
@@ -295,7 +295,8 @@
     word = process.folder / f"beaconhinge-{HOST}-{process.port}.json"
     wait_for(word.exists, "the word that the process leaves")
     told = json.loads(word.read_text())
-    assert list(told) == ["mgmt", "token"] and told["mgmt"] == f"{HOST}:{process.management_port}"
+    assert list(told) == ["mgmt", "token"]
+    assert told["mgmt"] == f"{HOST}:{process.management_port}"
     with connect(process.management_port) as connection:
         connection.sendall(f"take-over {told['token']}\n".encode())
         yield connection
@@ -468,7 +469,8 @@
     assert content["list"] == golden["list"]
     assert content["out"] == golden["out"]
     module, was = content["module"], golden["module"]
-    assert list(module) == list(was) and list(module["books"]) == list(was["books"])
+    assert list(module) == list(was)
+    assert list(module["books"]) == list(was["books"])
     for name in ("settings", "longest", "by_hand", "limits"):
         assert module[name] == was[name], name
     for name in ("mean_work", "job_time", "started"):
--- a/tests/gossip/test_aggregation.py
+++ b/tests/gossip/test_aggregation.py
@@ -109,7 +109,8 @@
     circle.run(0.3)
     circle.dead = set(range(14))  # most at once, the hub among them
     circle.run(AGGREGATOR_TIMEOUT_S + 14 * ELECTION_STAGGER_S + 0.5)
-    assert circle.hubs == {14} and {circle.seen(n, 3) for n in range(14, 20)} == {6}
+    assert circle.hubs == {14}
+    assert {circle.seen(n, 3) for n in range(14, 20)} == {6}
     for number in range(14):
         circle.restart(number)
     circle.send(2, 3)
@@ -124,7 +125,8 @@
     circle.fleets[4].aggregator = 4
     circle.send(7, 1)
     circle.run(0.6)
-    assert circle.hubs == {4} and {circle.seen(n, 1) for n in range(20)} == {1}
+    assert circle.hubs == {4}
+    assert {circle.seen(n, 1) for n in range(20)} == {1}
 
 
 @pytest.mark.parametrize("seed", range(4))
@@ -145,7 +147,8 @@
     circle = Circle(loss=1.0)
     circle.send(3, 1)
     circle.run(4.0)
-    assert circle.seen(3, 1) == 1 and circle.seen(4, 1) == 0
+    assert circle.seen(3, 1) == 1
+    assert circle.seen(4, 1) == 0
 
 
 def test_a_dispatcher_that_falls_silent_takes_its_jobs_with_it_and_one_with_little_to_do_does_not() -> None:
@@ -197,7 +200,8 @@
     fleet.start(100.0)
     heard = list(fleet.receive(100.0, number, bytes([kind]) + data))
     if not 0 <= number < 20 or number == 3:
-        assert heard == [] and not fleet.peers
+        assert heard == []
+        assert not fleet.peers
 
 
 def test_a_board_survives_its_bytes() -> None:
--- a/tests/leases/test_explore.py
+++ b/tests/leases/test_explore.py
@@ -27,7 +27,10 @@
 def test_all_orders_of_a_few_moves_are_safe() -> None:
     bounds = Bounds(ticks=5, wants=2, crashes=1, upgrades=0, acts=0, gives=0)
     states, deep, tally = exhaust(lambda: World(THREE, bounds=Bounds(**vars(bounds)), copies=1), 3000)
-    assert states >= 3000 and deep >= 4 and tally["tenures"] > 0 and tally["crash"] > 0
+    assert states >= 3000
+    assert deep >= 4
+    assert tally["tenures"] > 0
+    assert tally["crash"] > 0
 
 
 @pytest.mark.parametrize("name", DEFECTS)
@@ -40,4 +43,5 @@
     first, again = world_of("5 members, 1 lease"), world_of("5 members, 1 lease")
     trace, _ = walk(first, random.Random(7), 160)
     assert all(made(again, move) or move[0] in ("act", "check", "give", "start") for move in trace)
-    assert again.key() == first.key() and again.tally == first.tally
+    assert again.key() == first.key()
+    assert again.tally == first.tally
--- a/tests/leases/test_hold.py
+++ b/tests/leases/test_hold.py
@@ -63,20 +63,27 @@
         async def body() -> None:
             async with alone.leases.hold("export") as tenure:
                 tenures.append(tenure)
-                assert tenure.number > 100_000 and 1.9 < tenure.seconds_left < 2.0
-                assert not tenure.may_act(2.0) and tenure.may_act(0.5)
+                assert tenure.number > 100_000
+                assert 1.9 < tenure.seconds_left < 2.0
+                assert not tenure.may_act(2.0)
+                assert tenure.may_act(0.5)
 
         task = asyncio.create_task(body())
         await asyncio.sleep(0)
         [tenure] = tenures
         alone.pass_(0.4)
         await asyncio.sleep(0)
-        assert alone.voted("export") and not task.done()  # the body has ended, the act perhaps not
+        assert alone.voted("export")
+        assert not task.done()
         alone.pass_(0.2)
         await task
-        assert not alone.voted("export") and not tenure.may_act(0.1) and tenure.seconds_left == 0.0
+        assert not alone.voted("export")
+        assert not tenure.may_act(0.1)
+        assert tenure.seconds_left == 0.0
         async with alone.leases.hold("export") as again:
-            assert again.number > tenure.number and again.may_act(0.5) and not tenure.may_act(0.1)
+            assert again.number > tenure.number
+            assert again.may_act(0.5)
+            assert not tenure.may_act(0.1)
             again.act_done()
         assert not alone.voted("export")
 
@@ -88,7 +95,8 @@
         with pytest.raises(LeaseLost):
             async with alone.leases.hold("export") as tenure:
                 alone.now += 10.0  # no timer has run yet
-                assert not tenure.may_act(0.1) and tenure.seconds_left == 0.0
+                assert not tenure.may_act(0.1)
+                assert tenure.seconds_left == 0.0
                 await asyncio.sleep(60)
         assert "lease_lost" in alone.logged
 
--- a/tests/leases/test_lease_rehearsals.py
+++ b/tests/leases/test_lease_rehearsals.py
@@ -42,7 +42,8 @@
     verdicts = run_scenarios(*scenarios)
     for verdict in verdicts:
         assert verdict.broken == [], (verdict.seed, verdict.last)
-        assert verdict.acts > 150 and verdict.tenures >= 4
+        assert verdict.acts > 150
+        assert verdict.tenures >= 4
     assert sum(verdict.tenures for verdict in verdicts) >= 40
     assert {kind for verdict in verdicts for kind, hits in verdict.faults.items() if hits} >= {
         "stop",
@@ -66,7 +67,8 @@
     )
     for verdict in verdicts:
         assert verdict.broken == [], (verdict.name, verdict.last)
-        assert verdict.acts > 200 and verdict.ends["200"] > 40
+        assert verdict.acts > 200
+        assert verdict.ends["200"] > 40
     assert all(verdict.counters["leases_lost"] > 0 for verdict in verdicts)
 
 
@@ -81,7 +83,9 @@
         faults=[Fault(3.0, "kill", 0.2, folder="empty")],
     )
     verdict = run_scenarios(scenario)[0]
-    assert verdict.broken == [] and verdict.tenures >= 8 and verdict.acts > 100
+    assert verdict.broken == []
+    assert verdict.tenures >= 8
+    assert verdict.acts > 100
 
 
 def test_the_checker_sees_acts_that_overlap_and_numbers_that_fall() -> None:
--- a/tests/leases/test_nodes.py
+++ b/tests/leases/test_nodes.py
@@ -33,7 +33,8 @@
     assert all(len(fleet.holders(lease)) == 1 for lease in range(20))
     minority = frozenset(range(0, 4)) | frozenset(range(9, 100))
     held = {lease: fleet.holders(lease)[0] for lease in range(20)}
-    assert set(held.values()) & minority and not set(held.values()) <= minority
+    assert set(held.values()) & minority
+    assert not set(held.values()) <= minority
     fleet.cut = minority
     fleet.run(8.0)  # a span
     for _ in range(40):
@@ -48,7 +49,8 @@
     assert all(len(fleet.holders(lease)) == 1 for lease in range(20))
     voters = max(fleet.sent[n] for n in range(9)) / 5.0
     idle = max(fleet.sent[n] for n in range(9, 200) if n % 3) / 5.0
-    assert idle == 0 and voters < 1000  # datagrams a second
+    assert idle == 0
+    assert voters < 1000
 
 
 @pytest.mark.parametrize("size", [3, 5, 9])
@@ -83,7 +85,8 @@
     fleet.perform(holder, fleet.nodes[holder].release(fleet.now, 0, 2.0))
     fleet.perform(holder, fleet.nodes[holder].want(fleet.now, 0))
     fleet.run(6.0)
-    assert fleet.holders(0) and fleet.holders(0) != [holder]
+    assert fleet.holders(0)
+    assert fleet.holders(0) != [holder]
 
 
 @given(st.lists(st.tuples(st.integers(0, 4), MESSAGES, st.floats(0.0, 1.0)), max_size=30))
@@ -113,26 +116,30 @@
 @given(st.binary(max_size=60), MESSAGES)
 def test_what_is_no_message_is_none(noise: bytes, message: LeaseMessage) -> None:
     data = wire.encode(message)
-    assert wire.decode(data) == message and len(data) == 28
-    assert all(wire.decode(data[:cut]) is None for cut in range(28)) and wire.decode(data + b"x") is None
+    assert wire.decode(data) == message
+    assert len(data) == 28
+    assert all(wire.decode(data[:cut]) is None for cut in range(28))
+    assert wire.decode(data + b"x") is None
     assert noise[:1] == b"\x7d" and len(noise) == 28 or wire.decode(noise) is None
-    assert wire.decode(b"\x7d\x07" + data[2:]) is None and wire.decode(b"\x7d\x00" + data[2:]) is None
+    assert wire.decode(b"\x7d\x07" + data[2:]) is None
+    assert wire.decode(b"\x7d\x00" + data[2:]) is None
 
 
 def test_members_change_one_at_a_time_and_a_step_waits_for_the_one_before() -> None:
     three, four = frozenset({0, 1, 2}), frozenset({0, 1, 2, 3})
-    assert Council(2, four, three).problem() is None and Council(2, three, four).problem() is None
+    assert Council(2, four, three).problem() is None
+    assert Council(2, three, four).problem() is None
     assert "one at a time" in (Council(2, frozenset({0, 1, 3, 4}), three).problem() or "")
     made = node.new_node(3, Council(2, four, three), LeaseTerms(2.0), 100.0, random.random)
     steps = [action.to for action in made.member.announce_council() if isinstance(action, SendMessage)]
-    assert steps == [0, 1, 2] and made.member.voting_at == float("inf")
+    assert steps == [0, 1, 2]
+    assert made.member.voting_at == float("inf")
     made.receive(110.0, 0, LeaseMessage(wire.COUNCIL_CHANGE, 1))
     made.receive(110.0, 1, LeaseMessage(wire.COUNCIL_CHANGE, 2, 1))
     assert made.member.voting_at == float("inf")  # one of three has left the step before
     made.receive(111.0, 2, LeaseMessage(wire.COUNCIL_CHANGE, 2))
-    assert made.member.voting_at == 111.0 + LeaseTerms(2.0).silence and made.member.announce_council() == []
-    assert (
-        terms.LEASE_NAME.fullmatch("restart.0")
-        and not terms.LEASE_NAME.fullmatch("Restart")
-        and not terms.LEASE_NAME.fullmatch("a b")
-    )
+    assert made.member.voting_at == 111.0 + LeaseTerms(2.0).silence
+    assert made.member.announce_council() == []
+    assert terms.LEASE_NAME.fullmatch("restart.0")
+    assert not terms.LEASE_NAME.fullmatch("Restart")
+    assert not terms.LEASE_NAME.fullmatch("a b")
--- a/tests/leases/test_process.py
+++ b/tests/leases/test_process.py
@@ -204,9 +204,12 @@
             == 7
         )
         told = capfd.readouterr().out
-        assert "number=1" in told and "left=" in told and "left=\n" not in told
+        assert "number=1" in told
+        assert "left=" in told
+        assert "left=\n" not in told
         listed = json.loads((await led.call("lease-list")).splitlines()[0])
-        assert listed["members"] == [0] and listed["leases"]["export"]["held"]
+        assert listed["members"] == [0]
+        assert listed["leases"]["export"]["held"]
         assert await cli("list", "--mgmt", mgmt) == 0
         assert "export" in capfd.readouterr().out
         both = await asyncio.gather(
@@ -253,6 +256,7 @@
         (tmp_path / "balancer-0.json").write_text(json.dumps(platform))
         process = await start({**os.environ, "BEACONHINGE_CONFIG": str(file)})
         assert process.stderr is not None
-        assert b"leases.enabled" in await process.stderr.read() and await process.wait() == 2
+        assert b"leases.enabled" in await process.stderr.read()
+        assert await process.wait() == 2
 
     played(tmp_path, scenario)
--- a/tests/logs/test_log_forms.py
+++ b/tests/logs/test_log_forms.py
@@ -40,10 +40,12 @@
 def test_values_are_bounded_and_forge_nothing(form: Literal["logfmt", "json"]) -> None:
     evil = 'x\nevent=stopped time=1 "' + "\x00é" + "y" * 5000
     [line] = lines(form, lambda s: s.count_and_log("client_message_malformed", why=evil))
-    assert len(line) < 600 and line.isascii()
+    assert len(line) < 600
+    assert line.isascii()
     if form == "json":
         told = json.loads(line)
-        assert told["event"] == "client_message_malformed" and told["total"] == 1
+        assert told["event"] == "client_message_malformed"
+        assert told["total"] == 1
 
 
 @pytest.mark.parametrize("form", ["logfmt", "json"])
--- a/tests/management/test_calls.py
+++ b/tests/management/test_calls.py
@@ -66,4 +66,5 @@
         except InvalidCallError as why:
             answer = calls.failure(str(why))
             assert answer.startswith(b"FAILURE ")
-            assert answer.count(b"\n") == 1 and answer.endswith(b"\n")
+            assert answer.count(b"\n") == 1
+            assert answer.endswith(b"\n")
--- a/tests/management/test_management.py
+++ b/tests/management/test_management.py
@@ -187,7 +187,8 @@
             asyncio.create_task(harness.post(X_Request_ID=f"r{n}", X_Timeout_Ms="400")) for n in range(6)
         ]
         await asyncio.gather(*asked)
-        assert harness.workers[0].seen.empty() and not harness.workers[1].seen.empty()
+        assert harness.workers[0].seen.empty()
+        assert not harness.workers[1].seen.empty()
         shown = await operator.figures()
         assert (shown["hosts_listed"], shown["hosts_down"] >= 1) == (2, True)
         assert (await operator.call("enable-server s-0")).startswith("SUCCESS")
@@ -222,7 +223,9 @@
             dispatcher.handle(103.0, interface.AttemptEnded(n, 101, 0, AttemptOutcome.CANCELLED, True))
     dispatcher.handle(104.0, interface.MaintenanceMode(100, False))
     back = dispatcher.workers[100]
-    assert back.listed and back.started_at == 102.0 and dispatcher.slow_start.is_cold(back)
+    assert back.listed
+    assert back.started_at == 102.0
+    assert dispatcher.slow_start.is_cold(back)
     dispatcher.handle(105.0, interface.MaintenanceMode(101, True))
     dispatcher.handle(106.0, interface.MaintenanceMode(101, False))
     assert dispatcher.workers[101].slow_start_from == 106.0  # no list has told of a restart
@@ -256,7 +259,8 @@
         assert await operator.call("drain") == "SUCCESS drains\n"
         assert (await harness.request(b"GET /up HTTP/1.1\r\n\r\n")).status == 503
         assert await operator.call("ready") == "FAILURE drained\n"
-        assert await idle.read() == b"" and await used.read() == b""
+        assert await idle.read() == b""
+        assert await used.read() == b""
         await harness.callback(state="done", result="one")  # call-backs still come in
         answer = await read_message(reader)
         assert (answer.status, answer.headers["connection"]) == (200, "close")
--- a/tests/net/test_client_connection.py
+++ b/tests/net/test_client_connection.py
@@ -216,7 +216,8 @@
         looks.clear()
         theirs.sendall(job_bytes())
         await reading
-        assert looks and not any(looks)
+        assert looks
+        assert not any(looks)
         connection.close()
         theirs.close()
 
@@ -245,7 +246,8 @@
             await harness.workers[0].seen.get()
             await harness.callback(state="done", result="taken")
             got = await answer_to(sock)
-            assert got.startswith(b"HTTP/1.1 200") and got.endswith(b"taken")
+            assert got.startswith(b"HTTP/1.1 200")
+            assert got.endswith(b"taken")
         else:
             assert await answer_to(sock) == b""  # an end, no reset: it sends that once more elsewhere
             assert harness.workers[0].seen.empty()
--- a/tests/progress/test_codec.py
+++ b/tests/progress/test_codec.py
@@ -49,7 +49,8 @@
     [(name, data, _, _)] = read(
         codec.encode_json_event("outcome", 1, {"result": text}) + codec.encode_comment("end\nof it")
     )
-    assert name == "outcome" and json.loads(data)["result"] == text
+    assert name == "outcome"
+    assert json.loads(data)["result"] == text
 
 
 def test_comments_are_passed_over_and_retry_is_told() -> None:
--- a/tests/progress/test_feed.py
+++ b/tests/progress/test_feed.py
@@ -36,7 +36,8 @@
         (3, {"attempt": 0, "share": 0.25})
     ]
     feed.outcome({"status": 200})
-    assert names(reader.next_events(0.2)) == [OUTCOME] and reader.done
+    assert names(reader.next_events(0.2)) == [OUTCOME]
+    assert reader.done
     assert reader.next_events(9.0) == []
 
 
@@ -47,7 +48,8 @@
         feed.progress(0, share)
     feed.started(1)
     said = reader.next_events(0.0)
-    assert names(said) == [ACCEPTED, STARTED, PROGRESS, STARTED] and said[2].content["share"] == 0.3
+    assert names(said) == [ACCEPTED, STARTED, PROGRESS, STARTED]
+    assert said[2].content["share"] == 0.3
 
 
 def test_late_repeated_and_slower_reports_say_nothing() -> None:
@@ -58,7 +60,8 @@
         feed.progress(attempt, share)
     assert feed.latest_progress is newest
     feed.progress(1, 0.7)  # the copy is ahead now, and is named
-    assert feed.latest_progress is not None and feed.latest_progress.content == {"attempt": 1, "share": 0.7}
+    assert feed.latest_progress is not None
+    assert feed.latest_progress.content == {"attempt": 1, "share": 0.7}
 
 
 def test_a_start_from_nothing_is_told_and_the_share_waits_until_it_is_passed() -> None:
@@ -87,7 +90,8 @@
     feed.outcome({"status": 200})
     feed.progress(0, 0.5)
     feed.started(3)
-    assert names(feed.milestones) == [ACCEPTED, STARTED, OUTCOME] and feed.latest_progress is None
+    assert names(feed.milestones) == [ACCEPTED, STARTED, OUTCOME]
+    assert feed.latest_progress is None
 
 
 def test_progress_keeps_its_pace_and_milestones_do_not_wait() -> None:
@@ -97,7 +101,8 @@
     feed.progress(0, 0.1)
     assert names(reader.next_events(0.0)) == [PROGRESS]
     feed.progress(0, 0.2)
-    assert reader.next_events(0.4) == [] and abs(reader.seconds_to_wait(0.4) - 0.1) < 1e-9
+    assert reader.next_events(0.4) == []
+    assert abs(reader.seconds_to_wait(0.4) - 0.1) < 1e-9
     feed.progress(0, 0.3)
     assert [s.content["share"] for s in reader.next_events(0.5)] == [0.3]
     feed.progress(0, 0.4)
@@ -109,8 +114,10 @@
 def test_a_silent_stream_is_kept_alive_at_the_named_interval() -> None:
     reader = FeedReader(begun(), 0.0, keep_alive_s=5.0)
     reader.next_events(1.0)
-    assert not reader.keep_alive_due(5.9) and reader.seconds_to_wait(2.0) == 4.0
-    assert reader.keep_alive_due(6.0) and not reader.keep_alive_due(6.1)
+    assert not reader.keep_alive_due(5.9)
+    assert reader.seconds_to_wait(2.0) == 4.0
+    assert reader.keep_alive_due(6.0)
+    assert not reader.keep_alive_due(6.1)
 
 
 def test_one_that_comes_back_gets_what_it_missed() -> None:
@@ -123,7 +130,8 @@
     assert names(FeedReader(feed, 0.0, last_seen=4).next_events(0.0)) == [OUTCOME]
     for beyond in (5, 99, 10**9):  # it has seen all there is, by its own word
         reader = FeedReader(feed, 0.0, last_seen=beyond)
-        assert reader.next_events(0.0) == [] and reader.done
+        assert reader.next_events(0.0) == []
+        assert reader.done
 
 
 EVENTS = st.lists(
@@ -163,6 +171,9 @@
     seen += reader.next_events(now + 100.0)
     numbers = [said.number for said in seen]
     shares = [float(said.content["share"]) for said in seen if said.name == PROGRESS]
-    assert numbers == sorted(set(numbers)) and shares == sorted(set(shares))
-    assert [said.name for said in seen].count(OUTCOME) == 1 and seen[-1].name == OUTCOME
-    assert seen[0].name == ACCEPTED and reader.done
+    assert numbers == sorted(set(numbers))
+    assert shares == sorted(set(shares))
+    assert [said.name for said in seen].count(OUTCOME) == 1
+    assert seen[-1].name == OUTCOME
+    assert seen[0].name == ACCEPTED
+    assert reader.done
--- a/tests/progress/test_registry.py
+++ b/tests/progress/test_registry.py
@@ -39,15 +39,20 @@
 def test_a_job_nobody_reads_is_given_up_once_when_its_time_is_over() -> None:
     book = registry()
     entry = add(book)
-    assert not book.reader_left(entry, 1, 100.0) and book.detached == 1
-    assert book.expire(104.9) == [] and book.expire(105.0) == [entry] and book.expire(200.0) == []
+    assert not book.reader_left(entry, 1, 100.0)
+    assert book.detached == 1
+    assert book.expire(104.9) == []
+    assert book.expire(105.0) == [entry]
+    assert book.expire(200.0) == []
 
 
 def test_one_that_comes_back_in_time_keeps_it() -> None:
     book = registry()
     entry = add(book)
     book.reader_left(entry, 1, 100.0)
-    assert book.attach(entry) == 2 and book.expire(1000.0) == [] and book.detached == 0
+    assert book.attach(entry) == 2
+    assert book.expire(1000.0) == []
+    assert book.detached == 0
     assert not book.reader_left(entry, 1, 100.0)  # the older reader's going means nothing
     assert entry.attached
 
@@ -64,12 +69,16 @@
     entries = [add(book, job) for job in "abcd"]
     for entry in entries:
         end(book, entry, 2 * ENTRY_OVERHEAD_BYTES, 100.0)  # three times the overhead each, ten are kept
-    assert list(book.finished_entries) == ["b", "c", "d"] and "a" not in book.entries
+    assert list(book.finished_entries) == ["b", "c", "d"]
+    assert "a" not in book.entries
     for entry in entries:
         book.reader_left(entry, 1, 101.0)
-    assert book.expire(109.9) == [] and len(book.entries) == 3
+    assert book.expire(109.9) == []
+    assert len(book.entries) == 3
     book.expire(110.0)
-    assert not book.entries and not book.finished_entries and book.finished_bytes == 0
+    assert not book.entries
+    assert not book.finished_entries
+    assert book.finished_bytes == 0
 
 
 def test_one_that_is_being_read_is_not_forgotten_under_its_reader() -> None:
@@ -89,7 +98,8 @@
     end(book, old, 100, 100.0)
     new = add(book)
     book.job_ended(old, 100, 101.0)
-    assert book.entries["a"] is new and book.finished_bytes == 0
+    assert book.entries["a"] is new
+    assert book.finished_bytes == 0
 
 
 def test_nothing_is_kept_where_no_time_is_given() -> None:
--- a/tests/progress/test_streams.py
+++ b/tests/progress/test_streams.py
@@ -89,7 +89,8 @@
 def test_a_job_is_followed_from_taken_to_its_one_outcome() -> None:
     async def scenario(harness: Harness) -> None:
         head, stream, writer = await opened(harness)
-        assert head.status == 200 and head.headers["content-type"] == "text/event-stream"
+        assert head.status == 200
+        assert head.headers["content-type"] == "text/event-stream"
         assert head.headers["cache-control"] == "no-store"
         name, content, number = await stream.next() or ("", {}, 0)
         assert (name, content["id"], content["class"], number) == ("accepted", "r1", "render", 1)
@@ -133,7 +134,8 @@
 
     run_scenario(off)
     told(on)
-    assert len(set(answers)) == 1 and len(answers) == 5
+    assert len(set(answers)) == 1
+    assert len(answers) == 5
 
 
 def test_a_refusal_before_the_job_is_admitted_is_the_plain_one(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -141,7 +143,8 @@
 
     async def scenario(harness: Harness) -> None:
         seen = await harness.request(job_bytes(Accept="text/event-stream"))
-        assert seen.status == 503 and seen.headers["retry-after"] == "1.500"
+        assert seen.status == 503
+        assert seen.headers["retry-after"] == "1.500"
         assert (await harness.request(job_bytes(Accept="text/event-stream", X_Timeout_Ms="x"))).status == 400
 
     told(scenario)
@@ -204,7 +207,8 @@
 ) -> None:
     async def scenario(harness: Harness) -> None:
         head, stream, _ = await opened(harness, http=http, Connection=connection)
-        assert not stream.chunked and head.headers["connection"] == "close"
+        assert not stream.chunked
+        assert head.headers["connection"] == "close"
         await harness.workers[0].seen.get()
         await harness.callback(state="done", result="it")
         assert [name for name, _, _ in await stream.rest()] == ["accepted", "outcome"]
@@ -235,7 +239,8 @@
         await harness.callback(state="running", share=0.5)
         await harness.callback(state="done", result="late")
         events = await stream.rest()
-        assert [name for name, _, _ in events].count("outcome") == 1 and events[-1][1]["result"] == "late"
+        assert [name for name, _, _ in events].count("outcome") == 1
+        assert events[-1][1]["result"] == "late"
         await harness.running
 
     told(scenario)
@@ -395,9 +400,9 @@
         connection = Connection(here, True, lambda: None)
         with pytest.raises(Closed):
             await streams.answer(connection, Job("r1", 0, 0, 5.0, 0.0, b"/render", b""), False)
-        assert (
-            left == [True] and metrics.counters["stream_stalled"] == 1 and "stream_stalled" in log.getvalue()
-        )
+        assert left == [True]
+        assert metrics.counters["stream_stalled"] == 1
+        assert "stream_stalled" in log.getvalue()
         assert streams.open_by_tenant.total() == 0
         connection.close()
         there.close()
--- a/tests/recovery/test_clients_that_leave.py
+++ b/tests/recovery/test_clients_that_leave.py
@@ -37,7 +37,8 @@
     scenario = Scenario("leaving", seed=71, faults=faults, unsafe=0.4, disconnecting=0.4, **SMALL)
     verdict = asyncio.run(run_scenario(scenario))
     assert verdict.broken == [], verdict.last
-    assert verdict.ends["left"] > 60 and verdict.ends["200"] > 200
+    assert verdict.ends["left"] > 60
+    assert verdict.ends["200"] > 200
 
 
 def test_the_judge_finds_an_attempt_that_begins_after_its_client_left() -> None:
--- a/tests/recovery/test_deadlines.py
+++ b/tests/recovery/test_deadlines.py
@@ -33,7 +33,8 @@
         run_scenario(Scenario("stopped", seed=61, faults=stops, recovery=recovery, **SMALL))
     )
     assert verdict.broken == [], verdict.last
-    assert verdict.faults["stop"] == 4 and verdict.ends["200"] > 0.8 * verdict.asked > 400
+    assert verdict.faults["stop"] == 4
+    assert verdict.ends["200"] > 0.8 * verdict.asked > 400
 
 
 def test_the_judge_sees_a_worker_that_is_given_too_much_time() -> None:
--- a/tests/recovery/test_drains.py
+++ b/tests/recovery/test_drains.py
@@ -75,7 +75,8 @@
     """Silent watches were noticed when what they missed counted as told; agents were never asked at all."""
     verdict = verdicts[scenario.name]
     assert verdict.broken == [], verdict.last
-    assert verdict.faults["drain"] == 2 and verdict.ends["200"] > 0.7 * verdict.asked > 150
+    assert verdict.faults["drain"] == 2
+    assert verdict.ends["200"] > 0.7 * verdict.asked > 150
     assert verdict.counters.get("watch_silent", 0) >= 4 or "silent" not in scenario.name
 
 
--- a/tests/recovery/test_keys.py
+++ b/tests/recovery/test_keys.py
@@ -43,30 +43,25 @@
         made.state(100.0 + 2 * WINDOW, 7) == KeyState.PRESENT
     )  # a process that stood still has it in hand all the same
     made.end(300.0, 7, True, None)
-    assert (
-        made.state(300.0 + WINDOW - 0.1, 7) == KeyState.PRESENT
-        and made.state(300.0 + WINDOW, 7) == KeyState.ABSENT
-    )
+    assert made.state(300.0 + WINDOW - 0.1, 7) == KeyState.PRESENT
+    assert made.state(300.0 + WINDOW, 7) == KeyState.ABSENT
     made.begin(400.0, 8, "r2")
     made.end(401.0, 8, False, None)  # proven never to have run
-    assert made.state(401.0, 8) == KeyState.ABSENT and len(made) == 1
+    assert made.state(401.0, 8) == KeyState.ABSENT
+    assert len(made) == 1
 
 
 def test_what_an_earlier_life_had_is_not_known_without_its_journal() -> None:
     blank, whole = book(complete=False), book()
     assert (blank.state(100.0, 7), whole.state(100.0, 7)) == (KeyState.UNKNOWN, KeyState.ABSENT)
     assert blank.state(100.0 + WINDOW, 7) == KeyState.ABSENT
-    assert (
-        whole.restore(100.0, 7, 90.0, "r1")
-        and whole.state(149.9, 7) == KeyState.PRESENT
-        and whole.state(150.0, 7) == KeyState.ABSENT
-    )
+    assert whole.restore(100.0, 7, 90.0, "r1")
+    assert whole.state(149.9, 7) == KeyState.PRESENT
+    assert whole.state(150.0, 7) == KeyState.ABSENT
     assert not whole.restore(100.0, 8, 40.0, "r2")  # too old to matter
     assert whole.restore(100.0, 9, 5000.0, "r3")  # the clock has stepped back
-    assert (
-        whole.state(100.0 + WINDOW - 0.1, 9) == KeyState.PRESENT
-        and whole.state(100.0 + WINDOW, 9) == KeyState.ABSENT
-    )
+    assert whole.state(100.0 + WINDOW - 0.1, 9) == KeyState.PRESENT
+    assert whole.state(100.0 + WINDOW, 9) == KeyState.ABSENT
 
 
 def test_a_journal_tells_only_its_own_dispatcher_and_says_what_it_does_not_know() -> None:
@@ -94,17 +89,18 @@
     for key, request, result in ((1, "a", b"12345678"), (2, "b", b"123")):
         made.begin(100.0, key, request)
         made.end(101.0, key, True, result)
-    assert made.result(102.0, 1) == b"12345678" and made.result(102.0, 2) is None
-    assert made.state(102.0, 2) == KeyState.PRESENT and made.results_dropped == 1
+    assert made.result(102.0, 1) == b"12345678"
+    assert made.result(102.0, 2) is None
+    assert made.state(102.0, 2) == KeyState.PRESENT
+    assert made.results_dropped == 1
     made.restore(102.0, 3, 101.0, "c")
-    assert (
-        made.record_late_result(103.0, "c", b"x") and made.result(103.0, 3) == b"x"
-    )  # told to the next life
-    assert not made.record_late_result(103.0, "c", b"y") and not made.record_late_result(
-        103.0, "stranger", b"z"
-    )
+    assert made.record_late_result(103.0, "c", b"x")
+    assert made.result(103.0, 3) == b"x"
+    assert not made.record_late_result(103.0, "c", b"y")
+    assert not made.record_late_result(103.0, "stranger", b"z")
     made.expire(101.0 + 2 * WINDOW)
-    assert len(made) == 0 and made.result(101.0 + 2 * WINDOW, 1) is None
+    assert len(made) == 0
+    assert made.result(101.0 + 2 * WINDOW, 1) is None
     made.begin(300.0, 4, "d")
     made.end(301.0, 4, True, b"1234567890")  # the room is free again
     assert made.result(302.0, 4) == b"1234567890"
@@ -119,10 +115,11 @@
         made.end(at, 1, True, b"12345678")
         assert made.result(at, 1) == b"12345678"
     made.begin(900.0, 2, "twice")
-    assert not made.record_late_result(900.0, "twice", b"12345678") and made.take_limit_counts() == (
+    assert not made.record_late_result(900.0, "twice", b"12345678")
+    assert made.take_limit_counts() == (
         0,
         1,
-    )  # no room beside the other
+    )
     made.expire(900.0)
     assert made.record_late_result(900.0, "twice", b"12345678")
     made.end(901.0, 2, True, b"87654321")  # another attempt's, counted once
@@ -130,7 +127,9 @@
     made.begin(1100.0, 3, "next")
     made.end(1100.0, 3, True, b"1234567890")
     made.expire(1100.0)
-    assert made.take_limit_counts() == (0, 1) and 2 not in made and 3 in made
+    assert made.take_limit_counts() == (0, 1)
+    assert 2 not in made
+    assert 3 in made
 
 
 def test_a_full_book_says_that_it_does_not_know_what_it_forgot() -> None:
@@ -138,12 +137,12 @@
     for key in range(4):
         made.begin(100.0, key, f"r{key}")
         made.end(100.0, key, True, None)
-    assert made.take_limit_counts() == (1, 0) and made.take_limit_counts() == (0, 0) and len(made) == 3
-    assert (
-        made.state(101.0, 0) == KeyState.UNKNOWN
-        and made.state(101.0, 3) == KeyState.PRESENT
-        and made.state(101.0, 99) == KeyState.UNKNOWN
-    )
+    assert made.take_limit_counts() == (1, 0)
+    assert made.take_limit_counts() == (0, 0)
+    assert len(made) == 3
+    assert made.state(101.0, 0) == KeyState.UNKNOWN
+    assert made.state(101.0, 3) == KeyState.PRESENT
+    assert made.state(101.0, 99) == KeyState.UNKNOWN
     assert made.state(100.0 + WINDOW, 99) == KeyState.ABSENT
 
 
@@ -268,7 +267,8 @@
     days = [fleet_day(seed, journal) for seed in range(120)]
     assert all(too_soon == [] for _, _, _, too_soon in days)
     assert all(refused > 20 for _, refused, _, _ in days)
-    assert sum(keys_run for keys_run, _, _, _ in days) > 300 and sum(kills for _, _, kills, _ in days) > 300
+    assert sum(keys_run for keys_run, _, _, _ in days) > 300
+    assert sum(kills for _, _, kills, _ in days) > 300
 
 
 @pytest.mark.parametrize("mistake", ["no wait", "no claim", "from its send", "majority"])
@@ -295,13 +295,12 @@
                 if other is not None:  # of a later run, after the first has come
                     assembly.add(other)
     assert assembly.result == result
-    assert (
-        key_messages.result_part(result, FetchResultPart(7, 1, 16)) is None
-        and key_messages.result_part(bytes(17 * MAX_PART_BYTES), FetchResultPart(7, 1, 0)) is None
-    )
+    assert key_messages.result_part(result, FetchResultPart(7, 1, 16)) is None
+    assert key_messages.result_part(bytes(17 * MAX_PART_BYTES), FetchResultPart(7, 1, 0)) is None
     forged = ResultAssembly()
     forged.add(ResultPart(7, 0, 1, 5, b"not that"))
-    assert forged.missing == [] and forged.result is None
+    assert forged.missing == []
+    assert forged.result is None
 
 
 def test_who_has_a_small_result_says_so_and_a_large_one_stays() -> None:
@@ -324,11 +323,14 @@
         FetchResultPart(1, 2**64 - 1, 15),
     ):
         wire = key_messages.encode(message)
-        assert key_messages.decode(wire) == message and len(wire) <= 14
+        assert key_messages.decode(wire) == message
+        assert len(wire) <= 14
         assert all(key_messages.decode(wire[:cut]) is None for cut in range(len(wire)))
-        assert key_messages.decode(wire + b"x") is None and key_messages.decode(b"\x00" + wire[1:]) is None
+        assert key_messages.decode(wire + b"x") is None
+        assert key_messages.decode(b"\x00" + wire[1:]) is None
     part = ResultPart(9, 15, 16, 2**32 - 1, bytes(MAX_PART_BYTES))
-    assert key_messages.decode(key_messages.encode(part)) == part and len(key_messages.encode(part)) <= 256
+    assert key_messages.decode(key_messages.encode(part)) == part
+    assert len(key_messages.encode(part)) <= 256
     for bad in (
         ResultPart(9, 16, 16, 0, b""),
         ResultPart(9, 0, 0, 0, b""),
@@ -336,10 +338,8 @@
         ResultPart(9, 0, 1, 0, bytes(241)),
     ):
         assert key_messages.decode(key_messages.encode(bad)) is None
-    assert (
-        key_messages.decode(key_messages.encode(FetchResultPart(1, 2, 16))) is None
-        and key_messages.decode(b"") is None
-    )
+    assert key_messages.decode(key_messages.encode(FetchResultPart(1, 2, 16))) is None
+    assert key_messages.decode(b"") is None
     assert key_messages.decode(key_messages.encode(KeyAnswer(5, KeyState.PRESENT))[:-1] + b"\x09") is None
     assert key_records.decode_record(key_records.encode_record(12.5, "r-1")) == (12.5, "r-1")
     for bad in (b"", b"1234567", b"\xff" * 9, key_records.encode_record(float("nan"), "r")):
@@ -399,4 +399,5 @@
 
     changes = asyncio.run(scenario())
     records = [change for change in changes if change.key.startswith(b"key/")]  # type: ignore[attr-defined]
-    assert len(records) == 2 and all(isinstance(change, Put) for change in records)
+    assert len(records) == 2
+    assert all(isinstance(change, Put) for change in records)
--- a/tests/recovery/test_phases.py
+++ b/tests/recovery/test_phases.py
@@ -47,7 +47,8 @@
         if before in MOST and now >= ends_at and not isinstance(event, stages.ProcessResumed):
             assert machine.stage > before  # a phase that is over ends with the next turn
         if before == QUERYING and machine.stage == NORMAL and now < ends_at:
-            assert machine.list_received and not machine.unanswered
+            assert machine.list_received
+            assert not machine.unanswered
     assert entered == sorted(set(entered))
 
 
@@ -55,40 +56,37 @@
     machine = RecoveryStages(100.0)
     assert machine.feed(100.0, stages.ListenerOpened()) == [LISTENING]
     assert machine.feed(100.0, stages.PeersQueried(OTHERS)) == [QUERYING]
-    assert (
-        machine.feed(100.1, stages.ListReceived()) == []
-        and machine.feed(100.1, stages.PeerAnswered(1, NORMAL)) == []
-    )
+    assert machine.feed(100.1, stages.ListReceived()) == []
+    assert machine.feed(100.1, stages.PeerAnswered(1, NORMAL)) == []
     assert (
         machine.feed(110.2, stages.ProcessResumed(OTHERS)) == []
     )  # not over by the time in which it stood still
     assert (machine.list_received, machine.unanswered, machine.peers_serving) == (False, set(OTHERS), set())
-    assert machine.feed(110.6, stages.TimePassed()) == [] and machine.feed(110.8, stages.TimePassed()) == [
-        NORMAL
-    ]
+    assert machine.feed(110.6, stages.TimePassed()) == []
+    assert machine.feed(110.8, stages.TimePassed()) == [NORMAL]
     alone = RecoveryStages(0.0)
     alone.feed(0.0, stages.ListenerOpened())
-    assert alone.feed(0.0, stages.PeersQueried(frozenset())) == [QUERYING] and alone.feed(
-        0.01, stages.ListReceived()
-    ) == [NORMAL]
+    assert alone.feed(0.0, stages.PeersQueried(frozenset())) == [QUERYING]
+    assert alone.feed(0.01, stages.ListReceived()) == [NORMAL]
     slow_disk = RecoveryStages(0.0)
     slow_disk.feed(0.0, stages.ListenerOpened())
-    assert (
-        slow_disk.feed(1.0, stages.TimePassed()) == [QUERYING]
-        and slow_disk.feed(1.1, stages.PeersQueried(OTHERS)) == []
-    )
-    assert slow_disk.unanswered == OTHERS and slow_disk.feed(1.5, stages.TimePassed()) == [NORMAL]
+    assert slow_disk.feed(1.0, stages.TimePassed()) == [QUERYING]
+    assert slow_disk.feed(1.1, stages.PeersQueried(OTHERS)) == []
+    assert slow_disk.unanswered == OTHERS
+    assert slow_disk.feed(1.5, stages.TimePassed()) == [NORMAL]
 
 
 def test_a_life_told_by_two_starts_is_stale_and_the_same_word_twice_is_not() -> None:
     heard = PeerIncarnations()
     first = Hello(QUERYING, 5, 111)
-    assert not heard.observe(1, first) and not heard.observe(1, first)  # repeated on the way
-    assert not heard.observe(1, Hello(QUERYING, 6, 222)) and not heard.observe(2, Hello(QUERYING, 6, 333))
-    assert heard.observe(1, Hello(QUERYING, 6, 444)) and heard.observe(
-        1, Hello(QUERYING, 2, 444)
-    )  # a backup put back
-    assert not heard.observe(1, Hello(QUERYING, 0, 555)) and not heard.observe(1, Hello(QUERYING, 7, 666))
+    assert not heard.observe(1, first)
+    assert not heard.observe(1, first)
+    assert not heard.observe(1, Hello(QUERYING, 6, 222))
+    assert not heard.observe(2, Hello(QUERYING, 6, 333))
+    assert heard.observe(1, Hello(QUERYING, 6, 444))
+    assert heard.observe(1, Hello(QUERYING, 2, 444))
+    assert not heard.observe(1, Hello(QUERYING, 0, 555))
+    assert not heard.observe(1, Hello(QUERYING, 7, 666))
 
 
 def test_records_count_for_their_own_dispatcher_and_words_survive_the_wire() -> None:
@@ -104,12 +102,12 @@
         assert incarnations.next_incarnation(incarnations.read_signed_record(data, name, number)) == 1
     for hello in (Hello(NORMAL, 2**32 - 1, 2**32 - 1, True, True), Hello(0, 0, 0)):
         wire = incarnations.encode(hello)
-        assert incarnations.decode(wire) == hello and len(wire) == 11
-        assert (
-            all(incarnations.decode(wire[:cut]) is None for cut in range(len(wire)))
-            and incarnations.decode(wire + b"x") is None
-        )
-    assert incarnations.decode(b"\x7c\xff" + bytes(9)) is None and incarnations.decode(bytes(11)) is None
+        assert incarnations.decode(wire) == hello
+        assert len(wire) == 11
+        assert all(incarnations.decode(wire[:cut]) is None for cut in range(len(wire)))
+        assert incarnations.decode(wire + b"x") is None
+    assert incarnations.decode(b"\x7c\xff" + bytes(9)) is None
+    assert incarnations.decode(bytes(11)) is None
 
 
 def test_orphans_are_withdrawn_once_each_a_few_at_a_time_and_only_while_there_can_be_any() -> None:
@@ -141,11 +139,13 @@
             await asyncio.wait(metrics.tasks)
         now[0] = 10.0
         orphans.observe("late", 7)
-        assert not metrics.tasks and metrics.counters["orphans_withdrawn"] == 9
+        assert not metrics.tasks
+        assert metrics.counters["orphans_withdrawn"] == 9
         return done, most
 
     done, most = asyncio.run(scenario())
-    assert sorted(done) == [(f"r{n}", 7) for n in range(9)] and most == MAX_CONCURRENT_WITHDRAWALS
+    assert sorted(done) == [(f"r{n}", 7) for n in range(9)]
+    assert most == MAX_CONCURRENT_WITHDRAWALS
 
 
 class Kept(DemoFleet):
@@ -197,7 +197,9 @@
             down = [await harness.down()]
             await harness.clients.run(1.0)
             ran = [box.runs.total() for box in harness.boxes]
-            assert ran[1] == 0 and ran[0] > 0 and ran[2] > 0
+            assert ran[1] == 0
+            assert ran[0] > 0
+            assert ran[2] > 0
             assert (await harness.call(f"enable-server {name}")).startswith("SUCCESS")
             await harness.again()
             down.append(await harness.down())
@@ -238,18 +240,15 @@
         hands = MaintenanceStore(config, disk, TimerWheel(clock.now, metrics.log_exception), metrics)
         operators = OperatorCalls(config, policy_runner, workers, SimpleNamespace(), SimpleNamespace())  # type: ignore[arg-type]
         hands.restore(operators.set_maintenance)
-        assert (
-            operators.in_maintenance == {"s-1"} and "maintenance_records_foreign" in logged
-        )  # another dispatcher's stays out of it
+        assert operators.in_maintenance == {"s-1"}
+        assert "maintenance_records_foreign" in logged
         operators.persist_maintenance = hands.write
         call: Any = SimpleNamespace(name="disable-server", argument="s-3")
         assert await operators.handlers["disable-server"](call) == b"SUCCESS s-3 is out\n"  # type: ignore[misc]
         assert disk.changes == [Put(b"hand/s-3", incarnations.sign_record("n0", 0, b""))]
         disk.full, call.argument = True, "s-4"
         answer = await operators.handlers["disable-server"](call)  # type: ignore[misc]
-        assert (
-            answer.startswith(b"FAILURE s-4 is out, but not after a restart: StoreError")
-            and "s-4" in operators.in_maintenance
-        )
+        assert answer.startswith(b"FAILURE s-4 is out, but not after a restart: StoreError")
+        assert "s-4" in operators.in_maintenance
 
     asyncio.run(scenario())
--- a/tests/recovery/test_requests.py
+++ b/tests/recovery/test_requests.py
@@ -80,8 +80,11 @@
         clock[0] += passed
 
     jobs, ended, end = taken(wait, clock, 1.0)
-    assert len(jobs) == 1 and jobs[0].remaining == pytest.approx(left) and not jobs[0].may_run_elsewhere
-    assert ended == [False] and end == "refused"
+    assert len(jobs) == 1
+    assert jobs[0].remaining == pytest.approx(left)
+    assert not jobs[0].may_run_elsewhere
+    assert ended == [False]
+    assert end == "refused"
 
 
 def test_who_waits_for_too_long_is_refused_as_doubted() -> None:
@@ -92,5 +95,8 @@
         await asyncio.Event().wait()
 
     jobs, ended, end = taken(wait, clock, 1.0)
-    assert len(jobs) == 1 and jobs[0].may_run_elsewhere and jobs[0].remaining == pytest.approx(0.4)
-    assert ended == [] and end == "refused"
+    assert len(jobs) == 1
+    assert jobs[0].may_run_elsewhere
+    assert jobs[0].remaining == pytest.approx(0.4)
+    assert ended == []
+    assert end == "refused"
--- a/tests/recovery/test_shutdowns.py
+++ b/tests/recovery/test_shutdowns.py
@@ -42,8 +42,10 @@
     verdict, taken, lost = ended(
         Scenario("all at once", seed=31, faults=[Fault(1.5, "term", 0.3)], **FIVE), tmp_path
     )
-    assert verdict.broken == [] and verdict.faults["term"] == 5
-    assert len(taken) >= 5 and lost == []
+    assert verdict.broken == []
+    assert verdict.faults["term"] == 5
+    assert len(taken) >= 5
+    assert lost == []
     assert sum(t.outcome == "200" for t in taken) >= 0.8 * len(taken)
     assert verdict.plain_after > 0.9
 
@@ -53,6 +55,8 @@
     turns = [Fault(1.0 + 0.4 * n, "term", 0.2, [n]) for n in range(5)]
     scenario = Scenario("in turn", seed=32, faults=[*turns, Fault(0.5, "cut", 2.5, [0], [1])], **FIVE)
     verdict, taken, lost = ended(scenario, tmp_path)
-    assert verdict.broken == [] and verdict.faults["term"] == 5
-    assert len(taken) >= 5 and lost == []
+    assert verdict.broken == []
+    assert verdict.faults["term"] == 5
+    assert len(taken) >= 5
+    assert lost == []
     assert verdict.plain_after > 0.9
--- a/tests/recovery/test_spoilt_lists.py
+++ b/tests/recovery/test_spoilt_lists.py
@@ -36,7 +36,8 @@
         broken = []
         scenarios = [scenario("passing", 3501, PASSING, 2.0), scenario("lasting", 3503, LASTING, 9.0)]
         for verdict in await asyncio.gather(*map(run_scenario, scenarios)):
-            assert verdict.faults["drain"] == 2 and verdict.faults["spoil"] >= 2
+            assert verdict.faults["drain"] == 2
+            assert verdict.faults["spoil"] >= 2
             broken += [f"{verdict.name}: {line}" for line in verdict.broken]
         return broken
 
--- a/tests/recovery/test_stall.py
+++ b/tests/recovery/test_stall.py
@@ -129,10 +129,12 @@
     assert fleet.is_aggregator
     fleet.process_resumed(110.0)
     fleet.advance(110.0)
-    assert not fleet.is_aggregator and not fleet.outbox[1:]
+    assert not fleet.is_aggregator
+    assert not fleet.outbox[1:]
     board = codec.encode_aggregate(codec.AggregateMessage(2, 1, 0, [(9, 3, 0, False)]))
     assert len(list(fleet.receive(110.1, 7, board))) == 1
-    assert fleet.aggregator == 7 and fleet.in_flight_elsewhere(9, 0.0) == 3
+    assert fleet.aggregator == 7
+    assert fleet.in_flight_elsewhere(9, 0.0) == 3
 
 
 def test_an_upgrade_of_nothing_else_follows_from_a_stall() -> None:
--- a/tests/simulator/test_adapter.py
+++ b/tests/simulator/test_adapter.py
@@ -48,9 +48,12 @@
         + batch(2, work(3, 7), now=100.1)
         + batch(3, "RESOLVED\t3\t7\t100\t-\tserved\t1\t0\t0.4\ttps:1,x0:2\n", now=100.5)
     )
-    assert code == 0 and complaints == ""
+    assert code == 0
+    assert complaints == ""
     sent = [line.split("\t") for line in lines if line.startswith("TRANSMIT")]
-    assert len(sent) == 1 and sent[0][1:4] == ["3", "7", "0"] and sent[0][4] in ("100", "101")
+    assert len(sent) == 1
+    assert sent[0][1:4] == ["3", "7", "0"]
+    assert sent[0][4] in ("100", "101")
     assert [line for line in lines if line.startswith("OK")] == ["OK\t1", "OK\t2", "OK\t3"]
 
 
@@ -60,12 +63,15 @@
         + batch(2, "RETIRE\t0\n", power_on(0, 6), now=101.0)
         + batch(3, "RESOLVED\t0\t7\t100\t-\tserver_error\t0\t0\t0.1\t-\n", "VANISHED\t0\t7\n", now=101.5)
     )
-    assert code == 0 and lines[-1] == "OK\t3" and lines[-2] == "OK\t2"
+    assert code == 0
+    assert lines[-1] == "OK\t3"
+    assert lines[-2] == "OK\t2"
 
 
 def test_a_very_long_batch() -> None:
     code, lines, _ = run(batch(1, power_on(0), *(work(0, n) for n in range(1, 5001))))
-    assert code == 0 and lines[-1] == "OK\t1"
+    assert code == 0
+    assert lines[-1] == "OK\t1"
 
 
 def test_every_event_is_read() -> None:
@@ -84,16 +90,20 @@
             now=100.2,
         )
     )
-    assert code == 0 and complaints == "" and lines[-1] == "OK\t2"
+    assert code == 0
+    assert complaints == ""
+    assert lines[-1] == "OK\t2"
 
 
 def test_an_unknown_event_is_skipped_and_noted_once() -> None:
     code, lines, complaints = run(batch(1, "COMET\t1\n", "COMET\t2\n"))
-    assert code == 0 and lines == ["OK\t1"] and complaints.count("COMET") == 1
+    assert code == 0
+    assert lines == ["OK\t1"]
+    assert complaints.count("COMET") == 1
 
 
 @pytest.mark.parametrize(
-    "line, field",
+    ("line", "field"),
     [
         ("WORK_ITEM\t0\tx\t0\t-\t-\t4\t-\t1\t-\t1\n", "call"),
         ("WORK_ITEM\t0\t7\n", "cls"),
@@ -105,7 +115,9 @@
 )
 def test_a_malformed_line_is_named_plainly(line: str, field: str) -> None:
     code, _, complaints = run(batch(1, power_on(0)) + batch(2, line))
-    assert code == 2 and "batch 2, line" in complaints and f"field {field}" in complaints
+    assert code == 2
+    assert "batch 2, line" in complaints
+    assert f"field {field}" in complaints
     assert "Traceback" not in complaints
 
 
@@ -116,7 +128,8 @@
 
 def test_an_exception_becomes_a_crash_of_that_instance_alone() -> None:
     code, lines, complaints = run(batch(1, power_on(0), power_on(1), work(0, 7, cls=9), work(1, 8)))
-    assert code == 0 and "Traceback" in complaints
+    assert code == 0
+    assert "Traceback" in complaints
     assert [line.split("\t")[:2] for line in lines if line.startswith("CRASH")] == [["CRASH", "0"]]
     assert any(line.startswith("TRANSMIT\t1\t8") for line in lines)
 
--- a/tests/standin/test_large_fleet.py
+++ b/tests/standin/test_large_fleet.py
@@ -186,9 +186,8 @@
     assert far.in_flight_elsewhere(7, 0.0) == mate.in_flight_elsewhere(7, 0.0) == 16.0
     assert near.in_flight_elsewhere(7, 4.0) == 0.0
     mate.advance(now + 1.1)
-    assert (
-        not mate.hears_remote_groups and mate.in_flight_elsewhere(7, 0.0) == 0.0
-    )  # old news are no news: its circle stands for all
+    assert not mate.hears_remote_groups
+    assert mate.in_flight_elsewhere(7, 0.0) == 0.0
 
 
 def test_a_hub_that_is_no_more_is_looked_for_from_the_first_member_on_and_the_lower_one_counts() -> None:
@@ -201,16 +200,19 @@
     assert list(circle.members) == list(range(40, 80))
     assert [circle.contact(101.0) for _ in range(3)] == [40, 41, 42]
     list(fleet.receive(101.0, 42, board[42]))
-    assert circle.contact(101.1) == 42 and circle.in_flight[7] == 2
+    assert circle.contact(101.1) == 42
+    assert circle.in_flight[7] == 2
     list(fleet.receive(101.1, 43, board[43]))  # it will give way
     assert circle.aggregator == 42
     list(fleet.receive(101.1, 41, board[41]))
-    assert circle.aggregator == 41 and circle.in_flight[7] == 1
+    assert circle.aggregator == 41
+    assert circle.in_flight[7] == 1
     list(fleet.receive(101.2, 41, board[41]))  # repeated
     assert circle.heard_at == 101.1
     assert [circle.contact(102.0) for _ in range(2)] == [40, 41]
     list(fleet.receive(102.0, 43, board[43]))  # the only one that is left
-    assert circle.aggregator == 43 and circle.in_flight[7] == 3
+    assert circle.aggregator == 43
+    assert circle.in_flight[7] == 3
 
 
 def test_a_far_board_that_was_lost_is_mended_though_nothing_changes() -> None:
@@ -243,8 +245,7 @@
     hub = led(0)
     for payload, fleet in ((plain, member), (whole, hub)):
         list(fleet.receive(101.0, 45, payload))
-        assert not fleet.hears_remote_groups and not any(
-            circle.in_flight for circle in fleet.remote_groups.values()
-        )
+        assert not fleet.hears_remote_groups
+        assert not any(circle.in_flight for circle in fleet.remote_groups.values())
     for cut in range(len(whole)):
         list(hub.receive(101.0, 45, whole[:cut]))
--- a/tests/standin/test_own_sites.py
+++ b/tests/standin/test_own_sites.py
@@ -91,11 +91,13 @@
     found = config(site)
     told = found.settings
     assert site["name"] == name
-    assert told.membership_on_request is not pushed and told.peer_messages is pushed
+    assert told.membership_on_request is not pushed
+    assert told.peer_messages is pushed
     assert (len(found.zones), len(found.class_names), len(found.tenant_names)) == (zones, classes, tenants)
     semantics = [cls.semantics for cls in told.classes]
     assert semantics.count(Semantics.UNSAFE) == semantics.count(Semantics.DEDUPLICATED) == 1
-    assert told.free_slots_field == "x0" and told.queue_field == "depth"
+    assert told.free_slots_field == "x0"
+    assert told.queue_field == "depth"
     assert [cls.dedup_window_s > 0 for cls in told.classes] == [
         cls.semantics == Semantics.DEDUPLICATED for cls in told.classes
     ]
--- a/tests/standin/test_rehearsals.py
+++ b/tests/standin/test_rehearsals.py
@@ -85,7 +85,8 @@
     ]
     for verdict in run_scenarios(*scenarios):
         assert verdict.broken == [], verdict.last
-        assert verdict.served_after > 0.75 and verdict.plain_after > 0.9
+        assert verdict.served_after > 0.75
+        assert verdict.plain_after > 0.9
 
 
 def test_no_key_runs_twice_through_faults_of_processes_and_links() -> None:
@@ -151,9 +152,12 @@
         Scenario("orphans", seed=24, faults=[Fault(2.0, "kill", 0.3)], **long),
     )
     assert lost.broken == [], lost.last
-    assert lost.served_after > 0.75 and lost.plain_after > 0.9 and lost.counters["phase_normal"] >= 3
+    assert lost.served_after > 0.75
+    assert lost.plain_after > 0.9
+    assert lost.counters["phase_normal"] >= 3
     assert orphans.broken == [], orphans.last
-    assert orphans.counters["orphans_withdrawn"] > 3 and orphans.orphans == 0
+    assert orphans.counters["orphans_withdrawn"] > 3
+    assert orphans.orphans == 0
 
 
 def test_a_retry_at_any_dispatcher_gets_the_result_reported_to_a_restarted_one() -> None:
@@ -168,7 +172,8 @@
     }
     verdict = run_scenarios(Scenario("power", seed=15, faults=[Fault(1.5, "kill", 0.2)], **patient))[0]
     assert verdict.broken == []
-    assert verdict.counters["keys_results_late"] > 0 and verdict.counters["keys_answered"] > 0
+    assert verdict.counters["keys_results_late"] > 0
+    assert verdict.counters["keys_answered"] > 0
     assert verdict.counters["keys_fetched"] > 0
 
 
@@ -235,7 +240,8 @@
             faults=[Fault(0.1, "cut", 0.01, [0], [0])],
         )
     )[0]
-    assert "nothing was served" in none.broken and "the fault cut hit nothing" in none.broken
+    assert "nothing was served" in none.broken
+    assert "the fault cut hit nothing" in none.broken
 
 
 def test_a_link_fault_lasts_until_it_has_hit_and_extends_the_scenario_as_much(
@@ -254,10 +260,11 @@
     )
     run = ScenarioRun(scenario, tmp_path)
     verdict = asyncio.run(run.run())
-    assert verdict.broken == [] and verdict.faults["cut"] >= 1
+    assert verdict.broken == []
+    assert verdict.faults["cut"] >= 1
+    assert run.fault_injector.late_s() > 0.0
     assert (
-        run.fault_injector.late_s() > 0.0
-        and max(t.sent_at for t in run.clients.attempts)
+        max(t.sent_at for t in run.clients.attempts)
         > run.record.began_at + 0.2 + 0.8 * run.fault_injector.late_s()
     )
 
@@ -298,5 +305,7 @@
     )
     assert main(["rehearse", str(file), "--seed", "3", "--json"]) == 0
     told = json.loads(capsys.readouterr().out)
-    assert told["well"] and told["seed"] == 3 and told["asked"] > 3
+    assert told["well"]
+    assert told["seed"] == 3
+    assert told["asked"] > 3
     assert all(read_scenario(path).name for path in Path("deploy/rehearsals").glob("*.toml"))
--- a/tests/standin/test_sites.py
+++ b/tests/standin/test_sites.py
@@ -67,7 +67,8 @@
 @pytest.mark.parametrize("site", SITES)
 def test_a_site_keeps_the_rules_and_serves_each_class(site: str, peers: bool, fault: str) -> None:
     fleet = simulated(site=SITES[site], peers=peers, fault=fault, dispatchers=6, workers=12)
-    assert fault_hit_something(fleet) and len(fleet.jobs) > 80
+    assert fault_hit_something(fleet)
+    assert len(fleet.jobs) > 80
     assert fleet.broken == []
     assert min(served_by_class(fleet).values()) > 0.5, served_by_class(fleet)
 
@@ -83,7 +84,8 @@
         workers=workers,
         load=0.55,
     )
-    assert fault_hit_something(fleet) and fleet.broken == []
+    assert fault_hit_something(fleet)
+    assert fleet.broken == []
     assert min(served_by_class(fleet).values()) > 0.7, served_by_class(fleet)
 
 
@@ -105,7 +107,8 @@
         )
     )
     fleet.clock.run(until)
-    assert fault_hit_something(fleet) and fleet.broken == []
+    assert fault_hit_something(fleet)
+    assert fleet.broken == []
     ended = [job.outcome for job in fleet.jobs if job.outcome]
     assert ended.count("served") >= 0.95 * len(ended) > 50
 
--- a/tests/store/test_defects.py
+++ b/tests/store/test_defects.py
@@ -147,7 +147,8 @@
             try:
                 found = content(engine(damaged))
             except StoreError as error:
-                assert name in str(error) and damaged.steps == 0
+                assert name in str(error)
+                assert damaged.steps == 0
                 assert before == {n: damaged.content(n) for n in damaged.names()}
             else:
                 raise Broken(f"{name} damaged at {offset}: {found} of {states}")
@@ -194,7 +195,8 @@
                 offset
             )  # only the last group may be taken for one that was never told
             torn += 1
-    assert errors > 30 and torn > 20
+    assert errors > 30
+    assert torn > 20
 
 
 def test_a_cut_in_the_middle_of_cleaning_leaves_the_old_or_the_new() -> None:
--- a/tests/store/test_kill.py
+++ b/tests/store/test_kill.py
@@ -62,7 +62,8 @@
 
 def test_nothing_acknowledged_is_lost_over_many_kills(tmp_path: Path) -> None:
     puts, deletions = kill_often(tmp_path, KILLS, seed=7)
-    assert puts > 1000 and deletions > 50
+    assert puts > 1000
+    assert deletions > 50
 
 
 if __name__ == "__main__":
--- a/tests/store/test_store.py
+++ b/tests/store/test_store.py
@@ -70,13 +70,16 @@
         await arrived.wait()  # its sync stands still, and the loop runs on
         others = [asyncio.create_task(store.commit([Put(b"%d" % i, b"v")])) for i in range(1, 9)]
         await asyncio.sleep(0)
-        assert store.get(b"0") is None and not first.done()  # nothing is told or shown before it is durable
+        assert store.get(b"0") is None
+        assert not first.done()
         before = sum(what == "sync" for what, _, _ in disk.log)
         disk.holding = False
         disk.go.release()
         await asyncio.gather(first, *others)
         syncs = sum(what == "sync" for what, _, _ in disk.log) - before
-        assert syncs == 2 and store.metrics()["store_groups"] == 2 and store.metrics()["store_batches"] == 9
+        assert syncs == 2
+        assert store.metrics()["store_groups"] == 2
+        assert store.metrics()["store_batches"] == 9
         await store.close()
 
     play(scenario)
@@ -90,7 +93,8 @@
         disk.faults = failing("sync", 5)
         with pytest.raises(StoreFailed):
             await store.commit([Put(b"a", b"2")])
-        assert store.get(b"a") == b"1" and store.failure is not None
+        assert store.get(b"a") == b"1"
+        assert store.failure is not None
         with pytest.raises(StoreFailed):
             await store.commit([Put(b"b", b"3")])
         await store.close()
@@ -110,7 +114,9 @@
             if key == b"b1":
                 await store.commit([Delete(b"b2"), Put(b"b4", b"b4"), Put(b"b0", b"b0")])
         assert seen == [b"b1", b"b3", b"b4"]
-        assert len(store) == 6 and b"b0" in store and b"b2" not in store
+        assert len(store) == 6
+        assert b"b0" in store
+        assert b"b2" not in store
         await store.close()
 
     play(scenario)
@@ -163,7 +169,9 @@
         with pytest.raises(StoreError):
             await store.compact()
         await store.commit([Put(b"later", b"1")])
-        assert store.get(b"later") == b"1" and store.get(b"k0") == b"new" and "store_corrupt" in events
+        assert store.get(b"later") == b"1"
+        assert store.get(b"k0") == b"new"
+        assert "store_corrupt" in events
         await store.close()
 
     play(scenario)
@@ -254,7 +262,8 @@
                 tails += found != states[-1]
             else:
                 assert found == states[-1], (name, size)  # an index file, which is not needed
-    assert errors > 400 and tails > 20
+    assert errors > 400
+    assert tails > 20
 
 
 class AgainstADict(RuleBasedStateMachine):
@@ -319,7 +328,8 @@
     segments = [Sealed(1, 100, 90, 0), Sealed(2, 100, 30, 0), Sealed(3, 100, 10, 0)]
     assert choose(segments, 0.5) == 3
     assert choose(segments[:2], 0.5) == 2
-    assert choose(segments[:1], 0.5) is None and choose([], 0.5) is None
+    assert choose(segments[:1], 0.5) is None
+    assert choose([], 0.5) is None
 
 
 def test_deletions_count_as_wanted_but_in_the_oldest_segment() -> None:
--- a/tests/store/test_trouble.py
+++ b/tests/store/test_trouble.py
@@ -45,7 +45,8 @@
     before = disk.content(store.active.name)
     disk.faults = full(room, disk)
     failed = put(store, b"b", b"2" * 40)
-    assert isinstance(failed, StoreFull) and "No space left" in str(failed)
+    assert isinstance(failed, StoreFull)
+    assert "No space left" in str(failed)
     assert disk.content(store.active.name) == before
     assert content(store) == {b"a": b"1" * 40}
     assert content(engine(disk.after_cut(draws("all")))) == {b"a": b"1" * 40}  # not back after a cut either
@@ -60,7 +61,8 @@
     disk.faults = full(60, disk)
     written = store.write([[Put(b"large", b"x" * 60)], [Put(b"small", b"y")]])
     store.apply(written.placed)
-    assert list(written.failed) == [0] and content(store) == {b"small": b"y"}
+    assert list(written.failed) == [0]
+    assert content(store) == {b"small": b"y"}
 
 
 @pytest.mark.parametrize("where", ["log", "MANIFEST.tmp"])
@@ -71,8 +73,10 @@
         put(store, b"k", b"v" * 50)
     disk.faults = failing("write", errno.ENOSPC, name=where)
     assert isinstance(put(store, b"n", b"1"), StoreFull)
-    assert not store.sealed and store.failure is None
-    assert put(store, b"n", b"2") is None and len(store.sealed) == 1
+    assert not store.sealed
+    assert store.failure is None
+    assert put(store, b"n", b"2") is None
+    assert len(store.sealed) == 1
     assert content(engine(disk.after_cut(draws("none")))) == {b"k": b"v" * 50, b"n": b"2"}
 
 
@@ -141,13 +145,15 @@
         put(store, b"k0", b"y" * 50)
     state = content(store)
     dead = store.candidate(0.99)
-    assert dead is not None and not store.index.live.get(dead.number)
+    assert dead is not None
+    assert not store.index.live.get(dead.number)
     records = next(
         found for s in store.sealed.values() if (found := store.records(s, HEADER_BYTES, 10_000)[0])
     )
     disk.faults = full(0, disk)
     assert not store.write([], records).moved
-    assert content(store) == state and content(engine(disk.after_cut(draws("none")))) == state
+    assert content(store) == state
+    assert content(engine(disk.after_cut(draws("none")))) == state
     assert not store.drop(dead)  # no room for the manifest: the old one stands
     disk.faults = lambda what, name, size: None
     assert clean(store, 0.1) >= 1
@@ -184,7 +190,8 @@
 def test_the_index_has_a_bound_on_memory() -> None:
     store = engine(SimDisk(), Options(max_index_bytes=1000))
     failed = [put(store, b"%d" % number, b"") for number in range(10)]
-    assert "max_index_bytes" in str(failed[-1]) and store.index.memory <= 1000
+    assert "max_index_bytes" in str(failed[-1])
+    assert store.index.memory <= 1000
     assert put(store, b"0", b"again") is None  # no new key
 
 
@@ -201,7 +208,8 @@
 )
 def test_options_that_make_no_sense_name_the_key(change: dict[str, int], key: str) -> None:
     problem = Options(**change).problem()
-    assert problem is not None and problem[0] == key
+    assert problem is not None
+    assert problem[0] == key
 
 
 # ---- what the files may hold -----------------------------------------------------------------------------
@@ -242,14 +250,16 @@
     offset, seen = 0, []
     while offset < len(data):
         frame = codec.decode_frame(data, offset, salt)
-        assert frame is not None and frame.batch == batch
+        assert frame is not None
+        assert frame.batch == batch
         assert (frame.first, frame.last) == (offset == 0, offset + frame.size == len(data))
         seen.append(Put(frame.key, frame.value) if frame.kind == codec.PUT else Delete(frame.key))
         offset += frame.size
     assert seen == changes
     assert codec.decode_frame(data, 0, salt ^ 1) is None
     found = scan.find_frame(b"#" * 9 + data, salt, 0)
-    assert found is not None and found.offset == 9
+    assert found is not None
+    assert found.offset == 9
 
 
 @pytest.mark.parametrize("name", ["segment", "manifest"])
@@ -315,7 +325,8 @@
             damaged = disk.fresh()
             damaged.flip(name, offset, offset % 8)
             store = engine(damaged)
-            assert store.counters["store_index_unusable"] == 1 and content(store) == want
+            assert store.counters["store_index_unusable"] == 1
+            assert content(store) == want
 
 
 def test_an_index_file_is_written_once_with_all_its_entries() -> None:
@@ -325,7 +336,8 @@
     store = engine(disk)  # writes it anew
     want = content(store)
     segment = store.sealed[2]
-    assert segment.name == name and segment.count == 0
+    assert segment.name == name
+    assert segment.count == 0
     store.write_index(segment)  # asked for twice, by a commit and by compact() at once
     assert content(engine(disk.fresh())) == want
 
@@ -339,7 +351,8 @@
     for read in (lambda: content(store), lambda: store.records(first, HEADER_BYTES, 1000)):
         with pytest.raises(StoreUnreadable, match=name):
             read()
-    assert put(store, b"later", b"1") is None and store.failure is None
+    assert put(store, b"later", b"1") is None
+    assert store.failure is None
     assert store.counters["store_unreadable"] == 2
     disk.unreadable.clear()
     assert len(content(store)) == 41
@@ -368,11 +381,11 @@
     disk.flip(codec.segment_name(2), HEADER_BYTES + 60, 1)
     target = SimDisk()
     result = salvage(disk, target, SMALL, lambda event, **fields: None, lambda: b"N" * 16)
-    assert [damage.file for damage in result.lost] == [codec.segment_name(2)] and result.batches == len(
-        want
-    ) - 1
+    assert [damage.file for damage in result.lost] == [codec.segment_name(2)]
+    assert result.batches == len(want) - 1
     found = content(engine(target.fresh()))
-    assert len(found) == len(want) - 1 and found.items() <= want.items()
+    assert len(found) == len(want) - 1
+    assert found.items() <= want.items()
 
 
 @pytest.mark.parametrize("what", ["manifest", "header", "missing"])
@@ -388,7 +401,8 @@
     target = SimDisk()
     result = salvage(disk, target, SMALL, lambda event, **fields: None, lambda: b"N" * 16)
     found = content(engine(target.fresh()))
-    assert result.lost and found.items() <= want.items()
+    assert result.lost
+    assert found.items() <= want.items()
     assert len(found) == len(want) or what == "missing" and len(found) > len(want) / 2
 
 
@@ -407,7 +421,8 @@
         assert sorted(content(engine(target.fresh()))) == sorted(
             [b"%c%d" % (c, n) for c in b"ab" for n in kept]
         )
-        assert result.batches == 2 and result.lost
+        assert result.batches == 2
+        assert result.lost
 
 
 def test_a_folder_is_open_once(tmp_path: object) -> None:
--- a/tests/test_application.py
+++ b/tests/test_application.py
@@ -46,14 +46,16 @@
         # Versions of the old discovery mean nothing to the new one: the whole list is asked for, then watched.
         assert (await moved.seen.get()).start_line == "GET /discovery/hosts HTTP/1.1"
         watch = (await moved.seen.get()).start_line
-        assert watch.startswith("GET /discovery/hosts?index=3&wait=") and "wait=0" not in watch
+        assert watch.startswith("GET /discovery/hosts?index=3&wait=")
+        assert "wait=0" not in watch
         late.set()
         assert await harness.discovery.ended.get()
         for number in range(5):
             await serves(harness, 1, f"s{number}")
         await harness.callback(taker, state="done", result="kept")
         assert (await asked).body == b"kept"
-        assert moved.seen.empty() and harness.discovery.seen.empty()
+        assert moved.seen.empty()
+        assert harness.discovery.seen.empty()
         moved.server.close()
 
     async def next_of(harness: Harness) -> int:
@@ -90,7 +92,8 @@
     run_scenario(scenario)
     log = capfd.readouterr().err
     refused = re.findall(r" reload_refused total=1 why=(.+)", log)
-    assert len(refused) == 1 and key in refused[0]
+    assert len(refused) == 1
+    assert key in refused[0]
     assert " reloaded " not in log
 
 
--- a/tests/test_start.py
+++ b/tests/test_start.py
@@ -100,4 +100,5 @@
     program.terminate()
     assert program.wait(10) == 0
     program.stderr.close()
-    assert names and not [name for name in names if name.startswith("iou-")]
+    assert names
+    assert not [name for name in names if name.startswith("iou-")]
