--- a/beaconhinge/cli/logs.py
+++ b/beaconhinge/cli/logs.py
@@ -4,10 +4,15 @@
 
 import json
 from pathlib import Path
-from typing import Annotated
+from typing import TYPE_CHECKING, Annotated, Any
 
 import typer
 
+if TYPE_CHECKING:
+    from ..logs.summary import Summary
+
+_MIN_COLUMN = 5  # characters
+
 app = typer.Typer(no_args_is_help=True, help="Add up log lines of many dispatchers.")
 
 
@@ -29,35 +34,48 @@
         return path.read_text("utf-8", "replace").splitlines()
 
     found = summary.add_up((path.stem, lines(path)) for path in files)
-    names = found.names[:events]
-    nodes = sorted({node for node, _ in found.events})
     if as_json:
-        print(
-            json.dumps(
-                {
-                    "first": found.first,
-                    "unread": found.unread,
-                    "counters": dict(sorted(found.counters.items())),
-                    "seconds": {
-                        str(at): {n: found.seconds[at, n] for n in names if found.seconds[at, n]}
-                        for at in sorted({at for at, _ in found.seconds})
-                    },
-                    "dispatchers": {
-                        node: {n: found.events[node, n] for n in names if found.events[node, n]}
-                        for node in nodes
-                    },
-                }
-            )
-        )
-        return 0
-    width = max([len(node) for node in nodes] + [6])
-    print(f"{'second':>{width}} " + " ".join(f"{name:>{max(len(name), 5)}}" for name in names))
-    for at in sorted({at for at, _ in found.seconds}):
-        print(f"{at:>{width}} " + " ".join(f"{found.seconds[at, n]:>{max(len(n), 5)}}" for n in names))
-    for node in nodes:
-        print(f"{node:>{width}} " + " ".join(f"{found.events[node, n]:>{max(len(n), 5)}}" for n in names))
+        print(json.dumps(_as_json(found, found.names[:events])))
+    else:
+        _print_table(found, found.names[:events])
+    return 0
+
+
+def _as_json(found: Summary, names: list[str]) -> dict[str, Any]:
+    seconds = sorted({second for second, _ in found.seconds})
+    dispatchers = sorted({dispatcher for dispatcher, _ in found.events})
+    return {
+        "first": found.first,
+        "unread": found.unread,
+        "counters": dict(sorted(found.counters.items())),
+        "seconds": {
+            str(second): {name: found.seconds[second, name] for name in names if found.seconds[second, name]}
+            for second in seconds
+        },
+        "dispatchers": {
+            dispatcher: {
+                name: found.events[dispatcher, name] for name in names if found.events[dispatcher, name]
+            }
+            for dispatcher in dispatchers
+        },
+    }
+
+
+def _print_table(found: Summary, names: list[str]) -> None:
+    dispatchers = sorted({dispatcher for dispatcher, _ in found.events})
+    width = max([len(dispatcher) for dispatcher in dispatchers] + [len("second")])
+    columns = [max(len(name), _MIN_COLUMN) for name in names]
+
+    def print_row(head: object, cells: list[object]) -> None:
+        row = " ".join(f"{cell:>{column}}" for cell, column in zip(cells, columns, strict=True))
+        print(f"{head:>{width}} {row}")
+
+    print_row("second", list(names))
+    for second in sorted({second for second, _ in found.seconds}):
+        print_row(second, [found.seconds[second, name] for name in names])
+    for dispatcher in dispatchers:
+        print_row(dispatcher, [found.events[dispatcher, name] for name in names])
     for name, count in sorted(found.counters.items()):
         print(f"{name} {count}")
     if found.unread:
         print(f"{found.unread} lines are none of a dispatcher's")
-    return 0
