--- a/beaconhinge/membership/discovery_call.py
+++ b/beaconhinge/membership/discovery_call.py
@@ -1,4 +1,7 @@
-"""A call to discovery, and what follows from its answer: messages between decisions and sockets."""
+"""A call to discovery, and the decision on its answer.
+
+The modules of this package that decide exchange these objects with the modules in `net` that own the sockets.
+"""
 
 from __future__ import annotations
 
@@ -8,24 +11,24 @@
 from ..policy.interface import UpdateKind
 from .inventory import WorkerList
 
-# The least time from the start of one call to the start of the next: bounds the rate of calls that are
-# answered at once. A watch that was open for longer is followed at once: what changes within 0.2 s counts as
-# notified.
+# The shortest time from the start of one call to the start of the next; it bounds the rate of calls that are
+# answered at once. A watch that was open for longer is followed by the next call at once, as a dispatcher
+# counts as notified of changes within 0.2 s of a watch's answer.
 CALL_SPACING_S = 0.05
-# How long an answer may take from its first byte to its last. Some never end; others are slow and complete,
-# so that the timeout doubles after one that was given up while its bytes still came.
+# How long an answer may take from its first byte to its last. Some answers never end; others are slow but
+# complete, so that the timeout doubles after an answer that was given up while its bytes still arrived.
 BODY_TIMEOUT_S = 3.0
 
 
 class CallPurpose(enum.Enum):
-    """What a call to discovery is for. The values stand in log lines."""
+    """What a call to discovery is for. The values are written to log lines."""
 
-    WATCH = "watch"  # a long poll for what comes next
+    WATCH = "watch"  # a long poll for the next change
     CATCH_UP = (
         "catch_up"  # the changes that were missed while no watch was open, or while this process was paused
     )
-    SNAPSHOT = "snapshot"  # the whole list, as the one at hand is unknown, incomplete or doubtful
-    CONFIRM = "confirm"  # the whole list or the last changes once more, to compare
+    SNAPSHOT = "snapshot"  # the whole list, as no list is known or the applied list is incomplete or doubtful
+    CONFIRM = "confirm"  # the whole list or the last changes a second time, to compare
 
 
 @dataclass(frozen=True, slots=True)
@@ -33,13 +36,13 @@
     """One call to discovery.
 
     Attributes:
-        index: Only what is newer than this version is asked for; None asks for the snapshot.
-        wait_s: How long discovery may wait for a change; 0 if it is to answer at once.
+        index: The call requests the changes since this version; None requests the snapshot.
+        wait_s: How long discovery may wait for a change; 0 if it has to answer at once.
         first_byte_timeout_s: How long the first byte of the answer may take.
         body_timeout_s: How long the answer may take from its first byte to its last.
         purpose: What the call is for.
-        newest_version: The newest version that discovery had announced as the call was made; None if none is
-            known.
+        newest_version: The newest version that discovery had announced when the call was made; None if there
+            was none.
     """
 
     index: int | None
@@ -56,20 +59,20 @@
 
     @property
     def is_second_read(self) -> bool:
-        """Whether the answer holds what was, or should have been, read before."""
+        """Whether the call requests the snapshot: content that was, or should have been, received before."""
         return self.index is None
 
 
 @dataclass(frozen=True, slots=True)
 class ReceivedAnswer:
-    """An answer of discovery, with what decisions on it need.
+    """An answer of discovery, and the circumstances by which it is decided on.
 
     Attributes:
-        call: The call that it answers.
-        worker_list: What it holds.
+        call: The call that is answered.
+        worker_list: The parsed content of the answer.
         elapsed_s: The time from the call to the answer.
         now: The current time.
-        jitter: Drawn from 0 to 1.
+        jitter: A random number from 0 to 1.
         changes_workers: Whether applying the list would change the known workers.
     """
 
@@ -82,29 +85,29 @@
 
 
 class PassedOver(enum.Enum):
-    """Why an answer, or the version that it numbers, is not taken. The values stand in log lines."""
+    """Why an answer is not applied, or its version not recorded. The values are written to log lines."""
 
-    OLDER = "older"  # than the newest version that was known as the call was made
-    OVERTAKEN = "overtaken"  # by a newer answer to another call, which was made beside this one
-    EARLY = "early"  # a watch's answer without a change before its wait was over
-    CHANGES_FOR_SNAPSHOT = "changes_for_snapshot"
-    OTHER_BASE = "other_base"  # its changes are those since an older version than another answer has brought
-    CONTENT_MISSING = "content_missing"  # of the version, or it could not all be parsed
+    OLDER = "older"  # the version is older than the newest one that was known when the call was made
+    OVERTAKEN = "overtaken"  # a concurrent call has been answered with a newer version
+    EARLY = "early"  # a watch was answered without a change before its wait was over
+    CHANGES_FOR_SNAPSHOT = "changes_for_snapshot"  # a call for the snapshot was answered with changes
+    OTHER_BASE = "other_base"  # the changes start from an older version than the one already announced
+    CONTENT_MISSING = "content_missing"  # the version's content is missing or could not all be parsed
 
 
 @dataclass(frozen=True, slots=True)
 class AnswerDecision:
-    """What follows from an answer.
+    """What to do with an answer, and when to make the next call.
 
     Attributes:
         update_kind: How the list is applied; None if it is not.
         keep_connection: Whether the connection may be used for the next call.
         pause_s: The time to the next call.
         contradicts_earlier: Whether the same version, read a second time, has other content.
-        proves_current: Whether the applied list is current, as far as the answer shows.
-        passed_over: Why the answer, or its version, is not taken; None if it is.
-        renumbered: Whether discovery has begun to number its lists anew, so that an open watch is asked for
-            by a number that means nothing.
+        proves_current: Whether the answer shows that the applied list is current.
+        passed_over: Why the answer is not applied or its version not recorded; None if both are done.
+        renumbered: Whether discovery has restarted its version numbers, so that the index of an open watch is
+            no longer valid.
     """
 
     update_kind: UpdateKind | None
