--- a/beaconhinge/membership/list_reads.py
+++ b/beaconhinge/membership/list_reads.py
@@ -1,11 +1,11 @@
-"""Reads of the endpoint list beside the watch: what confirms it, completes it, or catches up after a pause.
+"""Reads of the endpoint list beside the watch, which confirm it, complete it, or catch up after a pause.
 
 No I/O: time and jitter are arguments. Times are seconds.
 
-Reads are answered at once or in turn, as discovery has time; the watch is open meanwhile, and no read, late,
-failed or wrong, touches it. They ask for the snapshot: discovery keeps one watch for each dispatcher, and
-ends it (503) when another call with an index comes. While the watch itself fails, its own calls read what was
-missed, and nothing is read here.
+Discovery answers a read at once or when it has time. The watch stays open meanwhile, and no late, failed or
+wrong answer to a read affects it. Reads request the snapshot: discovery keeps one watch for each dispatcher,
+and ends it (503) when another call with an index arrives. While the watch itself fails, its own calls read
+what was missed, and nothing is read beside it.
 """
 
 from __future__ import annotations
@@ -18,24 +18,24 @@
 
 
 class ListReads:
-    """Decides on one dispatcher's reads beside its watch, one after the other.
+    """Decides on one dispatcher's reads beside its watch, which are made one at a time.
 
     Attributes:
-        state: What is known of the list, which the watch changes too.
+        state: The versions of the list that are known and applied; the watch updates it too.
     """
 
     def __init__(self, state: ListState, group_size: int, max_age_s: float) -> None:
         """Start with nothing to read.
 
         Args:
-            state: What is known of the list.
-            group_size: How many dispatchers ask the same discovery.
-            max_age_s: How long a list without a further call counts as known; 0 for no bound.
+            state: The versions of the list that are known and applied.
+            group_size: How many dispatchers call the same discovery.
+            max_age_s: How long a list may be used without a further call; 0 for no bound.
         """
         self.state = state
         self._retries = CallRetries(state.pushed, group_size, max_age_s)
         self._catch_up_wanted = False
-        self._not_before_s = -math.inf  # after the last read
+        self._not_before_s = -math.inf  # the earliest time of the next read, set after each read
 
     @property
     def failing(self) -> bool:
@@ -43,26 +43,26 @@
         return self._retries.failing
 
     def restart(self) -> None:
-        """Forget what was to be read, as another discovery is called or another list is known."""
+        """Drop pending reads, after a switch to another discovery or another list."""
         self._catch_up_wanted = False
         self._not_before_s = -math.inf
         self._retries.reset()
 
     def can_catch_up(self, now: float) -> bool:
-        """Return whether the snapshot may be read for what was missed: that of a large fleet is expensive."""
+        """Return whether missed changes may be read by a snapshot now; that of a large fleet is expensive."""
         return self.state.verification.snapshot_affordable(now, self.state.entry_count)
 
     def catch_up(self) -> None:
-        """Have what was missed read at once."""
+        """Schedule a read of missed changes at once."""
         self._catch_up_wanted = True
         self._not_before_s = -math.inf
 
     def seconds_until_call(self, now: float) -> float:
-        """Return the seconds until something has to be read: 0 for now, infinity for never."""
+        """Return the seconds until the next read is due: 0 for now, infinity if none is."""
         state = self.state
         due_s = now + state.verification.seconds_until_read(now, state.entry_count)
         if state.announced_version is None:
-            return math.inf  # the watch's first call asks for the snapshot
+            return math.inf  # the watch's first call requests the snapshot
         if state.snapshot_needed:
             due_s = min(due_s, state.snapshot_not_before_s)
         if self._catch_up_wanted:
@@ -86,7 +86,7 @@
         )
 
     def handle_answer(self, answer: ReceivedAnswer) -> AnswerDecision:
-        """Decide on the answer to a read."""
+        """Decide on the answer to a read: whether it is applied, and when the next read may be made."""
         self._retries.handle_answer()
         decision = self.state.handle_answer(answer)
         if decision.passed_over is PassedOver.CHANGES_FOR_SNAPSHOT:
@@ -99,7 +99,10 @@
         return decision
 
     def _handle_wrong_answer(self, answer: ReceivedAnswer, decision: AnswerDecision) -> AnswerDecision:
-        """Changes came in answer to a call for the snapshot: what only confirms can wait."""
+        """Delay the next read after a call for the snapshot was answered with changes.
+
+        A read that only confirms is put off as under overload.
+        """
         if answer.call.purpose is CallPurpose.CONFIRM and not self.state.pushed:
             self.state.verification.handle_overload(answer.now)
             return decision
@@ -112,7 +115,7 @@
             call: The read.
             failure: How it failed.
             now: The current time.
-            jitter: Drawn from 0 to 1.
+            jitter: A random number from 0 to 1.
         """
         if not self.state.pushed:
             self.state.verification.handle_overload(now)
