--- a/beaconhinge/membership/inventory.py
+++ b/beaconhinge/membership/inventory.py
@@ -1,4 +1,4 @@
-"""The endpoint list as discovery sends it, parsed into entries for the policy."""
+"""Parses the endpoint list that discovery sends into entries for the policy."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 
 class WorkerListError(Exception):
-    """A list that cannot be parsed at all."""
+    """The content as a whole is not an endpoint list."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -33,7 +33,10 @@
     member: MemberEntry
 
     def same_except_weight(self, other: WorkerEndpoint) -> bool:
-        """Return whether both name the same worker in the same state; weights change all the time."""
+        """Return whether both describe the same worker with the same values, except for its weight.
+
+        Weights change all the time.
+        """
         member = replace(self.member, weight=other.member.weight)
         return self.address == other.address and member == other.member
 
@@ -48,10 +51,10 @@
 
     Attributes:
         version: The number that discovery gives to the list.
-        is_snapshot: Whether all workers are listed, so that one that is missing has left.
+        is_snapshot: Whether all workers are listed, so that a worker that is missing has left.
         endpoints: The entries that could be parsed.
-        unparsed_ids: Ids of the entries that could not; "" for one without an id.
-        unparsed_states: States of those of them whose state can be read, by id.
+        unparsed_ids: Ids of the entries that could not be parsed; "" for an entry without a readable id.
+        unparsed_states: States of those unparsed entries whose id and state can be read, by id.
         size_bytes: The size of the answer's body.
     """
 
@@ -64,15 +67,15 @@
 
 
 def worker_number(worker_id: str) -> int:
-    """Return a worker's number, 32 bits wide.
+    """Return the worker's number: a hash of its id, 32 bits wide.
 
-    It is the same at every dispatcher, since gossip names workers by it.
+    The number is the same at every dispatcher, as gossip identifies workers by it.
     """
     return int.from_bytes(hashlib.blake2s(worker_id.encode(), digest_size=4).digest(), "big")
 
 
 class WorkerListParser:
-    """Parses endpoint lists. A malformed entry costs that entry alone."""
+    """Parses endpoint lists. A malformed entry is skipped and reported; the others are kept."""
 
     def __init__(
         self,
@@ -83,9 +86,9 @@
         """Create a parser for one deployment.
 
         Args:
-            zones: Names of the zones, whose positions are their numbers.
-            kinds: Names of the kinds of worker, whose positions are their numbers.
-            on_malformed_entry: Called with the reason for each entry that can't be parsed.
+            zones: Names of the zones; a zone's number is its position.
+            kinds: Names of the kinds of worker; a kind's number is its position.
+            on_malformed_entry: Called with the error's text for each entry that can't be parsed.
         """
         self._zone_numbers = {name: i for i, name in enumerate(zones)}
         self._kind_numbers = {name: i for i, name in enumerate(kinds)}
@@ -96,7 +99,7 @@
         """Parse a list from decoded JSON.
 
         Raises:
-            WorkerListError: If the content as a whole is not a list.
+            WorkerListError: If the content is not an object with a list of servers and a valid version.
         """
         if not isinstance(content, Mapping) or not isinstance(content.get("servers"), list):
             raise WorkerListError("not an object with a list of servers")
@@ -105,7 +108,7 @@
             raise WorkerListError(f"version {version!r} is not a whole number")
         worker_list = WorkerList(version, content.get("full") is not False)
         if worker_list.is_snapshot:
-            self._ids_by_number.clear()  # workers that have left must not add up
+            self._ids_by_number.clear()  # keeps ids of workers that have left from accumulating
         for entry in content["servers"]:
             try:
                 worker_list.endpoints.append(self._parse_entry(entry))
@@ -118,7 +121,7 @@
         return worker_list
 
     def to_json(self, version: int, endpoints: Sequence[WorkerEndpoint]) -> dict[str, Any]:
-        """Return the snapshot of these workers in discovery's form, as `parse` takes it."""
+        """Return a snapshot of these workers as JSON content of discovery's form, which `parse` accepts."""
         zones = {number: name for name, number in self._zone_numbers.items()}
         kinds = {number: name for name, number in self._kind_numbers.items()}
         states = {state: name for name, state in STATES_BY_NAME.items()}
@@ -143,14 +146,14 @@
     def _parse_entry(self, entry: Any) -> WorkerEndpoint:
         worker_id = entry["id"]
         if not isinstance(worker_id, str) or not worker_id:
-            raise ValueError(f"id {worker_id!r} is not a text")
+            raise ValueError(f"id {worker_id!r} is not a non-empty string")
         number = worker_number(worker_id)
         if self._ids_by_number.setdefault(number, worker_id) != worker_id:
             raise ValueError(f"id {worker_id!r} has the same number as {self._ids_by_number[number]!r}")
         ip, _, port = entry["addr"].rpartition(":")
-        IPv4Address(ip)  # no names: there is no DNS, and looking one up would block
+        IPv4Address(ip)  # host names are refused: there is no DNS, and a lookup would block
         if not 0 < int(port) < PORT_LIMIT:
-            raise ValueError(f"addr {entry['addr']!r} has no port")
+            raise ValueError(f"addr {entry['addr']!r} has no valid port")
         weight, started_ms = float(entry.get("weight", 1.0)), float(entry.get("started_ms", 0))
         if weight - weight != 0.0 or started_ms - started_ms != 0.0:
             raise ValueError("weight or started_ms is not finite")
@@ -170,7 +173,7 @@
 
 
 def id_and_state(entry: Any) -> tuple[str, WorkerState | None]:
-    """Return an entry's id, empty if it can't be read, and its state, None if that can't."""
+    """Return an entry's id, "" if it can't be read, and its state, None if it can't be read."""
     if not isinstance(entry, Mapping):
         return "", None
     worker_id, state = entry.get("id"), entry.get("state")
