--- a/beaconhinge/gossip/in_flight.py
+++ b/beaconhinge/gossip/in_flight.py
@@ -1,4 +1,4 @@
-"""Slots in flight by worker, summed over dispatchers: what an aggregator collects and sends to its group."""
+"""Slots in flight by worker, summed over dispatchers, which an aggregator collects and sends to its group."""
 
 from __future__ import annotations
 
@@ -6,17 +6,18 @@
 
 from . import codec
 
-# Unchanged entries that are sent again with each aggregate, in turn: they correct what was lost.
+# The number of unchanged entries that each aggregate repeats, in turn, to correct lost datagrams.
 REPEATED_ENTRIES = 4
 
 
 class InFlightTable:
-    """What an aggregator has heard, until it is sent to the group.
+    """Slots in flight and outcomes by worker, collected from deltas and reports for the next aggregate.
 
     Attributes:
-        out: Slots in flight of all dispatchers, by key of a worker.
+        slots: Slots that all dispatchers of the group have in flight, by worker key.
         sends: Attempts sent since the last aggregate.
-        told: Keys that were sent, those sent longest ago first.
+        sent_keys: Worker keys that were sent, those sent longest ago first.
+        failures: Failures of workers since they were last sent, by worker key.
     """
 
     def __init__(self) -> None:
@@ -25,25 +26,28 @@
         self.sent_keys: dict[int, None] = {}
         self.failures: Counter[int] = Counter()
         self._served: set[int] = set()
-        self._changed: dict[int, None] = {}  # keys in the order of their first change
+        self._changed: dict[int, None] = {}  # worker keys in the order of their first change
 
-    def adjust(self, key: int, by: int) -> None:
-        """Change the slots in flight on a worker."""
-        if by:
-            self.slots[key] += by
+    def adjust(self, key: int, change: int) -> None:
+        """Add `change` to the slots in flight on a worker."""
+        if change:
+            self.slots[key] += change
             self._changed[key] = None
 
-    def record(self, key: int, what: int) -> None:
-        """Count a delta of a worker for the next aggregate."""
+    def record(self, key: int, kind: int) -> None:
+        """Count a delta of this kind (a `DeltaKind`) on a worker for the next aggregate."""
         self._changed[key] = None
-        self.sends += what == codec.DeltaKind.SENT
-        if what == codec.DeltaKind.FAILED:
+        self.sends += kind == codec.DeltaKind.SENT
+        if kind == codec.DeltaKind.FAILED:
             self.failures[key] += 1
-        elif what == codec.DeltaKind.SERVED:
+        elif kind == codec.DeltaKind.SERVED:
             self._served.add(key)
 
     def next_aggregate(self, incarnation: int, sequence: int) -> codec.AggregateMessage:
-        """What has changed since the last aggregate, as far as it fits, and a few entries that have not."""
+        """Return the next aggregate: changed entries, as far as they fit, and a few unchanged ones.
+
+        The returned changes, sends and failures count as sent, and are not returned again.
+        """
         changed = list(self._changed)[: codec.MAX_AGGREGATE_ENTRIES - REPEATED_ENTRIES]
         for key in changed:
             del self._changed[key]
