--- a/beaconhinge/gossip/__init__.py
+++ b/beaconhinge/gossip/__init__.py
@@ -1,1 +1,1 @@
-"""What dispatchers tell each other about load, demand and workers: state and datagram codec, no I/O."""
+"""Exchange of load, demand and worker failures between dispatchers: state and datagram codec, no I/O."""
--- a/beaconhinge/gossip/aggregation.py
+++ b/beaconhinge/gossip/aggregation.py
@@ -1,13 +1,14 @@
-"""One dispatcher's side of the gossip: what it sends to its peers, and what it has heard from them.
+"""One dispatcher's side of the gossip: the messages that it sends to its peers, and what it has received.
 
-In a small group each dispatcher sends a delta to all others for each attempt and its end. In a larger one
-that would cost more than it is worth. One of the group, the aggregator, receives the deltas and sends all of
-them an aggregate: slots in flight by worker, in absolute figures, so that a later aggregate corrects a lost
-one. A dispatcher that has heard no aggregate for a while becomes the aggregator, lower numbers sooner; of two
-the higher-numbered one gives way. Reports of demand are rarer and go to all. A fleet of 80 or more is divided
-into groups, whose aggregators exchange their aggregates; one that hears no other extrapolates from itself.
+In a small group each dispatcher sends a delta to all others for each attempt and for its end. In a larger
+group that would cost more than it is worth. One dispatcher, the aggregator, receives the deltas of the group
+and sends every member an aggregate: the slots in flight by worker, as absolute numbers, so that a later
+aggregate corrects a lost one. A dispatcher that has received no aggregate for a while becomes the aggregator,
+lower numbers sooner; of two aggregators the one with the higher number gives way. Reports of demand are rarer
+and are sent to all. A fleet of 80 or more dispatchers is divided into groups, whose aggregators exchange
+their aggregates. A group that receives none from the others extrapolates their load from its own.
 
-Pure: times are arguments, and what is to be sent lies in `outbox`.
+No I/O: times are arguments, in seconds, and datagrams to send are put into `outbox`.
 """
 
 from __future__ import annotations
@@ -23,34 +24,46 @@
 
 INF = float("inf")
 
-# Peers up to which each dispatcher sends its deltas to all others.
+# The largest number of group peers with which each dispatcher sends its deltas to all others.
 MAX_DIRECT_PEERS = 8
-# Reports missed before a peer's demand is dropped.
+# The number of report intervals without a message after which a peer's demand is dropped.
 MAX_MISSED_REPORTS = 4
-# Without a message from a peer for so long its attempts count as over.
+# A peer that has sent no message for this time has its attempts counted as ended.
 PEER_TIMEOUT_S = 2.0
-# A dispatcher with nothing to send shows that it is alive after so long.
+# A dispatcher that has sent no deltas to its aggregator for this time sends an empty message, to show that it
+# is alive.
 HEARTBEAT_S = 0.8
-# How long a send or a failure waits to share a datagram with others, and how long any other end does.
+# How long the delta of a send or of a failure waits for others to share its datagram.
 URGENT_DELAY_S = 0.02
+# How long the delta of any other end waits for that.
 BATCH_DELAY_S = 0.1
-# Between two aggregates, and the same when a worker has failed.
+# The time between two aggregates.
 AGGREGATE_INTERVAL_S = 0.1
+# The time between two aggregates when a worker has failed.
 AGGREGATE_FAILURE_INTERVAL_S = 0.02
-# After so long an own send shows in the aggregate.
+# The time after which the aggregate is taken to include an own send.
 AGGREGATE_LAG_S = 0.15
-# Workers in an aggregate of other groups, those that changed most: each byte goes to all.
+# The most workers in an aggregate of other groups, which holds those that changed most. The bound matters as
+# each byte is sent to all members.
 MAX_REMOTE_ENTRIES = 24
-# Between two aggregates of other groups, and the age from which one says nothing any more.
+# The time between two aggregates of other groups.
 REMOTE_INTERVAL_S = 0.25
+# The age from which an aggregate of other groups is no longer used.
 REMOTE_TIMEOUT_S = 1.0
-# By rank, so that one dispatcher after the other would become the aggregator.
+# The additional time, per rank in the group, before a dispatcher becomes the aggregator. It keeps several
+# dispatchers from doing so at once.
 ELECTION_STAGGER_S = 0.03
 
 
 @dataclass(slots=True, frozen=True)
 class WorkerObservation:
-    """What was heard of one worker: whether it served, and how often it was at fault."""
+    """Outcomes on one worker as reported by a peer or the aggregator.
+
+    Attributes:
+        key: The worker's key.
+        served: Whether the worker has served an attempt.
+        failures: How many attempts ended by the worker's fault.
+    """
 
     key: int
     served: bool
@@ -58,40 +71,44 @@
 
 
 class GossipNode:
-    """The gossip of one dispatcher with its group, and as its aggregator with other groups.
+    """The gossip of one dispatcher with its group and, if it is the aggregator, with other groups.
 
     Attributes:
-        outbox: Datagrams to be sent, each with the number of its receiver; -1 is every dispatcher.
-        introduce: The aggregator, or a peer, is new and does not know what this dispatcher has in flight: it
-            wants a report.
-        sends: Attempts sent by the whole group since the caller last reset it, as far as heard.
-        standing: How many dispatchers of the fleet each peer stands for.
+        outbox: Datagrams to send, each with the number of its receiver; -1 is every dispatcher.
+        wants_report: Whether a new peer or aggregator needs a report of what this dispatcher has in flight;
+            the caller sends it and resets this.
+        sends: Attempts sent by the whole group since the caller last reset this, as far as received.
+        peer_weight: How many dispatchers of the fleet each group peer represents.
+        rank: The position of this dispatcher in its group.
+        broadcast_targets: The receivers of a message to the whole group; -1 is every dispatcher.
+        sends_directly: Whether the group is small enough to work without an aggregator.
+        aggregator: The number of the group's aggregator; None if none is known.
     """
 
     def __init__(
-        self, group_size: int, own_number: int, incarnation: int, min_report_interval_s: float
+        self, fleet_size: int, own_number: int, incarnation: int, min_report_interval_s: float
     ) -> None:
-        self.group_size = group_size
+        self.fleet_size = fleet_size
         self.own_number = own_number
         self.incarnation = incarnation
-        self.min_report_interval_s = min_report_interval_s  # seconds between reports, at least
-        layout = GroupLayout(group_size)
+        self.min_report_interval_s = min_report_interval_s  # the shortest time between reports
+        layout = GroupLayout(fleet_size)
         self.group_count = layout.group_count
         own_group = layout.group_of(own_number)
         members = layout.members(own_group)
         self.rank = members.index(own_number)
         self.group_peers = [number for number in members if number != own_number]
         self.broadcast_targets = [-1] if self.group_count == 1 else self.group_peers
-        self.peer_weight = (group_size - 1) / max(1, len(self.group_peers))
+        self.peer_weight = (fleet_size - 1) / max(1, len(self.group_peers))
         self.remote_groups = {
             group: RemoteGroup(layout.members(group))
             for group in range(self.group_count)
             if group != own_group
         }
-        # Slots that other groups have in flight, by key of a worker.
+        # Slots that other groups have in flight, by worker key.
         self.remote_in_flight: Counter[int] = Counter()
         self._remote_heard_at = self._remote_sent_at = -INF
-        # What was last sent of them, those sent longest ago first.
+        # The slots of other groups that were last sent for each worker key, those sent longest ago first.
         self._remote_sent: Counter[int] = Counter()
         self._now = 0.0
         self.sends_directly = len(self.group_peers) <= MAX_DIRECT_PEERS
@@ -100,13 +117,14 @@
         self.peers: dict[int, Peer] = {}
         self.aggregator: int | None = None
         self.wants_report = False
-        # What this dispatcher knows by deltas: as the aggregator, or in a small group.
+        # Slots in flight by worker from deltas, used as the aggregator and in a small group.
         self.in_flight_table = InFlightTable()
-        # Slots that the whole group has in flight by worker, from aggregates.
+        # Slots that the whole group has in flight by worker key, from aggregates.
         self.aggregated_in_flight: Counter[int] = Counter()
         self._aggregator_heard_at = -INF
-        # Own changes that no aggregate may show yet, as time, key of a worker and slots; their sums by key.
+        # Own changes that the aggregate may not include yet: time, worker key and change in slots.
         self._unconfirmed: deque[tuple[float, int, int]] = deque()
+        # The sums of these changes by worker key.
         self._unconfirmed_sums: Counter[int] = Counter()
         self._sequence = 0
         self._deltas: list[codec.Delta] = []
@@ -120,15 +138,20 @@
 
     @property
     def hears_remote_groups(self) -> bool:
-        """Whether aggregates of other groups are recent.
+        """Whether an aggregate of other groups has been received recently.
 
-        By the own fifth of a worker's jobs alone a full one looks free, and a free one full, so often that a
-        busy fleet queues them at random.
+        Extrapolation from the own group is a poor substitute: from a fifth of a worker's jobs a full worker
+        looks free, or a free one full, so often that a busy fleet queues jobs at random.
         """
         return self._now - self._remote_heard_at <= REMOTE_TIMEOUT_S
 
     def in_flight_elsewhere(self, key: int, own: float) -> float:
-        """Slots that other dispatchers have in flight on a worker, on which this one has `own`."""
+        """Return the slots that other dispatchers of the fleet have in flight on a worker.
+
+        Args:
+            key: The worker's key.
+            own: The slots that this dispatcher has in flight on it.
+        """
         if self.sends_directly or self.is_aggregator:
             in_flight = self.in_flight_table.slots[key]
         else:
@@ -141,11 +164,11 @@
     # ---- sending -------------------------------------------------------------------------------------------
 
     def start(self, now: float) -> None:
-        """Begin at `now`: the aggregator has as long as after an aggregate to show itself."""
+        """Start the clocks at `now`; the first aggregate is due as if one had just been received."""
         self._aggregator_heard_at = self._sent_at = now
 
     def process_resumed(self, now: float) -> None:
-        """Forget what was heard before the process stood still: another may be the aggregator by now."""
+        """Forget what was received before a pause of this process, as the aggregator may have changed."""
         self.start(now)
         if self.sends_directly:
             return
@@ -154,27 +177,35 @@
         for peer in self.peers.values():
             peer.in_flight.clear()
 
-    def record(self, now: float, key: int, what: int, slots: int) -> None:
-        """Record an own attempt, or its end, on the worker with this key."""
-        by = slots if what == codec.DeltaKind.SENT else -slots
-        self.sends += max(by, 0)
-        self.in_flight_table.adjust(key, by)
+    def record(self, now: float, key: int, kind: int, slots: int) -> None:
+        """Record an own attempt, or its end, on the worker with this key.
+
+        Args:
+            now: The current time.
+            key: The worker's key.
+            kind: A `DeltaKind`.
+            slots: The slots that the attempt takes.
+        """
+        change = slots if kind == codec.DeltaKind.SENT else -slots
+        self.sends += max(change, 0)
+        self.in_flight_table.adjust(key, change)
         if self.is_aggregator:
-            self.in_flight_table.record(key, what)
+            self.in_flight_table.record(key, kind)
         else:
-            self._deltas += [codec.Delta(key, what)] * slots
-            self._unconfirmed.append((now, key, by))
-            self._unconfirmed_sums[key] += by
-        urgent = what in (codec.DeltaKind.SENT, codec.DeltaKind.FAILED)
+            self._deltas += [codec.Delta(key, kind)] * slots
+            self._unconfirmed.append((now, key, change))
+            self._unconfirmed_sums[key] += change
+        urgent = kind in (codec.DeltaKind.SENT, codec.DeltaKind.FAILED)
         self._deltas_due_at = min(self._deltas_due_at, now + (URGENT_DELAY_S if urgent else BATCH_DELAY_S))
 
     def send_report(self, report: codec.DemandReport, to: int = -1) -> int:
-        """Send a report to the whole group, or to one dispatcher of it.
+        """Send a report to the whole group or, with `to`, to one dispatcher of it.
 
         Returns:
-            The bytes delivered, over all receivers.
+            The bytes that a report to the whole group takes, summed over its receivers; 0 for a report to
+            this dispatcher itself.
         """
-        if to == self.own_number:  # a new aggregator takes its own report first
+        if to == self.own_number:  # a new aggregator applies its own report directly
             for key, slots in report.in_flight:
                 self.in_flight_table.adjust(key, slots)
             return 0
@@ -184,11 +215,11 @@
         return len(payload) * len(self.group_peers)
 
     def advance(self, now: float) -> None:
-        """Put into the outbox what is due; to be called after each event."""
+        """Put the messages that are due into the outbox; to be called after each event."""
         self._now = now
         while self._unconfirmed and self._unconfirmed[0][0] < now - AGGREGATE_LAG_S:
-            _, key, by = self._unconfirmed.popleft()
-            self._unconfirmed_sums[key] -= by
+            _, key, change = self._unconfirmed.popleft()
+            self._unconfirmed_sums[key] -= change
         if self.is_aggregator:
             self._send_aggregates(now)
         elif self._aggregator_is_missing(now):
@@ -203,7 +234,7 @@
     def _become_aggregator(self) -> None:
         self.aggregator, self.in_flight_table = self.own_number, InFlightTable()
         for peer in self.peers.values():
-            peer.in_flight.clear()  # each will send a report
+            peer.in_flight.clear()  # each peer sends a report to the new aggregator
         self.wants_report = True
 
     def _send_deltas(self, now: float) -> None:
@@ -228,25 +259,25 @@
             self._send_remote_aggregate(now)
 
     def _send_remote_aggregate(self, now: float) -> None:
-        """Send the group what other groups have in flight, where that has changed most first.
+        """Send the group the slots that other groups have in flight, workers with the largest changes first.
 
-        What was sent longest ago follows, which corrects what was lost. Groups that are not heard are taken
-        to be like the others.
+        Among equal changes, workers whose values were sent longest ago come first, which corrects lost
+        datagrams. Groups from which no recent aggregate was received are assumed to be like the others.
         """
-        heard = [
+        recent = [
             group.in_flight
             for group in self.remote_groups.values()
             if now - group.heard_at <= REMOTE_TIMEOUT_S
         ]
-        if not heard:
+        if not recent:
             return
-        scale = len(self.remote_groups) / len(heard)
+        scale = len(self.remote_groups) / len(recent)
         sums = Counter[int]()
-        for in_flight in heard:
+        for in_flight in recent:
             sums.update(in_flight)
         self.remote_in_flight = Counter({key: round(scale * slots) for key, slots in sums.items()})
         self._remote_heard_at = now
-        # Sorting keeps the order of equal changes: of those the one sent longest ago comes first.
+        # The sort is stable: among equal changes the one sent longest ago comes first.
         order = sorted(
             {**self._remote_sent, **self.remote_in_flight},
             key=lambda key: -abs(self.remote_in_flight[key] - self._remote_sent[key]),
@@ -271,10 +302,14 @@
     def receive(
         self, now: float, number: int, payload: bytes
     ) -> Iterator[WorkerObservation | codec.DemandReport]:
-        """Take in a datagram of dispatcher `number`, if it is new and of the own group.
+        """Process a datagram from dispatcher `number`.
 
-        Yields what it says of single workers, each of which counts from the moment that it is asked for, or
-        the report itself. Datagrams that cannot be read are passed over.
+        Messages that are malformed, repeated or overtaken by newer ones are ignored. Other groups are
+        represented by aggregates alone, which only an aggregator processes.
+
+        Yields:
+            An observation for each worker in the message, applied to this node as it is yielded, or the
+            report itself.
         """
         message = codec.decode(payload)
         if number not in self.group_peers:
@@ -282,7 +317,7 @@
             return
         if message is None:
             return
-        peer = self._known_peer(number, message)
+        peer = self._find_or_add_peer(number, message)
         if not self._is_newer(peer, message):
             return
         peer.heard_at = now
@@ -295,15 +330,16 @@
             yield from self._receive_deltas(peer, message)
 
     def _receive_from_other_group(self, now: float, number: int, message: codec.Message | None) -> None:
-        group = self.remote_groups.get(number * self.group_count // self.group_size)
+        group = self.remote_groups.get(number * self.group_count // self.fleet_size)
         if group is None or not self.is_aggregator:
             return
         if isinstance(message, codec.AggregateMessage) and not message.covers_other_groups:
             group.receive(now, number, message)
 
-    def _known_peer(self, number: int, message: codec.Message) -> Peer:
+    def _find_or_add_peer(self, number: int, message: codec.Message) -> Peer:
         peer = self.peers.get(number)
-        if peer is None or peer.incarnation != message.incarnation:  # restarted: its old usage is not its own
+        # A peer with another incarnation has restarted: the slots of its earlier process no longer count.
+        if peer is None or peer.incarnation != message.incarnation:
             self._replace_in_flight(peer or Peer(), Counter())
             peer = self.peers[number] = Peer(message.incarnation, message.sequence - 1)
             self.wants_report = self.wants_report or self.sends_directly or number == self.aggregator
@@ -311,10 +347,14 @@
 
     @staticmethod
     def _is_newer(peer: Peer, message: codec.Message) -> bool:
-        """Advance the peer's sequence; False for a message that is repeated, or overtaken by a newer one."""
-        bits = codec.REPORT_SEQUENCE_MASK if isinstance(message, codec.DemandReport) else codec.SEQUENCE_MASK
-        ahead = (message.sequence - peer.sequence) & bits
-        if not 0 < ahead <= bits // 2:
+        """Advance the peer's sequence number to the message's.
+
+        Returns:
+            False, without a change, for a message that is repeated or overtaken by a newer one.
+        """
+        mask = codec.REPORT_SEQUENCE_MASK if isinstance(message, codec.DemandReport) else codec.SEQUENCE_MASK
+        ahead = (message.sequence - peer.sequence) & mask
+        if not 0 < ahead <= mask // 2:
             return False
         peer.sequence = (peer.sequence + ahead) & codec.REPORT_SEQUENCE_MASK
         return True
@@ -322,10 +362,10 @@
     def _receive_deltas(self, peer: Peer, message: codec.DeltaMessage) -> Iterator[WorkerObservation]:
         for key, kind in message.entries:
             self.sends += kind == codec.DeltaKind.SENT
-            # Where the delta of the send was lost there is nothing to take off at its end.
-            by = 1 if kind == codec.DeltaKind.SENT else max(-1, -peer.in_flight[key])
-            peer.in_flight[key] += by
-            self.in_flight_table.adjust(key, by)
+            # If the delta of the send was lost, there is nothing to subtract at the attempt's end.
+            change = 1 if kind == codec.DeltaKind.SENT else max(-1, -peer.in_flight[key])
+            peer.in_flight[key] += change
+            self.in_flight_table.adjust(key, change)
             if self.is_aggregator:
                 self.in_flight_table.record(key, kind)
             yield WorkerObservation(key, kind == codec.DeltaKind.SERVED, int(kind == codec.DeltaKind.FAILED))
@@ -339,7 +379,7 @@
                 and self.aggregator < number
                 and now - self._aggregator_heard_at <= AGGREGATOR_TIMEOUT_S
             ):
-                return  # it will give way
+                return  # the sender has the higher number and will give way
             self.aggregator, self.wants_report = number, True
             self.aggregated_in_flight.clear()
             self.remote_in_flight.clear()
@@ -355,7 +395,7 @@
             yield WorkerObservation(key, served, failures)
 
     def _receive_report(self, peer: Peer, report: codec.DemandReport) -> None:
-        peer.take_report(report, self.min_report_interval_s)
+        peer.apply_report(report, self.min_report_interval_s)
         if self.sends_directly or self.is_aggregator:
             self._replace_in_flight(peer, Counter(dict(report.in_flight)))
 
@@ -365,7 +405,7 @@
         peer.in_flight = in_flight
 
     def forget_silent_peers(self, now: float) -> None:
-        """Drop the demand and the attempts of peers that have not been heard for too long."""
+        """Drop the demand and the attempts of peers that have sent nothing for too long."""
         for peer in self.peers.values():
             if peer.demand and now - peer.heard_at > MAX_MISSED_REPORTS * peer.report_interval_s:
                 peer.demand, peer.admitted = {}, 0.0
@@ -376,16 +416,20 @@
 
     @property
     def all_peers_heard(self) -> bool:
-        """Whether every peer of the group has been heard at least once."""
+        """Whether at least one message has been received from every peer of the group."""
         return len(self.peers) == len(self.group_peers)
 
     @property
     def fleet_scale(self) -> float:
-        """How many dispatchers of the fleet each one that is heard stands for, this one included."""
-        return self.group_size / (1 + len(self.peers))
+        """How many dispatchers of the fleet this one and each peer that has sent a message represent."""
+        return self.fleet_size / (1 + len(self.peers))
 
     def fleet_demand(self, own: dict[tuple[int, int], float]) -> dict[tuple[int, int], float]:
-        """Work per second that the whole fleet is asked for, by tenant and class."""
+        """Return the work per second requested from the whole fleet, by tenant and class.
+
+        Args:
+            own: The work per second requested from this dispatcher, by tenant and class.
+        """
         total = Counter(own)
         for peer in self.peers.values():
             total.update(peer.demand)
--- a/beaconhinge/gossip/groups.py
+++ b/beaconhinge/gossip/groups.py
@@ -1,4 +1,4 @@
-"""How a large fleet is divided into groups, and what an aggregator knows of the other groups."""
+"""The division of a large fleet into groups, and the state that an aggregator holds of the other groups."""
 
 from __future__ import annotations
 
@@ -9,36 +9,39 @@
 
 INF = float("inf")
 
-# Dispatchers that hear each other directly at least, where there are as many.
+# The smallest number of dispatchers in a group when a fleet is divided.
 MIN_GROUP_SIZE = 40
-# Without an aggregate for so long another dispatcher becomes the aggregator.
+# When no aggregate has arrived for this time, another dispatcher becomes the aggregator.
 AGGREGATOR_TIMEOUT_S = 0.5
 
 
 class GroupLayout:
-    """Which dispatcher is in which group, the same at every dispatcher."""
+    """Assigns dispatchers to groups, with the same result at every dispatcher."""
 
     def __init__(self, fleet_size: int) -> None:
         self.group_count = max(1, fleet_size // MIN_GROUP_SIZE)
         self._group_of = [number * self.group_count // fleet_size for number in range(fleet_size)]
 
     def group_of(self, number: int) -> int:
-        """The group of a dispatcher."""
+        """Return the group of a dispatcher."""
         return self._group_of[number]
 
     def members(self, group: int) -> list[int]:
-        """The dispatchers of a group, in ascending order."""
-        return [number for number, own in enumerate(self._group_of) if own == group]
+        """Return the numbers of the dispatchers of a group, in ascending order."""
+        return [number for number, assigned in enumerate(self._group_of) if assigned == group]
 
 
 @dataclass(slots=True)
 class RemoteGroup:
-    """Another group of the fleet, as its aggregator describes it to the own one.
+    """Another group of the fleet, as its aggregator reports it to the aggregator of the own group.
 
     Attributes:
-        members: Its dispatchers, in ascending order.
-        heard_at: When its last aggregate came.
-        in_flight: Slots that the group has in flight, by key of a worker.
+        members: The numbers of its dispatchers, in ascending order.
+        aggregator: The number of its aggregator; -1 if none is known.
+        incarnation: The incarnation of that aggregator's process.
+        sequence: The sequence number of its last aggregate.
+        heard_at: When its last aggregate was received.
+        in_flight: Slots that the group has in flight, by worker key.
     """
 
     members: list[int]
@@ -47,13 +50,13 @@
     sequence: int = 0
     heard_at: float = -INF
     in_flight: Counter[int] = field(default_factory=Counter)
-    _contacted: int = 0  # members addressed in turn, until the aggregator among them is known
+    _contacted: int = 0  # how many members were addressed in turn while the aggregator was unknown
 
     def receive(self, now: float, number: int, aggregate: codec.AggregateMessage) -> bool:
-        """Take in an aggregate of dispatcher `number`.
+        """Apply an aggregate from dispatcher `number`.
 
         Returns:
-            False if it is an old one, or of an aggregator that will give way.
+            False if the aggregate is ignored, as it is old or from an aggregator that will give way.
         """
         if (number, aggregate.incarnation) != (self.aggregator, self.incarnation):
             if self.aggregator < number and now - self.heard_at <= AGGREGATOR_TIMEOUT_S:
@@ -69,7 +72,10 @@
         return True
 
     def contact(self, now: float) -> int:
-        """Where the own aggregate is sent: to the aggregator or, while unknown, to each member in turn."""
+        """Return the member to which the own aggregate is sent.
+
+        This is the group's aggregator or, while that is unknown, each member in turn.
+        """
         if now - self.heard_at <= AGGREGATOR_TIMEOUT_S:
             self._contacted = 0
             return self.aggregator
