--- a/tests/membership/test_list_state.py
+++ b/tests/membership/test_list_state.py
@@ -1,4 +1,4 @@
-"""A watch and a read that are out at the same time: every order of their answers."""
+"""A watch and a read in progress at the same time, with their answers in every order."""
 
 from __future__ import annotations
 
@@ -13,7 +13,8 @@
 from beaconhinge.policy.interface import UpdateKind, WorkerState
 
 READY, DRAINING = "Ready", "Terminating"
-# Discovery's list by its version: the workers and their states. One drains and comes back, one leaves, one comes.
+# The workers and their states in each version of discovery's list. s-1 drains and becomes ready again, s-2 is
+# removed, s-3 is added.
 HISTORY: dict[int, dict[str, str]] = {
     5: {"s-1": READY, "s-2": READY},
     6: {"s-1": DRAINING, "s-2": READY},
@@ -28,18 +29,18 @@
 
 
 def answer(call: DiscoveryCall, version: int) -> WorkerList:
-    """What discovery answers while its list has a version: for a watch what differs, for a read the whole list."""
-    now = HISTORY[version]
+    """Return discovery's answer when its list has this version: the changes to a watch, the snapshot to a read."""
+    current = HISTORY[version]
     if call.index is None:
-        return worker_list(version, *(entry(*item) for item in now.items()), full=True)
+        return worker_list(version, *(entry(*item) for item in current.items()), full=True)
     before = HISTORY[call.index]
-    changed = [entry(name, state) for name, state in now.items() if before.get(name) != state]
-    gone = [entry(name, "Gone") for name in before if name not in now]
+    changed = [entry(name, state) for name, state in current.items() if before.get(name) != state]
+    gone = [entry(name, "Gone") for name in before if name not in current]
     return worker_list(version, *changed, *gone)
 
 
-class Dispatcher(ListClient):
-    """A client with the list that it applies."""
+class ApplyingClient(ListClient):
+    """A client that applies the answers as it decides, and keeps the resulting list."""
 
     def __init__(self) -> None:
         super().__init__(5, pushed=False, size=6, max_age_s=10.0)
@@ -48,24 +49,24 @@
         self.take(call, answer(call, 5), 0.01, differs=False)
 
     def receive(self, call: DiscoveryCall, version: int, elapsed_s: float) -> None:
-        """Take an answer, and apply it as it is decided."""
-        found = answer(call, version)
+        """Receive the answer to a call when discovery's list has this version, and apply it if so decided."""
+        received = answer(call, version)
         states = {
             endpoint.id: READY if endpoint.member.state is WorkerState.READY else DRAINING
-            for endpoint in found.endpoints
+            for endpoint in received.endpoints
             if endpoint.member.state is not WorkerState.GONE
         }
-        gone = {e.id for e in found.endpoints if e.member.state is WorkerState.GONE}
-        if found.is_snapshot:
-            wanted = states
+        gone = {e.id for e in received.endpoints if e.member.state is WorkerState.GONE}
+        if received.is_snapshot:
+            updated = states
         else:
-            wanted = {name: s for name, s in {**self.applied, **states}.items() if name not in gone}
-        decision = self.take(call, found, elapsed_s, differs=wanted != self.applied)
+            updated = {name: s for name, s in {**self.applied, **states}.items() if name not in gone}
+        decision = self.take(call, received, elapsed_s, differs=updated != self.applied)
         if decision.update_kind is not None:
-            self.applied = wanted
+            self.applied = updated
 
     def catch_up(self, version: int) -> None:
-        """Make the reads that are due, while discovery's list has a version."""
+        """Make all reads that are due, while discovery's list has this version."""
         self.now += CALL_SPACING_S
         while self.state.snapshot_needed:
             self.receive(self.due_read(), version, 0.1)
@@ -74,8 +75,9 @@
 
 @pytest.mark.parametrize("read_first", [False, True])
 @pytest.mark.parametrize(("watched", "read"), list(itertools.product(HISTORY, HISTORY)))
-def test_the_newest_of_two_answers_counts_in_either_order(watched: int, read: int, read_first: bool) -> None:
-    client = Dispatcher()
+def test_newer_of_two_answers_is_applied_in_either_order(watched: int, read: int, read_first: bool) -> None:
+    """An older answer that arrives last must not undo the newer one."""
+    client = ApplyingClient()
     client.state.request_snapshot(client.now)
     watch_call, read_call = client.call(), client.due_read()
     if read_first:
@@ -91,9 +93,9 @@
     assert client.applied == HISTORY[newest]
 
 
-def test_changes_since_another_version_than_the_one_at_hand_have_the_list_read_at_once() -> None:
-    """A worker that drained, came back and drained again is in none of the changes since before."""
-    client = Dispatcher()
+def test_changes_since_an_older_version_cause_a_snapshot_at_once() -> None:
+    """A state that changed and changed back after that older version is missing in the changes."""
+    client = ApplyingClient()
     client.state.request_snapshot(client.now)
     watch, read = client.call(), client.due_read()
     client.receive(read, 7, 0.65)
@@ -104,7 +106,7 @@
     assert client.applied == HISTORY[8]
 
 
-def test_read_that_was_overtaken_confirms_nothing_and_is_made_again() -> None:
+def test_overtaken_read_confirms_nothing_and_is_made_again() -> None:
     client = watching(size=6)
     client.state.request_snapshot(client.now)
     watch, read = client.call(), client.due_read()
@@ -118,8 +120,10 @@
     assert client.due_read().index is None
 
 
-def test_watch_goes_on_from_a_version_whose_content_is_missing_until_the_list_is_read() -> None:
-    """Asked for by the applied version it would be answered at once, for as long as the read takes."""
+def test_watch_continues_from_a_version_whose_content_is_missing() -> None:
+    """A watch with the applied version as its index would be answered at once, again and again, until the snapshot
+    has been read.
+    """
     client = watching(size=6)
     client.take(client.call(), worker_list(6), 1.0)
     watch = client.call()
@@ -135,26 +139,26 @@
 
 
 @pytest.mark.parametrize("seed", range(200))
-def test_list_is_discoverys_after_any_interleaving_of_watches_and_reads(seed: int) -> None:
-    """Answers hold the list as it was at some moment between call and answer, and come in any order."""
-    rng, client, current = random.Random(seed), Dispatcher(), 5
-    out: dict[str, tuple[DiscoveryCall, int]] = {}
+def test_any_interleaving_of_watches_and_reads_ends_with_discoverys_list(seed: int) -> None:
+    """Each answer holds the list as it was at some time between call and answer; answers arrive in any order."""
+    rng, client, current = random.Random(seed), ApplyingClient(), 5
+    pending: dict[str, tuple[DiscoveryCall, int]] = {}
     highest = 5
     for _ in range(60):
         client.now += 0.1
         current = min(NEWEST, current + (rng.random() < 0.1))
-        if "watch" not in out:
-            out["watch"] = client.call(), current
-        if "read" not in out and rng.random() < 0.4:
+        if "watch" not in pending:
+            pending["watch"] = client.call(), current
+        if "read" not in pending and rng.random() < 0.4:
             client.state.request_snapshot(client.now)
             client.reads.catch_up()
-            out["read"] = client.due_read(), current
-        chain = rng.choice(list(out))
-        call, at_call = out[chain]
+            pending["read"] = client.due_read(), current
+        chain = rng.choice(list(pending))
+        call, at_call = pending[chain]
         version = rng.randint(at_call, current)
         if call.is_watch and version == call.index:
-            continue  # it waits
-        del out[chain]
+            continue  # the watch goes on waiting
+        del pending[chain]
         client.receive(call, version, rng.uniform(0.05, 0.65))
         known = client.state.version
         assert known is not None
