--- a/tests/membership/test_partial_list.py
+++ b/tests/membership/test_partial_list.py
@@ -1,4 +1,4 @@
-"""A list read while it arrives: which workers leave by what has come, whatever its form and wherever it is cut."""
+"""Parsing of a list while it arrives: which workers it takes out of service, wherever its text is cut."""
 
 from __future__ import annotations
 
@@ -50,43 +50,47 @@
     ],
     "more": {"servers": [{"id": "s-no", "state": "Gone"}]},
 }
-ALL = {"s-1": WorkerState.DRAINING, "s-3": WorkerState.GONE, "s-5": WorkerState.DRAINING}
+LEAVING_WORKERS = {"s-1": WorkerState.DRAINING, "s-3": WorkerState.GONE, "s-5": WorkerState.DRAINING}
 
 
 @pytest.mark.parametrize("indent", [None, 3])
 @pytest.mark.parametrize("ascii_only", [True, False])
-def test_whole_list_split_anywhere_names_those_who_leave(indent: int | None, ascii_only: bool) -> None:
+def test_leaving_workers_are_found_wherever_the_list_is_split(indent: int | None, ascii_only: bool) -> None:
     body = json.dumps(CONTENT, indent=indent, ensure_ascii=ascii_only).encode()
     for cut in range(len(body)):
         reader, version, leaving = read([body[:cut], body[cut:]])
         assert reader.complete
-        assert (version, leaving) == (9, ALL)
+        assert (version, leaving) == (9, LEAVING_WORKERS)
     reader, version, leaving = read([body[i : i + 1] for i in range(len(body))])
     assert reader.complete
-    assert (version, leaving) == (9, ALL)
+    assert (version, leaving) == (9, LEAVING_WORKERS)
 
 
 @pytest.mark.parametrize("cut", range(0, 620, 3))
-def test_list_that_stops_counts_for_the_entries_that_are_whole(cut: int) -> None:
+def test_complete_entries_of_a_truncated_list_are_returned(cut: int) -> None:
     body = json.dumps(CONTENT).encode()
     first, last = body.index(b"}", body.index(b'"s-1"')), body.index(b"}", body.index(b'"s-5"'))
     third = body.index(b"}", body.index(b'"s-3"'))
     reader, _, leaving = read([body[:cut]])
-    expected = {name: ALL[name] for name, end in (("s-1", first), ("s-3", third), ("s-5", last)) if cut > end}
+    expected = {
+        name: LEAVING_WORKERS[name]
+        for name, end in (("s-1", first), ("s-3", third), ("s-5", last))
+        if cut > end
+    }
     assert leaving == expected
     assert not reader.complete
 
 
-def test_escaped_names_and_states_count() -> None:
+def test_escaped_names_and_states_are_decoded() -> None:
     assert leaving_in(b'{"version":1,"servers":[{"\\u0069d":"s-\\u0031","state":"\\u0047one"}') == {
         "s-1": WorkerState.GONE
     }
 
 
-def test_version_after_the_entries_counts_once_it_is_there() -> None:
+def test_entries_before_the_version_are_returned_once_it_is_complete() -> None:
     body = b'{"servers": [{"id": "s-1", "state": "Gone"}], "version": 3}'
     assert read([body[:-2]])[1:] == (None, {})
-    assert read([body[:-1]])[1:] == (None, {})  # the number might go on
+    assert read([body[:-1]])[1:] == (None, {})  # the number may continue in the next piece
     assert read([body])[1:] == (3, {"s-1": WorkerState.GONE})
     assert read([body[:-2], b"41}"])[1:] == (41, {"s-1": WorkerState.GONE})
 
@@ -109,18 +113,19 @@
         b'{"version": 1, "servers": ' + b"[" * 10000,
     ],
 )
-def test_body_that_names_nobody_who_leaves_yields_nothing(body: bytes) -> None:
+def test_body_without_a_valid_leaving_entry_yields_nothing(body: bytes) -> None:
     assert leaving_in(body) == {}
 
 
-def test_entries_before_a_malformed_one_count_and_those_after_it_do_not() -> None:
-    one, other = b'{"id": "s-1", "state": "Gone"}', b'{"id": "s-2", "state": "Gone"}'
+def test_entries_before_a_malformed_one_are_returned_later_ones_are_not() -> None:
+    first, second = b'{"id": "s-1", "state": "Gone"}', b'{"id": "s-2", "state": "Gone"}'
     for malformed in (b"{]", b"tru", b'{"id": "s-3" "state": "Gone"}', b"}"):
-        body = b'{"version": 2, "servers": [%s, %s, %s]}' % (one, malformed, other)
+        body = b'{"version": 2, "servers": [%s, %s, %s]}' % (first, malformed, second)
         assert leaving_in(body) == {"s-1": WorkerState.GONE}
 
 
-def test_what_never_becomes_whole_is_kept_within_a_bound() -> None:
+def test_text_kept_for_an_incomplete_entry_is_bounded() -> None:
+    """An entry without an end must not fill the memory, nor be scanned again with each piece."""
     reader = PartialListReader()
     reader.feed(b'{"version": 1, "servers": [{"id": "')
     for _ in range(3 * MAX_INCOMPLETE_CHARACTERS // 1000):
@@ -130,7 +135,7 @@
 
 
 def test_pieces_of_a_large_list_are_not_scanned_from_its_beginning() -> None:
-    """What is kept from one piece to the next is part of an entry, however long the list."""
+    """Only part of an entry is kept from one piece to the next, however long the list is."""
     servers = [entry(f"s-{number}", "Terminating" if number % 40 == 0 else "Ready") for number in range(3200)]
     body = json.dumps({"version": 1, "full": True, "servers": servers}, indent=1).encode()
     reader = PartialListReader()
@@ -145,15 +150,15 @@
 
 
 @given(st.binary(max_size=300), st.integers(0, 300))
-def test_no_bytes_raise(body: bytes, cut: int) -> None:
+def test_malformed_bytes_do_not_raise(body: bytes, cut: int) -> None:
     read([body[:cut], body[cut:]])
     prefix = b'{"version": 1, "servers": [{"id": "s-1", "state": "Gone"},'
     assert read([prefix + body[:cut], body[cut:]])[2]["s-1"] is WorkerState.GONE
 
 
 @pytest.mark.parametrize("seed", range(40))
-def test_damaged_list_names_nobody_whom_the_whole_one_does_not(seed: int) -> None:
-    """Bytes are dropped or doubled; what is read of the damage may be less, never a worker that stays."""
+def test_damaged_list_never_takes_other_workers_out_of_service(seed: int) -> None:
+    """Bytes are dropped or repeated. Fewer leaving workers may be found then, but never one that stays in service."""
     rng = random.Random(seed)
     body = bytearray(json.dumps(CONTENT).encode())
     at = rng.randrange(len(body))
@@ -161,4 +166,4 @@
         del body[at:]
     else:
         body[at:at] = body[at : at + rng.randint(1, 40)]
-    assert set(leaving_in(bytes(body))) <= {*ALL, "s-11", "s-33", "s-55"}
+    assert set(leaving_in(bytes(body))) <= {*LEAVING_WORKERS, "s-11", "s-33", "s-55"}
--- a/tests/membership/test_verification.py
+++ b/tests/membership/test_verification.py
@@ -1,4 +1,4 @@
-"""How the applied list is confirmed by discovery, and what that costs, in simulated time."""
+"""When the applied list is confirmed by a second read, and how many reads that takes, in simulated time."""
 
 from __future__ import annotations
 
@@ -40,12 +40,12 @@
 
 
 def change(client: ListClient, version: int, *entries: Any) -> None:
-    """A watch tells a change."""
+    """Answer the watch with a change."""
     client.take(client.call(), worker_list(version, *(entries or (entry("s-1", "Gone"),))), 0.9)
 
 
 def until_read(client: ListClient, longest_s: float = 200.0) -> DiscoveryCall:
-    """Let time pass until something is read, and return the call."""
+    """Advance the time until a read is due, and return its call."""
     assert client.read_due_in_s() <= longest_s
     client.now += client.read_due_in_s()
     return client.due_read()
@@ -53,12 +53,13 @@
 
 @pytest.mark.parametrize("seed", range(20))
 def test_change_is_read_a_second_time_before_it_counts_as_notified(seed: int) -> None:
+    """An answer may lack changes of its version; they have to be found before they count as notified."""
     client = new_client(random.Random(seed).random())
     client.now = 1.0
     change(client, 6)
     watch = client.call()
     assert watch.index == 6
-    assert watch.wait_s == LONG_POLL_WAIT_S  # the read does not end it
+    assert watch.wait_s == LONG_POLL_WAIT_S  # the read does not end the watch
     read = until_read(client)
     assert read.index is None
     assert client.now - 1.0 + read.first_byte_timeout_s <= NOTIFIED_AFTER_S
@@ -68,13 +69,14 @@
     assert client.state.version == 7
 
 
-def test_new_version_without_entries_is_not_taken_and_the_snapshot_requested_at_once() -> None:
+def test_new_version_without_entries_is_not_applied_but_read_at_once() -> None:
+    """An answer that names a new version without its content must not hide the changes of that version."""
     client = new_client()
     client.now = 1.0
     decision = client.take(client.call(), worker_list(6), 0.9, differs=False)
     assert client.state.version == 5
     assert not decision.proves_current
-    assert client.call().index == 6  # the watch goes on from what was announced
+    assert client.call().index == 6  # the watch continues from the announced version
     assert client.read_due_in_s() < 0.1
     read = until_read(client)
     assert read.index is None
@@ -82,7 +84,7 @@
     assert client.state.version == 6
 
 
-def test_second_answer_that_agrees_confirms_and_one_that_contradicts_is_followed_by_a_third() -> None:
+def test_contradicting_second_answer_is_followed_by_a_third_that_confirms() -> None:
     client = new_client(jitter=0.0)
     client.now = 1.0
     change(client, 6)
@@ -104,7 +106,7 @@
     assert verification.confirmed_version == 6
 
 
-def test_entry_that_stays_malformed_is_read_ever_less_often() -> None:
+def test_list_with_a_malformed_entry_is_read_less_and_less_often() -> None:
     client, reads = new_client(), list[float]()
     client.now = 1.0
     bad = {"id": "s-1", "state": "Odd"}
@@ -121,19 +123,19 @@
     assert waits[-1] >= RESYNC_PERIOD_S / 2
 
 
-def test_snapshot_is_read_at_a_low_rate_though_nothing_changes() -> None:
-    client, whole = new_client(), 0
+def test_snapshot_is_read_at_a_low_rate_even_if_nothing_changes() -> None:
+    client, snapshots = new_client(), 0
     client.now = 1.0
     while client.now < 1600.0:
         read = until_read(client)
-        whole += read.index is None
+        snapshots += read.index is None
         client.now += 0.02
         client.take(read, worker_list(5, full=read.index is None), 0.02, differs=False)
-    assert client.now / RESYNC_PERIOD_S / 2 < whole < client.now / RESYNC_PERIOD_S * 2
+    assert client.now / RESYNC_PERIOD_S / 2 < snapshots < client.now / RESYNC_PERIOD_S * 2
 
 
 def test_large_group_spreads_its_confirming_reads() -> None:
-    """Two hundred and twenty that read within 1.8 s of each change kept it from answering anybody."""
+    """220 dispatchers that all read within 1.8 s of each change kept discovery from answering any call."""
     jitter, reads = random.Random(7), list[float]()
     for _ in range(60):
         client = new_client(jitter.random(), size=60)
@@ -146,8 +148,8 @@
     assert max(reads) < 1.0 + 2.0 + 60 / GROUP_READS_PER_SECOND + 5.0
 
 
-def test_larger_group_confirms_only_what_is_doubtful() -> None:
-    """Confirming reads of so many kept an overbooked discovery from answering anybody else."""
+def test_large_group_reads_only_doubtful_lists_again() -> None:
+    """The confirming reads of 220 dispatchers kept an overloaded discovery from answering other calls."""
     client = new_client(size=220)
     client.now = 1.0
     change(client, 6)
@@ -164,7 +166,7 @@
 
 
 def test_changes_of_a_large_fleet_are_confirmed_within_a_byte_budget() -> None:
-    """The whole list of 3,200 workers is half a megabyte; without a bound each change cost one."""
+    """The snapshot of 3,200 workers is half a megabyte; without a budget each change caused one."""
     verification, now, reads = Verification(False, 18, 0.0, 0.5), 0.0, list[float]()
     verification.handle_confirmation(1, 0.0, 0.5)
     for version in range(2, 160):
@@ -174,39 +176,37 @@
             reads.append(now)
             verification.handle_snapshot(now, 500_000)
             verification.handle_confirmation(version, now, 0.5)
-    assert len(reads) >= 2  # a change that waits for the budget is confirmed in the end
+    assert len(reads) >= 2  # a change that waits for the budget is confirmed eventually
     assert 500_000 * len(reads) < 2_100_000
 
 
-def test_overloaded_discovery_gets_no_reads_that_can_wait() -> None:
-    """On a day of two hundred with outage and release, the further calls kept discovery from answering anybody."""
+def test_reads_that_can_wait_are_put_off_while_discovery_is_overloaded() -> None:
+    """With two hundred dispatchers, an outage and a release, these reads kept discovery from answering any call."""
     client = new_client(jitter=0.0)
     client.now = 1.0
     change(client, 6)
     client.call()
     client.now = 2.9
     client.fail(silent=False, jitter=0.5)
-    client.take(client.call(), worker_list(6), 0.01, differs=False)  # it is watched again
+    client.take(client.call(), worker_list(6), 0.01, differs=False)  # after this the watch is open again
     client.now = 3.1
-    assert client.read() is None  # it would have been read by now
+    assert client.read() is None  # without the failed call the list would have been read by now
     client.now = 2.9 + OVERLOAD_BACKOFF_S
     read = client.due_read()
     assert read.index is None
     for client.now in (5.0, 6.5, 8.0, 9.5, 11.0):
         client.fail_read(read)
     client.now = 40.0
-    assert client.read() is None  # ever later while that goes on
+    assert client.read() is None  # each failed read doubles the delay
     client.now = 11.0 + 16 * OVERLOAD_BACKOFF_S
     assert client.due_read().index is None
 
 
 @pytest.mark.parametrize("failures", [1, 2, 4, 8])
 @pytest.mark.parametrize("jitter", [0.0, 0.999])
-def test_change_before_an_outage_is_confirmed_before_it_counts_as_notified_after_it(
-    failures: int, jitter: float
-) -> None:
-    """Each failed call put the read off for twice as long: soak 4530 sent to a worker whose drain an answer had
-    left out, 6.8 s after discovery was back.
+def test_change_before_an_outage_is_confirmed_in_time_after_it(failures: int, jitter: float) -> None:
+    """Each failed call doubled the delay of the confirming read. In soak 4530 an answer had left out a worker's drain,
+    and a job was sent to that worker 6.8 s after discovery was reachable again.
     """
     client = new_client(jitter)
     client.now = 1.0
@@ -215,15 +215,17 @@
     for _ in range(failures):
         client.now += client.fail(silent=False, jitter=jitter)
         client.call()
-    back_s = client.now
+    reachable_at_s = client.now
     client.take(client.call(), worker_list(6), 0.01, differs=False)
     read = until_read(client)
     assert read.index is None
-    assert client.now + read.first_byte_timeout_s <= back_s + NOTIFIED_AFTER_S
+    assert client.now + read.first_byte_timeout_s <= reachable_at_s + NOTIFIED_AFTER_S
 
 
-def test_failed_confirming_read_leaves_the_watch_as_it_was() -> None:
-    """It was followed by calls that do not wait, from each of two hundred, to a discovery with too many callers."""
+def test_failed_confirming_read_does_not_affect_the_watch() -> None:
+    """Each of two hundred dispatchers followed such a failure with calls that do not wait, to a discovery that
+    already had too many callers.
+    """
     client = new_client(jitter=0.0)
     client.now = 1.0
     change(client, 6)
@@ -240,16 +242,20 @@
     assert client.call().index == 7
 
 
-def test_the_first_answer_after_a_start_is_confirmed_at_once() -> None:
-    """What it omits may have been watch long before the start. The soak's seed 313 sent 0.5 s too late by it."""
+def test_first_answer_after_a_start_is_confirmed_at_once() -> None:
+    """Changes that this answer omits may have been made long before the start. In the soak with seed 313 a job was
+    sent 0.5 s too late because of that.
+    """
     client = ListClient(5, pushed=False, size=12, max_age_s=10.0, jitter=0.999)
     client.take(client.call(), worker_list(6, entry("s-1", "Gone")), 0.01)
     assert client.read_due_in_s() <= 1.0
 
 
 @pytest.mark.parametrize("size", [19, 32, 60])
-def test_change_is_confirmed_in_a_larger_group_and_doubt_reads_the_list_at_once(size: int) -> None:
-    """Thirty-two that confirmed in place of their watches, 0.7 s each, heard late of the drains that came meanwhile."""
+def test_larger_group_confirms_beside_its_watches(size: int) -> None:
+    """32 dispatchers that confirmed in place of their watches, for 0.7 s each, received drains of that time late. A
+    doubtful answer has the list read at once.
+    """
     client = new_client(size=size)
     client.now = 1.0
     for version in (6, 7):
--- a/tests/membership/test_wall_clock.py
+++ b/tests/membership/test_wall_clock.py
@@ -1,4 +1,4 @@
-"""The wall clock steps while the program runs: what it takes from wall times must stay right."""
+"""Ages of workers stay right when the wall clock steps while a dispatcher runs."""
 
 from __future__ import annotations
 
@@ -13,12 +13,12 @@
 from beaconhinge.membership.inventory import worker_number
 from beaconhinge.policy.dispatcher import Dispatcher
 
-WARM_WITHIN = 20.0
-SLOW_START = {"coldShare": 0.2, "warmWithin": WARM_WITHIN, "fallMultiple": 2.0, "tipAfter": 3.0}
+WARM_WITHIN_S = 20.0
+SLOW_START = {"coldShare": 0.2, "warmWithin": WARM_WITHIN_S, "fallMultiple": 2.0, "tipAfter": 3.0}
 
 
 class WallClock:
-    """The wall clock as the program reads it."""
+    """Replaces the wall clock that the dispatcher reads; `step` seconds are added to the real time."""
 
     def __init__(self, monkeypatch: pytest.MonkeyPatch) -> None:
         self.step = 0.0
@@ -31,19 +31,19 @@
 
 @pytest.mark.parametrize("process_step", [-3600.0, -5.0, 0.0, 5.0, 3600.0])
 @pytest.mark.parametrize("everywhere", [True, False])
-def test_worker_that_has_just_started_is_in_slow_start_whatever_the_wall_clock_did(
+def test_new_worker_is_in_slow_start_despite_steps_of_the_wall_clock(
     process_step: float, everywhere: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """After a step back its age was an hour, and it was sent as much as a warm one; after a step forward it was
-    cold for an hour. `everywhere`: the worker's machine has stepped as well.
+    """After a step back the worker's age was an hour, and it got as many jobs as a warm one; after a step forward it
+    was cold for an hour. `everywhere`: the clock of the worker's machine has stepped as well.
     """
-    wall, modules = WallClock(monkeypatch), list[Dispatcher]()
+    wall, dispatchers = WallClock(monkeypatch), list[Dispatcher]()
 
-    def made(settings: Any, seed: int) -> Dispatcher:
-        modules.append(Dispatcher(settings, seed))
-        return modules[0]
+    def create_dispatcher(settings: Any, seed: int) -> Dispatcher:
+        dispatchers.append(Dispatcher(settings, seed))
+        return dispatchers[0]
 
-    monkeypatch.setattr("beaconhinge.application.Dispatcher", made)
+    monkeypatch.setattr("beaconhinge.application.Dispatcher", create_dispatcher)
 
     async def scenario(harness: Harness) -> None:
         answered = asyncio.Event()
@@ -65,12 +65,12 @@
         harness.discovery.script = script
         harness.discovery.cut()
         await answered.wait()
-        module, number = modules[0], worker_number("s-0")
-        while not module.workers[number].started_at:
+        dispatcher, number = dispatchers[0], worker_number("s-0")
+        while not dispatcher.workers[number].started_at:
             await asyncio.sleep(0)
-        worker = module.workers[number]
-        assert module.slow_start.is_cold(worker)
-        module.context.now += WARM_WITHIN + 1.0
-        assert not module.slow_start.is_cold(worker)
+        worker = dispatcher.workers[number]
+        assert dispatcher.slow_start.is_cold(worker)
+        dispatcher.context.now += WARM_WITHIN_S + 1.0
+        assert not dispatcher.slow_start.is_cold(worker)
 
     run_scenario(scenario, settings={**SETTINGS, "rules": {**SETTINGS["rules"], **SLOW_START}})
