--- a/beaconhinge/gossip/aggregation.py
+++ b/beaconhinge/gossip/aggregation.py
@@ -168,7 +168,7 @@
         self._aggregator_heard_at = self._sent_at = now
 
     def process_resumed(self, now: float) -> None:
-        """Forget what was received before a pause of this process, as the aggregator may have changed."""
+        """Drop state received before a pause of this process, as the aggregator may have changed."""
         self.start(now)
         if self.sends_directly:
             return
@@ -421,7 +421,10 @@
 
     @property
     def fleet_scale(self) -> float:
-        """How many dispatchers of the fleet this one and each peer that has sent a message represent."""
+        """The number of dispatchers of the fleet for each one whose demand is known.
+
+        These are this dispatcher and the peers that have sent a message.
+        """
         return self.fleet_size / (1 + len(self.peers))
 
     def fleet_demand(self, own: dict[tuple[int, int], float]) -> dict[tuple[int, int], float]:
--- a/beaconhinge/membership/call_retries.py
+++ b/beaconhinge/membership/call_retries.py
@@ -20,8 +20,8 @@
 # notified has passed.
 BROKEN_BODY_RETRY_WINDOW_S = 0.4
 
-# A watch without an answer counts as silent so long after the end of its wait. A change counts as notified
-# 2 s after that end.
+# The time from the end of a watch's wait until a watch without an answer counts as silent. A change that the
+# watch has missed counts as notified 2 s after the end of the wait.
 FIRST_BYTE_MARGIN_S = 0.5
 # The first-byte timeout of a call that does not wait. Discovery still works on a call that the caller has
 # given up, so that a retry adds to its load.
@@ -41,10 +41,10 @@
 # therefore stay within the grace period for drains.
 AGENT_FIRST_BYTE_TIMEOUT_S = 0.2
 AGENT_FIRST_BYTE_TIMEOUT_MAX_S = 0.8
-# An agent that has not answered this many calls, in some 20 s, is taken to be slow, not silent: the timeout
-# doubles.
+# An agent that has not answered this many calls, in some 20 s, is taken to be slow, not silent, and the
+# first-byte timeout doubles.
 AGENT_FAILURES_PER_DOUBLING = 60
-AGENT_DOUBLINGS_MAX = 8  # bounds the exponent; the timeout reaches its maximum before
+AGENT_DOUBLINGS_MAX = 8  # bounds the exponent; the timeout reaches its maximum with fewer doublings
 
 # The window of retries to an agent. It is short, as the agent's changes count as notified at once.
 AGENT_RETRY_WINDOW_S = 0.1
--- a/beaconhinge/membership/discovery_call.py
+++ b/beaconhinge/membership/discovery_call.py
@@ -12,8 +12,9 @@
 from .inventory import WorkerList
 
 # The shortest time from the start of one call to the start of the next; it bounds the rate of calls that are
-# answered at once. A watch that was open for longer is followed by the next call at once, as a dispatcher
-# counts as notified of changes within 0.2 s of a watch's answer.
+# answered at once. A watch that was open for longer is followed by the next call at once, as a change made
+# within 0.2 s of a watch's answer counts as notified when it is made: from then on no job may be sent to a
+# worker that it takes out of service.
 CALL_SPACING_S = 0.05
 # How long an answer may take from its first byte to its last. Some answers never end; others are slow but
 # complete, so that the timeout doubles after an answer that was given up while its bytes still arrived.
--- a/beaconhinge/membership/discovery_watch.py
+++ b/beaconhinge/membership/discovery_watch.py
@@ -4,8 +4,8 @@
 
 A watch is followed by the next one at once. Whatever else has to be read from discovery is read beside the
 watch (`list_reads.py`). Only a failed call is followed by a call that does not wait; once that is answered,
-watches go on. docs/design/membership.md explains when a change counts as notified, and why each wait here is
-as short as it is.
+watches go on. docs/design/membership.md explains when a change counts as notified (from then on no job may be
+sent to a worker that it takes out of service), and why each wait here is as short as it is.
 """
 
 from __future__ import annotations
@@ -17,7 +17,7 @@
 from .freshness import LIST_MAX_AGE_S
 from .list_state import ListState
 
-# How long a watch (a long poll) waits for a change: so many seconds, but at most this fraction of the list's
+# How long a watch (a long poll) waits for a change: LONG_POLL_WAIT_S, but at most this fraction of the list's
 # maximum age (the setting `mustAskIn`).
 LONG_POLL_WAIT_S = 4.0
 LONG_POLL_WAIT_FRACTION = 0.4
--- a/beaconhinge/membership/freshness.py
+++ b/beaconhinge/membership/freshness.py
@@ -5,10 +5,11 @@
 A process always holds some list: from the configuration, from the previous process, or from an answer of
 discovery before this process was paused. That list need not be current. A list is current for LIST_MAX_AGE_S
 after the last answer of discovery, since the dispatcher counts as notified of a change 6 s after it was made,
-whatever happened to this process. While discovery can't be reached, no better list is available, and service
-continues with the one that the process holds (static stability). In the remaining state it is unknown whether
-the list is current: there is no recent answer, and no failed call that shows discovery to be down. Work then
-waits, for UNKNOWN_MAX_S at most. docs/design/membership.md has the reasons.
+whatever happened to this process: from then on it must not send jobs to a worker that the change takes out of
+service. While discovery can't be reached, no better list is available, and service continues with the one
+that the process holds (static stability). In the remaining state it is unknown whether the list is current:
+there is no recent answer, and no failed call that shows discovery to be down. Work then waits, for
+UNKNOWN_MAX_S at most. docs/design/membership.md has the reasons.
 """
 
 from __future__ import annotations
@@ -27,10 +28,12 @@
 # How long work waits, after a start or a pause, for a discovery that neither answers nor refuses. Such a
 # discovery has many callers, and a job sent without its answer is likely to reach a worker that has left.
 UNKNOWN_MAX_S = 5.8
+# The same time where a local agent pushes lists.
 AGENT_UNKNOWN_MAX_S = 5.0
-# The shortest gap between two calls of `mark_running` after which the process counts as paused. The gap is
-# shorter with a local agent that pushes lists, as changes that the agent holds count as notified at once.
+# The shortest gap between two calls of `mark_running` after which the process counts as paused.
 PROCESS_PAUSE_S = 1.0
+# The same gap where a local agent pushes lists. It is shorter, as changes that the agent holds count as
+# notified at once.
 AGENT_PROCESS_PAUSE_S = 0.35
 
 
--- a/beaconhinge/membership/verification.py
+++ b/beaconhinge/membership/verification.py
@@ -44,6 +44,7 @@
 # The time between snapshots while answers contradict each other or can't be parsed. It doubles each time, up
 # to RESYNC_PERIOD_S.
 DOUBT_BACKOFF_S = 2.0
+# The same time where a local agent pushes lists.
 AGENT_DOUBT_BACKOFF_S = 0.2
 # The mean time between snapshots while nothing changes.
 RESYNC_PERIOD_S = 60.0
--- a/tests/membership/test_list_state.py
+++ b/tests/membership/test_list_state.py
@@ -143,7 +143,7 @@
     """Each answer holds the list as it was at some time between call and answer; answers arrive in any order."""
     rng, client, current = random.Random(seed), ApplyingClient(), 5
     pending: dict[str, tuple[DiscoveryCall, int]] = {}
-    highest = 5
+    highest_version = 5
     for _ in range(60):
         client.now += 0.1
         current = min(NEWEST, current + (rng.random() < 0.1))
@@ -160,13 +160,13 @@
             continue  # the watch goes on waiting
         del pending[chain]
         client.receive(call, version, rng.uniform(0.05, 0.65))
-        known = client.state.version
-        assert known is not None
-        assert known >= highest
-        highest = known
+        applied_version = client.state.version
+        assert applied_version is not None
+        assert applied_version >= highest_version
+        highest_version = applied_version
         if client.state.complete:
-            assert client.applied == HISTORY[known]
-    client.catch_up(highest := client.state.announced_version or 0)
+            assert client.applied == HISTORY[applied_version]
+    client.catch_up(highest_version := client.state.announced_version or 0)
     assert client.state.complete
-    assert client.applied == HISTORY[highest]
-    assert highest >= 6
+    assert client.applied == HISTORY[highest_version]
+    assert highest_version >= 6
