--- a/beaconhinge/net/__init__.py
+++ b/beaconhinge/net/__init__.py
@@ -1,1 +1,1 @@
-"""What touches sockets: clients, workers, discovery and other dispatchers."""
+"""Network I/O: connections to clients, workers, discovery and other dispatchers."""
--- a/beaconhinge/net/discovery.py
+++ b/beaconhinge/net/discovery.py
@@ -1,8 +1,8 @@
-"""The client of discovery: watches the endpoint list, reads it beside the watch, and applies what comes.
+"""The discovery client: watches the endpoint list, reads it beside the watch, and applies the answers.
 
-`membership/discovery_watch.py` and `membership/list_reads.py` decide on the calls, `membership/list_state.py`
-on their answers. `discovery_calls.py` makes the calls, `list_updates.py` has lists applied,
-`list_availability.py` tells whether the list may be acted on.
+`membership/discovery_watch.py` and `membership/list_reads.py` decide which calls to make, and
+`membership/list_state.py` decides what to do with their answers. `discovery_calls.py` makes the calls,
+`list_updates.py` applies the lists, and `list_availability.py` decides whether the list may be acted on.
 """
 
 from __future__ import annotations
@@ -26,24 +26,24 @@
 from .list_updates import ListUpdates
 from .worker_pool import WorkerPool
 
-# The window of the first calls of a group that starts at once, for each member, and its maximum. None of them
-# serves before it has its list.
+# Dispatchers of a group that start at once spread their first calls over a window: its length for each
+# dispatcher of the group, and its maximum. No dispatcher serves before it has received its list.
 START_SPREAD_PER_DISPATCHER_S = 0.01
 START_SPREAD_MAX_S = 3.0
-# The time between signs that this process runs.
-RUN_CHECK_S = 0.15
+# The interval of the check that detects pauses of this process.
+PAUSE_CHECK_INTERVAL_S = 0.15
 
 
 class Discovery:
     """Keeps the endpoint list of this process up to date.
 
     Attributes:
-        state: Which version of the list is known.
-        watch: Decides on the watches, and on the calls that lead back to them.
-        reads: Decides on the reads beside the watch.
-        updates: Has lists applied.
-        availability: Whether the list may be acted on.
-        calls: Makes them.
+        state: The version of the applied list, and what must be read from discovery.
+        watch: Decides when to watch, and which calls to make before watching again.
+        reads: Decides when to read the list beside the watch.
+        updates: Applies the lists that discovery answers with.
+        availability: Reports whether the list may be acted on.
+        calls: Makes the calls to discovery.
     """
 
     def __init__(
@@ -62,7 +62,8 @@
         settings = config.settings
         pushed = not settings.membership_on_request
         group_size, max_age_s = settings.group_size, settings.membership_max_age_s
-        self._random = random.Random(config.seed)  # of its own: the policy's draws stay as they are
+        # Separate from the policy's generator, so that the policy's random numbers stay the same.
+        self._random = random.Random(config.seed)
         self._bootstrap_list = config.bootstrap_list or WorkerList()
         version = _complete_version(config.bootstrap_list)
         self.state = ListState(pushed, group_size, version, timers.now(), self._random.random())
@@ -92,30 +93,30 @@
         policy_runner.on_event_failed = self._handle_event_failure
         workers.list_usable = lambda: self.list_usable
         workers.wait_until_list_usable = self.availability.wait_until_usable
-        timers.after(RUN_CHECK_S, self._check)
+        timers.after(PAUSE_CHECK_INTERVAL_S, self._run_periodic_check)
 
     @property
     def list_usable(self) -> bool:
-        """Whether the list may be acted on, as far as is known this moment."""
+        """Whether the list may be acted on now."""
         return self.availability.usable
 
     @property
     def address(self) -> Address:
-        """Where discovery is called."""
+        """The address at which discovery is called."""
         return self.calls.address
 
     @property
     def version(self) -> int | None:
-        """The version of the applied list; None if none is known."""
+        """The version of the applied list; None if it is unknown."""
         return self.state.version
 
-    # ---- start, another discovery, another list ----------------------------------------------------------
+    # ---- start, change of the discovery address, takeover of a list --------------------------------------
 
     def start_from_bootstrap(self) -> None:
-        """Apply the configured or inherited list, however old, and call discovery.
+        """Apply the configured or inherited list, whatever its age, and call discovery.
 
-        Nothing is sent by that list before discovery has been called, which is done here: the policy asks
-        later where many dispatchers start.
+        No job is sent by that list before discovery has been called. The call is made here because the
+        policy subscribes later where many dispatchers start.
         """
         self.updates.apply(UpdateKind.BOOTSTRAP, self._bootstrap_list)
         spread_s = min(START_SPREAD_PER_DISPATCHER_S * self.config.settings.group_size, START_SPREAD_MAX_S)
@@ -123,12 +124,14 @@
         self.calls.restart("start", pause_s)
 
     def take_over_list(self, worker_list: WorkerList, same_discovery: bool) -> None:
-        """Take the list of the process that this one replaces as the bootstrap list.
+        """Use the list of the process that this one replaces as the bootstrap list.
+
+        A list older than the one of this process, from the same discovery, is ignored.
 
         Args:
-            worker_list: The other process's list.
-            same_discovery: Whether it came from the discovery that this process calls; versions count for one
-                discovery alone.
+            worker_list: The list of the replaced process.
+            same_discovery: Whether the list came from the discovery that this process calls. Versions of
+                different discoveries can't be compared.
         """
         if same_discovery and self.version is not None and self.version > worker_list.version:
             return
@@ -139,25 +142,25 @@
         self._bootstrap_list = worker_list
 
     def switch_to(self, address: Address) -> None:
-        """Call another discovery from now on.
+        """Call the discovery at another address from now on.
 
-        Its versions count by themselves, so that the snapshot is asked for. A call to the old address is
-        cancelled, lest its answer be taken for one of the new discovery.
+        Its versions are not comparable with those of the old one, so a snapshot is requested. A call to the
+        old address is cancelled, so that its answer isn't taken for one of the new discovery.
         """
         if address == self.address:
             return
         started = self.calls.started
-        self.calls.stop("other_discovery")  # what the old one has written counts by its own versions
+        self.calls.stop("other_discovery")  # reads what the old one wrote, while its versions still apply
         self.calls.switch_to(address)
         pause_s = self.watch.switch_discovery(self.timers.now(), self._random.random())
         self.reads.restart()
-        if started:  # the policy would ask again only when the old watch had failed
+        if started:  # the policy would subscribe again only after the old watch has failed
             self.calls.restart("other_discovery", pause_s)
 
-    # ---- what others want ----------------------------------------------------------------------------------
+    # ---- requests for lists --------------------------------------------------------------------------------
 
     async def refresh(self) -> None:
-        """Fetch what has changed at once; returns when that has been applied, or has failed."""
+        """Fetch the changes at once, and return when they have been applied or the call has failed."""
         self.calls.call_ended.clear()
         self._catch_up("refresh")
         await self.calls.call_ended.wait()
@@ -175,25 +178,25 @@
         else:
             self.calls.restart("snapshot_wanted")
 
-    def _check(self) -> None:
-        self.timers.after(RUN_CHECK_S, self._check)
+    def _run_periodic_check(self) -> None:
+        self.timers.after(PAUSE_CHECK_INTERVAL_S, self._run_periodic_check)
         self._applier.observe_clocks()
         self.availability.update()
 
     def _handle_process_pause(self) -> None:
-        """Call discovery at once, whatever call is out: what was announced meanwhile is not known."""
+        """Call discovery at once, even if a call is in flight: changes made during the pause were missed."""
         self.metrics.count("lists_refreshed_after_stall")
         if self.calls.started:
             self._catch_up("process_paused")
 
     def _handle_event_failure(self, event: interface.Event) -> None:
-        """The policy failed on an event: if that was a list, it may hold another one than is known here."""
+        """Have the list verified if the policy failed on one: its list may now differ from the list here."""
         if isinstance(event, interface.MembershipUpdate):
             self.state.verification.handle_doubt(self.timers.now())
             self.calls.read_wanted.set()
 
     def _catch_up(self, why: str) -> None:
-        """Read what was missed at once. A watch that is open stays so: it may still tell what comes next."""
+        """Read missed changes at once. An open watch stays open, since it may still report later changes."""
         watch_is_open = self.watch.watching and self.calls.started
         if watch_is_open and self.reads.can_catch_up(self.timers.now()):
             self.reads.catch_up()
@@ -203,7 +206,7 @@
 
 
 def _complete_version(worker_list: WorkerList | None) -> int | None:
-    """The version of a list whose content is complete; None if some entries could not be parsed."""
+    """Return the list's version; None if there is no list or some of its entries could not be parsed."""
     if worker_list is None or worker_list.unparsed_ids:
         return None
     return worker_list.version
--- a/beaconhinge/net/discovery_answer.py
+++ b/beaconhinge/net/discovery_answer.py
@@ -1,4 +1,4 @@
-"""What comes of the answers on a connection to discovery, read in the turn in which its bytes arrive."""
+"""Reads discovery's answers in the same turn of the event loop in which their bytes arrive."""
 
 from __future__ import annotations
 
@@ -13,12 +13,12 @@
 
 @dataclass(slots=True)
 class AnswerProgress:
-    """How far the answer to one call has come. Times are seconds since the call.
+    """How much of the answer to one call has arrived. Times are seconds since the call.
 
     Attributes:
-        first_byte_s: When the first byte of its body came; None if none has come.
-        last_byte_s: When the latest byte of its body came; None if none has come.
-        body_bytes: How many bytes of its body have come.
+        first_byte_s: When the first byte of the body arrived; None if none has arrived.
+        last_byte_s: When the latest byte of the body arrived; None if none has arrived.
+        body_bytes: How many bytes of the body have arrived.
     """
 
     first_byte_s: float | None = None
@@ -30,7 +30,7 @@
     """Reads the bodies of answers as they arrive (`http1.BodySink`).
 
     Attributes:
-        progress: Of the answer to the latest call.
+        progress: How much of the answer to the latest call has arrived.
     """
 
     def __init__(self, timers: TimerWheel, on_leaving: Callable[[LeavingEntries], None]) -> None:
@@ -38,7 +38,7 @@
 
         Args:
             timers: The clock.
-            on_leaving: Called with entries that take workers out of service, in the turn that read them.
+            on_leaving: Called with entries that take workers out of service, in the turn that reads them.
         """
         self._timers = timers
         self._on_leaving = on_leaving
@@ -49,21 +49,21 @@
 
     @property
     def content_complete(self) -> bool:
-        """Whether the list of the answer that came last has been read to its end."""
+        """Whether the list in the latest answer has been read to its end."""
         return self._list_reader.complete
 
     def start_call(self) -> None:
-        """Record that a call is made now."""
+        """Reset the progress as a call is made."""
         self._call_started_s = self._timers.now()
         self._list_reader = PartialListReader()
         self.progress = AnswerProgress()
 
     def begin_message(self) -> None:
-        """An answer has begun."""
+        """Reset the list reader as an answer begins."""
         self._list_reader = PartialListReader()
 
     def receive_body(self, status: int, part: bytes) -> None:
-        """Read a part of an answer's body. What an answer of another status than 200 holds is no list."""
+        """Read a part of an answer's body; only an answer with status 200 holds a list."""
         progress, elapsed_s = self.progress, self._timers.now() - self._call_started_s
         if progress.first_byte_s is None:
             progress.first_byte_s = elapsed_s
@@ -74,7 +74,7 @@
             self._found.append(found)
 
     def finish_read(self) -> None:
-        """Report what the bytes read in this turn have completed."""
+        """Report the entries that the bytes read in this turn have completed."""
         found, self._found = self._found, []
         for leaving in found:
             self._on_leaving(leaving)
--- a/beaconhinge/net/discovery_calls.py
+++ b/beaconhinge/net/discovery_calls.py
@@ -1,4 +1,4 @@
-"""The two chains of calls to discovery as tasks: the watch, and the reads beside it."""
+"""The two tasks that call discovery in sequence: the watch, and the reads beside it."""
 
 from __future__ import annotations
 
@@ -23,9 +23,9 @@
     """Makes one watch after the other, and one read after the other while a watch is open.
 
     Attributes:
-        address: Where discovery is called.
-        read_wanted: To be set when what has to be read, and when, may have changed.
-        call_ended: Is set when a call that does not wait has been answered, or has failed.
+        address: The address at which discovery is called.
+        read_wanted: Callers set it when the next read, or its time, may have changed.
+        call_ended: Set when a call that is not a watch has been answered or has failed.
     """
 
     def __init__(
@@ -38,16 +38,16 @@
         metrics: Metrics,
         rng: random.Random,
     ) -> None:
-        """Prepare without a call.
+        """Prepare the calls without making one.
 
         Args:
-            address: Where discovery is called.
-            watch: Decides on the watches, and on the calls that lead back to them.
-            reads: Decides on the reads beside the watch.
-            updates: Has answers applied.
+            address: The address at which discovery is called.
+            watch: Decides when to watch, and which calls to make before watching again.
+            reads: Decides when to read the list beside the watch.
+            updates: Applies the answers.
             timers: The clock.
             metrics: Where calls are counted.
-            rng: Draws the jitter of retries.
+            rng: Source of the jitter of retries.
         """
         self.address = address
         self.read_wanted = asyncio.Event()
@@ -67,23 +67,28 @@
 
     @property
     def started(self) -> bool:
-        """Whether calls are to be made."""
+        """Whether `restart` has been called, and not `stop` since."""
         return self._watch_task is not None
 
     @property
     def running(self) -> bool:
-        """Whether calls are being made."""
+        """Whether the task that watches is running."""
         return self._watch_task is not None and not self._watch_task.done()
 
     def restart(self, why: str, pause_s: float = 0.0) -> None:
-        """Begin with a call that does not wait, and continue with watches and with reads beside them."""
+        """Make a call that returns at once, then continue with watches and the reads beside them.
+
+        Args:
+            why: The reason, which is logged with the calls that this cancels.
+            pause_s: Seconds before the first call.
+        """
         self.stop(why)
         self._watch.catch_up()
         self._start_watch(pause_s)
         self.restart_reads(why)
 
     def stop(self, why: str) -> None:
-        """Cancel the calls that are out, if there are any."""
+        """Cancel the calls in flight, if there are any; `why` is logged."""
         if self._watch_task is not None:
             self._watch_channel.give_up(why, self._updates.version)
             self._watch_task.cancel()
@@ -92,12 +97,12 @@
         self._stop_reads(why)
 
     def switch_to(self, address: Address) -> None:
-        """Call another discovery from now on; what the one before still writes counts for nothing."""
+        """Call another discovery from now on, and ignore late answers of the one before."""
         self._late_answers.close()
         self.address = address
 
     def restart_reads(self, why: str) -> None:
-        """Give up the read that is out, if there is one, and read what has to be read now."""
+        """Abandon the read in flight, if there is one, and start the reads that are due now."""
         self._stop_reads(why)
         self._read_channel = self._new_channel(self._reads)
         self._read_task = self._metrics.spawn(self._read_loop(self._read_channel), "list reads")
@@ -113,7 +118,7 @@
         self._watch_task = self._metrics.spawn(self._watch_loop(self._watch_channel, pause_s), "watch")
 
     def _reopen_watch(self, why: str) -> None:
-        """Open the watch anew, from the version that is known now."""
+        """Replace the open watch by one that starts from the current version."""
         if self._watch_task is not None:
             self._watch_channel.give_up(why, self._updates.version)
             self._watch_task.cancel()
@@ -121,10 +126,10 @@
             self._start_watch()
 
     async def _watch_loop(self, channel: DiscoveryChannel, pause_s: float) -> None:
-        """One watch after the other. The next one is called as soon as the last one is answered."""
+        """Make one watch after the other, the next as soon as the answer to the last allows it."""
         try:
             while True:
-                await channel.rest(pause_s)
+                await channel.wait_and_read(pause_s)
                 call = self._watch.next_call(self._timers.now())
                 if call.is_watch:
                     self._watch_gaps.finish()
@@ -141,7 +146,7 @@
             channel.close()
 
     async def _read_loop(self, channel: DiscoveryChannel) -> None:
-        """One read after the other, while the watch is open or about to be."""
+        """Make one read after the other, while the watch is open or about to be opened."""
         try:
             while True:
                 await self._wait_until_read_due(channel)
@@ -161,7 +166,7 @@
             due = self._reads.seconds_until_call(self._timers.now()) if self._watch.watching else math.inf
             if due <= 0.0:
                 return
-            await channel.rest(due, self.read_wanted)
+            await channel.wait_and_read(due, self.read_wanted)
 
     def _finish_call(self, call: DiscoveryCall) -> None:
         if not call.is_watch:
--- a/beaconhinge/net/discovery_channel.py
+++ b/beaconhinge/net/discovery_channel.py
@@ -1,4 +1,4 @@
-"""One chain of calls to discovery, one at a time: the watch, or the reads beside it."""
+"""A sequence of calls to discovery, one at a time: either the watch or the reads beside it."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 class DiscoveryChannel:
-    """Makes calls over a connection of its own, and has their answers applied."""
+    """Makes calls over its own connection, and has their answers applied."""
 
     def __init__(
         self,
@@ -28,23 +28,27 @@
         metrics: Metrics,
         late_answers: LateAnswers,
     ) -> None:
-        """Create one whose connection is opened by the first call.
+        """Create a channel whose connection is opened by the first call.
 
         Args:
-            decider: Decides on the answers.
-            updates: Applies them.
+            decider: Decides what to do with each answer.
+            updates: Applies the answers.
             timers: The clock.
             metrics: Where calls are counted.
-            late_answers: Reads answers to calls that were given up.
+            late_answers: Reads the answers to abandoned calls.
         """
         self._decider = decider
         self._updates = updates
         self._timers = timers
         self._connection = DiscoveryConnection(timers, metrics, self._apply_leaving, late_answers)
-        self._departures_applied = False  # workers were taken out of service since the last call was made
+        self._departures_applied = False  # whether workers were taken out of service since the last call
 
     async def call(self, address: Address, call: DiscoveryCall) -> AnswerDecision | CallFailure:
-        """Make a call, and have its answer applied or its failure reported."""
+        """Make a call, and have its answer applied or its failure reported.
+
+        Returns:
+            The decision on the answer, or how the call failed.
+        """
         self._departures_applied = False
         started_s = self._timers.now()
         self._updates.log.trace_call(call)
@@ -56,13 +60,18 @@
             self._decider, self._connection, call, answer, started_s, self._departures_applied
         )
 
-    async def rest(self, pause_s: float, wake: asyncio.Event | None = None) -> None:
-        """Wait until the next call is due, or an event is set, and read what comes meanwhile."""
-        await self._connection.rest(pause_s, wake)
+    async def wait_and_read(self, pause_s: float, wake: asyncio.Event | None = None) -> None:
+        """Wait for `pause_s` seconds or until `wake` is set, and read the bytes that arrive meanwhile."""
+        await self._connection.wait_and_read(pause_s, wake)
 
     def give_up(self, why: str, version: int | None) -> None:
-        """Wait no longer for an answer that is due; it is read when it comes."""
-        if self._connection.answer_due:
+        """Stop waiting for the answer to the call in flight; it is still read when it arrives.
+
+        Args:
+            why: The reason for the log.
+            version: The version of the applied list, for the log.
+        """
+        if self._connection.awaiting_answer:
             self._updates.log.report_cancelled_call(why, version, self._connection.progress)
         self._connection.give_up()
 
--- a/beaconhinge/net/list_updates.py
+++ b/beaconhinge/net/list_updates.py
@@ -194,7 +194,7 @@
         self._applier.fill_in_unparsed(worker_list)
         if not self._workers.would_change(worker_list):
             return False
-        unfinished = not connection.answer_whole
+        unfinished = not connection.answer_complete
         self.log.report_departures(worker_list, self._state.version, unfinished, connection.progress)
         self.apply(UpdateKind.CHANGES, worker_list)
         return True
--- a/tests/net/test_discovery_connection.py
+++ b/tests/net/test_discovery_connection.py
@@ -187,7 +187,7 @@
 
     async def scenario(peer: Peer) -> None:
         await peer.first_call()
-        rest = asyncio.create_task(peer.connection.rest(2.0))
+        rest = asyncio.create_task(peer.connection.wait_and_read(2.0))
         await arrive()
         peer.sock.send(answer(body(3, "s-1")) + answer(body(4, "s-2"))[:-2])
         await arrive()
@@ -207,7 +207,7 @@
     async def scenario(peer: Peer) -> None:
         await peer.first_call()
         started = peer.timers.now()
-        rest = asyncio.create_task(peer.connection.rest(0.15))
+        rest = asyncio.create_task(peer.connection.wait_and_read(0.15))
         await arrive()
         peer.sock.close()
         await rest
