--- a/beaconhinge/net/discovery_calls.py
+++ b/beaconhinge/net/discovery_calls.py
@@ -93,7 +93,7 @@
             self._watch_channel.give_up(why, self._updates.version)
             self._watch_task.cancel()
             self._watch_task = None
-            self._watch_gaps.begin(WatchEnd.CANCELLED)
+            self._watch_gaps.start_gap(WatchEnd.CANCELLED)
         self._stop_reads(why)
 
     def switch_to(self, address: Address) -> None:
@@ -122,7 +122,7 @@
         if self._watch_task is not None:
             self._watch_channel.give_up(why, self._updates.version)
             self._watch_task.cancel()
-            self._watch_gaps.begin(WatchEnd.CANCELLED)
+            self._watch_gaps.start_gap(WatchEnd.CANCELLED)
             self._start_watch()
 
     async def _watch_loop(self, channel: DiscoveryChannel, pause_s: float) -> None:
@@ -132,15 +132,15 @@
                 await channel.wait_and_read(pause_s)
                 call = self._watch.next_call(self._timers.now())
                 if call.is_watch:
-                    self._watch_gaps.finish()
+                    self._watch_gaps.end_gap()
                 outcome = await channel.call(self.address, call)
                 if isinstance(outcome, CallFailure):
                     now, jitter = self._timers.now(), self._random.random()
                     pause_s = self._watch.handle_failure(call, outcome, now, jitter)
-                    self._watch_gaps.begin(_watch_end(outcome))
+                    self._watch_gaps.start_gap(_watch_end(outcome))
                 else:
                     pause_s = outcome.pause_s
-                    self._watch_gaps.begin(WatchEnd.ANSWERED)
+                    self._watch_gaps.start_gap(WatchEnd.ANSWERED)
                 self._finish_call(call)
         finally:
             channel.close()
--- a/beaconhinge/net/list_applier.py
+++ b/beaconhinge/net/list_applier.py
@@ -15,7 +15,7 @@
 
 
 class ListApplier:
-    """Brings lists into the worker pool and, right after it, into the policy."""
+    """Applies lists to the worker pool and, right after that, to the policy."""
 
     def __init__(
         self,
@@ -33,14 +33,15 @@
         self._start_times = StartTimes()
 
     def observe_clocks(self) -> None:
-        """Compare the wall clock with the monotonic clock, a few times a second."""
+        """Compare the wall clock with the monotonic clock; to be called a few times a second."""
         self._start_times.observe_clocks(self._timers.now(), self._wall_clock())
 
     def fill_in_unparsed(self, worker_list: WorkerList) -> None:
-        """Add entries for known workers whose own could not be parsed.
+        """Add entries for known workers whose own entries could not be parsed.
 
-        A readable state counts where it takes the worker out of service. Otherwise the worker stays as it is;
-        in a snapshot this means at least that it has not left.
+        If such an entry has a readable state that takes the worker out of service, the state is applied.
+        Otherwise the worker stays as it is; a snapshot gets its known entry, so that it doesn't count as
+        departed.
         """
         for known in self._workers.known_endpoints(worker_list.unparsed_ids):
             state = worker_list.unparsed_states.get(known.id, WorkerState.READY)
@@ -52,13 +53,13 @@
     def apply(self, kind: UpdateKind, worker_list: WorkerList) -> None:
         """Apply a list to the worker pool and the policy."""
         self._metrics.count("lists_" + kind)
-        if worker_list.is_snapshot:  # a worker whose entry can't be parsed has not left
+        if worker_list.is_snapshot:  # a worker whose entry can't be parsed has not departed
             worker_list.endpoints += self._workers.known_endpoints(worker_list.unparsed_ids)
         self._workers.apply_list(worker_list)
         self._policy_runner.feed(MembershipUpdate(kind, worker_list.version, self._members(worker_list)))
 
     def _members(self, worker_list: WorkerList) -> list[MemberEntry]:
-        """The policy's entries, with each worker's start on this process's clock."""
+        """Return the policy's entries, with each worker's start time converted to this process's clock."""
         now = self._timers.now()
         self._start_times.observe_clocks(now, self._wall_clock())
         if worker_list.is_snapshot:
--- a/beaconhinge/net/list_availability.py
+++ b/beaconhinge/net/list_availability.py
@@ -1,4 +1,4 @@
-"""Whether the endpoint list may be acted on, and waiting until it may."""
+"""Determines whether the endpoint list may be acted on, and lets senders wait until it may."""
 
 from __future__ import annotations
 
@@ -11,10 +11,10 @@
 
 
 class ListAvailability:
-    """Tells senders whether the endpoint list may be acted on, and lets them wait for that.
+    """Reports to senders whether the endpoint list may be acted on, and lets them wait until it may.
 
     Attributes:
-        freshness: What is known of the list's age.
+        freshness: Tracks the list's age and the pauses of this process.
     """
 
     def __init__(
@@ -29,8 +29,8 @@
         Args:
             pushed: Whether a local agent pushes lists.
             timers: The clock.
-            metrics: Where a list that turns unknown is counted.
-            on_process_paused: Called when this process has just been paused, before anything else is sent.
+            metrics: Where a list that becomes unknown is counted.
+            on_process_paused: Called when a pause of this process is detected, before anything else is sent.
         """
         self.freshness = ListFreshness(pushed, timers.now())
         self._timers = timers
@@ -41,10 +41,10 @@
 
     @property
     def usable(self) -> bool:
-        """Whether the list may be acted on, as far as is known this moment."""
+        """Whether the list may be acted on now. Detects a pause of this process, and reports it."""
         now = self._timers.now()
         if self.freshness.mark_running(now):
-            self._usable.clear()  # what was announced meanwhile is not known
+            self._usable.clear()  # changes announced during the pause were missed
             self._on_process_paused()
         return self.freshness.state(now) is not ListState.UNKNOWN
 
@@ -59,7 +59,7 @@
         self.freshness.handle_answer(call_started_s, now)
 
     def update(self) -> None:
-        """Release those who wait for a usable list, or have them wait from now on."""
+        """Release the senders that wait for a usable list, or make senders wait from now on."""
         if self.usable:
             self._usable.set()
         elif self._usable.is_set():
@@ -69,8 +69,8 @@
     async def wait_until_usable(self) -> None:
         """Wait until the list may be acted on.
 
-        The list may have turned unknown since the last update, while the event is still set: so it is updated
-        first.
+        The event may still be set although the list has become unknown since the last update, so it is
+        updated first.
         """
         self.update()
         await self._usable.wait()
--- a/beaconhinge/net/list_log.py
+++ b/beaconhinge/net/list_log.py
@@ -1,4 +1,4 @@
-"""What is logged, counted and traced of endpoint lists. docs/oncall.md explains the events."""
+"""Logs, counts and traces endpoint lists and the calls for them. docs/oncall.md explains the events."""
 
 from __future__ import annotations
 
@@ -11,12 +11,12 @@
 from ..runtime.metrics import Metrics
 from .discovery_answer import AnswerProgress
 
-# How many of the lists applied last are named with each traced watch without a change.
+# The number of recently applied lists in the trace line of an answer that changes nothing.
 TRACED_LISTS = 8
 
 
 class ListLog:
-    """Reports discovery's answers and what was decided on them."""
+    """Reports discovery's answers and the decisions on them."""
 
     def __init__(self, metrics: Metrics) -> None:
         self._metrics = metrics
@@ -30,12 +30,12 @@
         previous_version: int | None,
         applied_version: int | None,
     ) -> None:
-        """Count and log what is out of the ordinary.
+        """Count and log unusual decisions, and remember the list for traces if it is applied.
 
         Args:
             call: The call that was answered.
-            worker_list: The answer.
-            decision: What follows from it.
+            worker_list: The list in the answer.
+            decision: The decision on the answer.
             previous_version: The version of the applied list before the answer.
             applied_version: The version of the applied list after it.
         """
@@ -64,7 +64,16 @@
         elapsed_s: float,
         progress: AnswerProgress,
     ) -> None:
-        """Log a list that changes the workers or their version, and the call that it answered."""
+        """Log a list that changes the workers or the version, and the call that it answers.
+
+        Args:
+            call: The call that was answered.
+            worker_list: The list in the answer.
+            kind: How the list is applied.
+            previous_version: The version of the applied list before the answer.
+            elapsed_s: Seconds from the call to the end of its answer.
+            progress: How much of the answer has arrived.
+        """
         self._metrics.log(
             "list_taken",
             kind=kind,
@@ -89,14 +98,14 @@
         progress: AnswerProgress,
         list_age_s: float,
     ) -> None:
-        """Count and log a call that failed, with what had come of its answer.
+        """Count and log a call that failed, with the part of its answer that had arrived.
 
         Args:
             name: The event's name: `watch_silent` or `discovery_failed`.
             call: The call.
-            error: How it failed.
-            elapsed_s: The time from the call to its failure.
-            progress: How far its answer had come.
+            error: The error that ended the call.
+            elapsed_s: Seconds from the call to its failure.
+            progress: How much of the answer had arrived.
             list_age_s: Seconds since discovery last confirmed the list.
         """
         self._metrics.count_and_log(
@@ -113,7 +122,7 @@
         )
 
     def report_cancelled_call(self, why: str, version: int | None, progress: AnswerProgress) -> None:
-        """Count a call that is given up for another, and log one whose answer had begun."""
+        """Count a call that is cancelled for another, and log it if its answer had begun."""
         self._metrics.count("discovery_calls_cancelled")
         if progress.body_bytes:
             self._metrics.log(
@@ -126,29 +135,29 @@
             )
 
     def report_departures(
-        self, leaving: WorkerList, known: int | None, unfinished: bool, progress: AnswerProgress
+        self, leaving: WorkerList, applied_version: int | None, unfinished: bool, progress: AnswerProgress
     ) -> None:
-        """Count workers that were taken out of service before their answer was taken.
+        """Count workers that were taken out of service before the answer was complete or processed.
 
         Args:
-            leaving: The workers, as changes.
-            known: The version of the applied list.
-            unfinished: Whether the answer has not ended, or is dropped: if so, it is logged.
-            progress: How far it has come.
+            leaving: The workers, as a list of changes.
+            applied_version: The version of the applied list.
+            unfinished: Whether the answer has not ended or was dropped; the workers are logged if so.
+            progress: How much of the answer has arrived.
         """
         self._metrics.count("list_departures_applied", len(leaving.endpoints))
         if unfinished:
             self._metrics.log(
                 "list_departures_applied",
                 version=leaving.version,
-                known=known,
+                known=applied_version,
                 workers=len(leaving.endpoints),
                 first_byte=progress.first_byte_s,
                 received=progress.body_bytes,
             )
 
     def trace_call(self, call: DiscoveryCall) -> None:
-        """Trace a call as it is made, with the newest version that is known."""
+        """Trace a call as it is made, with the newest version that discovery has announced."""
         self._metrics.trace(
             "lists",
             "discovery_call",
@@ -159,15 +168,15 @@
         )
 
     def trace_unchanged(
-        self, call: DiscoveryCall, worker_list: WorkerList, known: Sequence[WorkerEndpoint]
+        self, call: DiscoveryCall, worker_list: WorkerList, endpoints: Sequence[WorkerEndpoint]
     ) -> None:
-        """Trace an answer that is not applied, with the known workers and the lists applied last."""
+        """Trace an answer that is not applied, with counts of the known workers and the recent lists."""
         self._metrics.trace(
             "lists",
             "list_unchanged",
             purpose=call.purpose.value,
             version=worker_list.version,
-            workers=len(known),
-            ready=sum(endpoint.member.state == WorkerState.READY for endpoint in known),
+            workers=len(endpoints),
+            ready=sum(endpoint.member.state == WorkerState.READY for endpoint in endpoints),
             taken=" ".join(self._recent_lists),
         )
--- a/beaconhinge/net/list_updates.py
+++ b/beaconhinge/net/list_updates.py
@@ -1,6 +1,6 @@
-"""What is done with each answer of discovery, and with each call that fails, on whichever connection.
+"""Parses, applies and reports the answers of discovery and the failed calls of all its connections.
 
-`membership/list_state.py` decides which version counts; here answers are parsed, applied and reported.
+`membership/list_state.py` decides which version is applied.
 """
 
 from __future__ import annotations
@@ -27,34 +27,35 @@
 from .list_log import ListLog
 from .worker_pool import WorkerPool
 
-# By these discovery says that it has too many callers.
+# HTTP statuses by which discovery reports that it has too many callers.
 OVERLOAD_STATUSES = (429, 503)
 
 
 class AnswerDecider(Protocol):
-    """Decides on the answers to one chain of calls: the watch, or the reads beside it."""
+    """Decides on the answers to one sequence of calls: the watch, or the reads beside it."""
 
     @property
     def failing(self) -> bool:
         """Whether the last call has failed."""
 
     def handle_answer(self, answer: ReceivedAnswer) -> AnswerDecision:
-        """Decide on the answer to a call."""
+        """Decide whether and how to apply the answer to a call."""
 
 
 @dataclass(frozen=True, slots=True)
 class DiscoveryAnswer:
-    """An answer as parsed, and the JSON that it was parsed from."""
+    """The list parsed from an answer, and the JSON that it was parsed from."""
 
     worker_list: WorkerList
     content: Mapping[str, Any]
 
 
 class ListUpdates:
-    """Brings what discovery answers into the worker pool and the policy.
+    """Applies discovery's answers to the worker pool and the policy.
 
     Attributes:
-        on_list_applied: Called with the kind of each list that was applied.
+        on_list_applied: Called with the kind of each list after it was applied.
+        log: Logs and counts lists and calls.
     """
 
     def __init__(
@@ -83,18 +84,18 @@
 
     @property
     def version(self) -> int | None:
-        """The version of the applied list; None if none is known."""
+        """The version of the applied list; None if it is unknown."""
         return self._state.version
 
     def update_availability(self) -> None:
-        """Release those who wait for a usable list, or have them wait from now on."""
+        """Release the senders that wait for a usable list, or make senders wait from now on."""
         self._availability.update()
 
     def parse(self, body: bytes) -> DiscoveryAnswer:
         """Parse the body of an answer.
 
         Raises:
-            WorkerListError: It is not JSON, or not a list of workers.
+            WorkerListError: The body is not JSON, or not a list of workers.
         """
         try:
             content = json.loads(body)
@@ -116,12 +117,15 @@
         """Verify and apply an answer.
 
         Args:
-            decider: Decides on it.
-            connection: Where it came.
-            call: What it answers.
+            decider: Decides whether and how the answer is applied.
+            connection: The connection on which the answer arrived.
+            call: The call that was answered.
             answer: The answer.
-            started_s: When the call began.
-            departures_applied: Whether workers were taken out of service since then, by the answer's entries.
+            started_s: The time when the call began.
+            departures_applied: Whether entries of the answer have already taken workers out of service.
+
+        Returns:
+            The decision on the answer.
         """
         now, previous_version, worker_list = self._timers.now(), self._state.version, answer.worker_list
         elapsed_s = now - started_s
@@ -134,7 +138,7 @@
         )
         if decision.proves_current:
             self._availability.handle_answer(started_s, now)
-        else:  # shows as little as a call that fails
+        else:  # proves no more than a failed call
             self._availability.freshness.handle_failure(started_s, now, refused=False, was_watch=False)
         if not decision.keep_connection:
             connection.close()
@@ -162,7 +166,7 @@
         error: Exception,
         started_s: float,
     ) -> CallFailure:
-        """Report a failed call, use what came of its answer, and return how it failed."""
+        """Report a failed call, read the part of its answer that has arrived, and return how it failed."""
         refused = isinstance(error, (ConnectionRefusedError, ConnectionResetError, BrokenPipeError, Closed))
         self._availability.freshness.handle_failure(started_s, self._timers.now(), refused, call.is_watch)
         answer_begun, progress = connection.answer_begun, connection.progress
@@ -178,13 +182,14 @@
         return CallFailure(silent, answer_begun, refused_by_discovery)
 
     def apply_leaving(self, leaving: LeavingEntries, connection: DiscoveryConnection) -> bool:
-        """Take workers out of service by entries of an answer that may not have ended, or never will.
+        """Take workers out of service by entries of an answer that may be incomplete, or never end.
 
-        The change counts as notified once it is written. Waiting for the answer's end, or for the call to be
-        given up, had jobs sent to leaving workers for a second and longer. Its version does not count yet.
+        A change counts as notified once discovery has written it. Waiting for the end of the answer, or for
+        the call to be abandoned, meant that jobs were sent to leaving workers for a second or longer. The
+        answer's version is not applied yet.
 
         Returns:
-            Whether a worker was taken out.
+            Whether a worker was taken out of service.
         """
         if self._state.is_older(leaving.version):
             self._metrics.count("list_departures_older")
