--- a/beaconhinge/net/peers.py
+++ b/beaconhinge/net/peers.py
@@ -1,4 +1,4 @@
-"""Datagrams between dispatchers."""
+"""Sends and receives the datagrams between dispatchers."""
 
 from __future__ import annotations
 
@@ -14,17 +14,24 @@
 from ..runtime.timer_wheel import TimerWheel
 
 MAX_DATAGRAM_BYTES = 256
-MAX_DROPPED_DATAGRAMS = 4096  # at once; what a socket holds by default is fewer
-READS_IN_A_TURN = 64  # datagrams, before others have their turn
-HEARD_WITHIN_S = 1.5  # without a datagram for longer, no other dispatcher counts as there
+# The most datagrams that are dropped at once; a socket's default buffer holds fewer.
+MAX_DROPPED_DATAGRAMS = 4096
+# The most datagrams that are read in one turn of the event loop, before other tasks run.
+MAX_READS_PER_TURN = 64
+# After this long without a datagram from another dispatcher, all others count as unreachable.
+PEER_TIMEOUT_S = 1.5
 
 
 class PeerSocket:
     """The socket for datagrams between dispatchers.
 
     Attributes:
-        talk: by first byte, who takes such datagrams, with the sender's number; the rest go to the policy.
-        woken: whether the process has just gone on after a stall.
+        peers: The addresses of the dispatchers, by number.
+        broadcast_address: The address that reaches all dispatchers; None if there is none.
+        numbers: The number of each dispatcher by its address.
+        handlers: By the first byte of a datagram, the function that receives the sender's number and the
+            datagram. Datagrams without a handler go to the policy.
+        has_just_stalled: Returns whether the process has just resumed after a stall.
     """
 
     def __init__(
@@ -36,39 +43,39 @@
         self.metrics = metrics
         self.set_addresses(config)
         self._sock: socket.socket | None = None
-        self._heard_at = -math.inf
-        self._leaving = False
+        self._last_received_at = -math.inf
+        self._sending_stopped = False
         self.handlers: dict[int, Callable[[int, bytes], None]] = {}
         self.has_just_stalled: Callable[[], bool] = lambda: False
         policy_runner.action_handlers[interface.SendToPeer] = self._on_send
 
     def set_addresses(self, config: Config) -> None:
-        """Reach the other dispatchers at the addresses of this configuration from now on."""
-        self.peers, self.everyone = config.peers, config.peers_all
+        """Use the peer addresses of this configuration from now on."""
+        self.peers, self.broadcast_address = config.peers, config.peers_all
         self.numbers = {address: number for number, address in enumerate(config.peers)}
 
     def listen(self) -> None:
-        """Receive from now on, where the configuration has an address for it.
+        """Receive datagrams from now on, if the configuration has an address for them.
 
         Raises:
-            OSError: the address cannot be used.
+            OSError: The address cannot be used.
         """
         if self.config.peer_listen is None:
             return
         self._sock = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
         self._sock.setblocking(False)
-        if self.config.mgmt is not None:  # another process of this dispatcher may be there already
+        if self.config.mgmt is not None:  # another process of this dispatcher may use the address
             self._sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEPORT, 1)
         self._sock.bind(self.config.peer_listen)
-        self._leaving = False
+        self._sending_stopped = False
         asyncio.get_running_loop().add_reader(self._sock, self._read)
 
     def stop_sending(self) -> None:
-        """Send nothing more, so that no other dispatcher counts on this one."""
-        self._leaving = True
+        """Send no more datagrams, so that no other dispatcher counts this one as present."""
+        self._sending_stopped = True
 
     def close(self) -> None:
-        """Close the socket: another process of this dispatcher receives and sends from now on."""
+        """Close the socket, as another process of this dispatcher receives and sends from now on."""
         self.stop_sending()
         if self._sock is not None:
             asyncio.get_running_loop().remove_reader(self._sock)
@@ -76,21 +83,24 @@
             self._sock = None
 
     def others_heard(self) -> bool:
-        """Whether another dispatcher was heard lately; where they cannot be heard, whether there are any."""
+        """Return whether a datagram of another dispatcher was received in the last PEER_TIMEOUT_S.
+
+        Without a socket, returns whether the group has other dispatchers.
+        """
         if self._sock is None:
             return self.config.settings.group_size > 1
-        return self.timers.now() - self._heard_at < HEARD_WITHIN_S
+        return self.timers.now() - self._last_received_at < PEER_TIMEOUT_S
 
     def _read(self) -> None:
         assert self._sock is not None
         if self.has_just_stalled():
-            return  # whatever waited is out of date
-        for _ in range(READS_IN_A_TURN):
+            return  # datagrams received during the stall are out of date, and were dropped
+        for _ in range(MAX_READS_PER_TURN):
             try:
                 payload, sender = self._sock.recvfrom(MAX_DATAGRAM_BYTES + 1)
             except BlockingIOError:
                 return
-            except OSError as error:  # an earlier datagram found nobody: no fault of the socket
+            except OSError as error:  # no socket listened where an earlier datagram was sent; this one works
                 self.metrics.count_and_log("datagram_failed", why=error)
                 return
             number = self.numbers.get(sender)
@@ -99,14 +109,14 @@
                 continue
             self.metrics.count("datagrams_received")
             if number != self.config.settings.own_number:
-                self._heard_at = self.timers.now()
+                self._last_received_at = self.timers.now()
             if payload and payload[0] in self.handlers:
                 self.handlers[payload[0]](number, payload)
                 continue
             self.policy_runner.feed(interface.PeerMessage(number, payload))
 
     def drop_waiting(self) -> int:
-        """Drop what waits to be read; returns how many datagrams that were."""
+        """Drop the datagrams that wait to be read, and return their number."""
         for dropped in range(MAX_DROPPED_DATAGRAMS):
             try:
                 if self._sock is None:
@@ -120,10 +130,15 @@
         self.send(action.peer, action.payload)
 
     def send(self, number: int, payload: bytes) -> None:
-        """Send to one dispatcher, or to all for a number below 0. It may be lost."""
-        if self._leaving:
+        """Send a datagram, which may be lost.
+
+        Args:
+            number: The number of the dispatcher to send to; below 0 for all.
+            payload: The datagram's content, at most MAX_DATAGRAM_BYTES.
+        """
+        if self._sending_stopped:
             return
-        target = self.everyone
+        target = self.broadcast_address
         if number >= 0:
             target = self.peers[number] if number < len(self.peers) else None
         if (
@@ -136,5 +151,5 @@
         try:
             self._sock.sendto(payload, target)
             self.metrics.count("datagrams_sent")
-        except OSError as error:  # it may be lost on the way as well
+        except OSError as error:  # the same as a datagram lost on the network
             self.metrics.count_and_log("datagram_failed", why=error)
--- a/beaconhinge/net/sockets.py
+++ b/beaconhinge/net/sockets.py
@@ -1,4 +1,4 @@
-"""Sockets and the one budget of descriptors for them."""
+"""Socket helpers, and the budget of file descriptors that all sockets share."""
 
 from __future__ import annotations
 
@@ -12,51 +12,59 @@
 
 SO_ATTACH_REUSEPORT_CBPF = 51  # Linux, asm-generic/socket.h
 BPF_RETURN = 0x06  # Linux, bpf_common.h
-TCP_INFO_LAST_DATA_RECEIVED = struct.Struct("@52xI")  # of struct tcp_info, linux/tcp.h: milliseconds ago
-BACKLOG = 1024  # connections that wait to be accepted
-RESERVED_DESCRIPTORS = 24  # descriptors for standard streams, event loop, listener, datagrams and discovery
+TCP_INFO_LAST_DATA_RECEIVED = struct.Struct("@52xI")  # ms, in struct tcp_info of linux/tcp.h
+BACKLOG = 1024  # the most connections that wait to be accepted
+RESERVED_DESCRIPTORS = 24  # for standard streams, event loop, listener, datagrams and discovery
 
 
 class AddressUnavailable(Error):  # noqa: N818
-    """An address that cannot be listened on; the text names its key."""
+    """Raised for an address that cannot be listened on; the message names its configuration key."""
 
 
 class DescriptorBudget:
-    """Counts sockets in use, and bytes of bodies.
+    """Limits the sockets of this process and the memory for message bodies.
 
-    When sockets are short, idle connections are closed first, by whoever has them.
+    When no socket is left, idle connections are closed first, by the reclaimers of the parts that own them.
 
     Attributes:
-        total: sockets that this process may have.
-        used: sockets that it has.
-        share: the part of the dispatcher's sockets and memory that this process has.
-        body_bytes: room left for bodies.
-        reclaimers: each closes one idle connection and returns whether it had one.
+        total: The number of sockets that this process may have.
+        used: The number of sockets that this process has.
+        share: The fraction, up to 1, of the dispatcher's sockets and memory that this process may use.
+        free_body_bytes: The bytes left for message bodies.
+        reclaimers: Each closes one idle connection and returns whether it had one.
     """
 
     def __init__(self, sockets: int, body_bytes: int, reserved: int = 0) -> None:
-        self._sockets = self.total = sockets - RESERVED_DESCRIPTORS - reserved
-        self._bodies = body_bytes
+        self._max_sockets = self.total = sockets - RESERVED_DESCRIPTORS - reserved
+        self._max_body_bytes = body_bytes
         self.share = 1.0
         self.used = 0
-        self.body_bytes = body_bytes
+        self.free_body_bytes = body_bytes
         self.reclaimers: list[Callable[[], bool]] = []
-        self._freed = asyncio.Event()
+        self._released = asyncio.Event()
 
     def reserve_body_bytes(self, count: int) -> bool:
-        """Take room for so many bytes of bodies, or give it back."""
-        if count > self.body_bytes:
+        """Reserve bytes for message bodies; a negative count releases them.
+
+        Returns:
+            Whether enough bytes were left.
+        """
+        if count > self.free_body_bytes:
             return False
-        self.body_bytes -= count
+        self.free_body_bytes -= count
         return True
 
-    def set_share(self, part: float) -> None:
-        """The other process of this dispatcher has the rest, or has ended. What is in use beyond is kept."""
-        self.body_bytes += int(part * self._bodies) - int(self.share * self._bodies)
-        self.share, self.total = part, int(part * self._sockets)
+    def set_share(self, share: float) -> None:
+        """Limit this process to a fraction of the budget, or return it to the whole with 1.
+
+        The rest belongs to the other process of this dispatcher. Sockets and bytes that are in use beyond the
+        new limit stay in use.
+        """
+        self.free_body_bytes += int(share * self._max_body_bytes) - int(self.share * self._max_body_bytes)
+        self.share, self.total = share, int(share * self._max_sockets)
 
     def acquire(self) -> bool:
-        """Take a socket, closing an idle one if need be; returns whether there was one."""
+        """Take a socket from the budget, closing idle connections if needed; return whether one was left."""
         while self.used >= self.total:
             if not any(reclaim() for reclaim in self.reclaimers):
                 return False
@@ -64,21 +72,26 @@
         return True
 
     def release(self) -> None:
-        """Give a socket back."""
+        """Return a socket to the budget."""
         self.used -= 1
-        self._freed.set()
+        self._released.set()
 
     async def wait_for_release(self) -> None:
-        """Wait until somebody gives a socket back."""
-        self._freed.clear()
-        await self._freed.wait()
+        """Wait until a socket is returned to the budget."""
+        self._released.clear()
+        await self._released.wait()
 
 
 def tcp_listener(address: tuple[str, int], key: str, shared: bool = False) -> socket.socket:
-    """Listen on an address; two processes may listen on a `shared` one.
+    """Return a non-blocking socket that listens on an address.
+
+    Args:
+        address: Host and port.
+        key: The configuration key of the address, for the error.
+        shared: Whether two processes may listen on the address.
 
     Raises:
-        AddressUnavailable: names the configuration's `key`.
+        AddressUnavailable: The address cannot be listened on; the message names `key`.
     """
     sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
@@ -95,26 +108,30 @@
 
 
 def steer_to_second(listener: socket.socket) -> bool:
-    """Lead new connections at a shared address to the socket that listened second there.
+    """Direct new connections at a shared address to the socket that listened second there.
 
-    Nobody comes to the first any more. While there is but one, the program names none and the kernel chooses.
-    Returns whether the kernel took the program.
+    The first socket gets no new connections then. While only one socket listens, the BPF program selects a
+    socket that does not exist, and the kernel chooses.
+
+    Returns:
+        Whether the kernel accepted the program.
     """
     instruction = array("B", struct.pack("@HBBI", BPF_RETURN, 0, 0, 1))
     program = struct.pack("@HP", 1, instruction.buffer_info()[0])
     try:
         listener.setsockopt(socket.SOL_SOCKET, SO_ATTACH_REUSEPORT_CBPF, program)
-    except OSError:  # then the kernel shares them out, and the first takes its part until it closes
+    except OSError:  # the kernel distributes connections: the first socket gets some until it is closed
         return False
     return True
 
 
 async def readable(sock: socket.socket) -> None:
-    """Wait until there is something to read, or somebody to accept, and leave it there.
+    """Wait until the socket has data to read, or a connection to accept, without taking it.
 
-    The loop's own calls take it in one turn and hand it over in a later one. What is decided between the two
-    sees nothing in the socket and nothing here: a connection looked idle and was closed over a request that
-    had been read, and a cancelled accept closed a client unheard. Who closes the socket does it by `close`.
+    The event loop's own calls take it in one turn and return it in a later one. Code that runs between the
+    two finds it neither in the socket nor with the caller: a connection looked idle and was closed although a
+    request had been read from it, and a cancelled accept closed a client's connection before anything was
+    read from it. A socket that may be waited on here must be closed by `close`.
     """
     loop = asyncio.get_running_loop()
     waiter: asyncio.Future[None] = loop.create_future()
@@ -132,14 +149,15 @@
 
 
 def seconds_since_data_arrived(sock: socket.socket) -> float:
-    """How long ago the kernel took the last data of a connection, read or not; 0 if it does not tell.
+    """Return the seconds since the kernel received the last data of a connection, read or not.
 
-    Its resolution is that of the kernel's timer, 10 ms at most. Without data it counts from the connection.
+    The resolution is that of the kernel's timer, 10 ms at worst. If no data has arrived, the time counts from
+    the start of the connection. Returns 0 if the kernel does not report it.
     """
     size = TCP_INFO_LAST_DATA_RECEIVED.size
     try:
         info = sock.getsockopt(socket.IPPROTO_TCP, socket.TCP_INFO, size)
-    except OSError:  # no TCP socket, or it has broken
+    except OSError:  # not a TCP socket, or the connection has broken
         return 0.0
     if len(info) < size:
         return 0.0
@@ -148,17 +166,20 @@
 
 
 def close(sock: socket.socket) -> None:
-    """Close a socket that `readable` may wait on: a new one may get its descriptor at once."""
+    """Close a socket that `readable` may be waiting on.
+
+    The event loop stops watching its descriptor first, as a new socket may get the same descriptor at once.
+    """
     if sock.fileno() >= 0:
         asyncio.get_running_loop().remove_reader(sock)
         sock.close()
 
 
 async def connect(address: tuple[str, int]) -> socket.socket:
-    """Connect to an address.
+    """Return a non-blocking socket that is connected to an address.
 
     Raises:
-        OSError: it cannot be reached.
+        OSError: The address cannot be reached.
     """
     sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
     try:
