--- a/beaconhinge/runtime/__init__.py
+++ b/beaconhinge/runtime/__init__.py
@@ -1,1 +1,1 @@
-"""What every part runs on: the clock, the timer wheel, counters, log lines and supervised tasks."""
+"""Services that every part uses: the clock, the timer wheel, counters, log lines and supervised tasks."""
--- a/beaconhinge/runtime/clock.py
+++ b/beaconhinge/runtime/clock.py
@@ -1,4 +1,4 @@
-"""The clock of this process: seconds of Unix time at its start, carried on by the monotonic clock."""
+"""The clock of this process: Unix time in seconds, set once at its start and advanced monotonically."""
 
 from __future__ import annotations
 
@@ -6,18 +6,18 @@
 
 
 class Clock:
-    """A clock that only goes forward: it is set by the wall clock once, and never again.
+    """A clock that never goes back: set from the wall clock at its creation, advanced by the monotonic clock.
 
-    Wall times that come later are brought to it by `start_times.py`.
+    `membership/start_times.py` converts wall times that are received later to this clock.
     """
 
     def __init__(self) -> None:
         self._offset = time.time() - time.monotonic()
 
     def now(self) -> float:
-        """Seconds of Unix time by this clock."""
+        """Return the Unix time in seconds by this clock."""
         return self._offset + time.monotonic()
 
     def wall_time(self) -> float:
-        """What the wall clock shows, Unix time; it may have been set anew since this one began."""
+        """Return the wall clock's Unix time in seconds; it may have been set since this clock was created."""
         return time.time()
--- a/beaconhinge/runtime/metrics.py
+++ b/beaconhinge/runtime/metrics.py
@@ -1,4 +1,4 @@
-"""Counters, log lines and supervised tasks: whatever the on-call page explains comes from here."""
+"""Counters, log lines and supervised tasks. The on-call page explains the events and counters."""
 
 from __future__ import annotations
 
@@ -9,15 +9,18 @@
 from collections.abc import Callable, Coroutine
 from typing import Any, TextIO
 
-REPEAT_INTERVAL_S = 5.0  # between two log lines of one kind of complaint
+REPEAT_INTERVAL_S = 5.0  # least time between two log lines of one name by `count_and_log`
 
 
 class Metrics:
     """Counters, log lines, and tasks whose failures are logged.
 
     Attributes:
-        counters: by name; operators read them in the log and by `show-stat`.
-        traced: topics whose single events are logged too.
+        now: The clock, in seconds.
+        sink: The stream to which plain log lines are written.
+        counters: Counters by name; operators read them in the log and by `show-stat`.
+        tasks: The tasks that have not ended yet.
+        traced: The topics whose events are logged one by one.
     """
 
     def __init__(
@@ -29,7 +32,7 @@
     ) -> None:
         self.now = now
         self.sink = sink or sys.stderr
-        self._write = writer or self._plain_line  # another form comes from `beaconhinge.logs`
+        self._write = writer or self._write_plain_line  # `beaconhinge.logs` has writers of other formats
         self.counters: Counter[str] = Counter()
         self.tasks: set[asyncio.Task[Any]] = set()
         self._suppressed_until: dict[str, float] = {}
@@ -40,43 +43,54 @@
         self.counters[name] += by
 
     def log(self, event: str, **fields: object) -> None:
-        """Write one line."""
+        """Write one log line: the event's name and its fields."""
         try:
             self._write(event, fields)
-        except OSError:  # nobody reads the log any more: no reason to stop serving
+        except OSError:  # the log's reader is gone; the dispatcher keeps serving
             self.count("log_lost")
 
-    def _plain_line(self, event: str, fields: dict[str, object]) -> None:
-        parts = [f"{self.now():.3f}", event, *(f"{key}={_plain(value)}" for key, value in fields.items())]
+    def _write_plain_line(self, event: str, fields: dict[str, object]) -> None:
+        parts = [
+            f"{self.now():.3f}",
+            event,
+            *(f"{key}={_format_value(value)}" for key, value in fields.items()),
+        ]
         print(" ".join(parts), file=self.sink, flush=True)
 
     def trace(self, topic: str, event: str, **fields: object) -> None:
-        """Log one event of a topic, if that is traced: these lines come with every request."""
+        """Log an event if its topic is traced; such events occur with every request."""
         if topic in self.traced:
             self.log(event, **fields)
 
     def count_and_log(self, name: str, **fields: object) -> None:
-        """Count what should not happen and log it, at a limited rate: a peer may send it without end."""
+        """Count an unexpected event, and log it at a limited rate, as a peer may cause it without end."""
         self.count(name)
         if self.now() >= self._suppressed_until.get(name, 0.0):
             self._suppressed_until[name] = self.now() + REPEAT_INTERVAL_S
             self.log(name, total=self.counters[name], **fields)
 
     def check(self, condition: bool, name: str) -> bool:
-        """What must hold: an assertion in debug, a counter under `python -O`, which `run` uses."""
+        """Check an invariant: assert it in debug mode; count and log a breach under `python -O`, as in `run`.
+
+        Returns:
+            The condition.
+
+        Raises:
+            AssertionError: The condition is false, in debug mode.
+        """
         assert condition, name
         if not condition:
             self.count_and_log("broken_" + name)
         return condition
 
     def log_exception(self, where: str, error: BaseException) -> None:
-        """Log an exception with the place that it came from."""
+        """Count and log an exception, with the file and line that raised it."""
         last = traceback.extract_tb(error.__traceback__)[-1:]
         at = f"{last[0].filename.rsplit('/', 1)[-1]}:{last[0].lineno}" if last else "unknown"
         self.count_and_log("task_failed", task=where, error=f"{type(error).__name__}: {error}", at=at)
 
     def spawn(self, coroutine: Coroutine[Any, Any, None], name: str) -> asyncio.Task[None]:
-        """Run a coroutine as a task; a failure is logged under `name`."""
+        """Start a coroutine as a task and return it; a failure is logged with `name`."""
         task = asyncio.get_running_loop().create_task(coroutine, name=name)
         self.tasks.add(task)
         task.add_done_callback(self._on_task_done)
@@ -88,12 +102,12 @@
             self.log_exception(task.get_name(), error)
 
     def log_counters(self) -> None:
-        """Write one line with all counters."""
+        """Write one log line with all counters."""
         self.log("counters", **dict(sorted(self.counters.items())))
 
 
-def _plain(value: object) -> str:
-    """One word for a log line: a peer's bytes must not make up lines or fields of their own."""
+def _format_value(value: object) -> str:
+    """Return a value as one word of a log line, so that a peer's bytes can't forge lines or fields."""
     text = f"{value:.3f}" if isinstance(value, float) else str(value)
     text = text[:200].encode("ascii", "backslashreplace").decode()
     return repr(text) if not text.isprintable() or set(text) & {" ", "=", '"', "'"} or not text else text
--- a/beaconhinge/runtime/timer_wheel.py
+++ b/beaconhinge/runtime/timer_wheel.py
@@ -1,7 +1,7 @@
-"""A timer wheel of coarse ticks. A timer never fires early, at most a tick late while the loop is free.
+"""A timer wheel of coarse ticks. Timers never fire early, and at most one tick late if the loop is idle.
 
-Timers are due at times of the wheel's clock. A process that stands still fires what has become due meanwhile
-in the order of these times, wherever in the program it stood.
+Timers are due at times of the wheel's clock. After a stall of the process, the timers that became due during
+it fire in the order of these times, wherever the program was when it stalled.
 """
 
 from __future__ import annotations
@@ -12,11 +12,17 @@
 from types import TracebackType
 
 TICK_S = 0.005
-SLOTS = 512  # a timer further ahead than so many ticks stays in its slot for another turn
+SLOTS = 512  # a timer that is due more ticks ahead stays in its slot for another rotation of the wheel
 
 
 class Timer:
-    """One call at a time to come; `call` is None once it was made or cancelled."""
+    """A call that is scheduled for a time.
+
+    Attributes:
+        due_at: The time of the wheel's clock, in seconds, at which the call is due.
+        due_tick: The tick at which it is made.
+        callback: The function to call; None once it has been called or cancelled.
+    """
 
     __slots__ = ("callback", "due_at", "due_tick")
 
@@ -26,16 +32,17 @@
         self.callback: Callable[[], object] | None = callback
 
     def cancel(self) -> None:
-        """Drop the call; a second time changes nothing."""
+        """Cancel the call; no effect if it has been made or cancelled before."""
         self.callback = None
 
 
 class TimerWheel:
-    """Timers hang in the slot of their tick; the wheel sleeps while no timer is left.
+    """Holds timers in the slots of their ticks; it sets no timer of the event loop while it is empty.
 
     Attributes:
-        now: the clock, in seconds.
-        postponed_for: seconds that timers have to wait still, after the process stood still.
+        now: The clock, in seconds.
+        on_error: Called with a name and the exception when a timer's callback fails.
+        postponed_for: Returns the seconds for which timers must still wait after a stall of the process.
     """
 
     def __init__(self, now: Callable[[], float], on_error: Callable[[str, BaseException], None]) -> None:
@@ -43,28 +50,28 @@
         self.on_error = on_error
         self._slots: list[list[Timer]] = [[] for _ in range(SLOTS)]
         self._origin = now()
-        self._last_tick = 0  # the last tick whose slot was emptied
+        self._last_tick = 0  # the last tick whose timers were fired
         self._count = 0
         self._wakeup: asyncio.TimerHandle | None = None
-        self._wakeup_tick = 0  # the tick for which the loop's timer is set
+        self._wakeup_tick = 0  # the tick for which the event loop's timer is set
         self._firing = False
         self._stopped = False
         self.postponed_for: Callable[[], float] = lambda: 0.0
 
-    def after(self, seconds: float, call: Callable[[], object]) -> Timer:
-        """Call something after so many seconds from now, not earlier.
+    def after(self, seconds: float, callback: Callable[[], object]) -> Timer:
+        """Call a function after so many seconds from now, never earlier.
 
-        What is due at a time that is known already is set by `at`: a difference to an earlier reading of the
-        clock grows by as long as the process stood still since.
+        Use `at` for a time that is already known: seconds computed from an earlier reading of the clock would
+        make the timer late by any stall of the process since that reading.
         """
-        return self.at(self.now() + seconds, call)
+        return self.at(self.now() + seconds, callback)
 
-    def at(self, time_s: float, call: Callable[[], object]) -> Timer:
-        """Call something at that time of the wheel's clock, not earlier; soon if it is over."""
+    def at(self, time_s: float, callback: Callable[[], object]) -> Timer:
+        """Call a function at a time of the wheel's clock, never earlier; a past time means the next tick."""
         if self._count == 0:
             self._last_tick = max(self._last_tick, self._current_tick())
         due = max(math.ceil((time_s - self._origin) / TICK_S), self._last_tick + 1)
-        timer = Timer(time_s, due, call)
+        timer = Timer(time_s, due, callback)
         if self._stopped:
             return timer
         self._slots[due % SLOTS].append(timer)
@@ -74,15 +81,15 @@
         return timer
 
     def timeout(self, seconds: float) -> Timeout:
-        """Bound the time of an `async with` block, counted from its beginning."""
+        """Return a context that limits an `async with` block to so many seconds from its start."""
         return Timeout(self, lambda: self.now() + seconds)
 
     def timeout_at(self, time_s: float) -> Timeout:
-        """End an `async with` block at that time of the wheel's clock."""
+        """Return a context that ends an `async with` block at a time of the wheel's clock."""
         return Timeout(self, lambda: time_s)
 
     def stop(self) -> None:
-        """Fire nothing from now on: a task that a timer begins while the loop closes would stay pending."""
+        """Fire no more timers: a task started by a timer while the loop closes would stay pending."""
         self._stopped = True
         self._count = 0
         self._slots = [[] for _ in range(SLOTS)]
@@ -90,10 +97,14 @@
             self._wakeup.cancel()
 
     def fire_due(self) -> None:
-        """Fire what is due. A late loop catches up; more than a whole turn late, each slot is seen once."""
+        """Fire all due timers in the order of their times.
+
+        A late loop catches up; if it is late by more than a rotation of the wheel, each slot is visited once.
+        """
         wait = self.postponed_for()
         if wait > 0:
-            # What came while the process stood still is read first; no newer timer shortens that.
+            # Data that arrived during the stall is read first. Tick 0 keeps newer timers from shortening
+            # this wait.
             self._wakeup_tick = 0
             self._wakeup = asyncio.get_running_loop().call_later(wait, self.fire_due)
             return
@@ -110,10 +121,10 @@
                 self._count -= len(slot) - len(self._slots[tick % SLOTS])
         self._last_tick = max(self._last_tick, target)
         for timer in sorted(due, key=lambda t: t.due_at):
-            call, timer.callback = timer.callback, None
-            if call is not None:
+            callback, timer.callback = timer.callback, None
+            if callback is not None:
                 try:
-                    call()
+                    callback()
                 except Exception as error:  # noqa: BLE001  # one timer's failure must not lose the others
                     self.on_error("timer", error)
         self._firing = False
@@ -134,14 +145,19 @@
             self._wakeup = asyncio.get_running_loop().call_later(max(wait, 0.0), self.fire_due)
             before, now = now, self.now()
             if wait <= 0.0 or now - before < TICK_S:
-                return  # else the process stood still meanwhile, and the loop's timer is late by that
+                return  # otherwise the process stalled here, and the loop's timer is late by that time
 
 
 class Timeout:
-    """`async with timers.timeout(seconds)`: the body gets that long, then TimeoutError is raised."""
+    """The context of `TimerWheel.timeout`: cancels its block at the end time, and raises TimeoutError."""
 
     def __init__(self, timers: TimerWheel, end: Callable[[], float]) -> None:
-        """`end` returns the time at which the body ends, as it begins."""
+        """Create a context.
+
+        Args:
+            timers: The wheel that ends the block.
+            end: Returns the time of the wheel's clock at which the block ends; called as the block begins.
+        """
         self._timers = timers
         self._end = end
         self._expired = False
@@ -160,7 +176,7 @@
         self, kind: type[BaseException] | None, error: BaseException | None, trace: TracebackType | None
     ) -> None:
         self._timer.cancel()
-        # A cancellation from elsewhere at the same moment goes on as what it is.
+        # A cancellation from elsewhere at the same time is passed on as a cancellation.
         if not self._expired or self._task is None:
             return
         if self._task.uncancel() == 0 and kind is asyncio.CancelledError:
