--- a/tests/runtime/test_clock.py
+++ b/tests/runtime/test_clock.py
@@ -1,4 +1,4 @@
-"""The clock of the process."""
+"""The process clock: Unix time that never goes back."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 from beaconhinge.runtime.clock import Clock
 
 
-def test_the_clock_is_unix_time_and_never_goes_back() -> None:
+def test_clock_shows_unix_time_and_never_goes_back() -> None:
     clock = Clock()
 
     assert abs(clock.now() - time.time()) < 0.1
--- a/tests/runtime/test_metrics.py
+++ b/tests/runtime/test_metrics.py
@@ -1,4 +1,4 @@
-"""Counters, log lines, supervised tasks, and what must hold."""
+"""Counters, log lines, supervised tasks and invariant checks."""
 
 from __future__ import annotations
 
@@ -15,7 +15,8 @@
 ROOT = Path(__file__).resolve().parents[2]
 
 
-def test_complaints_are_all_counted_and_logged_at_a_limited_rate_on_one_line() -> None:
+def test_repeated_events_are_counted_and_logged_at_a_limited_rate() -> None:
+    """A value with line breaks or control characters from a peer must not forge log lines or fields."""
     now, sink = [10.0], io.StringIO()
     metrics = Metrics(lambda: now[0], sink)
     for _ in range(1000):
@@ -27,14 +28,14 @@
     assert sink.getvalue().splitlines()[1] == "16.000 callback_malformed total=1001 why=again"
 
 
-def test_a_failed_task_is_logged_and_counted() -> None:
+def test_failed_task_is_logged_and_counted() -> None:
     async def run() -> None:
         metrics = Metrics(lambda: 1.0, sink := io.StringIO())
 
-        async def broken() -> None:
+        async def fail() -> None:
             raise KeyError("x")
 
-        await asyncio.wait([metrics.spawn(broken(), "story")])
+        await asyncio.wait([metrics.spawn(fail(), "story")])
         await asyncio.sleep(0)
         assert metrics.counters["task_failed"] == 1
         assert "task=story" in sink.getvalue()
@@ -42,7 +43,7 @@
     asyncio.run(run())
 
 
-def test_what_must_hold_is_asserted_in_debug_and_counted_in_release() -> None:
+def test_broken_invariant_is_asserted_in_debug_and_counted_under_o() -> None:
     with pytest.raises(AssertionError, match="name"):
         Metrics(lambda: 1.0).check(False, "name")
     code = (
--- a/tests/runtime/test_timer_wheel.py
+++ b/tests/runtime/test_timer_wheel.py
@@ -1,4 +1,4 @@
-"""Timers fire once and never early, and a bounded block ends in time."""
+"""Timers fire once and never early, and a block with a timeout ends in time."""
 
 from __future__ import annotations
 
@@ -11,14 +11,14 @@
 
 
 @pytest.mark.parametrize("seconds", [0.0, TICK_S, 0.02, 0.0501, 0.1])
-def test_a_timer_fires_once_and_never_early(seconds: float) -> None:
+def test_timer_fires_once_and_never_early(seconds: float) -> None:
     async def run() -> None:
         clock, failures = Clock(), []
         timers = TimerWheel(clock.now, lambda where, error: failures.append(error))
         fired: asyncio.Queue[float] = asyncio.Queue()
         start = clock.now()
-        timers.after(1.0, lambda: fired.put_nowait(0.0))  # a far one must not hold up a near one
-        timers.after(seconds, lambda: 1 / 0)  # nor a broken one the others
+        timers.after(1.0, lambda: fired.put_nowait(0.0))  # a distant timer must not delay a near one
+        timers.after(seconds, lambda: 1 / 0)  # a failing timer must not stop the others
         timers.after(seconds, lambda: fired.put_nowait(0.0)).cancel()
         timers.after(seconds, lambda: fired.put_nowait(clock.now() - start))
         assert seconds - 1e-4 <= await asyncio.wait_for(fired.get(), 0.9) < seconds + 0.5
@@ -28,7 +28,7 @@
     asyncio.run(run())
 
 
-def test_the_wheel_keeps_timers_beyond_a_turn_and_catches_up_when_late() -> None:
+def test_timers_beyond_one_rotation_are_kept_and_late_ones_all_fire() -> None:
     async def run() -> None:
         now, fired = [0.0], []
         timers = TimerWheel(lambda: now[0], lambda where, error: None)
@@ -44,7 +44,7 @@
     asyncio.run(run())
 
 
-def test_nothing_fires_after_the_stop_whenever_it_was_asked_for() -> None:
+def test_no_timer_fires_after_stop_even_if_set_before_it() -> None:
     async def run() -> None:
         now, fired = [0.0], list[str]()
         timers = TimerWheel(lambda: now[0], lambda where, error: None)
@@ -58,7 +58,7 @@
     asyncio.run(run())
 
 
-def test_a_limit_ends_its_body_with_a_time_out_and_passes_on_a_cancel() -> None:
+def test_timeout_ends_its_block_and_passes_on_a_cancellation() -> None:
     async def run() -> None:
         timers = TimerWheel(Clock().now, lambda where, error: None)
 
