--- a/tests/net/test_list_availability.py
+++ b/tests/net/test_list_availability.py
@@ -1,4 +1,4 @@
-"""Whether senders may act on the endpoint list, and whether they wait until they may, in simulated time."""
+"""Senders wait until the endpoint list may be acted on. Simulated time."""
 
 from __future__ import annotations
 
@@ -11,11 +11,11 @@
 from beaconhinge.runtime.metrics import Metrics
 from beaconhinge.runtime.timer_wheel import TimerWheel
 
-CHECK_S = 0.15
+UPDATE_INTERVAL_S = 0.15
 
 
 class FakeTimers:
-    """A clock that a test moves."""
+    """A clock that the test advances."""
 
     def __init__(self) -> None:
         self.time = 100.0
@@ -25,7 +25,7 @@
 
 
 class FakeMetrics:
-    """Counts what is logged, and keeps the fields of the last line."""
+    """Counts logged events by name, and keeps the fields of the last one."""
 
     def __init__(self) -> None:
         self.counters = Counter[str]()
@@ -37,7 +37,7 @@
 
 
 class Setup:
-    """A list that was confirmed just now, with fakes around it."""
+    """A ListAvailability with a fake clock and fake metrics, before discovery has confirmed the list."""
 
     def __init__(self) -> None:
         self.timers, self.metrics, self.pauses = FakeTimers(), FakeMetrics(), 0
@@ -53,13 +53,13 @@
         self.availability.update()
 
     def run_for(self, seconds: float) -> None:
-        for _ in range(round(seconds / CHECK_S)):
-            self.timers.time += CHECK_S
+        for _ in range(round(seconds / UPDATE_INTERVAL_S)):
+            self.timers.time += UPDATE_INTERVAL_S
             self.availability.update()
 
 
-async def waits(availability: ListAvailability) -> bool:
-    """Whether a sender has to wait at this moment."""
+async def must_wait(availability: ListAvailability) -> bool:
+    """Return whether a sender has to wait now."""
     sender = asyncio.ensure_future(availability.wait_until_usable())
     for _ in range(3):
         await asyncio.sleep(0)
@@ -84,33 +84,33 @@
     asyncio.run(scenario())
 
 
-def test_list_that_turns_unknown_is_logged_once_with_its_age_and_has_senders_wait() -> None:
+def test_list_that_becomes_unknown_is_logged_once_and_blocks_senders() -> None:
     async def scenario() -> None:
         setup = Setup()
         setup.confirm()
-        assert not await waits(setup.availability)
+        assert not await must_wait(setup.availability)
         setup.run_for(LIST_MAX_AGE_S + 1.0)
-        assert await waits(setup.availability)
+        assert await must_wait(setup.availability)
         assert setup.metrics.counters == {"list_unknown": 1}
-        assert LIST_MAX_AGE_S < setup.metrics.fields["list_age"] <= LIST_MAX_AGE_S + 2 * CHECK_S
+        assert LIST_MAX_AGE_S < setup.metrics.fields["list_age"] <= LIST_MAX_AGE_S + 2 * UPDATE_INTERVAL_S
         setup.confirm()
-        assert not await waits(setup.availability)
+        assert not await must_wait(setup.availability)
 
     asyncio.run(scenario())
 
 
-def test_sender_that_comes_before_the_next_update_does_not_pass_by_a_stale_event() -> None:
+def test_sender_waits_if_the_list_became_unknown_since_the_last_update() -> None:
     async def scenario() -> None:
         setup = Setup()
         setup.confirm()
-        setup.run_for(LIST_MAX_AGE_S - 2 * CHECK_S)
-        setup.timers.time += 4 * CHECK_S  # no update since: the event is still set
-        assert await waits(setup.availability)
+        setup.run_for(LIST_MAX_AGE_S - 2 * UPDATE_INTERVAL_S)
+        setup.timers.time += 4 * UPDATE_INTERVAL_S  # no update since: the event is still set
+        assert await must_wait(setup.availability)
 
     asyncio.run(scenario())
 
 
-def test_pause_of_the_process_is_reported_once_and_has_senders_wait() -> None:
+def test_process_pause_is_reported_once_and_blocks_senders() -> None:
     async def scenario() -> None:
         setup = Setup()
         setup.confirm()
@@ -118,7 +118,7 @@
         setup.timers.time += LIST_MAX_AGE_S + PROCESS_PAUSE_S
         assert not setup.availability.usable
         assert setup.pauses == 1
-        assert await waits(setup.availability)
+        assert await must_wait(setup.availability)
         assert setup.pauses == 1
 
     asyncio.run(scenario())
--- a/tests/net/test_peers.py
+++ b/tests/net/test_peers.py
@@ -1,4 +1,4 @@
-"""Datagrams between dispatchers."""
+"""Datagrams between dispatchers: to whom they are sent, and from whom they are accepted."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 @pytest.mark.parametrize(("target", "arrives"), [(-1, True), (1, True), (7, False)])
-def test_datagrams_go_to_all_or_one_and_come_from_known_peers(
+def test_datagrams_are_sent_to_one_or_all_and_accepted_from_peers_only(
     monkeypatch: pytest.MonkeyPatch, target: int, arrives: bool
 ) -> None:
     module = ScriptedPolicy([interface.SendToPeer(b"hello", target), interface.Reject(1)])
@@ -40,17 +40,17 @@
                 (peer, b"known"),
             ):
                 sender.sendto(payload, ("127.0.0.1", harness.peer_port))
-            told = [
-                e
-                for e in [await module.events.get() for _ in range(3)]
-                if isinstance(e, interface.PeerMessage)
+            received = [
+                event
+                for event in [await module.events.get() for _ in range(3)]
+                if isinstance(event, interface.PeerMessage)
             ]
-            assert told == [interface.PeerMessage(1, b""), interface.PeerMessage(1, b"known")]
+            assert received == [interface.PeerMessage(1, b""), interface.PeerMessage(1, b"known")]
 
     run_scenario(scenario)
 
 
-def test_a_dispatcher_that_stops_tells_nothing_more(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_stopping_dispatcher_sends_no_more_datagrams(monkeypatch: pytest.MonkeyPatch) -> None:
     module = ScriptedPolicy([interface.SendToPeer(b"before", 1), interface.Reject(1)])
     monkeypatch.setattr("beaconhinge.application.Dispatcher", lambda settings, seed: module)
 
@@ -70,15 +70,15 @@
     run_scenario(scenario)
 
 
-def test_the_module_passes_over_bytes_that_are_no_report() -> None:
+def test_malformed_gossip_datagrams_do_not_stop_the_dispatcher() -> None:
     async def scenario(harness: Harness) -> None:
         with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as peer:
             peer.bind(("127.0.0.1", harness.other_port))
             for size in (0, 1, 16, 17, 256):
                 peer.sendto(b"\x6f\x73" + b"\xff" * size, ("127.0.0.1", harness.peer_port))
-        asked = asyncio.create_task(harness.post())
+        request = asyncio.create_task(harness.post())
         await harness.workers[0].seen.get()
         await harness.callback(state="done", result="fine")
-        assert (await asked).status == 200
+        assert (await request).status == 200
 
     run_scenario(scenario)
--- a/tests/net/test_sockets.py
+++ b/tests/net/test_sockets.py
@@ -1,11 +1,11 @@
-"""The budget of descriptors."""
+"""The budget of file descriptors and of bytes for message bodies."""
 
 from __future__ import annotations
 
 from beaconhinge.net.sockets import RESERVED_DESCRIPTORS, DescriptorBudget
 
 
-def test_a_short_budget_closes_idle_connections_first_and_keeps_some_for_workers() -> None:
+def test_full_budget_closes_idle_connections_and_limits_body_bytes() -> None:
     budget, idle = DescriptorBudget(RESERVED_DESCRIPTORS + 4, 100), ["a", "b"]
 
     def reclaim() -> bool:
@@ -15,7 +15,7 @@
         budget.release()
         return True
 
-    budget.used = 2  # the two idle ones
+    budget.used = 2  # the two idle connections
     budget.reclaimers.append(reclaim)
     assert [budget.acquire() for _ in range(5)] == [True, True, True, True, False]
     assert idle == []
