--- a/tests/list_client.py
+++ b/tests/list_client.py
@@ -1,4 +1,4 @@
-"""The decisions on calls to discovery in simulated time: a watch, and the reads beside it."""
+"""A test client for the decisions on calls to discovery, in simulated time: a watch and the reads beside it."""
 
 from __future__ import annotations
 
@@ -11,12 +11,12 @@
 
 
 def worker_list(version: int, *entries: object, full: bool = False) -> WorkerList:
-    """An answer of discovery."""
+    """Return a list as parsed from an answer of discovery."""
     return WorkerListParser(["a"], ["k"]).parse({"version": version, "full": full, "servers": list(entries)})
 
 
 class ListClient:
-    """One dispatcher's calls. Time stands still but where a test moves it on."""
+    """The calls of one dispatcher. Time advances only where a test sets `now`."""
 
     def __init__(
         self, version: int | None, pushed: bool, size: int, max_age_s: float, jitter: float = 0.5
@@ -30,21 +30,21 @@
         self._watch_call: DiscoveryCall | None = None
 
     def call(self) -> DiscoveryCall:
-        """The watch's next call."""
+        """Return the next call of the watch."""
         self._watch_call = self.watch.next_call(self.now)
         return self._watch_call
 
     def read_due_in_s(self) -> float:
-        """The seconds until something is to be read beside the watch."""
+        """Return the seconds until the next read beside the watch is due."""
         return self.reads.seconds_until_call(self.now)
 
     def read(self) -> DiscoveryCall | None:
-        """The read that is due now beside the watch; None if none is."""
+        """Return the read that is due now beside the watch; None if none is due."""
         due = self.watch.watching and self.read_due_in_s() <= 0
         return self.reads.next_call() if due else None
 
     def due_read(self) -> DiscoveryCall:
-        """The same, where there has to be one."""
+        """Return the read that is due now beside the watch; fail if none is due."""
         read = self.read()
         assert read is not None
         return read
@@ -52,25 +52,32 @@
     def take(
         self, call: DiscoveryCall, answer: WorkerList, elapsed_s: float, differs: bool = True
     ) -> AnswerDecision:
-        """Decide on an answer; `differs` if applying it would change the known workers."""
-        chain = self.watch if call is self._watch_call else self.reads
-        return chain.handle_answer(ReceivedAnswer(call, answer, elapsed_s, self.now, self.jitter, differs))
+        """Return the decision on an answer.
+
+        Args:
+            call: The call that was answered.
+            answer: The list in the answer.
+            elapsed_s: Seconds from the call to the answer.
+            differs: Whether applying the list would change the known workers.
+        """
+        decider = self.watch if call is self._watch_call else self.reads
+        return decider.handle_answer(ReceivedAnswer(call, answer, elapsed_s, self.now, self.jitter, differs))
 
     def fail(self, silent: bool, jitter: float, refused: bool = False, begun: bool = False) -> float:
-        """Have the watch's last call fail; the time to the next one."""
+        """Report that the watch's last call failed, and return the seconds until the next one."""
         assert self._watch_call is not None
         failure = CallFailure(silent, begun, refused)
         return self.watch.handle_failure(self._watch_call, failure, self.now, jitter)
 
     def fail_read(self, call: DiscoveryCall, silent: bool = True, refused: bool = False) -> None:
-        """Have a read fail."""
+        """Report that a read failed."""
         self.reads.handle_failure(call, CallFailure(silent, False, refused), self.now, self.jitter)
 
 
 def watching(
     version: int = 5, pushed: bool = False, size: int = 200, max_age_s: float = 10.0, jitter: float = 0.5
 ) -> ListClient:
-    """One that has caught up, and is about to watch."""
+    """Return a client that has caught up with `version` and is about to watch."""
     client = ListClient(version, pushed, size, max_age_s, jitter)
     call = client.call()
     assert call.wait_s == 0
--- a/tests/virtual_time.py
+++ b/tests/virtual_time.py
@@ -1,4 +1,4 @@
-"""An event loop in virtual time, on a clock that lets the process stand still between any two readings."""
+"""An event loop in virtual time, and a clock that simulates a pause of the process between any two readings."""
 
 from __future__ import annotations
 
@@ -10,11 +10,17 @@
 Result = TypeVar("Result")
 
 START_S = 1000.0
-READING_S = 1e-6  # the time that one reading of the clock takes
+READ_DURATION_S = 1e-6  # the time that one reading of the clock takes
 
 
 class PausingClock:
-    """Time moves when the loop waits, and once by a pause before the reading of a number."""
+    """A clock that advances with each reading, while the loop waits, and once by a pause.
+
+    Attributes:
+        readings: The number of readings so far.
+        pause_before_reading: The pause comes before the reading of this number, counted from 0; -1 for none.
+        pause_s: The length of the pause in seconds.
+    """
 
     def __init__(self, pause_before_reading: int = -1, pause_s: float = 0.0) -> None:
         self.readings = 0
@@ -26,7 +32,7 @@
         if self.readings == self.pause_before_reading:
             self._now += self.pause_s
         self.readings += 1
-        self._now += READING_S
+        self._now += READ_DURATION_S
         return self._now
 
     def sleep(self, seconds: float) -> None:
@@ -41,13 +47,13 @@
     def select(self, timeout: float | None = None) -> list[Any]:
         found = super().select(0)
         if not found:
-            assert timeout is not None, "nothing is left to wait for"
+            assert timeout is not None, "the event loop would wait for ever: no timer and no ready socket"
             self._clock.sleep(max(timeout, 0.0))
         return found
 
 
 class _VirtualLoop(asyncio.SelectorEventLoop):
-    """Like libuv's, its time is read when it has waited and when a timer is set."""
+    """An event loop that, like libuv's, reads its clock after each wait and when a timer is set."""
 
     def __init__(self, clock: PausingClock) -> None:
         super().__init__(_VirtualSelector(clock))
@@ -58,5 +64,6 @@
 
 
 def run_in_virtual_time(clock: PausingClock, coroutine: Coroutine[Any, Any, Result]) -> Result:
+    """Run a coroutine on an event loop with this clock, and return its result."""
     with asyncio.Runner(loop_factory=lambda: _VirtualLoop(clock)) as runner:
         return runner.run(coroutine)
