--- a/tests/net/test_discovery_connection.py
+++ b/tests/net/test_discovery_connection.py
@@ -1,4 +1,4 @@
-"""What arrives on the connection to discovery is read in its turn, whatever becomes of answer, call and connection."""
+"""Bytes from discovery are read as they arrive, even if the answer, its call or the connection fails."""
 
 from __future__ import annotations
 
@@ -32,24 +32,28 @@
     return b"HTTP/1.1 %d X\r\nContent-Length: %d\r\n\r\n%s" % (status, size, content)
 
 
-class Peer:
-    """Discovery as a plain socket: what the test writes is what comes."""
+class FakeDiscovery:
+    """Discovery as a plain socket, whose bytes the test writes, and the connection under test.
+
+    Attributes:
+        reported: The version and worker of each entry that the connection has reported as leaving.
+    """
 
     def __init__(self) -> None:
         self.listener = socket.create_server(("127.0.0.1", 0))
         self.address = self.listener.getsockname()
-        self.found: list[tuple[int, str]] = []
+        self.reported: list[tuple[int, str]] = []
         loop = asyncio.get_running_loop()
         metrics = Metrics(loop.time)
         self.timers = TimerWheel(loop.time, metrics.log_exception)
         self.counters = metrics.counters
         self.connection = DiscoveryConnection(
-            self.timers, metrics, self.leaving, LateAnswers(self.timers, metrics)
+            self.timers, metrics, self.record_leaving, LateAnswers(self.timers, metrics)
         )
         self.sock: socket.socket
 
-    def leaving(self, leaving: LeavingEntries) -> None:
-        self.found += [(leaving.version, entry["id"]) for entry in leaving.entries]
+    def record_leaving(self, leaving: LeavingEntries) -> None:
+        self.reported += [(leaving.version, entry["id"]) for entry in leaving.entries]
 
     def call(self, call: DiscoveryCall = WATCH) -> asyncio.Task[bytes]:
         return asyncio.create_task(self.connection.fetch(self.address, call))
@@ -57,122 +61,122 @@
     async def accept(self) -> None:
         self.listener.setblocking(False)
         self.sock, _ = await asyncio.get_running_loop().sock_accept(self.listener)
-        self.sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)  # a second piece waits for no ACK
+        self.sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)  # a write doesn't wait for an ACK
 
-    async def first_call(self) -> None:
-        """Have a call answered, so that the connection is kept."""
+    async def complete_first_call(self) -> None:
+        """Make and answer a call, so that the connection stays open."""
         fetch = self.call()
         await self.accept()
         self.sock.send(answer(body(1)))
         assert await fetch == body(1)
 
 
-def run(scenario: Callable[[Peer], Awaitable[None]]) -> None:
-    async def with_peer() -> None:
-        peer = Peer()
+def run(scenario: Callable[[FakeDiscovery], Awaitable[None]]) -> None:
+    async def run_with_discovery() -> None:
+        discovery = FakeDiscovery()
         try:
             async with asyncio.timeout(8):
-                await scenario(peer)
+                await scenario(discovery)
         finally:
-            peer.connection.close()
-            peer.listener.close()
+            discovery.connection.close()
+            discovery.listener.close()
 
-    uvloop.run(with_peer())
+    uvloop.run(run_with_discovery())
 
 
-async def arrive() -> None:
-    """Give the loop some turns."""
+async def run_loop_turns() -> None:
+    """Let the event loop run for 20 turns of at least 1 ms, so that written bytes arrive."""
     for _ in range(20):
         await asyncio.sleep(0.001)
 
 
-def test_entries_count_while_the_answer_is_still_coming() -> None:
-    async def scenario(peer: Peer) -> None:
-        fetch = peer.call()
-        await peer.accept()
+def test_entries_are_reported_before_the_answer_is_complete() -> None:
+    async def scenario(discovery: FakeDiscovery) -> None:
+        fetch = discovery.call()
+        await discovery.accept()
         content = body(7, "s-1", "s-2")
         half = content.index(b'"s-2"') + 3
-        peer.sock.send(answer(content[:half], length=len(content)))
-        await arrive()
-        assert peer.found == [(7, "s-1")]
+        discovery.sock.send(answer(content[:half], length=len(content)))
+        await run_loop_turns()
+        assert discovery.reported == [(7, "s-1")]
         assert not fetch.done()
-        peer.sock.send(content[half:])
+        discovery.sock.send(content[half:])
         assert await fetch == content
-        assert peer.found == [(7, "s-1"), (7, "s-2")]
+        assert discovery.reported == [(7, "s-1"), (7, "s-2")]
 
     run(scenario)
 
 
-def test_what_has_arrived_unread_counts_when_the_connection_is_dropped() -> None:
-    """A call is cancelled, or given up, while its answer lies in the socket."""
+def test_unread_bytes_are_read_before_the_connection_is_closed() -> None:
+    """A call is cancelled or abandoned while its answer waits unread in the socket."""
 
-    async def scenario(peer: Peer) -> None:
-        await peer.first_call()
-        fetch = peer.call()
-        await arrive()
-        peer.sock.send(answer(body(8, "s-1"), length=10_000))
-        time.sleep(0.01)  # noqa: ASYNC251  # it arrives, and no turn of the loop reads it
+    async def scenario(discovery: FakeDiscovery) -> None:
+        await discovery.complete_first_call()
+        fetch = discovery.call()
+        await run_loop_turns()
+        discovery.sock.send(answer(body(8, "s-1"), length=10_000))
+        time.sleep(0.01)  # noqa: ASYNC251  # it arrives, but no turn of the event loop reads it
         fetch.cancel()
-        peer.connection.close()
-        assert peer.found == [(8, "s-1")]
+        discovery.connection.close()
+        assert discovery.reported == [(8, "s-1")]
 
     run(scenario)
 
 
 @pytest.mark.parametrize("cancelled", [False, True])
 @pytest.mark.parametrize("begun", [False, True])
-def test_entries_count_of_an_answer_that_comes_after_its_call_was_given_up(
-    cancelled: bool, begun: bool
-) -> None:
-    """A worker that had left got a job 1.0 s after discovery had written that it had.
-
-    A crowded discovery took longer to answer than the 0.7 s that a read to confirm is waited for. The connection was
-    closed, its answer with it, and the next call took 0.74 s more. Shown by the traced list and attempts of one day
-    in twelve plays: the call given up, no byte of it read, the job 0.4 s later, the next list 0.4 s after that.
+def test_entries_of_an_answer_to_an_abandoned_call_are_reported(cancelled: bool, begun: bool) -> None:
+    """A worker got a job 1.0 s after discovery had written that it was leaving.
+
+    An overloaded discovery took longer to answer than the 0.7 s timeout of a confirming read. The connection was
+    closed before any byte of its answer was read, and the next call took 0.74 s more: the job was sent 0.4 s after
+    the call was abandoned, and the next list arrived 0.4 s after that. Traces of one day in twelve runs showed it.
     """
 
-    async def scenario(peer: Peer) -> None:
-        await peer.first_call()
-        first, content = peer.sock, answer(body(8, "s-1", "s-2"))
-        fetch = peer.call(DiscoveryCall(None, 0.0, 0.05, 0.05))
-        await arrive()
-        sent = content.index(b"s-1") if begun else 0
-        first.send(content[:sent])
+    async def scenario(discovery: FakeDiscovery) -> None:
+        await discovery.complete_first_call()
+        first, content = discovery.sock, answer(body(8, "s-1", "s-2"))
+        fetch = discovery.call(DiscoveryCall(None, 0.0, 0.05, 0.05))
+        await run_loop_turns()
+        split = content.index(b"s-1") if begun else 0
+        first.send(content[:split])
         if cancelled:
-            peer.connection.give_up()
+            discovery.connection.give_up()
             fetch.cancel()
         else:
             with pytest.raises(TimeoutError):
                 await fetch
-            peer.connection.give_up()
-        await arrive()
-        again = peer.call()
-        await peer.accept()  # on a new connection
-        first.send(content[sent:])
-        await arrive()
-        assert peer.found == [(8, "s-1"), (8, "s-2")]
-        assert peer.counters["discovery_answers_late"] == 1
-        peer.sock.send(answer(body(9, "s-3")))
-        assert await again == body(9, "s-3")
-        assert peer.found[2:] == [(9, "s-3")]
+            discovery.connection.give_up()
+        await run_loop_turns()
+        next_fetch = discovery.call()
+        await discovery.accept()  # on a new connection
+        first.send(content[split:])
+        await run_loop_turns()
+        assert discovery.reported == [(8, "s-1"), (8, "s-2")]
+        assert discovery.counters["discovery_answers_late"] == 1
+        discovery.sock.send(answer(body(9, "s-3")))
+        assert await next_fetch == body(9, "s-3")
+        assert discovery.reported[2:] == [(9, "s-3")]
 
     run(scenario)
 
 
-def test_few_connections_are_kept_for_late_answers() -> None:
-    async def scenario(peer: Peer) -> None:
+def test_number_of_connections_kept_for_late_answers_is_bounded() -> None:
+    """Only the oldest connection is closed when one more than MAX_LATE_ANSWERS calls are abandoned."""
+
+    async def scenario(discovery: FakeDiscovery) -> None:
         given_up = []
         for _ in range(MAX_LATE_ANSWERS + 1):
-            fetch = peer.call(DiscoveryCall(None, 0.0, 0.02))
-            await peer.accept()
-            given_up.append(peer.sock)
+            fetch = discovery.call(DiscoveryCall(None, 0.0, 0.02))
+            await discovery.accept()
+            given_up.append(discovery.sock)
             with pytest.raises(TimeoutError):
                 await fetch
-            peer.connection.give_up()
-        await arrive()
+            discovery.connection.give_up()
+        await run_loop_turns()
         for sock in given_up:
             sock.setblocking(False)
-        assert given_up[0].recv(1000)  # the call, and then its end
+        assert given_up[0].recv(1000)  # the call, and then the end of the connection
         assert given_up[0].recv(1000) == b""
         assert all(sock.recv(1000) for sock in given_up[1:])
         for sock in given_up[1:]:
@@ -182,36 +186,36 @@
     run(scenario)
 
 
-def test_what_comes_while_no_call_is_out_counts_at_once() -> None:
-    """A second answer during the pause before the next call, which closes the connection only then."""
-
-    async def scenario(peer: Peer) -> None:
-        await peer.first_call()
-        rest = asyncio.create_task(peer.connection.wait_and_read(2.0))
-        await arrive()
-        peer.sock.send(answer(body(3, "s-1")) + answer(body(4, "s-2"))[:-2])
-        await arrive()
-        assert peer.found == [(3, "s-1"), (4, "s-2")]
-        assert not rest.done()
-        rest.cancel()
-        fetch = peer.call()
-        await peer.accept()  # on a new connection
-        assert peer.counters["discovery_unsolicited_answer"] == 1
-        peer.sock.send(answer(body(5)))
+def test_entries_that_arrive_between_calls_are_reported_at_once() -> None:
+    """A second answer arrives in the pause before the next call; the connection is closed only by that call."""
+
+    async def scenario(discovery: FakeDiscovery) -> None:
+        await discovery.complete_first_call()
+        wait = asyncio.create_task(discovery.connection.wait_and_read(2.0))
+        await run_loop_turns()
+        discovery.sock.send(answer(body(3, "s-1")) + answer(body(4, "s-2"))[:-2])
+        await run_loop_turns()
+        assert discovery.reported == [(3, "s-1"), (4, "s-2")]
+        assert not wait.done()
+        wait.cancel()
+        fetch = discovery.call()
+        await discovery.accept()  # on a new connection
+        assert discovery.counters["discovery_unsolicited_answer"] == 1
+        discovery.sock.send(answer(body(5)))
         assert await fetch == body(5)
 
     run(scenario)
 
 
-def test_rest_ends_in_time_though_the_peer_closes() -> None:
-    async def scenario(peer: Peer) -> None:
-        await peer.first_call()
-        started = peer.timers.now()
-        rest = asyncio.create_task(peer.connection.wait_and_read(0.15))
-        await arrive()
-        peer.sock.close()
-        await rest
-        assert 0.14 < peer.timers.now() - started < 1.0
+def test_wait_between_calls_ends_in_time_if_discovery_closes() -> None:
+    async def scenario(discovery: FakeDiscovery) -> None:
+        await discovery.complete_first_call()
+        started = discovery.timers.now()
+        wait = asyncio.create_task(discovery.connection.wait_and_read(0.15))
+        await run_loop_turns()
+        discovery.sock.close()
+        await wait
+        assert 0.14 < discovery.timers.now() - started < 1.0
 
     run(scenario)
 
@@ -224,58 +228,61 @@
         (b"Transfer-Encoding: chunked\r\n\r\n", b"\r\n"),
     ],
 )
-def test_answer_with_a_complete_list_is_taken_though_it_does_not_end(head: bytes, end: bytes) -> None:
-    async def scenario(peer: Peer) -> None:
-        fetch = peer.call()
-        await peer.accept()
+def test_answer_with_a_complete_list_is_accepted_without_its_end(head: bytes, end: bytes) -> None:
+    async def scenario(discovery: FakeDiscovery) -> None:
+        fetch = discovery.call()
+        await discovery.accept()
         content = body(9, "s-1", full=True)
         chunk = b"%x\r\n" % len(content) if end else b""
-        peer.sock.send(b"HTTP/1.1 200 X\r\n" + head + chunk + content + end)
-        started = peer.timers.now()
+        discovery.sock.send(b"HTTP/1.1 200 X\r\n" + head + chunk + content + end)
+        started = discovery.timers.now()
         assert await fetch == content
-        assert peer.timers.now() - started < 0.3
-        assert peer.counters["discovery_answers_unended"] == 1
-        assert peer.sock.recv(1000).startswith(b"GET ")
-        assert peer.sock.recv(1000) == b""  # what may come on it belongs to no later call
+        assert discovery.timers.now() - started < 0.3
+        assert discovery.counters["discovery_answers_unended"] == 1
+        assert discovery.sock.recv(1000).startswith(b"GET ")
+        # Closed, so that later bytes aren't read as the answer to another call.
+        assert discovery.sock.recv(1000) == b""
 
     run(scenario)
 
 
-def test_list_that_stops_is_given_up_and_its_whole_entries_have_counted() -> None:
-    async def scenario(peer: Peer) -> None:
-        fetch = peer.call(DiscoveryCall(1, 0.4, 0.5, body_timeout_s=0.2))
-        await peer.accept()
-        peer.sock.send(answer(body(9, "s-1", "s-2")[:-10], length=500))
+def test_entries_of_an_incomplete_list_are_reported_before_its_timeout() -> None:
+    async def scenario(discovery: FakeDiscovery) -> None:
+        fetch = discovery.call(DiscoveryCall(1, 0.4, 0.5, body_timeout_s=0.2))
+        await discovery.accept()
+        discovery.sock.send(answer(body(9, "s-1", "s-2")[:-10], length=500))
         with pytest.raises(TimeoutError):
             await fetch
-        assert peer.found == [(9, "s-1")]
+        assert discovery.reported == [(9, "s-1")]
 
     run(scenario)
 
 
-def test_no_entry_counts_of_an_answer_that_is_no_list() -> None:
-    async def scenario(peer: Peer) -> None:
-        fetch = peer.call()
-        await peer.accept()
-        peer.sock.send(answer(body(9, "s-1"), status=503))
+def test_entries_in_an_error_response_are_not_reported() -> None:
+    async def scenario(discovery: FakeDiscovery) -> None:
+        fetch = discovery.call()
+        await discovery.accept()
+        discovery.sock.send(answer(body(9, "s-1"), status=503))
         with pytest.raises(BadMessage, match="503"):
             await fetch
-        assert peer.found == []
+        assert discovery.reported == []
 
     run(scenario)
 
 
-def test_entries_count_of_an_answer_that_grows_too_long_or_is_malformed_later() -> None:
-    async def scenario(peer: Peer) -> None:
-        fetch = peer.call(DiscoveryCall(1, 0.4, 0.5, body_timeout_s=5.0))
-        await peer.accept()
-        peer.sock.setblocking(False)
+def test_entries_before_an_oversized_or_malformed_part_are_reported() -> None:
+    async def scenario(discovery: FakeDiscovery) -> None:
+        fetch = discovery.call(DiscoveryCall(1, 0.4, 0.5, body_timeout_s=5.0))
+        await discovery.accept()
+        discovery.sock.setblocking(False)
         loop = asyncio.get_running_loop()
         start = b"HTTP/1.1 200 X\r\n\r\n" + body(9, "s-1")[:-2] + b', {"id": "s-2" "state": "Gone"},'
-        writing = asyncio.create_task(loop.sock_sendall(peer.sock, start + b" " * (MAX_LIST_BYTES + 100_000)))
+        write = asyncio.create_task(
+            loop.sock_sendall(discovery.sock, start + b" " * (MAX_LIST_BYTES + 100_000))
+        )
         with pytest.raises((BadMessage, Closed)):
             await fetch
-        assert peer.found == [(9, "s-1")]
-        writing.cancel()
+        assert discovery.reported == [(9, "s-1")]
+        write.cancel()
 
     run(scenario)
--- a/tests/net/test_reads_beside_watch.py
+++ b/tests/net/test_reads_beside_watch.py
@@ -1,4 +1,4 @@
-"""Reads of the worker list go beside the watch: whatever becomes of them, the watch tells what comes next."""
+"""The worker list is read beside the open watch, which still reports later changes if a read fails."""
 
 from __future__ import annotations
 
@@ -19,13 +19,22 @@
     return reply(200, json.dumps({"version": version, "full": full, "servers": servers}).encode())
 
 
-def wait_of(message: ReceivedMessage) -> int:
-    """How long the call may wait, in milliseconds."""
+def wait_ms(message: ReceivedMessage) -> int:
+    """Return how long the call lets discovery wait, in milliseconds; 0 for a read."""
     return int(message.start_line.split("wait=")[1].split()[0]) if "wait=" in message.start_line else 0
 
 
 class ScriptedDiscovery:
-    """Answers watches as the test says, and reads by a function. Tells when either has come."""
+    """Discovery that answers watches from a queue and reads by a function, and records the calls.
+
+    Attributes:
+        read: Returns the answer to a read; None closes the connection.
+        read_delay_s: Seconds from a read to its answer.
+        watch_answers: The answers to watches, in order.
+        watches: The start lines of the watches that were received.
+        reads: The start lines of the reads that were received.
+        open_watches: The number of watches that have not been answered.
+    """
 
     def __init__(self, harness: Harness, read: Callable[[], bytes | None]) -> None:
         self.read = read
@@ -36,13 +45,13 @@
         self.open_watches = 0
         harness.discovery.script = self._script
 
-    def forget_reads(self) -> None:
-        """Take no more notice of the reads that have come."""
+    def clear_reads(self) -> None:
+        """Discard the recorded reads."""
         while not self.reads.empty():
             self.reads.get_nowait()
 
     async def _script(self, message: ReceivedMessage) -> bytes | None:
-        if wait_of(message):
+        if wait_ms(message):
             self.open_watches += 1
             self.watches.put_nowait(message.start_line)
             try:
@@ -50,27 +59,28 @@
             finally:
                 self.open_watches -= 1
         self.reads.put_nowait(message.start_line)
-        found = self.read()
+        answer_bytes = self.read()
         await asyncio.sleep(self.read_delay_s)
-        return found
+        return answer_bytes
 
 
 @pytest.fixture
 def discoveries(monkeypatch: pytest.MonkeyPatch) -> list[Discovery]:
-    """The client of discovery of the process that a test starts."""
+    """Return a list that receives the discovery client of the dispatcher that the test starts."""
     found = list[Discovery]()
     original = Discovery.start_from_bootstrap
     monkeypatch.setattr(Discovery, "start_from_bootstrap", lambda self: (found.append(self), original(self)))
     return found
 
 
-async def first_watch(harness: Harness, discovery: ScriptedDiscovery) -> None:
-    """The watch is open, and the list of version 0 stands."""
+async def open_first_watch(harness: Harness, discovery: ScriptedDiscovery) -> None:
+    """Wait until a watch is open and the list of version 0 is applied."""
     harness.discovery.cut()
     assert "index=0" in await discovery.watches.get()
 
 
-async def only_the_second_worker_serves(harness: Harness) -> None:
+async def expect_jobs_on_worker_1_only(harness: Harness) -> None:
+    """Post 4 jobs, and check that worker 1 gets each of them."""
     for number in range(4):
         request = asyncio.create_task(harness.post(X_Request_ID=f"r{number}"))
         await harness.workers[1].seen.get()
@@ -79,56 +89,56 @@
     assert harness.workers[0].seen.empty()
 
 
-# How reads are answered: with the bytes, or by the end of their connection.
+# The answers to failing reads; None closes the connection.
 READ_ANSWERS = {"refused": reply(503), "reset": None, "not a list": reply(200, b"{")}
-# The seconds that the answer takes.
+# Seconds from the read to its answer.
 READ_DELAYS_S = {"late and old": LATE_S, "silent": 60.0}
 
 
-@pytest.mark.parametrize("way", [*READ_ANSWERS, *READ_DELAYS_S, "old"])
+@pytest.mark.parametrize("read_outcome", [*READ_ANSWERS, *READ_DELAYS_S, "old"])
 @pytest.mark.parametrize("pushed", [False, True])
 def test_worker_that_drains_while_the_list_is_read_gets_no_jobs(
-    way: str, pushed: bool, discoveries: list[Discovery]
+    read_outcome: str, pushed: bool, discoveries: list[Discovery]
 ) -> None:
-    """The read took the place of the watch: what changed right after was known when the read was answered."""
+    """A read replaced the watch, so that a change right after it was noticed only once the read was answered."""
 
     async def scenario(harness: Harness) -> None:
         old = answer(0, harness.host(0), harness.host(1), full=True)
         discovery = ScriptedDiscovery(harness, lambda: answer(0))
-        await first_watch(harness, discovery)
-        discovery.read = lambda: READ_ANSWERS.get(way, old)
-        discovery.read_delay_s = READ_DELAYS_S.get(way, 0.0)
-        discovery.forget_reads()
+        await open_first_watch(harness, discovery)
+        discovery.read = lambda: READ_ANSWERS.get(read_outcome, old)
+        discovery.read_delay_s = READ_DELAYS_S.get(read_outcome, 0.0)
+        discovery.clear_reads()
         discoveries[0].state.request_snapshot(0.0)
         discoveries[0].calls.read_wanted.set()
         assert "index" not in await discovery.reads.get()
         discovery.watch_answers.put_nowait(answer(1, harness.host(0, state="Terminating")))
         assert "index=1" in await discovery.watches.get()
-        await only_the_second_worker_serves(harness)
-        if way != "silent":
-            await discovery.reads.get()  # it is made again, as it showed nothing
-        await only_the_second_worker_serves(harness)
+        await expect_jobs_on_worker_1_only(harness)
+        if read_outcome != "silent":
+            await discovery.reads.get()  # it is repeated, as its answer proved nothing
+        await expect_jobs_on_worker_1_only(harness)
         assert discovery.open_watches == 1
 
     settings = {**SETTINGS, "membershipMode": "pushed" if pushed else "on_request"}
     run_scenario(scenario, workers=2, settings=settings)
 
 
-@pytest.mark.parametrize("why", ["process paused", "refresh", "snapshot wanted"])
-def test_sound_watch_stays_open_as_the_list_is_read_for_what_was_missed(
-    why: str, discoveries: list[Discovery]
+@pytest.mark.parametrize("cause", ["process paused", "refresh", "snapshot wanted"])
+def test_open_watch_stays_open_while_missed_changes_are_read(
+    cause: str, discoveries: list[Discovery]
 ) -> None:
-    """It was cancelled, and none was open until a call had been answered that does not wait."""
+    """The watch was cancelled, and no other was opened until a read had been answered."""
 
     async def scenario(harness: Harness) -> None:
         discovery = ScriptedDiscovery(harness, lambda: answer(0))
-        await first_watch(harness, discovery)
+        await open_first_watch(harness, discovery)
         discovery.read = lambda: answer(0, harness.host(0), harness.host(1), full=True)
-        discovery.forget_reads()
+        discovery.clear_reads()
         client = discoveries[0]
-        if why == "process paused":
+        if cause == "process paused":
             client._handle_process_pause()
-        elif why == "refresh":
+        elif cause == "refresh":
             await client.refresh()
         else:
             client.policy_runner.action_handlers[interface.FetchMembership](interface.FetchMembership())
@@ -137,18 +147,18 @@
         assert discovery.watches.empty()
         discovery.watch_answers.put_nowait(answer(1, harness.host(0, state="Terminating")))
         await discovery.watches.get()
-        await only_the_second_worker_serves(harness)
+        await expect_jobs_on_worker_1_only(harness)
 
     run_scenario(scenario, workers=2)
 
 
-def test_list_of_a_large_fleet_is_not_read_whole_for_what_was_missed(discoveries: list[Discovery]) -> None:
-    """Half a megabyte each time: the changes are asked for, though a call with an index ends the watch."""
+def test_missed_changes_of_a_large_list_are_read_without_a_snapshot(discoveries: list[Discovery]) -> None:
+    """A snapshot would take half a megabyte each time. The changes are read, though that ends the watch."""
 
     async def scenario(harness: Harness) -> None:
         discovery = ScriptedDiscovery(harness, lambda: answer(0))
-        await first_watch(harness, discovery)
-        discovery.forget_reads()
+        await open_first_watch(harness, discovery)
+        discovery.clear_reads()
         client = discoveries[0]
         client.state.verification.handle_snapshot(client.timers.now(), 500_000)
         await client.refresh()
@@ -158,12 +168,14 @@
     run_scenario(scenario)
 
 
-def test_watch_is_opened_anew_as_discovery_numbers_its_lists_anew(discoveries: list[Discovery]) -> None:
-    """Asked for from a number that is never reached, it would tell nothing."""
+def test_watch_is_reopened_when_discovery_restarts_its_version_numbers(
+    discoveries: list[Discovery],
+) -> None:
+    """A watch from a version that discovery does not reach again would report no change."""
 
     async def scenario(harness: Harness) -> None:
         discovery = ScriptedDiscovery(harness, lambda: answer(0))
-        await first_watch(harness, discovery)
+        await open_first_watch(harness, discovery)
         discovery.watch_answers.put_nowait(answer(7, harness.host(0)))
         assert "index=7" in await discovery.watches.get()
         discovery.read = lambda: answer(2, harness.host(1), full=True)
@@ -171,15 +183,15 @@
         discoveries[0].calls.read_wanted.set()
         assert "index=2" in await discovery.watches.get()
         assert discoveries[0].version == 2
-        await only_the_second_worker_serves(harness)
+        await expect_jobs_on_worker_1_only(harness)
 
     run_scenario(scenario, workers=2)
 
 
-def test_each_moment_without_a_watch_is_counted_by_its_reason(discoveries: list[Discovery]) -> None:
+def test_gaps_between_watches_are_counted_by_cause_and_length(discoveries: list[Discovery]) -> None:
     async def scenario(harness: Harness) -> None:
         discovery = ScriptedDiscovery(harness, lambda: answer(0))
-        await first_watch(harness, discovery)
+        await open_first_watch(harness, discovery)
         counters = discoveries[0].metrics.counters
         for version in (1, 2, 3):
             discovery.watch_answers.put_nowait(answer(version, harness.host(0, weight=version)))
--- a/tests/runtime/test_metrics.py
+++ b/tests/runtime/test_metrics.py
@@ -43,7 +43,7 @@
     asyncio.run(run())
 
 
-def test_broken_invariant_is_asserted_in_debug_and_counted_under_o() -> None:
+def test_false_check_raises_in_debug_mode_and_is_counted_otherwise() -> None:
     with pytest.raises(AssertionError, match="name"):
         Metrics(lambda: 1.0).check(False, "name")
     code = (
