--- a/tests/net/test_discovery.py
+++ b/tests/net/test_discovery.py
@@ -1,4 +1,4 @@
-"""The endpoint list in a running dispatcher: configured, watched, malformed, refused."""
+"""The endpoint list in a running dispatcher: configured, watched, malformed or refused by discovery."""
 
 from __future__ import annotations
 
@@ -50,42 +50,46 @@
 
 
 async def next_worker_with_a_job(harness: Harness) -> int:
-    """The number of the worker that gets the next job."""
+    """Return the number of the worker that gets the next job."""
     waits = [asyncio.create_task(worker.seen.get()) for worker in harness.workers]
     await asyncio.wait(waits, return_when=asyncio.FIRST_COMPLETED)
-    who = next(n for n, wait in enumerate(waits) if wait.done())
+    number = next(n for n, wait in enumerate(waits) if wait.done())
     for wait in waits:
         wait.cancel()
-    return who
+    return number
 
 
-def test_draining_worker_gets_no_jobs_and_malformed_entry_affects_itself_alone() -> None:
+def test_draining_worker_gets_no_jobs_beside_malformed_entries() -> None:
     async def scenario(harness: Harness) -> None:
-        bad, leaving, third = {"id": 5}, harness.host(0, state="Terminating"), {"id": "s-2", "state": "Odd"}
+        malformed, leaving, unreadable = (
+            {"id": 5},
+            harness.host(0, state="Terminating"),
+            {"id": "s-2", "state": "Odd"},
+        )
         harness.lists = [
-            {"version": 7, "full": False, "servers": [bad, leaving]},
-            {"version": 7, "full": True, "servers": [leaving, harness.host(1), third]},
+            {"version": 7, "full": False, "servers": [malformed, leaving]},
+            {"version": 7, "full": True, "servers": [leaving, harness.host(1), unreadable]},
         ]
         while "wait" in (await harness.discovery.seen.get()).start_line:
-            pass  # the snapshot is requested once, as an entry is malformed, and then no more
+            pass  # because of the malformed entry, the snapshot is requested, but only once
         watch = (await harness.discovery.seen.get()).start_line
         assert "index=7&wait=" in watch
-        assert watch_wait_ms(watch) >= 1500  # until the entry is read again
-        taken = set()
+        assert watch_wait_ms(watch) >= 1500  # until the malformed entry is read again
+        workers_used = set()
         for number in range(8):
             request = asyncio.create_task(harness.post(X_Request_ID=f"r{number}"))
-            taken.add(who := await next_worker_with_a_job(harness))
-            await harness.callback(who, id=f"r{number}", state="done", result="x")
+            workers_used.add(worker := await next_worker_with_a_job(harness))
+            await harness.callback(worker, id=f"r{number}", state="done", result="x")
             assert (await request).status == 200
         assert harness.discovery.seen.empty()
-        assert taken == {1, 2}  # the third's entry could not be read either: it stays as it was
+        assert workers_used == {1, 2}  # worker 2's entry is malformed too, so that it stays as it was
 
     run_scenario(scenario, workers=3)
 
 
-def watch_wait_ms(start: str) -> int:
-    """How long a watch waits, by the first line of its call."""
-    return int(start.split("wait=")[1].split()[0])
+def watch_wait_ms(start_line: str) -> int:
+    """Return how long a watch waits, in milliseconds, from the start line of its call."""
+    return int(start_line.split("wait=")[1].split()[0])
 
 
 HOST = {
@@ -126,10 +130,10 @@
 )
 def test_malformed_entry_is_dropped_and_reported(change: dict[str, object]) -> None:
     dropped: list[str] = []
-    read = WorkerListParser([], [], dropped.append).parse(
+    parsed = WorkerListParser([], [], dropped.append).parse(
         {"version": 1, "servers": [{**HOST, **change}, HOST, 7]}
     )
-    assert [host.id for host in read.endpoints] == ["s-1"]
+    assert [host.id for host in parsed.endpoints] == ["s-1"]
     assert len(dropped) == 2
 
 
@@ -145,7 +149,7 @@
         {"version": 1, "servers": {}},
     ],
 )
-def test_content_that_is_no_list_is_an_error(content: object) -> None:
+def test_content_that_is_not_a_worker_list_raises_an_error(content: object) -> None:
     with pytest.raises(WorkerListError):
         WorkerListParser([], []).parse(content)
 
@@ -161,9 +165,9 @@
 
     async def scenario(harness: Harness) -> None:
         harness.discovery.script = script
-        assert "wait=0" not in (await harness.discovery.seen.get()).start_line  # the watch, which fails
+        assert "wait=0" not in (await harness.discovery.seen.get()).start_line  # the failing watch
         retry = (await harness.discovery.seen.get()).start_line  # after a backoff
-        assert ("wait=0" in retry) is (answer != reply(503))  # a refused watch is retried as one
+        assert ("wait=0" in retry) is (answer != reply(503))  # a watch refused with 503 is retried as a watch
         request = asyncio.create_task(harness.post())
         await harness.workers[0].seen.get()
         await harness.callback(state="done", result="from the old list")
@@ -193,7 +197,7 @@
             await harness.callback(id=f"r{number}", state="done", result="from the remembered list")
             assert (await request).status == 200
         assert (await harness.request(b"GET /up HTTP/1.1\r\n\r\n")).status == 200
-        assert calls <= 2  # a call is out, and nobody hammers
+        assert calls <= 2  # one call in flight, and no retries in a loop
 
     run_scenario(scenario)
 
@@ -202,13 +206,14 @@
 
 
 async def next_call(harness: Harness, text: str) -> str:
-    while text not in (start := (await harness.discovery.seen.get()).start_line):
+    """Wait for a call whose start line contains a text, and return that line."""
+    while text not in (start_line := (await harness.discovery.seen.get()).start_line):
         pass
-    return start
+    return start_line
 
 
-async def serve_all(harness: Harness, worker: int) -> None:
-    """Some jobs, each of which this worker gets."""
+async def expect_jobs_on(harness: Harness, worker: int) -> None:
+    """Post 4 jobs one after the other, and wait until this worker gets each of them."""
     for number in range(4):
         request = asyncio.create_task(harness.post(X_Request_ID=f"r{number}"))
         await harness.workers[worker].seen.get()
@@ -216,7 +221,8 @@
         assert (await request).status == 200
 
 
-def changes(version: int, *servers: dict[str, object], full: bool = False) -> bytes:
+def list_reply(version: int, *servers: dict[str, object], full: bool = False) -> bytes:
+    """Return an answer of discovery with these entries; a snapshot if `full`, else changes."""
     return reply(200, json.dumps({"version": version, "full": full, "servers": servers}).encode())
 
 
@@ -224,10 +230,12 @@
 def test_silent_watch_is_reopened_before_missed_changes_count_as_notified(
     pushed: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """It was given up just as that counted as notified, 2 s after its wait, and reopened at random after."""
-    monkeypatch.setattr(
-        "beaconhinge.membership.discovery_watch.LONG_POLL_WAIT_S", 0.5
-    )  # the part beyond it stays as it is
+    """A silent watch was abandoned 2 s after its wait, just when missed changes begin to count as notified.
+
+    It was then reopened after a random time.
+    """
+    # Only the wait is shortened here; the time allowed beyond it stays the same.
+    monkeypatch.setattr("beaconhinge.membership.discovery_watch.LONG_POLL_WAIT_S", 0.5)
 
     async def scenario(harness: Harness) -> None:
         loop = asyncio.get_running_loop()
@@ -238,15 +246,15 @@
             if "wait=500" in message.start_line and not opened:
                 opened = loop.time()
                 await asyncio.Event().wait()  # silent, while worker 0 begins to drain
-            return changes(1, harness.host(0, state="Terminating")) if opened else changes(0)
+            return list_reply(1, harness.host(0, state="Terminating")) if opened else list_reply(0)
 
         harness.discovery.script = script
         await next_call(harness, "wait=500")
-        start = await next_call(harness, "index=0&wait=0")
-        assert 0.5 <= loop.time() - opened < 0.5 + 2.0 - 0.5  # and time for a second try
-        assert start
+        start_line = await next_call(harness, "index=0&wait=0")
+        assert 0.5 <= loop.time() - opened < 0.5 + 2.0 - 0.5  # with time for a second try
+        assert start_line
         await asyncio.sleep(0.1)
-        await serve_all(harness, 1)
+        await expect_jobs_on(harness, 1)
         assert harness.workers[0].seen.empty()
 
     settings = {**SETTINGS, "membershipMode": "pushed" if pushed else "on_request"}
@@ -254,53 +262,53 @@
 
 
 def test_agent_is_polled_from_the_start_and_when_it_returns() -> None:
-    """The module subscribes to nothing there, so that the program lived on its remembered list for ever."""
+    """The policy does not subscribe in pushed mode, so that the remembered list was never replaced."""
 
     async def scenario(harness: Harness) -> None:
         await next_call(harness, "wait=4000")
-        out, served = asyncio.Event(), asyncio.Event()
+        agent_back, served = asyncio.Event(), asyncio.Event()
 
         async def script(message: ReceivedMessage) -> bytes | None:
-            if not out.is_set():
-                return None  # the agent is away
+            if not agent_back.is_set():
+                return None  # the agent is down
             if served.is_set():
                 await asyncio.Event().wait()
             served.set()
-            return changes(1, harness.host(0, state="Terminating"))
+            return list_reply(1, harness.host(0, state="Terminating"))
 
         harness.discovery.script = script
         harness.discovery.cut()
-        for _ in range(3):  # again and again, and soon
+        for _ in range(3):  # calls are repeated at short intervals
             async with asyncio.timeout(0.4):
                 await harness.discovery.seen.get()
-        out.set()
+        agent_back.set()
         async with asyncio.timeout(0.4):
             await served.wait()
         await next_call(harness, "index=1")
-        await serve_all(harness, 1)
+        await expect_jobs_on(harness, 1)
         assert harness.workers[0].seen.empty()
 
     run_scenario(scenario, workers=2, settings={**SETTINGS, "membershipMode": "pushed"})
 
 
-def test_answer_without_the_requested_list_makes_no_list_current(
+def test_answer_without_the_requested_list_leaves_the_list_unknown(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """It counted as an answer: /up said yes, and jobs went out by the configured list."""
-    whole = asyncio.Event()
+    """Such an answer proved the list current, so that /up answered 200 and jobs went by the configured list."""
+    snapshot_available = asyncio.Event()
 
     async def script(harness: Harness, message: ReceivedMessage) -> bytes | None:
         if "wait=4000" in message.start_line:
             await asyncio.Event().wait()
-        if whole.is_set():
-            return changes(9, harness.host(0), full=True)
-        return changes(8)  # a newer version, and none of its entries; the same in place of the whole list
+        if snapshot_available.is_set():
+            return list_reply(9, harness.host(0), full=True)
+        return list_reply(8)  # a newer version without entries, also in reply to a request for the snapshot
 
     async def scenario(harness: Harness) -> None:
         for _ in range(3):
             await harness.discovery.seen.get()
         assert (await harness.request(b"GET /up HTTP/1.1\r\n\r\n")).status == 503
-        whole.set()
+        snapshot_available.set()
         await next_call(harness, "wait=4000")
         assert (await harness.request(b"GET /up HTTP/1.1\r\n\r\n")).status == 200
 
@@ -311,10 +319,13 @@
 @pytest.mark.parametrize(
     "change", [{"state": "Gone"}, {"state": "Terminating"}, {"addr": "127.0.0.1:9"}, {"started_ms": 5}]
 )
-def test_job_that_waited_for_the_list_reaches_no_departed_worker_and_counts_as_no_failure(
+def test_job_that_waited_for_the_list_is_not_sent_to_a_departed_worker(
     change: dict[str, object], monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """A connection was made to where the configured list had the worker; where it failed the worker was blamed."""
+    """A connection was made to the worker's address in the configured list.
+
+    If it failed, that counted as a failure of the worker.
+    """
     list_ready, module = (
         asyncio.Event(),
         use_scripted_policy(monkeypatch, interface.SendAttempt(1, worker_number("s-0"))),
@@ -324,7 +335,9 @@
         await list_ready.wait()
         if "wait=4000" in message.start_line:
             await asyncio.Event().wait()
-        return changes(1, harness.host(0, **change), harness.host(1), full="index" not in message.start_line)
+        return list_reply(
+            1, harness.host(0, **change), harness.host(1), full="index" not in message.start_line
+        )
 
     async def scenario(harness: Harness) -> None:
         request = asyncio.create_task(harness.post())
@@ -354,46 +367,47 @@
         ([errno.ECONNREFUSED, errno.ECONNRESET], True),
     ],
 )
-def test_only_two_refusals_have_a_start_serve_by_its_configured_list(
+def test_start_serves_by_the_configured_list_only_after_two_refusals(
     codes: list[int], serves: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """One connection that failed for whatever reason, of this machine's own too, counted as discovery down."""
-    failures, failed, looked = list(codes), asyncio.Event(), asyncio.Event()
+    """One failed connection counted as discovery being down, even if the cause was this machine's own."""
+    failures, failed, checked = list(codes), asyncio.Event(), asyncio.Event()
 
-    async def failing(address: tuple[str, int]) -> socket.socket:
+    async def connect_after_failures(address: tuple[str, int]) -> socket.socket:
         if failures:
             raise OSError(code := failures.pop(0), os.strerror(code))
         failed.set()
-        await looked.wait()
+        await checked.wait()
         return await connect(address)
 
-    async def look(port: int) -> bytes:
+    async def check_up(port: int) -> bytes:
+        """Return the status line of /up once all failures have happened."""
         await failed.wait()
         reader, writer = await asyncio.open_connection("127.0.0.1", port)
         writer.write(b"GET /up HTTP/1.1\r\n\r\n")
         status = await reader.readline()
         writer.close()
-        looked.set()
+        checked.set()
         return status
 
     async def run() -> None:
-        looks = list[asyncio.Task[bytes]]()
+        checks = list[asyncio.Task[bytes]]()
         async with (
             asyncio.timeout(10),
             running_harness(
-                accept_job, 1, {}, before=lambda port: looks.append(asyncio.create_task(look(port)))
+                accept_job, 1, {}, before=lambda port: checks.append(asyncio.create_task(check_up(port)))
             ),
         ):
-            assert (b" 200 " in await looks[0]) is serves
+            assert (b" 200 " in await checks[0]) is serves
 
-    monkeypatch.setattr("beaconhinge.net.discovery_connection.connect", failing)
+    monkeypatch.setattr("beaconhinge.net.discovery_connection.connect", connect_after_failures)
     uvloop.run(run())
 
 
-def test_job_that_arrives_as_the_list_turns_unknown_waits_without_blocking_the_loop(
+def test_job_waits_without_a_busy_loop_when_the_list_becomes_unknown(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Until the next look at the list its event was set still: the attempt looped in one turn."""
+    """The event that releases senders stayed set until the next check of the list: the attempt blocked the loop."""
     discoveries = list[Discovery]()
     original = Discovery.start_from_bootstrap
     monkeypatch.setattr(
@@ -403,9 +417,8 @@
     async def scenario(harness: Harness) -> None:
         await next_call(harness, "wait=4000")
         discovery, loop = discoveries[0], asyncio.get_running_loop()
-        discovery.availability.freshness = ListFreshness(
-            False, discovery.timers.now()
-        )  # nothing is known from now on
+        # The list is unknown from now on.
+        discovery.availability.freshness = ListFreshness(False, discovery.timers.now())
         request = asyncio.create_task(harness.post())
         began = loop.time()
         while not harness.running.done() and not discovery.metrics.counters["sends_waited_for_list"]:
@@ -426,20 +439,20 @@
 def test_start_is_ready_with_the_agents_list_and_not_before(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    held = asyncio.Event()
+    agent_up = asyncio.Event()
 
     async def script(harness: Harness, message: ReceivedMessage) -> bytes | None:
-        await held.wait()
+        await agent_up.wait()
         if "wait=4000" in message.start_line:
             await asyncio.Event().wait()
-        return changes(1, harness.host(1), full=True)
+        return list_reply(1, harness.host(1), full=True)
 
     async def scenario(harness: Harness) -> None:
         assert (await harness.request(b"GET /up HTTP/1.1\r\n\r\n")).status == 503
-        held.set()
+        agent_up.set()
         await next_call(harness, "wait=4000")
         assert (await harness.request(b"GET /up HTTP/1.1\r\n\r\n")).status == 200
-        await serve_all(harness, 1)
+        await expect_jobs_on(harness, 1)
         assert harness.workers[0].seen.empty()
 
     monkeypatch.setattr(Harness, "list", script)
@@ -450,40 +463,40 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     async def script(harness: Harness, message: ReceivedMessage) -> bytes | None:
-        return None  # away, for longer than anybody waits
+        return None  # the agent stays down for longer than the start waits for it
 
     async def scenario(harness: Harness) -> None:
         while (await harness.request(b"GET /up HTTP/1.1\r\n\r\n")).status == 503:
             await asyncio.sleep(0.02)
-        await serve_all(harness, 0)
+        await expect_jobs_on(harness, 0)
 
     monkeypatch.setattr(Harness, "list", script)
     monkeypatch.setattr("beaconhinge.membership.freshness.UNKNOWN_MAX_S", 0.3)
     run_scenario(scenario, settings={**SETTINGS, "membershipMode": "pushed"})
 
 
-def test_late_connection_sends_nothing_to_a_worker_that_drains_by_then(
+def test_late_connection_sends_nothing_to_a_worker_that_now_drains(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Within `connectTimeout` a drain may be announced and its grace be over."""
-    up = asyncio.Event()
-    begun: asyncio.Queue[int] = asyncio.Queue()
+    """Within `connectTimeout` a drain may be announced, and its grace period may end."""
+    may_connect = asyncio.Event()
+    attempted_ports: asyncio.Queue[int] = asyncio.Queue()
 
-    async def late(address: tuple[str, int]) -> socket.socket:
-        begun.put_nowait(address[1])
-        await up.wait()
+    async def connect_late(address: tuple[str, int]) -> socket.socket:
+        attempted_ports.put_nowait(address[1])
+        await may_connect.wait()
         return await connect(address)
 
     async def scenario(harness: Harness) -> None:
-        monkeypatch.setattr("beaconhinge.net.worker_pool.connect", late)
+        monkeypatch.setattr("beaconhinge.net.worker_pool.connect", connect_late)
         request = asyncio.create_task(harness.post())
-        leaving = [worker.port for worker in harness.workers].index(await begun.get())
-        harness.lists = [changes(3, harness.host(leaving, state="Terminating"))]
+        leaving = [worker.port for worker in harness.workers].index(await attempted_ports.get())
+        harness.lists = [list_reply(3, harness.host(leaving, state="Terminating"))]
         harness.discovery.cut()
         await next_call(harness, "index=3")
         monkeypatch.setattr("beaconhinge.net.worker_pool.connect", connect)
-        up.set()
-        await harness.workers[1 - leaving].seen.get()  # proven never to have run, so it goes on
+        may_connect.set()
+        await harness.workers[1 - leaving].seen.get()  # the job provably never ran, so it is sent elsewhere
         await harness.callback(1 - leaving, state="done", result="x")
         assert (await request).status == 200
         assert harness.workers[leaving].seen.empty()
@@ -492,43 +505,43 @@
     run_scenario(scenario, workers=2, settings={**SETTINGS, "policyLimits": limits})
 
 
-@pytest.mark.parametrize("wrong", ["again", "older"])
-def test_second_answer_readmits_no_leaving_worker_and_answers_no_later_call(wrong: str) -> None:
-    """It came on the kept connection, and each answer from then on was read as that of the next call."""
+@pytest.mark.parametrize("second_answer", ["again", "older"])
+def test_second_answer_to_a_call_does_not_return_a_leaving_worker(second_answer: str) -> None:
+    """The second answer arrived on the kept connection, and each later answer was read as that of the next call."""
 
     async def scenario(harness: Harness) -> None:
-        ready, leaving = changes(1, harness.host(0)), changes(2, harness.host(0, state="Terminating"))
+        ready, leaving = list_reply(1, harness.host(0)), list_reply(2, harness.host(0, state="Terminating"))
         calls = 0
 
         async def script(message: ReceivedMessage) -> bytes | None:
             nonlocal calls
             calls += 1
             if calls == 1:
-                return leaving + (leaving if wrong == "again" else ready)
+                return leaving + (leaving if second_answer == "again" else ready)
             if "index=2&wait=" in message.start_line:
                 await asyncio.Event().wait()
-            return changes(2, harness.host(0, state="Terminating"), harness.host(1), full=True)
+            return list_reply(2, harness.host(0, state="Terminating"), harness.host(1), full=True)
 
         harness.discovery.script = script
         harness.discovery.cut()
         await next_call(harness, "index=2&wait=")
-        await serve_all(harness, 1)
+        await expect_jobs_on(harness, 1)
         assert harness.workers[0].seen.empty()
-        assert calls == 2  # the watch came on a new connection: nothing had to be requested again
+        assert calls == 2  # the watch came on a new connection, and no other call was needed
 
     run_scenario(scenario, workers=2)
 
 
 @pytest.mark.parametrize(
-    "wrong",
+    "partial_answer",
     [
         b'HTTP/1.1 200 X\r\nContent-Length: 400\r\n\r\n{"version": 8, "full": true, "servers": [',
         b"HTTP/1.1 200 X\r\nTransfer-Encoding: chunked\r\n\r\n5\r\n{    \r\n",
         b"HTTP/1.1 200 X\r\nX-",
     ],
 )
-def test_answer_that_never_ends_affects_that_call_alone(
-    wrong: bytes, monkeypatch: pytest.MonkeyPatch
+def test_answer_that_never_ends_affects_only_its_own_call(
+    partial_answer: bytes, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr("beaconhinge.net.discovery_connection.BODY_IDLE_TIMEOUT_S", 0.1)
 
@@ -539,24 +552,24 @@
             nonlocal calls
             calls += 1
             if calls == 1:
-                return wrong
+                return partial_answer
             if "index=8&wait=" in message.start_line:
                 await asyncio.Event().wait()
-            return changes(8, harness.host(0, state="Terminating"))
+            return list_reply(8, harness.host(0, state="Terminating"))
 
         harness.discovery.script = script
         harness.discovery.cut()
-        # Served by the list in use meanwhile.
+        # The job is served by the list that is applied meanwhile.
         request = asyncio.create_task(harness.post(X_Request_ID="first"))
         await harness.callback(await next_worker_with_a_job(harness), id="first", state="done", result="x")
         assert (await request).status == 200
         await next_call(harness, "index=8")
-        await serve_all(harness, 1)
+        await expect_jobs_on(harness, 1)
 
     run_scenario(scenario, workers=2)
 
 
-def test_order_of_a_list_is_irrelevant_and_an_older_snapshot_is_applied() -> None:
+def test_list_order_is_irrelevant_and_an_older_snapshot_is_applied() -> None:
     from helpers import members, started
 
     one, other = started(0), started(0)
@@ -571,38 +584,41 @@
     assert {w.id for w in one.worker_table.listed[-1]} == {m.worker for m in members(2)}
 
 
-async def leaves_service(harness: Harness) -> None:
-    """Jobs go to worker 1 alone, from this moment on."""
-    await serve_all(harness, 1)
+async def expect_worker_0_out_of_service(harness: Harness) -> None:
+    """Check that jobs are sent to worker 1 only, from now on."""
+    await expect_jobs_on(harness, 1)
     assert harness.workers[0].seen.empty()
 
 
-def test_changes_in_place_of_the_snapshot_take_leaving_workers_out_at_once() -> None:
-    """Both answers were passed over, and each repeat came after a growing pause: jobs for 0.33 s and longer."""
+def test_changes_instead_of_a_snapshot_remove_leaving_workers_at_once() -> None:
+    """Both answers were ignored, and each retry came after a growing pause.
+
+    The leaving worker got jobs for 0.33 s and longer.
+    """
 
     async def scenario(harness: Harness) -> None:
         async def script(message: ReceivedMessage) -> bytes | None:
-            if "index=" in message.start_line:  # an answer that makes the next call ask for the snapshot
-                return changes(2)
-            return changes(3, harness.host(0, state="Terminating"))
+            if "index=" in message.start_line:  # without entries, so that the next call requests the snapshot
+                return list_reply(2)
+            return list_reply(3, harness.host(0, state="Terminating"))
 
         harness.discovery.script = script
         harness.discovery.cut()
         await next_call(harness, "GET /discovery/hosts HTTP")
         await asyncio.sleep(0.05)
-        await leaves_service(harness)
+        await expect_worker_0_out_of_service(harness)
 
     run_scenario(scenario, workers=2)
 
 
 @pytest.mark.parametrize("version", [1, 3])
-def test_part_of_an_older_list_takes_nobody_out(version: int) -> None:
+def test_partial_list_removes_a_worker_only_if_its_version_is_newer(version: int) -> None:
     async def scenario(harness: Harness) -> None:
         async def script(message: ReceivedMessage) -> bytes | None:
             if "index=2" in message.start_line:
-                part = changes(version, harness.host(0, state="Terminating"))
+                part = list_reply(version, harness.host(0, state="Terminating"))
                 return part.replace(b"}]}", b"}]")
-            return changes(2, harness.host(0), harness.host(1), full=True)
+            return list_reply(2, harness.host(0), harness.host(1), full=True)
 
         harness.discovery.script = script
         harness.discovery.cut()
@@ -611,7 +627,7 @@
         request = asyncio.create_task(harness.post(X_Request_ID="r0"))
         other = asyncio.create_task(harness.post(X_Request_ID="r1"))
         await harness.workers[1].seen.get()
-        if version == 1:  # both workers have a job each, as one of two equal ones has the fewest
+        if version == 1:  # both are in service, and a job is sent to a worker with the fewest jobs
             await harness.workers[0].seen.get()
         else:
             await harness.workers[1].seen.get()
@@ -622,30 +638,30 @@
     run_scenario(scenario, workers=2)
 
 
-def test_news_of_the_discovery_before_counts_as_the_configuration_moves_on() -> None:
-    """SIGHUP cancels the call: what the old discovery had written lay unread in its connection."""
+def test_unread_changes_of_the_old_discovery_apply_on_reconfiguration() -> None:
+    """SIGHUP cancelled the call, and the bytes that the old discovery had written stayed unread in the socket."""
 
     async def scenario(harness: Harness) -> None:
         async def script(message: ReceivedMessage) -> bytes | None:
             if "index=2" in message.start_line:
-                part = changes(3, harness.host(0, state="Terminating"))
-                return part.replace(b"}]}", b"}]")  # it does not end
-            return changes(2, harness.host(0), harness.host(1), full=True)
+                part = list_reply(3, harness.host(0, state="Terminating"))
+                return part.replace(b"}]}", b"}]")  # the list does not end
+            return list_reply(2, harness.host(0), harness.host(1), full=True)
 
         harness.discovery.script = script
         harness.discovery.cut()
         await next_call(harness, "index=2")
-        harness.reload(discovery=f"127.0.0.1:{harness.workers[0].port}")  # where nobody answers such a call
+        harness.reload(discovery=f"127.0.0.1:{harness.workers[0].port}")  # a worker answers no such call
         await asyncio.sleep(0.05)
         harness.workers[0].seen = asyncio.Queue()
-        await serve_all(harness, 1)
+        await expect_jobs_on(harness, 1)
         sent = [harness.workers[0].seen.get_nowait() for _ in range(harness.workers[0].seen.qsize())]
         assert not [message for message in sent if message.start_line.startswith("POST")]
 
     run_scenario(scenario, workers=2)
 
 
-def test_change_in_a_complete_list_without_an_end_is_applied_with_its_version() -> None:
+def test_complete_list_in_an_unended_answer_is_applied_with_its_version() -> None:
     async def scenario(harness: Harness) -> None:
         async def script(message: ReceivedMessage) -> bytes | None:
             if "index=7&wait=" in message.start_line:
@@ -656,6 +672,6 @@
         harness.discovery.script = script
         harness.discovery.cut()
         await next_call(harness, "index=7&wait=")
-        await leaves_service(harness)
+        await expect_worker_0_out_of_service(harness)
 
     run_scenario(scenario, workers=2)
