--- a/beaconhinge/net/discovery_connection.py
+++ b/beaconhinge/net/discovery_connection.py
@@ -1,4 +1,4 @@
-"""One HTTP exchange with discovery at a time, over a connection that is kept between calls."""
+"""Makes one HTTP exchange with discovery at a time, over a connection that is kept between calls."""
 
 from __future__ import annotations
 
--- a/tests/net/test_discovery.py
+++ b/tests/net/test_discovery.py
@@ -202,7 +202,7 @@
     run_scenario(scenario)
 
 
-# ---- what counts as notified ------------------------------------------------------------------------------
+# ---- changes that count as notified -----------------------------------------------------------------------
 
 
 async def next_call(harness: Harness, text: str) -> str:
@@ -230,9 +230,9 @@
 def test_silent_watch_is_reopened_before_missed_changes_count_as_notified(
     pushed: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """A silent watch was abandoned 2 s after its wait, just when missed changes begin to count as notified.
+    """Guards against a silent watch that is abandoned too late and then reopened after a random time.
 
-    It was then reopened after a random time.
+    It was abandoned 2 s after its wait, just when missed changes begin to count as notified.
     """
     # Only the wait is shortened here; the time allowed beyond it stays the same.
     monkeypatch.setattr("beaconhinge.membership.discovery_watch.LONG_POLL_WAIT_S", 0.5)
@@ -262,7 +262,7 @@
 
 
 def test_agent_is_polled_from_the_start_and_when_it_returns() -> None:
-    """The policy does not subscribe in pushed mode, so that the remembered list was never replaced."""
+    """Guards against a remembered list that is never replaced, as the policy doesn't subscribe in pushed mode."""
 
     async def scenario(harness: Harness) -> None:
         await next_call(harness, "wait=4000")
@@ -294,7 +294,10 @@
 def test_answer_without_the_requested_list_leaves_the_list_unknown(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Such an answer proved the list current, so that /up answered 200 and jobs went by the configured list."""
+    """Guards against taking such an answer as proof of a current list.
+
+    /up answered 200, and jobs were sent by the configured list.
+    """
     snapshot_available = asyncio.Event()
 
     async def script(harness: Harness, message: ReceivedMessage) -> bytes | None:
@@ -322,9 +325,9 @@
 def test_job_that_waited_for_the_list_is_not_sent_to_a_departed_worker(
     change: dict[str, object], monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """A connection was made to the worker's address in the configured list.
+    """Guards against a connection to the worker's address in the configured list.
 
-    If it failed, that counted as a failure of the worker.
+    If the connection failed, that counted as a failure of the worker.
     """
     list_ready, module = (
         asyncio.Event(),
@@ -370,7 +373,7 @@
 def test_start_serves_by_the_configured_list_only_after_two_refusals(
     codes: list[int], serves: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """One failed connection counted as discovery being down, even if the cause was this machine's own."""
+    """Guards against taking one failed connection, even one that failed on this machine, for discovery down."""
     failures, failed, checked = list(codes), asyncio.Event(), asyncio.Event()
 
     async def connect_after_failures(address: tuple[str, int]) -> socket.socket:
@@ -407,7 +410,10 @@
 def test_job_waits_without_a_busy_loop_when_the_list_becomes_unknown(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """The event that releases senders stayed set until the next check of the list: the attempt blocked the loop."""
+    """Guards against an attempt that blocks the event loop by waiting on an event that is still set.
+
+    The event that releases senders stayed set until the next check of the list.
+    """
     discoveries = list[Discovery]()
     original = Discovery.start_from_bootstrap
     monkeypatch.setattr(
@@ -507,7 +513,10 @@
 
 @pytest.mark.parametrize("second_answer", ["again", "older"])
 def test_second_answer_to_a_call_does_not_return_a_leaving_worker(second_answer: str) -> None:
-    """The second answer arrived on the kept connection, and each later answer was read as that of the next call."""
+    """Guards against a second answer on the kept connection that is read as the answer to the next call.
+
+    Each later answer was then read as that of the call after its own.
+    """
 
     async def scenario(harness: Harness) -> None:
         ready, leaving = list_reply(1, harness.host(0)), list_reply(2, harness.host(0, state="Terminating"))
@@ -591,7 +600,7 @@
 
 
 def test_changes_instead_of_a_snapshot_remove_leaving_workers_at_once() -> None:
-    """Both answers were ignored, and each retry came after a growing pause.
+    """Guards against ignoring both answers: each retry came after a growing pause.
 
     The leaving worker got jobs for 0.33 s and longer.
     """
@@ -639,7 +648,7 @@
 
 
 def test_unread_changes_of_the_old_discovery_apply_on_reconfiguration() -> None:
-    """SIGHUP cancelled the call, and the bytes that the old discovery had written stayed unread in the socket."""
+    """Guards against bytes of the old discovery that stay unread in the socket as SIGHUP cancels the call."""
 
     async def scenario(harness: Harness) -> None:
         async def script(message: ReceivedMessage) -> bytes | None:
--- a/tests/net/test_discovery_connection.py
+++ b/tests/net/test_discovery_connection.py
@@ -126,7 +126,7 @@
 @pytest.mark.parametrize("cancelled", [False, True])
 @pytest.mark.parametrize("begun", [False, True])
 def test_entries_of_an_answer_to_an_abandoned_call_are_reported(cancelled: bool, begun: bool) -> None:
-    """A worker got a job 1.0 s after discovery had written that it was leaving.
+    """Guards against a job for a worker 1.0 s after discovery has written that the worker is leaving.
 
     An overloaded discovery took longer to answer than the 0.7 s timeout of a confirming read. The connection was
     closed before any byte of its answer was read, and the next call took 0.74 s more: the job was sent 0.4 s after
--- a/tests/net/test_reads_beside_watch.py
+++ b/tests/net/test_reads_beside_watch.py
@@ -100,7 +100,10 @@
 def test_worker_that_drains_while_the_list_is_read_gets_no_jobs(
     read_outcome: str, pushed: bool, discoveries: list[Discovery]
 ) -> None:
-    """A read replaced the watch, so that a change right after it was noticed only once the read was answered."""
+    """Guards against a read that replaces the watch.
+
+    A change right after it was noticed only once the read was answered.
+    """
 
     async def scenario(harness: Harness) -> None:
         old = answer(0, harness.host(0), harness.host(1), full=True)
@@ -128,7 +131,7 @@
 def test_open_watch_stays_open_while_missed_changes_are_read(
     cause: str, discoveries: list[Discovery]
 ) -> None:
-    """The watch was cancelled, and no other was opened until a read had been answered."""
+    """Guards against cancelling the watch, with no other open until a read has been answered."""
 
     async def scenario(harness: Harness) -> None:
         discovery = ScriptedDiscovery(harness, lambda: answer(0))
