--- a/beaconhinge/application.py
+++ b/beaconhinge/application.py
@@ -105,7 +105,7 @@
             self.requests,
             self.workers.receive_callback,
             lambda: bool(self.workers.workers) and self.discovery.list_usable,
-            self.peers.others_heard,
+            self.peers.others_reachable,
             timers,
             budget,
             metrics,
--- a/beaconhinge/net/peers.py
+++ b/beaconhinge/net/peers.py
@@ -82,7 +82,7 @@
             self._sock.close()
             self._sock = None
 
-    def others_heard(self) -> bool:
+    def others_reachable(self) -> bool:
         """Return whether a datagram of another dispatcher was received in the last PEER_TIMEOUT_S.
 
         Without a socket, returns whether the group has other dispatchers.
