--- a/beaconhinge/gossip/aggregation.py
+++ b/beaconhinge/gossip/aggregation.py
@@ -78,7 +78,7 @@
         wants_report: Whether a new peer or aggregator needs a report of what this dispatcher has in flight;
             the caller sends it and resets this.
         sends: Attempts sent by the whole group since the caller last reset this, as far as received.
-        peer_weight: How many dispatchers of the fleet each group peer represents.
+        peer_weight: How many of the fleet's other dispatchers each group peer represents.
         rank: The position of this dispatcher in its group.
         broadcast_targets: The receivers of a message to the whole group; -1 is every dispatcher.
         sends_directly: Whether the group is small enough to work without an aggregator.
@@ -164,7 +164,7 @@
     # ---- sending -------------------------------------------------------------------------------------------
 
     def start(self, now: float) -> None:
-        """Start the clocks at `now`; the first aggregate is due as if one had just been received."""
+        """Start at `now`; the aggregator's timeout begins as if an aggregate had just been received."""
         self._aggregator_heard_at = self._sent_at = now
 
     def process_resumed(self, now: float) -> None:
--- a/beaconhinge/membership/list_state.py
+++ b/beaconhinge/membership/list_state.py
@@ -112,7 +112,7 @@
             return self._handle_other_base(worker_list, now)
         if _lacks_content(call, worker_list):
             return self._handle_missing_content(call, worker_list, now)
-        return replace(self._apply(answer), renumbered=renumbered)
+        return replace(self._accept(answer), renumbered=renumbered)
 
     def _handle_overtaken(self, answer: ReceivedAnswer) -> AnswerDecision:
         """Ignore an answer that is older than another call's answer; it confirms nothing.
@@ -160,8 +160,8 @@
             passed_over=PassedOver.CONTENT_MISSING,
         )
 
-    def _apply(self, answer: ReceivedAnswer) -> AnswerDecision:
-        """Apply the list with its version, and check whether it confirms the list that was applied before."""
+    def _accept(self, answer: ReceivedAnswer) -> AnswerDecision:
+        """Accept the list with its version, and check whether it confirms the list applied before."""
         call, worker_list, verification = answer.call, answer.worker_list, self.verification
         snapshot_requested = self.snapshot_needed
         is_new_version = worker_list.version != self.version
@@ -216,8 +216,8 @@
     """Return whether changes lack the content of their version, or could not all be parsed."""
     if worker_list.is_snapshot:
         return False
-    renumbered = worker_list.version != call.index
-    return bool(worker_list.unparsed_ids) or (renumbered and not worker_list.endpoints)
+    is_new_version = worker_list.version != call.index
+    return bool(worker_list.unparsed_ids) or (is_new_version and not worker_list.endpoints)
 
 
 def _update_kind(call: DiscoveryCall, worker_list: WorkerList) -> UpdateKind | None:
