--- a/tests/net/test_discovery.py
+++ b/tests/net/test_discovery.py
@@ -373,7 +373,7 @@
 def test_start_serves_by_the_configured_list_only_after_two_refusals(
     codes: list[int], serves: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Guards against taking one failed connection, even one that failed on this machine, for discovery down."""
+    """Guards against taking one failed connection, even if this machine caused it, as discovery being down."""
     failures, failed, checked = list(codes), asyncio.Event(), asyncio.Event()
 
     async def connect_after_failures(address: tuple[str, int]) -> socket.socket:
