--- a/beaconhinge/policy/arrivals.py
+++ b/beaconhinge/policy/arrivals.py
@@ -22,7 +22,7 @@
         self._retries = retries
         self.max_client_timeouts = [0.0] * len(context.settings.classes)
 
-    def request_of(self, job: interface.JobArrived) -> Request:
+    def create_request(self, job: interface.JobArrived) -> Request:
         """The request, with its times.
 
         The objective counts from the client's first try. A later one is marked or, where clients do not mark
@@ -52,7 +52,7 @@
             start_by=max(first_try + cls.latency_objective_s / 2, objective_at - expected),
         )
 
-    def is_worthless(self, job: interface.JobArrived, request: Request) -> bool:
+    def should_reject(self, job: interface.JobArrived, request: Request) -> bool:
         """Whether a try has no use.
 
         It is a client's repeat, which would be a second run or worthless by now; or it would end too late.
--- a/beaconhinge/policy/dispatcher.py
+++ b/beaconhinge/policy/dispatcher.py
@@ -1,8 +1,9 @@
-"""The decisions of one dispatcher: each event goes to the parts that it concerns.
+"""The policy of one dispatcher: passes each event to the components that handle it.
 
-`Dispatcher(settings, seed).handle(now, event)` answers with a list of actions, without clock, I/O or state
-outside. A job is admitted or rejected on arrival by its tenant's bucket; it goes to a random ready worker, or
-is queued for a slot; each outcome ends it, sends it elsewhere, or fails it.
+`Dispatcher(settings, seed).handle(now, event)` returns a list of actions. It reads no clock, does no I/O and
+keeps all state in the object. When a job arrives, its tenant's bucket admits or rejects it. An admitted job
+is sent to a ready worker, chosen at random by weight, or queued until a slot is free. When an attempt ends,
+its request is finished, retried on another worker, or failed.
 """
 
 import random
@@ -34,20 +35,20 @@
 from .work_estimates import WorkEstimates
 from .workers import Worker, WorkerTable
 
-TICK_TIMER = 1  # token of the timer for housekeeping
+TICK_TIMER = 1  # token of the housekeeping timer
 REPORT_TIMER = 2  # token of the timer for reports to peers
 
 
 class Dispatcher:
-    """Maps each event to the parts of the policy.
+    """Passes each event to the components of the policy and collects their actions.
 
     Args:
         settings: Settings of this dispatcher.
-        seed: Seed of its random draws.
+        seed: Seed of the random number generator of all components.
     """
 
     def __init__(self, settings: interface.Settings, seed: int) -> None:
-        """Build the parts, each with those that it needs."""
+        """Create the components and connect each to the ones that it uses."""
         self.settings = settings
         self.context = context = Context(settings, random.Random(seed))
         incarnation = context.random.getrandbits(8)
@@ -78,22 +79,22 @@
 
     @property
     def workers(self) -> dict[int, Worker]:
-        """All workers that were ever named, by id."""
+        """All workers that any membership update has named, by id."""
         return self.worker_table.by_id
 
     def is_silent(self, worker: Worker) -> bool:
-        """Whether a worker with jobs has given no sign for too long."""
+        """Whether a worker with jobs in flight has sent nothing for too long."""
         return self.stalls.is_silent(worker)
 
     def handle(self, now: float, event: interface.Event) -> list[interface.Action]:
-        """The decisions on one event.
+        """Handle one event.
 
         Args:
-            now: Time of the event in seconds; it never goes back.
-            event: What has happened. Unknown events are ignored.
+            now: Time of the event in seconds. It must not decrease from one call to the next.
+            event: The event. Events of unknown types are ignored.
 
         Returns:
-            Actions to be done in that order.
+            The actions that the caller must perform, in this order.
         """
         actions: list[interface.Action] = []
         self.context.now, self.context.actions = now, actions
@@ -104,7 +105,7 @@
         return actions
 
     def on_start(self, _event: interface.Start) -> None:
-        """Count time from now on, set timers and ask for the list."""
+        """Record the start time, set the timers and fetch the list of workers."""
         context = self.context
         self.slow_start.dispatcher_started_at = context.now
         self.admission.start()
@@ -116,30 +117,30 @@
         self.membership.start()
 
     def on_membership(self, event: interface.MembershipUpdate) -> None:
-        """Take in a list, and send queued requests to who is new."""
+        """Apply a membership update, and send queued requests to workers that it added."""
         if self.membership.update(event):
             self.placement.serve_queued()
 
     def on_maintenance(self, event: interface.MaintenanceMode) -> None:
-        """Operators take a worker out or put it back."""
+        """Put a worker into maintenance, or take it out, on an operator's request."""
         self.membership.set_maintenance(event)
         self.placement.serve_queued()
 
     def on_sibling_load(self, event: interface.SiblingLoad) -> None:
-        """Another process of this dispatcher has more or fewer slots in use on a worker."""
+        """Record how many slots of a worker another process of this dispatcher has taken or freed."""
         worker = self.workers.get(event.worker)
         if worker is not None:
             self.placement.record_sibling_load(worker, event.slots)
             self.placement.serve_queued()
 
     def on_job(self, job: interface.JobArrived) -> None:
-        """Admit a job or reject it; place it, or probe workers first."""
-        request = self.arrivals.request_of(job)
+        """Admit or reject a job. An admitted job is placed at once, or queued while workers are probed."""
+        request = self.arrivals.create_request(job)
         self.requests.by_id[job.request] = request
-        if self.arrivals.is_worthless(job, request):
+        if self.arrivals.should_reject(job, request):
             self.requests.reject(request)
             return
-        tenant = self.quotas.known_tenant(job.tenant)
+        tenant = self.quotas.tenant_or_default(job.tenant)
         request.over_quota = self.quotas.spend(tenant)
         bucket, is_new = self.admission.get_or_add_bucket(tenant, job.class_index)
         if is_new:
@@ -153,7 +154,7 @@
             self.placement.place(request)
 
     def on_outcome(self, event: interface.AttemptEnded) -> None:
-        """An attempt is over: learn from it, retry or answer, and give the slot to a queued request."""
+        """Record the end of an attempt, retry or finish its request, and use the slot for a queued one."""
         found = self.requests.find_attempt(event.request, event.attempt)
         if found is None or not found[1].in_flight:
             return
@@ -172,28 +173,28 @@
             self.requests.end(request)
         elif request.attempts_in_flight == 0 and not request.queued:
             if event.outcome == AttemptOutcome.INVALID_REQUEST:
-                self.requests.fail(request)  # no other worker would take it, nor later
+                self.requests.fail(request)  # no worker would accept it, now or later
             else:
                 self.placement.retry(request)
         self.placement.serve_queued(freed_worker=worker)
 
     def on_progress(self, event: interface.ProgressNotice) -> None:
-        """A worker reports the start or the progress of a job."""
+        """Record that a worker has reported the start or the progress of a job."""
         self.progress.record(event)
 
     def on_request_over(self, event: interface.ClientDisconnected | interface.StreamStarted) -> None:
-        """Nobody waits for an answer any more; what is in flight still has its outcome."""
+        """End a request that needs no final answer any more; its attempts in flight still report outcomes."""
         if event.request in self.requests.by_id:
             self.requests.end(self.requests.by_id[event.request])
 
     def on_deadline_passed(self, event: interface.DeadlinePassed) -> None:
-        """A request should have had its final answer: give it."""
+        """Give a request its final answer if it has none at its deadline."""
         request = self.requests.by_id.get(event.request)
         if request is not None and not request.answered:
             self.requests.finish(request)
 
     def on_peer_message(self, event: interface.PeerMessage) -> None:
-        """A peer reports its demand, or outcomes on workers."""
+        """Record a peer's report of its demand, or of its attempts on workers."""
         for entry in self.gossip.receive(self.context.now, event.peer, event.payload):
             if isinstance(entry, codec.DemandReport):
                 self.limits.by_kind = {**dict(entry.limits), **self.limits.by_kind}
@@ -205,17 +206,17 @@
             self.outliers.record_peer_outcomes(worker, entry.failures, served=bool(entry.served))
 
     def on_process_stalled(self, event: interface.ProcessStalled) -> None:
-        """This process itself did not run for a while."""
+        """Allow for a time in which this process itself did not run."""
         self.gossip.process_resumed(self.context.now)
         self.stalls.skip_own_stall(event.seconds)
 
     def on_probe_result(self, event: interface.ProbeResult) -> None:
-        """A probed worker has answered, or has not."""
+        """Record the result of a probe, and serve queued requests after the last pending one."""
         if self.probing.record_result(event):
             self.placement.serve_queued()
 
     def on_timer(self, event: interface.TimerFired) -> None:
-        """Report to peers, or do the housekeeping."""
+        """Send the report to peers, or do the housekeeping, and set the timer again."""
         actions = self.context.actions
         if event.token == REPORT_TIMER:
             self.reports.report()
@@ -226,8 +227,8 @@
 
     def _tick(self) -> None:
         self.probing.forget_pending()
-        passed_s = self.admission.refill()
-        self.quotas.refill(passed_s, self.admission.demand_share)
+        elapsed_s = self.admission.refill()
+        self.quotas.refill(elapsed_s, self.admission.demand_share)
         self.membership.fetch_if_due()
         if self.context.now - self.admission.adjusted_at >= CONTROL_INTERVAL_S:
             self.gossip.forget_silent_peers(self.context.now)
--- a/beaconhinge/policy/hedging.py
+++ b/beaconhinge/policy/hedging.py
@@ -1,4 +1,4 @@
-"""Hedging: a second attempt of requests whose attempts have stalled."""
+"""Hedging: sends a second attempt of a request whose attempts have stalled."""
 
 from .admission import Admission
 from .context import Context
@@ -10,7 +10,7 @@
 
 
 class Hedging:
-    """Copies stalled requests to free slots."""
+    """Sends copies of stalled requests to workers with free slots."""
 
     def __init__(
         self,
@@ -21,7 +21,7 @@
         retries: RetryPolicy,
         placement: Placement,
     ) -> None:
-        """Watch the requests of the table."""
+        """Hedge the requests of the table."""
         self._context = context
         self._requests = requests
         self._admission = admission
@@ -30,18 +30,19 @@
         self._placement = placement
 
     def hedge_stalled_attempts(self) -> None:
-        """Copy requests all of whose attempts have stalled.
+        """Send a second attempt of each request all of whose attempts have stalled.
 
-        On a worker that fell silent they may never end, on one that has slowed down they will be late, and
-        one whose start is not reported may never have arrived.
+        An attempt on a silent worker may never end, one on a worker that has slowed down will be late, and
+        one whose start was not reported may never have arrived. Nothing is sent where workers do not report
+        starts.
         """
         if not self._context.settings.reports_start:
             return
         self._stalls.update_fleet_speed()
         for request in list(self._requests.by_id.values()):
             attempts = [a for a in request.attempts if a.in_flight]
-            full = self._admission.fleet_full
-            stalled = (self._stalls.is_stalled(request, a, full) for a in attempts)
+            rate_limited = self._admission.fleet_rate_limited
+            stalled = (self._stalls.is_stalled(request, a, rate_limited) for a in attempts)
             if attempts and not request.answered and all(stalled):
                 self._hedge(request)
 
--- a/beaconhinge/policy/placement.py
+++ b/beaconhinge/policy/placement.py
@@ -48,7 +48,7 @@
         worker = self.choose(request)
         if worker is not None:
             self.send(request, worker)
-        elif request.over_quota and self._admission.fleet_full and not request.attempts:
+        elif request.over_quota and self._admission.fleet_rate_limited and not request.attempts:
             # Beyond its tenant's quota while the fleet is full: from spare slots only.
             self._requests.reject(request)
         else:
@@ -116,7 +116,7 @@
             full = entry.rank == Rank.WITHIN_QUOTA and not self._context.large_group
             self._admission.rejections += full
             late_has_value = entry.rank < Rank.LATE and request.request_class.late_value > 0
-            if late_has_value and not self._admission.fleet_full:
+            if late_has_value and not self._admission.fleet_rate_limited:
                 self.enqueue(request)  # in a full fleet late work would take slots from work in time
             else:
                 self._requests.finish(request)
--- a/beaconhinge/policy/quotas.py
+++ b/beaconhinge/policy/quotas.py
@@ -1,49 +1,60 @@
-"""Quotas of tenants in requests a second: this dispatcher's part of each, as a bucket of tokens."""
+"""Quotas of tenants in requests per second: a token bucket with this dispatcher's share of each quota."""
 
 from .context import Context
 from .interface import Settings
 
 BURST_S = 3.0
-"""Seconds of its rate that a bucket holds: jobs come in clumps."""
+"""Capacity of a bucket in seconds of its rate, because jobs arrive in bursts."""
 
 BURST_JOBS = 4.0
-"""Mean jobs that a bucket holds at least."""
+"""Least capacity of a bucket in jobs."""
 
 
 def max_tokens(quota_rps: float) -> float:
-    """Most tokens that a bucket of that rate holds."""
+    """Capacity, in jobs, of a bucket with this rate."""
     return max(BURST_JOBS, BURST_S * quota_rps)
 
 
 class TenantQuotas:
-    """Tokens of each tenant, in jobs."""
+    """Token buckets of the tenants; a token is one job."""
 
     def __init__(self, context: Context) -> None:
-        """Start with one Nth of a second's quota, and one job at least."""
+        """Start with 1 / group size of a second's quota, but at least one job."""
         self._context = context
         settings: Settings = context.settings
         self.tokens = [max(1.0, t.quota_rps / settings.group_size) for t in settings.tenants]
 
-    def known_tenant(self, tenant: int) -> int:
-        """The tenant itself, or the first one for an unknown number."""
+    def tenant_or_default(self, tenant: int) -> int:
+        """Return the number of the tenant, or 0, the first tenant, if the number is unknown."""
         return tenant if 0 <= tenant < len(self.tokens) else 0
 
     def spend(self, tenant: int) -> bool:
-        """Count a job. Returns whether its tenant has used up its quota."""
+        """Take a token for a job. Return True if none is left; always False for a tenant without a quota."""
         if self._context.settings.tenants[tenant].quota_rps <= 0:
             return False
         over = self.tokens[tenant] < 1.0
         self.tokens[tenant] -= not over
         return over
 
-    def refill(self, passed_s: float, demand_share: float) -> None:
-        """Add what this dispatcher's part of each quota gives in so many seconds."""
-        for number, tenant in enumerate(self._context.settings.tenants):
+    def refill(self, elapsed_s: float, demand_share: float) -> None:
+        """Add the tokens of this dispatcher's share of each quota.
+
+        Args:
+            elapsed_s: Seconds since the last refill.
+            demand_share: This dispatcher's share of the fleet's demand, from 0 to 1.
+        """
+        for tenant_index, tenant in enumerate(self._context.settings.tenants):
             rate = tenant.quota_rps * demand_share
-            self.tokens[number] = min(self.tokens[number] + passed_s * rate, max_tokens(rate))
+            self.tokens[tenant_index] = min(self.tokens[tenant_index] + elapsed_s * rate, max_tokens(rate))
 
     def restore(self, tokens: list[float], age_s: float, demand_share: float) -> None:
-        """Take up tokens from a record that old."""
-        for tenant, level in enumerate(tokens):
-            rate = self._context.settings.tenants[tenant].quota_rps * demand_share
-            self.tokens[tenant] = min(level + age_s * rate, max_tokens(rate))
+        """Set the tokens from a record, and add those of the time since then.
+
+        Args:
+            tokens: Tokens of each tenant when the record was written.
+            age_s: Seconds since the record was written.
+            demand_share: This dispatcher's share of the fleet's demand, from 0 to 1.
+        """
+        for tenant_index, recorded in enumerate(tokens):
+            rate = self._context.settings.tenants[tenant_index].quota_rps * demand_share
+            self.tokens[tenant_index] = min(recorded + age_s * rate, max_tokens(rate))
--- a/beaconhinge/policy/routing.py
+++ b/beaconhinge/policy/routing.py
@@ -1,4 +1,4 @@
-"""Routing: the choice of a worker for a request."""
+"""Routing: chooses a worker for a request."""
 
 from ..gossip import codec
 from . import interface
@@ -13,36 +13,39 @@
 from .workers import ALL_KINDS, SAMPLE_SIZE, Worker, WorkerTable
 
 GOSSIP_DELAY_S = 0.2
-"""Seconds until dispatchers of a large group know of each other's sends."""
+"""Seconds until the dispatchers of a large group have received each other's sends."""
 
 CLAIMS_PER_FREE_SLOT = 1.5
-"""Claims on each slot seen free, by all dispatchers, until they hear of each other's."""
+"""Wanted number of sends by all dispatchers to each free slot within one gossip delay."""
 
 FRESH_REPORT_WEIGHT = 100.0
-"""A worker that has just reported its load is likelier by that factor."""
+"""Factor for the weight of a worker that has just reported its load."""
 
 AFFINITY_WEIGHT = 10.0
-"""A worker that suits the request's class is likelier by that factor."""
+"""Factor for the weight of a worker that is reserved for the request's class."""
 
 OVER_QUOTA_RESERVE_SLOTS = 1.0
-"""Slots a worker keeps free of over-quota jobs, by how little those are worth."""
+"""Slots of a worker kept free of over-quota jobs, multiplied by 1 minus the value of such a job."""
 
 PREFERENCE_PER_PRICE = 100.0
-"""A price of one point in 100 doubles the preference for an idle connection or the own zone."""
+"""A cost of 0.01 doubles the weight of a worker with an idle connection, or in the same zone."""
 
-WAITED_SHARE = 0.3
-"""Part of the time until it must start after which a job of several slots takes less room than it needs."""
+PARTIAL_ROOM_WAIT_SHARE = 0.3
+"""Share of the time from first try to latest start.
+
+After it a job of several slots is also sent to a worker with fewer slots free.
+"""
 
 ROUNDING_SLOTS = 0.5
-"""Limits are means: half a slot under the limit counts as one."""
+"""Added to limits, which are means: half a slot below the limit counts as a free slot."""
 
 
 class Router:
     """Chooses workers.
 
     Attributes:
-        claim_probability: Chance of a claim on a slot while slots are scarce.
-        freed_worker: Worker on which a slot of its own has just fallen free.
+        claim_probability: Probability of using a free slot while free slots are scarce in a large group.
+        freed_worker: Worker on which an attempt of this dispatcher has just ended; else None.
     """
 
     def __init__(
@@ -55,7 +58,7 @@
         estimates: WorkEstimates,
         retries: RetryPolicy,
     ) -> None:
-        """Choose among the workers of the table by what the other parts know of them."""
+        """Choose among the workers of the table, by the data of the other components."""
         self._context = context
         self._workers = workers
         self._limits = limits
@@ -71,22 +74,23 @@
         self.freed_worker: Worker | None = None
 
     def choose(self, request: Request, demand_share: float) -> Worker | None:
-        """A random ready worker of the class's kind, likelier with more room for its pace.
+        """Choose a worker of the class's kind at random, weighted by free slots and speed.
 
-        With no room anywhere each dispatcher has its part of a full worker by demand, lest who holds its
-        slots keep refilling them; where that part is less than a job, the job waits for a slot.
+        When no worker has a free slot, each dispatcher may still use its share of a full worker's slots, by
+        demand. Otherwise the dispatchers that hold the slots would refill them forever. If that share is
+        smaller than the job, the job waits for a slot.
 
         Args:
             request: The request.
-            demand_share: This dispatcher's part of the fleet's demand.
+            demand_share: This dispatcher's share of the fleet's demand, from 0 to 1.
 
         Returns:
             The worker, or None if the request must wait.
         """
         pool = self._candidates(request)
-        ready, weights, without_room = self._weigh(pool, request, demand_share)
-        if ready:
-            return self._context.random.choices(ready, weights)[0]
+        with_room, weights, without_room = self._weigh(pool, request, demand_share)
+        if with_room:
+            return self._context.random.choices(with_room, weights)[0]
         slots_in_flight = sum(w.in_flight for w in pool)
         all_slots = sum(self._limits.limit_of(w) for w in pool)
         if without_room and slots_in_flight < demand_share * all_slots:
@@ -96,41 +100,47 @@
     def _weigh(
         self, pool: list[Worker], request: Request, demand_share: float
     ) -> tuple[list[Worker], list[float], list[Worker]]:
-        """Ready workers, their weights, and others in whose slots this dispatcher's part has room."""
+        """Return workers with free slots, their weights, and full workers with room in the own share."""
         tried = self._tried_workers(request)
         skip_claim = self.claim_probability < 1 and self._context.random.random() >= self.claim_probability
-        ready: list[Worker] = []
+        with_room: list[Worker] = []
         weights: list[float] = []
         without_room: list[Worker] = []
-        limits, slow_start, mean_pace = self._limits, self._slow_start, self._estimates.seconds_per_work
+        limits, slow_start, mean_seconds_per_work = (
+            self._limits,
+            self._slow_start,
+            self._estimates.seconds_per_work,
+        )
         speed_of, fleet_speed = self._stalls.speed_of, self._stalls.fleet_speed
-        may_be_slow = self._context.now >= request.start_by
+        accept_slow = self._context.now >= request.start_by
         for worker in pool:
             if worker in tried or not self.is_eligible(worker, request):
                 continue
             if skip_claim and worker is not self.freed_worker and not slow_start.is_cold(worker):
                 continue
             speed = speed_of(worker) / fleet_speed
-            if speed < MIN_RELATIVE_SPEED and not may_be_slow:
-                continue  # it would be late there, and need not be elsewhere
-            share = slow_start.weight(worker, request)
-            if share <= 0:
+            if speed < MIN_RELATIVE_SPEED and not accept_slow:
+                continue  # the job would be late there, and until `start_by` a faster worker may get a slot
+            cold_weight = slow_start.weight(worker, request)
+            if cold_weight <= 0:
                 continue
             room = self.free_slots(worker, request)
             if room > 0:
-                pace = (
-                    worker.seconds_per_work or mean_pace or 1.0
-                ) / speed**2  # what has slowed down slows on
-                ready.append(worker)
-                weights.append(self._prefer(room * share / pace, worker, request))
+                # The speed is squared because a worker that has slowed down tends to get slower still.
+                seconds_per_work = (worker.seconds_per_work or mean_seconds_per_work or 1.0) / speed**2
+                with_room.append(worker)
+                weights.append(self._prefer(room * cold_weight / seconds_per_work, worker, request))
             elif not worker.on_probation and not request.over_quota:
-                own_part = limits.limit_of(worker) * demand_share + ROUNDING_SLOTS - worker.in_flight
-                if own_part >= request.slots:
+                own_room = limits.limit_of(worker) * demand_share + ROUNDING_SLOTS - worker.in_flight
+                if own_room >= request.slots:
                     without_room.append(worker)
-        return ready, weights, without_room
+        return with_room, weights, without_room
 
     def _candidates(self, request: Request) -> list[Worker]:
-        """Workers looked at: in a large fleet a sample, as good as all, at a cost that does not grow."""
+        """Workers to choose from.
+
+        In a large fleet this is a sample: its choice is as good, and the cost does not grow with the fleet.
+        """
         kind = request.request_class.worker_kind
         pool = self._workers.listed.get(kind, [])
         if len(pool) <= 2 * SAMPLE_SIZE:
@@ -139,30 +149,39 @@
         return list(dict.fromkeys([*own, *self._context.random.choices(pool, k=SAMPLE_SIZE)]))
 
     def _tried_workers(self, request: Request) -> list[Worker]:
-        """Workers not to be tried again: for unsafe requests all, as a late answer would end a retry."""
+        """Workers that must not get another attempt of the request.
+
+        These are the workers of the attempts in flight and of the last attempt; for an unsafe request all
+        that were tried, because a late answer to an earlier attempt would be taken as the end of the new one.
+        """
         unsafe = request.request_class.semantics == Semantics.UNSAFE
         attempts = request.attempts
         return [a.worker for a in attempts if unsafe or a.in_flight or a is attempts[-1]]
 
     def _prefer(self, weight: float, worker: Worker, request: Request) -> float:
-        """The weight of a worker, changed by what is known of its load and what a send to it costs."""
+        """Adjust a worker's weight by its reported load, its zone and the cost of a new connection."""
         context, reported = self._context, self._limits.reported_load
         if reported is not None:
-            known = FRESH_REPORT_WEIGHT if reported.is_fresh(context.now, worker.key) else 1.0
-            weight *= known * self.class_affinity(worker, request)
+            report_weight = FRESH_REPORT_WEIGHT if reported.is_fresh(context.now, worker.key) else 1.0
+            weight *= report_weight * self.class_affinity(worker, request)
         own_zone = 1 + self._own_zone_weight * (worker.zone == context.settings.zone)
         idle = worker.has_idle_connection(context.now - context.settings.idle_timeout_s)
         return weight * own_zone * (1 + self._idle_connection_weight * idle)
 
     def class_affinity(self, worker: Worker, request: Request) -> float:
-        """Long jobs leave some workers to the class with the tightest objective: behind them it is late."""
-        part = self._estimates.work_by_class.minor_share(self._tightest_class)
-        own = codec.hash32(worker.id + 1) % 1000 < 2000 * part * self._context.large_group
+        """Factor for the weight of a worker, by whether it is reserved for the request's class.
+
+        In a large group some workers are reserved for the class with the tightest latency objective, because
+        its jobs are late when they wait behind long ones. On these the factor is AFFINITY_WEIGHT for that
+        class and its inverse for other classes. On all other workers it is 1.
+        """
+        work_share = self._estimates.work_by_class.minor_share(self._tightest_class)
+        reserved = codec.hash32(worker.id + 1) % 1000 < 2000 * work_share * self._context.large_group
         is_tightest = request.request_class is self._tightest_class
-        return (AFFINITY_WEIGHT if own else 1.0) ** (1 if is_tightest else -1)
+        return (AFFINITY_WEIGHT if reserved else 1.0) ** (1 if is_tightest else -1)
 
     def is_eligible(self, worker: Worker, request: Request) -> bool:
-        """Whether a worker may have this request at all, for its health and the rules."""
+        """Whether the worker's health and the retry rules allow sending it this request."""
         now = self._context.now
         if worker.class_ejections and now < self._ejected_for_class_until(worker, request.request_class):
             return False
@@ -182,7 +201,7 @@
         return worker.class_ejections.get(request_class, (0.0, 0.0))[0]
 
     def free_slots(self, worker: Worker, request: Request) -> float:
-        """Free slots as far as can be seen; 0 if they are too few for the request."""
+        """Estimated free slots of a worker; 0 if they are too few for the request."""
         if worker.on_probation:
             return 1.0
         in_flight = self._limits.slots_in_flight(worker)
@@ -193,18 +212,19 @@
             return room
         if request.slots > 1 and room >= 1:
             time_to_start = request.start_by - request.first_tried_at
-            if self._context.now - request.first_tried_at > WAITED_SHARE * time_to_start:
+            if self._context.now - request.first_tried_at > PARTIAL_ROOM_WAIT_SHARE * time_to_start:
                 return room
         return 0.0
 
     def update_claim_probability(self, send_rate: float) -> None:
-        """Take anew the chance of a claim, in a large group.
+        """Recompute the claim probability, in a large group.
 
-        Many see the same free slot and hear late of claims on it: while slots are scarce each claims by
-        chance, so that about one does. Slots that own jobs leave are claimed at once.
+        Many dispatchers see the same free slot and learn late that another has used it. While free slots are
+        scarce each uses one with this probability, so that about one dispatcher does. A slot freed by this
+        dispatcher's own attempt is used at once.
 
         Args:
-            send_rate: Attempts a second of all dispatchers.
+            send_rate: Attempts per second of all dispatchers.
         """
         if not self._context.large_group:
             return
--- a/beaconhinge/policy/slow_start.py
+++ b/beaconhinge/policy/slow_start.py
@@ -1,4 +1,4 @@
-"""Slow start: a worker that has just started is cold, and may have more only as it warms up."""
+"""Slow start: limits the work sent to a worker that has just started, until it has warmed up."""
 
 from ..gossip import codec
 from .concurrency_limits import INITIAL_LIMIT_SLOTS, ConcurrencyLimits
@@ -8,18 +8,19 @@
 from .workers import Worker
 
 BUDGET_SHARE = 0.75
-"""Part of the cold budget that is used: each dispatcher sees lengths, slots and clocks differently."""
+"""Share of a cold worker's budget that is used: dispatchers estimate work, slots and time differently."""
 
 
 class SlowStart:
-    """Budget of cold workers.
+    """Keeps the work sent to cold workers within a budget.
 
     Attributes:
-        dispatcher_started_at: When this dispatcher started; what it sent before is not known to it.
+        dispatcher_started_at: Time in seconds at which this dispatcher started. It has no record of what an
+            earlier run of it has sent.
     """
 
     def __init__(self, context: Context, limits: ConcurrencyLimits, estimates: WorkEstimates) -> None:
-        """Start with nothing sent."""
+        """Start without a record of sends."""
         self._context = context
         self._limits = limits
         self._estimates = estimates
@@ -27,11 +28,17 @@
 
     def is_cold(self, worker: Worker) -> bool:
         """Whether the worker started less than the warm-up time ago."""
-        started = worker.slow_start_from
-        return started > 0 and self._context.now - started < self._context.settings.slow_start_s
+        start = worker.slow_start_from
+        return start > 0 and self._context.now - start < self._context.settings.slow_start_s
 
     def weight(self, worker: Worker, request: Request) -> float:
-        """How much more than usual a cold worker may have from here; 0 lest it be pushed over."""
+        """Factor for the routing weight of a worker.
+
+        Returns:
+            1 for a worker that is not cold. For a cold worker, 0 if this dispatcher must not send it the
+            request, so as not to overload it. Otherwise 1 if all dispatchers share its budget, else the ramp
+            multiplied by the group's size over the number of dispatchers that share the budget.
+        """
         if not self.is_cold(worker):
             return 1.0
         settings, now = self._context.settings, self._context.now
@@ -41,37 +48,44 @@
         late = now + request.expected_s / ramp > request.objective_at and now < request.start_by
         window_start = now - settings.overload_window_s
         if late or worker.slow_start_from < self.dispatcher_started_at > window_start:
-            return (
-                0.0  # it need not be late elsewhere; and what an earlier run of this dispatcher sent counts
-            )
+            # The request may be in time on another worker, or an earlier run of this dispatcher may have
+            # used the budget of the window.
+            return 0.0
         while worker.slow_start_sends and worker.slow_start_sends[0][0] < window_start:
             worker.slow_start_sends.popleft()
         slots = min(self._limits.limit_of(worker), self._limits.by_kind.get(worker.kind, INITIAL_LIMIT_SLOTS))
         budget = BUDGET_SHARE * settings.overload_multiple * ramp * slots * settings.overload_window_s
-        owners = self._owners(budget)
-        cost = self._estimates.slot_seconds(request, worker)
-        spent = sum(load for _, load in worker.slow_start_sends)
-        if self._rank(worker) >= owners or spent + cost > budget / owners:
+        owners = self._owner_count(budget)
+        slot_seconds = self._estimates.slot_seconds(request, worker)
+        spent_slot_seconds = sum(load for _, load in worker.slow_start_sends)
+        if self._owner_rank(worker) >= owners or spent_slot_seconds + slot_seconds > budget / owners:
             return 0.0
-        size = settings.group_size
-        return ramp * size / owners if owners < size else 1.0
+        group_size = settings.group_size
+        return ramp * group_size / owners if owners < group_size else 1.0
 
-    def _owners(self, budget: float) -> int:
-        """Dispatchers that share a budget.
+    def _owner_count(self, budget: float) -> int:
+        """Number of dispatchers that share a budget.
 
-        Where an Nth is less than a job few own it, in powers of two: so most dispatchers see as many.
+        Where an equal share for each dispatcher would be less than a job, only a few share the budget. Their
+        number is a power of two, so that most dispatchers compute the same one.
+
+        Args:
+            budget: Slot-seconds of work that may be sent to the worker within the overload window.
         """
-        job = 2 * self._estimates.mean_work * (self._estimates.seconds_per_work or 1.0)
-        parts = max(1, int(budget / job))
-        return min(self._context.settings.group_size, 1 << parts.bit_length() - 1)
+        job_slot_seconds = 2 * self._estimates.mean_work * (self._estimates.seconds_per_work or 1.0)
+        jobs_in_budget = max(1, int(budget / job_slot_seconds))
+        return min(self._context.settings.group_size, 1 << jobs_in_budget.bit_length() - 1)
+
+    def _owner_rank(self, worker: Worker) -> int:
+        """Rank of this dispatcher for a share of the worker's budget, from 0.
 
-    def _rank(self, worker: Worker) -> int:
-        """Place of this dispatcher among those that may own the worker's budget, alike at all of them."""
+        All dispatchers derive the same order from the worker and its start.
+        """
         settings = self._context.settings
         return (settings.own_number - codec.hash32(worker.id ^ int(worker.started_at))) % settings.group_size
 
     def record_send(self, worker: Worker, request: Request) -> None:
-        """Count what a cold worker is sent."""
+        """Record the slot-seconds of a request that is sent to a cold worker."""
         if self.is_cold(worker):
-            cost = self._estimates.slot_seconds(request, worker)
-            worker.slow_start_sends.append((self._context.now, cost))
+            slot_seconds = self._estimates.slot_seconds(request, worker)
+            worker.slow_start_sends.append((self._context.now, slot_seconds))
--- a/beaconhinge/policy/stall_detection.py
+++ b/beaconhinge/policy/stall_detection.py
@@ -93,20 +93,20 @@
         worker.relative_speed = max(speed + change, MIN_SPEED)
         worker.speed_measured_at = now
 
-    def is_stalled(self, request: Request, attempt: Attempt, fleet_full: bool) -> bool:
+    def is_stalled(self, request: Request, attempt: Attempt, fleet_rate_limited: bool) -> bool:
         """Whether an attempt may never end, or will end late where another would not.
 
         Args:
             request: The request.
             attempt: One of its attempts in flight.
-            fleet_full: Whether the fleet rate is cut.
+            fleet_rate_limited: Whether the fleet rate is cut.
         """
         now = self._context.now
         if not attempt.start_seen:
             unseen_s = now - max(attempt.sent_at, attempt.worker.last_heard_at)
             lost = unseen_s > LOST_AFTER_S + LOST_AFTER_START_DELAYS * self.mean_start_delay_s
             # In a full fleet a copy would wait as well.
-            return lost and not (self._context.large_group and fleet_full)
+            return lost and not (self._context.large_group and fleet_rate_limited)
         if self.is_silent(attempt.worker):
             return True
         if attempt.progress_rate >= MIN_RELATIVE_SPEED * attempt.best_progress_rate * self.fleet_speed:
