--- a/beaconhinge/policy/attempt_outcomes.py
+++ b/beaconhinge/policy/attempt_outcomes.py
@@ -1,4 +1,4 @@
-"""What the end of an attempt teaches of its worker."""
+"""Attempt outcomes: updates worker health, limits and estimates when an attempt ends."""
 
 from ..gossip import codec
 from . import interface
@@ -13,18 +13,18 @@
 from .work_estimates import WorkEstimates
 from .workers import BASE_EJECTION_S, Worker, WorkerTable
 
-MIN_FULL_SHARE = 0.75
-"""A worker that rejects with less than this of its slots taken is at fault, not the load."""
+MIN_OVERLOAD_SLOT_SHARE = 0.75
+"""With at most this share of its slots in use, a worker's rejection is a failure, not a sign of overload."""
 
-HANDED_BACK_AFTER_S = 0.1
-"""Seconds after which a job sent back was not rejected at the door: the worker drains."""
+MAX_REJECTION_LATENCY_S = 0.1
+"""A rejection that takes more seconds than this comes from a worker that drains: it had accepted the job."""
 
 ANSWERS = (AttemptOutcome.SERVED, AttemptOutcome.SERVER_ERROR, AttemptOutcome.REJECTED)
-"""Outcomes after which the connection is open and idle."""
+"""Outcomes after which the connection to the worker is open and idle."""
 
 
 class OutcomeRecorder:
-    """Gives each part its lesson of an outcome."""
+    """Passes the outcome of an attempt to the components that learn from it."""
 
     def __init__(
         self,
@@ -36,7 +36,7 @@
         slow_start: SlowStart,
         outliers: OutlierDetection,
     ) -> None:
-        """Teach these parts."""
+        """Update these components."""
         self._context = context
         self._workers = workers
         self._admission = admission
@@ -46,13 +46,14 @@
         self._outliers = outliers
 
     def record(self, attempt: Attempt, request: Request, event: interface.AttemptEnded) -> int:
-        """Learn from the end of an attempt. Returns the kind of gossip entry about it."""
+        """Record the end of an attempt. Return the kind of gossip entry that reports it to peers."""
         worker = attempt.worker
         previous_rate = worker.failure_rate
         silent_since_send = worker.last_heard_at <= attempt.sent_at
         if event.outcome in (AttemptOutcome.SERVED, AttemptOutcome.SERVER_ERROR):
-            worker.last_heard_at = self._context.now  # a time-out or a rejection does not show that it works
-        in_flight = self._limits.note_in_flight(worker)  # before the report of this outcome changes it
+            worker.last_heard_at = self._context.now  # a timeout or a rejection does not show that it works
+        # Read before the load report of this outcome changes it.
+        in_flight = self._limits.note_in_flight(worker)
         self._record_connection(worker, event.outcome)
         free = self._free_slots(event)
         if free is not None:
@@ -81,7 +82,14 @@
     def _record_served(
         self, attempt: Attempt, request: Request, latency: float, in_flight: float | None
     ) -> None:
-        """Learn from success; also of the limit, unless the worker reports free slots (`in_flight` None)."""
+        """Update the estimates and the failure rate after a success.
+
+        Args:
+            attempt: The attempt.
+            request: Its request.
+            latency: Seconds from the send to the answer.
+            in_flight: Slots in use on the worker, to learn its limit from; None if it reports free slots.
+        """
         worker = attempt.worker
         cold = self._slow_start.is_cold(worker)
         self._estimates.record_served(worker, request, latency, attempt.start_delay_s, cold)
@@ -92,12 +100,16 @@
     def _record_rejected(
         self, worker: Worker, request: Request, latency: float, in_flight: float, free: float | None
     ) -> None:
-        """With slots free it drains unseen or fails fast, and its rejection says nothing of the fleet."""
-        unfilled = in_flight + request.slots <= MIN_FULL_SHARE * self._limits.limit_of(worker)
+        """Count a rejection against the worker or as overload of the fleet.
+
+        A worker that rejects although it has free slots fails fast, or drains before the list says so. Its
+        rejection says nothing about the load of the fleet.
+        """
+        has_free_slots = in_flight + request.slots <= MIN_OVERLOAD_SLOT_SHARE * self._limits.limit_of(worker)
         if free is not None and round(free) >= request.slots:
             self._outliers.eject_for_class(worker, request.request_class)
             return
-        if worker.on_probation or unfilled or latency > HANDED_BACK_AFTER_S:
+        if worker.on_probation or has_free_slots or latency > MAX_REJECTION_LATENCY_S:
             self._outliers.raise_failure_rate(worker, FAILURE_WEIGHT)
         else:
             self._admission.rejections += 1
@@ -110,16 +122,18 @@
         if outcome == AttemptOutcome.NO_CONNECTION:
             silent = now - worker.last_heard_at > LOST_AFTER_S
             failed = silent or worker.failure_rate > PEER_FAILURE_WEIGHT / 2
-            # Open connections may be used: the worker may be full of them, or slow to open more.
+            # Open connections may still be used: the worker may have reached its connection limit, or be slow
+            # to accept new ones.
             jitter = 0.75 + 0.5 * self._context.random.random()
             worker.connect_after = now + BASE_EJECTION_S * jitter
         elif outcome == AttemptOutcome.CONNECTION_LOST:
-            # One may break while the worker serves the others: two without a sign between them are its fault.
+            # One connection may break while the worker serves the others. The worker is at fault when two
+            # break and it has sent nothing between them.
             failed = worker.last_heard_at <= worker.connection_lost_at
             worker.connection_lost_at = now
             worker.idle_connections = []
         elif outcome in (AttemptOutcome.TIMEOUT, AttemptOutcome.CANCELLED):
-            age = now - attempt.sent_at  # clients may leave early
+            age = now - attempt.sent_at  # an early end, when a client leaves soon, does not count
             failed = silent_since_send and age > self._estimates.mean_latency_s
         if failed:
             self._outliers.raise_failure_rate(worker, FAILURE_WEIGHT)
--- a/beaconhinge/policy/progress_notices.py
+++ b/beaconhinge/policy/progress_notices.py
@@ -1,4 +1,4 @@
-"""What workers report of jobs in flight: their start and their progress."""
+"""Progress notices: workers report the start and the progress of jobs in flight."""
 
 from . import interface
 from .admission import Admission
@@ -11,7 +11,7 @@
 
 
 class ProgressRecorder:
-    """Gives each part its lesson of a progress notice."""
+    """Passes a progress notice to the components that learn from it."""
 
     def __init__(
         self,
@@ -22,7 +22,7 @@
         limits: ConcurrencyLimits,
         stalls: StallDetection,
     ) -> None:
-        """Teach these parts."""
+        """Update these components."""
         self._context = context
         self._workers = workers
         self._requests = requests
@@ -31,7 +31,7 @@
         self._stalls = stalls
 
     def record(self, event: interface.ProgressNotice) -> None:
-        """Learn from a notice; at the first sign of a start the request's other attempts are cancelled."""
+        """Record a notice. At the first sign of a start, cancel the request's other attempts."""
         now = self._context.now
         worker = self._workers.by_id.get(event.worker)
         if worker is not None:
@@ -44,7 +44,8 @@
             self._stalls.record_start(attempt)
             if not attempt.start_seen:
                 self._limits.learn_from_start_delay(attempt)
-                # As full as if the worker had rejected the job, though its queue is not.
+                # In a large group a late start is as much a sign of full workers as a rejection, although the
+                # worker still had room in its queue.
                 self._admission.rejections += self._context.large_group and now > request.start_by
             attempt.progress_at = now
         elif worker is not None:
--- a/beaconhinge/policy/work_estimates.py
+++ b/beaconhinge/policy/work_estimates.py
@@ -1,32 +1,32 @@
-"""Means over what was served: seconds for a unit of work, work of a job, latency, work by class."""
+"""Estimates learned from served jobs: seconds per unit of work, work per job, latency, work by class."""
 
 from .request_table import Request
 from .served_work import ServedWork
 from .workers import Worker
 
 OBSERVATION_WEIGHT = 0.15
-"""Weight of one observation in a worker's own means."""
+"""Weight of one observation in the means of one worker."""
 
 FLEET_OBSERVATION_WEIGHT = 0.05
 """Weight of one observation in the means of all workers."""
 
 MAX_WORK_WEIGHT = 3.0
-"""A long job counts as that many mean ones at most."""
+"""Limit of the weight of a long job, in jobs of mean work."""
 
 MIN_RUN_S = 1e-4
 
 UNHINTED_WORK_SHARE = 0.4
-"""A job without a hint is taken as this part of the mean: most are shorter than the mean."""
+"""Share of the mean run time expected of a job without a size hint: most jobs are shorter than the mean."""
 
 
 class WorkEstimates:
-    """What a job is expected to take.
+    """Estimates of the time and the slots that jobs take.
 
     Attributes:
-        seconds_per_work: Seconds for a unit of work on the mean worker; 0 until one was served.
-        mean_work: Work of a job, as hinted.
-        mean_latency_s: Mean latency of what was served; 0 until one was.
-        work_by_class: Work done by class and kind of worker.
+        seconds_per_work: Mean seconds per unit of work over all workers; 0 before the first served job.
+        mean_work: Smoothed work of a job, by the hints.
+        mean_latency_s: Smoothed latency of served jobs in seconds; 0 before the first one.
+        work_by_class: Served work by class and kind of worker.
     """
 
     def __init__(self) -> None:
@@ -37,25 +37,36 @@
         self.work_by_class = ServedWork()
 
     def record_arrival(self, work: float) -> None:
-        """Count the hinted work of a job that has arrived."""
+        """Count the hinted work of an arrived job in the mean."""
         self.mean_work += FLEET_OBSERVATION_WEIGHT * (work - self.mean_work)
 
     def record_served(
         self, worker: Worker, request: Request, latency: float, start_delay: float, cold: bool
     ) -> None:
-        """Learn from a request served in `latency` seconds, `start_delay` of them before its start."""
-        pace = max(latency - start_delay, latency / 10, MIN_RUN_S) / request.work
-        weight = min(request.work / self.mean_work, MAX_WORK_WEIGHT)  # waits make short jobs seem slow
+        """Update the estimates with a served request.
+
+        Args:
+            worker: The worker that served it.
+            request: The request.
+            latency: Seconds from the send to the answer.
+            start_delay: Seconds of these before its start.
+            cold: Whether the worker is cold. If so, the time per unit of work is not learned.
+        """
+        observed = max(latency - start_delay, latency / 10, MIN_RUN_S) / request.work
+        # Short jobs weigh less because waiting time makes them seem slow.
+        weight = min(request.work / self.mean_work, MAX_WORK_WEIGHT)
         error = latency - self.mean_latency_s
         self.mean_latency_s += FLEET_OBSERVATION_WEIGHT * error if self.mean_latency_s else latency
         if not cold:
-            own, gossip = worker.seconds_per_work, self.seconds_per_work
-            worker.seconds_per_work += OBSERVATION_WEIGHT * weight * (pace - own) if own else pace
-            self.seconds_per_work += FLEET_OBSERVATION_WEIGHT * weight * (pace - gossip) if gossip else pace
+            own, fleet = worker.seconds_per_work, self.seconds_per_work
+            worker.seconds_per_work += OBSERVATION_WEIGHT * weight * (observed - own) if own else observed
+            self.seconds_per_work += (
+                FLEET_OBSERVATION_WEIGHT * weight * (observed - fleet) if fleet else observed
+            )
         worker.class_ejections.pop(request.request_class, None)
-        self.work_by_class.record(request.request_class, worker.kind, pace * request.work, request.slots)
+        self.work_by_class.record(request.request_class, worker.kind, observed * request.work, request.slots)
 
     def slot_seconds(self, request: Request, worker: Worker) -> float:
-        """Slots times seconds that a request is expected to take on a worker."""
+        """Expected slot-seconds of a request on a worker: its slots times its run time."""
         mean = self.work_by_class.mean_seconds(request.request_class, worker.kind)
         return request.slots * max(mean, request.work * (self.seconds_per_work or 1.0))
