--- a/beaconhinge/policy/__init__.py
+++ b/beaconhinge/policy/__init__.py
@@ -1,12 +1,12 @@
-"""The decisions of a dispatcher that pushes jobs to workers: pure, without clock, I/O or global state.
+"""The policy of a dispatcher that pushes jobs to workers. It uses no clock, I/O or global state.
 
-`dispatcher` maps each event to the parts below; each part owns its state, and `context` holds what all share.
+`dispatcher` passes each event to the modules below. Each owns its state; `context` holds shared data.
 
-- Which workers there are: `membership`, `workers`.
-- Whether a job may come in: `arrivals`, `admission` (fleet rate), `quotas` (tenants), `peer_reports`.
-- Where it goes: `placement`, `routing`, `load_probing`, `request_queue`, `request_table`.
-- How much a worker may have: `concurrency_limits`, `slow_start`, `work_estimates`.
-- Workers at fault: `outlier_detection`, `stall_detection`, `attempt_outcomes`, `progress_notices`.
+- Which workers exist: `membership`, `workers`.
+- Whether a job is admitted: `arrivals`, `admission` (fleet rate), `quotas` (tenants), `peer_reports`.
+- Which worker gets a job: `placement`, `routing`, `load_probing`, `request_queue`, `request_table`.
+- How many jobs a worker gets: `concurrency_limits`, `slow_start`, `work_estimates`.
+- Faulty workers: `outlier_detection`, `stall_detection`, `attempt_outcomes`, `progress_notices`.
 - Further attempts: `retries`, `hedging`.
 """
 
--- a/beaconhinge/policy/context.py
+++ b/beaconhinge/policy/context.py
@@ -1,4 +1,4 @@
-"""What all parts of the policy share during one event: settings, time, random draws and actions so far."""
+"""Data that all components of the policy share during one event."""
 
 import random
 from dataclasses import dataclass, field
@@ -6,10 +6,13 @@
 from . import interface
 
 MAX_TICK_INTERVAL_S = 0.1
-"""Seconds between wake-ups, a tenth of the shortest deadline at most; they cost little."""
+"""Longest interval of the housekeeping timer, or a tenth of the shortest deadline; a tick costs little."""
 
 SMALL_GROUP_SIZE = 8
-"""In a larger group than that a dispatcher has few sends, and an Nth of a budget is less than a job."""
+"""Largest size of a small group.
+
+In a larger one each dispatcher sends few attempts, and an equal share of a budget is less than a job.
+"""
 
 INF = float("inf")
 
@@ -20,11 +23,11 @@
 
     Attributes:
         settings: Settings of this dispatcher.
-        random: The one source of random draws. Their order is part of the behaviour.
+        random: The only random number generator. The order of draws is part of the behaviour.
         now: Time of the event in seconds.
-        actions: Answer to the event so far.
+        actions: Actions that answer the event, so far.
         tick_s: Seconds between housekeeping timers.
-        large_group: Whether a dispatcher has too few sends to learn from its own alone.
+        large_group: Whether the group is so large that a dispatcher can't learn from its own sends alone.
     """
 
     settings: interface.Settings
@@ -35,7 +38,7 @@
     large_group: bool = field(init=False)
 
     def __post_init__(self) -> None:
-        """Derive what follows from the settings alone."""
+        """Derive the tick interval and the group's size class from the settings."""
         deadlines = [c.deadline_s / 10 for c in self.settings.classes if c.deadline_s > 0]
         self.tick_s = min([MAX_TICK_INTERVAL_S, *deadlines])
         self.large_group = self.settings.group_size > SMALL_GROUP_SIZE
--- a/beaconhinge/policy/load_probing.py
+++ b/beaconhinge/policy/load_probing.py
@@ -1,4 +1,4 @@
-"""Load probing: where dispatchers may not exchange messages, workers are asked how full they are."""
+"""Load probing: polls workers for their load where dispatchers may not exchange messages."""
 
 from . import interface
 from .concurrency_limits import ConcurrencyLimits
@@ -9,17 +9,17 @@
 from .workers import WorkerTable
 
 PROBES_PER_REQUEST = 5
-"""Workers probed for a request."""
+"""Number of workers probed for one request."""
 
 SAMPLES_PER_PROBE = 3
-"""Workers looked at for each that is probed."""
+"""Number of workers sampled for each one that is probed."""
 
 
 class LoadProbing:
-    """Probes of workers' load.
+    """Probes workers for their load before a request is placed.
 
     Attributes:
-        pending_probes: Workers whose answer is awaited.
+        pending_probes: Number of probes without a result yet.
     """
 
     def __init__(
@@ -33,7 +33,7 @@
         self.pending_probes = 0
 
     def probe_for(self, request: Request) -> bool:
-        """Probe some workers for a request, which then waits. Returns whether there are any."""
+        """Probe some eligible workers for a request. Return True if there are any, so that it must wait."""
         allowed = self._limits.reported_load is not None and self._context.settings.probes_allowed
         pool = self._workers.listed.get(request.request_class.worker_kind, []) if allowed else []
         count = min(SAMPLES_PER_PROBE * PROBES_PER_REQUEST, len(pool))
@@ -45,10 +45,11 @@
         return bool(probed)
 
     def record_result(self, event: interface.ProbeResult) -> bool:
-        """Take in an answer.
+        """Record the result of a probe.
 
         Returns:
-            Whether it was the last one: with the first answer alone jobs would go to full workers.
+            Whether it was the last pending one. If requests were placed after the first result, they would be
+            sent to full workers.
         """
         worker = self._workers.by_id.get(event.worker)
         self.pending_probes -= 1
@@ -58,5 +59,5 @@
         return self.pending_probes <= 0
 
     def forget_pending(self) -> None:
-        """Who has not answered by now does not."""
+        """Stop waiting for the pending probes."""
         self.pending_probes = 0
--- a/beaconhinge/policy/membership.py
+++ b/beaconhinge/policy/membership.py
@@ -1,4 +1,4 @@
-"""Membership: lists of workers and their changes, maintenance by operators, and when to ask for a list."""
+"""Membership: applies lists of workers and maintenance, and decides when to fetch a list."""
 
 from . import interface
 from .context import INF, Context
@@ -6,16 +6,16 @@
 from .workers import Worker, WorkerTable
 
 FETCH_SPREAD_S = 0.25
-"""Seconds for each dispatcher, over which they spread their requests to discovery."""
+"""Seconds per dispatcher of the group over which they spread their requests to discovery."""
 
 
 class Membership:
-    """Which workers may have jobs.
+    """Keeps which workers may receive jobs.
 
     Attributes:
-        in_maintenance: Workers taken out by operators, and their start as known then.
-        fetch_at: When discovery is asked next.
-        fetch_within_s: Seconds over which the next request is spread after a refusal.
+        in_maintenance: Id of each worker in maintenance, and its `started_at` when that began.
+        fetch_at: Time in seconds of the next request to discovery.
+        fetch_within_s: Seconds within which the next request is sent, at random, after a refusal.
     """
 
     def __init__(self, context: Context, workers: WorkerTable) -> None:
@@ -27,20 +27,22 @@
         self.fetch_within_s = FETCH_SPREAD_S * context.settings.group_size
 
     def start(self) -> None:
-        """Ask for the list; in a large group at a random time.
+        """Fetch the list; in a large group after a random delay.
 
-        A release restarts many dispatchers at once, and discovery answers in turn, or not at all.
+        A release restarts many dispatchers at once, and discovery answers their requests one by one, or not
+        at all.
         """
         if self._context.large_group:
-            longest = min(self.fetch_within_s, self._context.settings.membership_max_age_s) / 2
-            self.fetch_at = self._context.now + longest * self._context.random.random()
+            max_delay_s = min(self.fetch_within_s, self._context.settings.membership_max_age_s) / 2
+            self.fetch_at = self._context.now + max_delay_s * self._context.random.random()
         else:
             self.fetch()
 
     def fetch(self) -> None:
-        """Ask for the list.
+        """Request the list from discovery, where it is on request, and schedule the next request.
 
-        Not asking counts as knowing after the longest age, and after four times that when it was refused.
+        A dispatcher that has not requested the list for longer than the maximum age is held to know its
+        changes; after a refusal, for longer than four times that.
         """
         settings = self._context.settings
         if settings.membership_on_request:
@@ -48,17 +50,17 @@
         self.fetch_at = self._context.now + settings.membership_max_age_s / 2
 
     def fetch_if_due(self) -> None:
-        """Ask for the list when it is time to."""
+        """Fetch the list if the time of the next request has come."""
         if self._context.now >= self.fetch_at:
             self.fetch()
 
     def update(self, event: interface.MembershipUpdate) -> bool:
-        """Take in a list or a change. Returns False for a refusal, which changes nothing."""
+        """Apply a list or a change. Return False for a refusal, which changes no worker."""
         if event.kind == UpdateKind.REFUSED:
             self._postpone()
             return False
         if event.kind != UpdateKind.CHANGES:
-            self._remove_unnamed({m.worker for m in event.members})
+            self._remove_unlisted({m.worker for m in event.members})
         for entry in event.members:
             self._update_member(entry)
         if event.kind != UpdateKind.BOOTSTRAP and self._context.settings.membership_on_request:
@@ -68,12 +70,15 @@
         return True
 
     def _postpone(self) -> None:
-        """Wait in a wide window: discovery that all ask within a short time answers none of them."""
+        """Schedule the next request at random in a window that doubles with each refusal.
+
+        When all dispatchers send requests within a short time, discovery answers none of them.
+        """
         self.fetch_at = self._context.now + self.fetch_within_s * self._context.random.random()
-        longest = 2 * self._context.settings.membership_max_age_s
-        self.fetch_within_s = min(2 * self.fetch_within_s, longest)
+        max_delay_s = 2 * self._context.settings.membership_max_age_s
+        self.fetch_within_s = min(2 * self.fetch_within_s, max_delay_s)
 
-    def _remove_unnamed(self, named: set[int]) -> None:
+    def _remove_unlisted(self, named: set[int]) -> None:
         for worker in self._workers.by_id.values():
             if worker.ready and worker.id not in named:
                 worker.ready = worker.listed = False
@@ -81,7 +86,8 @@
 
     def _update_member(self, entry: interface.MemberEntry) -> None:
         worker = self._workers.get_or_add(entry.worker)
-        if entry.started_at not in (0, worker.started_at):  # another start, even by a clock that was set back
+        # Any other time is another start, even an earlier one: a wall clock may have been set back.
+        if entry.started_at not in (0, worker.started_at):
             worker.restart(entry.started_at, entry.slow_start_from or entry.started_at)
         worker.kind, worker.cell, worker.zone = entry.kind, entry.cell, entry.zone
         worker.ready = entry.state == WorkerState.READY
@@ -92,23 +98,26 @@
         self.close_idle_connections(worker)
 
     def set_maintenance(self, event: interface.MaintenanceMode) -> None:
-        """Operators take a worker out or put it back.
+        """Put a worker into maintenance, or take it out.
 
-        Out, it is as one that drains. Back, its past is void and it counts as cold: the list may not have
-        shown yet a restart meanwhile.
+        In maintenance it is treated as draining. When it comes out, its failures and ejections are reset, and
+        it counts as cold unless the list has shown a new start, because it may have been restarted meanwhile.
         """
         worker = self._workers.get_or_add(event.worker)
         if event.enabled:
             self.in_maintenance.setdefault(worker.id, worker.started_at)
         elif worker.id in self.in_maintenance:
-            known = self.in_maintenance.pop(worker.id)
-            if worker.started_at == known:
+            started_at_before = self.in_maintenance.pop(worker.id)
+            if worker.started_at == started_at_before:
                 worker.slow_start_from = self._context.now
             worker.reset_health()
         self._set_listed(worker)
         self._workers.rebuild_pools()
 
     def close_idle_connections(self, worker: Worker) -> None:
-        """Where the rule stands, idle connections to a leaving worker are closed, after each outcome too."""
+        """Close idle connections to a worker that may receive no jobs, if the settings require it.
+
+        Also called after each outcome, since that leaves a connection idle.
+        """
         if not worker.listed and self._context.settings.drain_close_within_s > 0:
             self._context.actions.append(interface.CloseIdleConnections(worker.id))
--- a/beaconhinge/policy/peer_reports.py
+++ b/beaconhinge/policy/peer_reports.py
@@ -1,4 +1,4 @@
-"""Reports of demand and slots to the dispatchers of the group, at an interval that spares bytes."""
+"""Reports of demand and slots in use to the dispatchers of the group, at an interval that limits traffic."""
 
 from ..gossip import codec
 from ..gossip.aggregation import GossipNode
@@ -11,24 +11,24 @@
 from .workers import WorkerTable
 
 REPORT_INTERVAL_S = 0.5
-"""Seconds between reports, jittered, lest timers stay in step."""
+"""Seconds between reports, before jitter, which keeps the dispatchers' timers out of step."""
 
 MAX_REPORT_INTERVAL_S = 8.0
 
 REPORT_BYTES_PER_JOB = 40
-"""Delivered bytes of reports for each own job."""
+"""Wanted number of delivered report bytes for each own job."""
 
 MIN_REPORTED_SLOTS = 0.5
-"""Workers with fewer slots in use are left out of a report."""
+"""Workers on which this dispatcher uses fewer slots are left out of a report."""
 
 
 class PeerReports:
-    """What is reported to peers and when, and what was counted since.
+    """Reports this dispatcher's demand, limits and slots in use to its peers.
 
     Attributes:
-        interval_s: Seconds between reports.
-        reported_at: When the last report was made.
-        smoothing_since: From when on demand is smoothed.
+        interval_s: Seconds between reports, before jitter.
+        reported_at: Time in seconds of the last report.
+        smoothing_since: Time in seconds from which on demand is smoothed.
     """
 
     def __init__(
@@ -40,7 +40,7 @@
         limits: ConcurrencyLimits,
         estimates: WorkEstimates,
     ) -> None:
-        """Report what these parts have counted."""
+        """Report the counts of these components."""
         self._context = context
         self._gossip = gossip
         self._workers = workers
@@ -52,37 +52,37 @@
         self.smoothing_since = 0.0
 
     def start(self) -> None:
-        """Count time from now on."""
+        """Take the current time as the start of the first report interval."""
         self.smoothing_since = self.reported_at = self._context.now
 
     def announce_bucket(self) -> None:
-        """A new bucket is reported at once, in a large group only when a report is due."""
+        """Report a new bucket at once, but in a large group only when a report is due."""
         if self._context.settings.peer_messages and (
             not self._context.large_group or self._context.now - self.reported_at >= self.interval_s
         ):
             self.report()
 
     def report(self) -> None:
-        """Send counts to peers and reset them."""
+        """Send the counts to peers and reset them. In a large group, adapt the interval to the bytes sent."""
         span = self._context.now - self.reported_at
         entries = self._admission.entries()
         delivered = self._gossip.send_report(self._own_report(span, entries))
         if self._context.large_group:
             work = sum(allowed + denied for _, _, allowed, denied in entries)
             jobs = work / self._estimates.mean_work
-            after = delivered * span / (REPORT_BYTES_PER_JOB * max(jobs, 0.5))
-            wanted = max(REPORT_INTERVAL_S, (self.interval_s + after) / 2)
-            self.interval_s = min(wanted, MAX_REPORT_INTERVAL_S)
+            target_interval_s = delivered * span / (REPORT_BYTES_PER_JOB * max(jobs, 0.5))
+            new_interval_s = max(REPORT_INTERVAL_S, (self.interval_s + target_interval_s) / 2)
+            self.interval_s = min(new_interval_s, MAX_REPORT_INTERVAL_S)
         self.reported_at = self._context.now
         memory = min(REPORTS_SMOOTHED * self.interval_s, self._context.now - span - self.smoothing_since)
         self._admission.roll_report_window(span, memory)
 
     def next_interval_s(self) -> float:
-        """Seconds until the next report, drawn anew each time."""
+        """Seconds until the next report, with random jitter."""
         return self.interval_s * (0.75 + 0.5 * self._context.random.random())
 
     def flush_gossip(self) -> None:
-        """Send what waits for peers."""
+        """Send the gossip messages that wait in the outbox."""
         gossip = self._gossip
         gossip.advance(self._context.now)
         if gossip.wants_report:
@@ -94,6 +94,6 @@
         gossip.outbox.clear()
 
     def _own_report(self, span: float, entries: list[codec.BucketUsage]) -> codec.DemandReport:
-        busy = [w for w in self._workers.by_id.values() if w.in_flight >= MIN_REPORTED_SLOTS]
-        in_flight = [(w.key, round(w.in_flight)) for w in busy]
+        used_workers = [w for w in self._workers.by_id.values() if w.in_flight >= MIN_REPORTED_SLOTS]
+        in_flight = [(w.key, round(w.in_flight)) for w in used_workers]
         return codec.DemandReport(0, 0, span, entries, list(self._limits.by_kind.items()), in_flight)
--- a/beaconhinge/policy/placement.py
+++ b/beaconhinge/policy/placement.py
@@ -1,4 +1,4 @@
-"""Placement: a request goes to a worker, waits for a slot, or gets its final answer."""
+"""Placement: sends a request to a worker, queues it for a slot, or gives it its final answer."""
 
 from ..gossip import codec
 from ..gossip.aggregation import GossipNode
@@ -15,7 +15,7 @@
 
 
 class Placement:
-    """Sends requests, or queues them."""
+    """Sends requests to workers, and queues those for which there is no free slot."""
 
     def __init__(
         self,
@@ -28,7 +28,7 @@
         retries: RetryPolicy,
         router: Router,
     ) -> None:
-        """Place requests by the router's choice."""
+        """Place requests on the workers that the router chooses."""
         self._context = context
         self._gossip = gossip
         self._requests = requests
@@ -40,16 +40,16 @@
         self.queue = RequestQueue(context, retries)
 
     def choose(self, request: Request) -> Worker | None:
-        """A worker for the request, or None."""
+        """Choose a worker for the request. Return None if the request must wait."""
         return self._router.choose(request, self._admission.demand_share)
 
     def place(self, request: Request) -> None:
-        """Send a request, or queue it."""
+        """Send a request, or queue it if no worker has a free slot."""
         worker = self.choose(request)
         if worker is not None:
             self.send(request, worker)
         elif request.over_quota and self._admission.fleet_rate_limited and not request.attempts:
-            # Beyond its tenant's quota while the fleet is full: from spare slots only.
+            # While the fleet rate is limited, over-quota jobs get spare slots only.
             self._requests.reject(request)
         else:
             self.enqueue(request)
@@ -71,30 +71,31 @@
         self._context.actions.append(interface.SendAttempt(request.id, worker.id))
 
     def record_sibling_load(self, worker: Worker, slots: float) -> None:
-        """Count slots that another process of this dispatcher has taken on a worker, or given back."""
+        """Count slots of a worker that another process of this dispatcher has taken or (negative) freed."""
         worker.in_flight = max(0.0, worker.in_flight + slots)
         worker.last_heard_at = self._context.now
         if slots:
-            what = codec.DeltaKind.SENT if slots > 0 else codec.DeltaKind.ENDED
-            self._gossip.record(self._context.now, worker.key, what, abs(round(slots)))
+            delta_kind = codec.DeltaKind.SENT if slots > 0 else codec.DeltaKind.ENDED
+            self._gossip.record(self._context.now, worker.key, delta_kind, abs(round(slots)))
 
     def enqueue(self, request: Request) -> None:
-        """Have a request wait for a slot, or end it if too little time is left to serve it."""
+        """Queue a request for a slot, or finish it if too little time is left to serve it."""
         if not self.queue.add(request):
             self._requests.finish(request)
 
     def retry(self, request: Request) -> None:
-        """The last attempt failed: send elsewhere while class, time and attempts allow, else answer."""
+        """Place a request again after its last attempt failed, or finish it if it may not be retried."""
         if self._retries.may_retry(request):
             self.place(request)
         else:
             self._requests.finish(request)
 
     def serve_queued(self, freed_worker: Worker | None = None) -> None:
-        """Free slots go to queued requests.
+        """Send queued requests to workers with free slots.
 
         Args:
-            freed_worker: Worker on which an own slot has just fallen free; it is claimed at once.
+            freed_worker: Worker on which an attempt of this dispatcher has just ended. Its slot may be used
+                without regard to the claim probability.
         """
         self._router.freed_worker = freed_worker
         for entries in self.queue.first_entries():
@@ -109,14 +110,16 @@
         self._router.freed_worker = None
 
     def expire_queued(self) -> None:
-        """End what has waited too long, or let it wait on where a late answer has value."""
+        """Finish requests that have waited too long, or queue them again where a late answer has value."""
         for entry in self.queue.take_expired():
             request = entry.request
-            # No slot in time: as full as if a worker had said so, but a large group may lack gossip.
-            full = entry.rank == Rank.WITHIN_QUOTA and not self._context.large_group
-            self._admission.rejections += full
+            # A request that gets no slot in time is as much a sign of full workers as a rejection, but in a
+            # large group it may only mean that gossip is late or missing.
+            counts_as_rejection = entry.rank == Rank.WITHIN_QUOTA and not self._context.large_group
+            self._admission.rejections += counts_as_rejection
             late_has_value = entry.rank < Rank.LATE and request.request_class.late_value > 0
             if late_has_value and not self._admission.fleet_rate_limited:
-                self.enqueue(request)  # in a full fleet late work would take slots from work in time
+                # Not while the rate is limited, as late work would take slots from requests that are in time.
+                self.enqueue(request)
             else:
                 self._requests.finish(request)
--- a/beaconhinge/policy/request_queue.py
+++ b/beaconhinge/policy/request_queue.py
@@ -1,4 +1,4 @@
-"""Requests that wait for a free slot, by kind of worker."""
+"""Queue of the requests that wait for a free slot, by kind of worker."""
 
 from bisect import insort
 from collections.abc import Iterator
@@ -10,11 +10,11 @@
 from .retries import RetryPolicy
 
 MAX_SCANNED_REQUESTS = 32
-"""Queued requests looked at when a slot falls free; bounds the work of one event."""
+"""Most queued requests tried when a slot becomes free; this limits the work of one event."""
 
 
 class Rank(IntEnum):
-    """Order in the queue."""
+    """Priority in the queue; lower values come first."""
 
     WITHIN_QUOTA = 0
     OVER_QUOTA = 1
@@ -23,7 +23,14 @@
 
 
 class QueuedRequest(NamedTuple):
-    """Place of a request in the queue; entries are ordered by their fields."""
+    """Queue entry of a request. Entries are sorted by their fields.
+
+    Attributes:
+        rank: Priority, lower first.
+        until: Time in seconds at which the entry expires.
+        id: Id of the request.
+        request: The request.
+    """
 
     rank: int
     until: float
@@ -32,16 +39,16 @@
 
 
 class RequestQueue:
-    """Queued requests: those that must start soonest first, those already late last."""
+    """Queued requests, sorted by rank and then by the time until which they must start."""
 
     def __init__(self, context: Context, retries: RetryPolicy) -> None:
-        """Start empty."""
+        """Create an empty queue."""
         self._context = context
         self._retries = retries
         self.by_kind: dict[int, list[QueuedRequest]] = {}
 
     def add(self, request: Request) -> bool:
-        """Queue a request. Returns False if too little time is left to serve it."""
+        """Queue a request. Return False if too little time is left to serve it."""
         now = self._context.now
         late, until = now >= request.start_by, self._retries.give_up_at(request)
         if now >= until:
@@ -52,17 +59,17 @@
         return True
 
     def first_entries(self) -> Iterator[list[QueuedRequest]]:
-        """The entries of each kind that are looked at when a slot falls free."""
+        """Yield the first entries of each kind of worker, to be tried when a slot is free."""
         for queue in self.by_kind.values():
             yield queue[:MAX_SCANNED_REQUESTS]
 
     def remove(self, entry: QueuedRequest) -> None:
-        """Take an entry out."""
+        """Remove an entry."""
         self.by_kind[entry.request.request_class.worker_kind].remove(entry)
         entry.request.queued = False
 
     def take_expired(self) -> Iterator[QueuedRequest]:
-        """Take out what has waited too long; what was answered meanwhile is dropped."""
+        """Remove expired and answered requests, and yield the entries of those without a final answer."""
         for queue in self.by_kind.values():
             for entry in [e for e in queue if e.until <= self._context.now or e.request.answered]:
                 queue.remove(entry)
--- a/beaconhinge/policy/request_table.py
+++ b/beaconhinge/policy/request_table.py
@@ -1,4 +1,4 @@
-"""Requests without a final answer, their attempts, and the final answers themselves."""
+"""Requests in progress, their attempts, and the final answers that no worker gives."""
 
 from dataclasses import dataclass, field
 
@@ -10,19 +10,19 @@
 
 @dataclass(slots=True)
 class Attempt:
-    """One send of a request to a worker."""
+    """One attempt of a request on a worker. Times are seconds on the dispatcher's clock."""
 
     worker: Worker
     sent_at: float
     in_flight: bool = True
-    never_ran: bool = False  # proven
-    in_flight_at_send: float = 0.0  # slots taken on the worker with it, as far as was known
-    start_delay_s: float = 0.0  # before its start, where that is reported
-    start_seen: bool = False  # a sign of its start has come
-    progress: float = 0.0  # share done by the last progress notice
-    progress_at: float = 0.0
-    progress_rate: float = 0.0  # share a second, now
-    best_progress_rate: float = 0.0  # share a second on a worker at full speed
+    never_ran: bool = False  # whether it is proven that the job never started
+    in_flight_at_send: float = 0.0  # slots in use on the worker, with its own, as known at the send
+    start_delay_s: float = 0.0  # seconds from the send to the start, where that is reported
+    start_seen: bool = False  # whether a notice has shown that it started
+    progress: float = 0.0  # share of the job done, from 0 to 1, by the last progress notice
+    progress_at: float = 0.0  # time of that notice, or of the start
+    progress_rate: float = 0.0  # latest share of the job done per second
+    best_progress_rate: float = 0.0  # share of the job done per second on a worker at full speed
 
 
 @dataclass(slots=True, eq=False)
@@ -32,21 +32,21 @@
     id: int
     request_class: interface.RequestClass
     slots: float
-    work: float  # hinted work, 1 without a hint
-    first_tried_at: float  # when its client first did, as far as is known
+    work: float  # hinted work; 1 without a hint
+    first_tried_at: float  # estimated time of its client's first try
     deadline: float
-    objective_at: float  # until then an answer has full value
-    expected_s: float  # time on a mean worker
-    start_by: float  # a later start is likely to be late
+    objective_at: float  # time until which an answer has full value
+    expected_s: float  # expected run time on a mean worker
+    start_by: float  # after a later start the answer is likely to be late
     over_quota: bool = False
     attempts: list[Attempt] = field(default_factory=list)
     attempts_in_flight: int = 0
-    answered: bool = False  # its final answer is given
+    answered: bool = False  # whether its final answer is given
     queued: bool = False
 
     @property
     def first_run(self) -> Attempt | None:
-        """The first attempt that may have run, or may run yet."""
+        """The first attempt that may have run or may still run, or None."""
         return next((a for a in self.attempts if not a.never_ran), None)
 
     @property
@@ -58,7 +58,7 @@
 
 
 class RequestTable:
-    """Requests by id. Gives the final answers which are not a worker's."""
+    """Requests by id. Gives the final answers that don't come from a worker."""
 
     def __init__(self, context: Context) -> None:
         """Start without requests."""
@@ -66,21 +66,24 @@
         self.by_id: dict[int, Request] = {}
 
     def find_attempt(self, request_id: int, number: int) -> tuple[Request, Attempt] | None:
-        """A request and its attempt of that number, unless they are unknown."""
+        """Return a request and its attempt with this number, or None if there is no such attempt."""
         request = self.by_id.get(request_id)
         if request is None or not 0 <= number < len(request.attempts):
             return None
         return request, request.attempts[number]
 
     def finish(self, request: Request) -> None:
-        """Final answer without a result; a rejection says that nothing ran or that a repeat is harmless."""
+        """Give a final answer without a result.
+
+        It is a rejection if nothing has run or a repeat is harmless, else a failure.
+        """
         if request.first_run is None or request.harmless_to_repeat:
             self.reject(request)
         else:
             self.fail(request)
 
     def reject(self, request: Request) -> None:
-        """Final answer: not done. Clients are spread, lest all come back at once."""
+        """Reject a request. Its retry delay is random, so that rejected clients don't all return at once."""
         settings = self._context.settings
         after = settings.max_retry_after_s * (0.5 + 0.5 * self._context.random.random())
         retry_after = after if settings.retry_after_allowed else 0.0
@@ -88,18 +91,23 @@
         self.end(request)
 
     def fail(self, request: Request) -> None:
-        """Final answer: an error."""
+        """Give the final answer that the request has failed."""
         self._context.actions.append(interface.Fail(request.id))
         self.end(request)
 
     def end(self, request: Request) -> None:
-        """The final answer is given; the request stays known while attempts are in flight."""
+        """Mark a request as answered. It stays in the table until its last attempt in flight has ended."""
         request.answered = True
         if request.attempts_in_flight == 0:
             self.by_id.pop(request.id, None)
 
     def cancel_attempts(self, request: Request, keep: Attempt | None = None) -> None:
-        """Attempts that nobody needs give their slots back, where a worker heeds that."""
+        """Cancel the attempts in flight, where that is allowed, to free their slots.
+
+        Args:
+            request: The request.
+            keep: The attempt that goes on, if any.
+        """
         for number, attempt in enumerate(request.attempts):
             if self._context.settings.cancel_allowed and attempt.in_flight and attempt is not keep:
                 self._context.actions.append(interface.CancelAttempt(request.id, number))
