--- a/beaconhinge/policy/interface/__init__.py
+++ b/beaconhinge/policy/interface/__init__.py
@@ -1,7 +1,7 @@
-"""Settings, events and actions of the dispatcher: the whole interface of the policy, without decisions.
+"""Settings, events and actions of the dispatcher: the whole interface of the policy.
 
-All times are seconds as floats on the caller's clock, which only goes forward. Classes, tenants, zones and
-kinds are positions in the lists of the settings. Worker and request ids are opaque whole numbers.
+All times are seconds as floats on the caller's monotonic clock. Classes, tenants, zones and kinds of worker
+are indexes into the lists of the settings. Worker and request ids are opaque integers.
 """
 
 from .actions import (
--- a/beaconhinge/policy/interface/actions.py
+++ b/beaconhinge/policy/interface/actions.py
@@ -1,4 +1,4 @@
-"""Actions: what the dispatcher answers to an event."""
+"""Actions: what the caller must do after an event."""
 
 from dataclasses import dataclass
 from typing import TypeAlias
@@ -6,7 +6,7 @@
 
 @dataclass(slots=True)
 class SendAttempt:
-    """Attempt the request on a worker; `timeout` 0 means until the client gives up."""
+    """Send the request to a worker. `timeout` is in seconds; 0: as long as the client waits."""
 
     request: int
     worker: int
@@ -15,7 +15,7 @@
 
 @dataclass(slots=True)
 class Reject:
-    """Final answer: not done, harmless to repeat after `retry_after` seconds."""
+    """Reject the request with a final answer: a retry after `retry_after` seconds is harmless."""
 
     request: int
     retry_after: float = 0.0
@@ -23,14 +23,14 @@
 
 @dataclass(slots=True)
 class Fail:
-    """Final answer: an error, which leaves open whether the job ran."""
+    """Give the final answer that the request failed; the job may have run or not."""
 
     request: int
 
 
 @dataclass(slots=True)
 class CancelAttempt:
-    """Let the worker know that nobody needs the attempt any more."""
+    """Cancel an attempt at its worker, because its result is not needed any more."""
 
     request: int
     attempt: int
@@ -38,7 +38,7 @@
 
 @dataclass(slots=True)
 class SetTimer:
-    """Send a `TimerFired` with this token after so many seconds."""
+    """Send a `TimerFired` event with this token after `after` seconds."""
 
     token: int
     after: float
@@ -46,19 +46,19 @@
 
 @dataclass(slots=True)
 class SubscribeMembership:
-    """Ask for the membership list and its changes, or end that."""
+    """Start or end the subscription to the membership list and its changes."""
 
     enabled: bool = True
 
 
 @dataclass(slots=True)
 class FetchMembership:
-    """Ask for the whole membership list once."""
+    """Request the whole membership list once."""
 
 
 @dataclass(slots=True)
 class ProbeWorker:
-    """Ask a worker for its load."""
+    """Request a load report from a worker."""
 
     worker: int
 
@@ -80,7 +80,7 @@
 
 @dataclass(slots=True)
 class LogMessage:
-    """A line for the log."""
+    """Write a line to the log."""
 
     text: str
 
--- a/beaconhinge/policy/interface/enums.py
+++ b/beaconhinge/policy/interface/enums.py
@@ -1,4 +1,4 @@
-"""Enumerations of the interface. Texts and numbers in them are those of the simulator's wire."""
+"""Enumerations of the interface. Their values are those of the simulator's protocol."""
 
 from enum import IntEnum, StrEnum
 
@@ -7,22 +7,22 @@
     """Whether a request of a class may run twice."""
 
     RETRYABLE = "retryable"
-    DEDUPLICATED = "dedup"  # workers of one deduplication group drop a second run within a window
+    DEDUPLICATED = "dedup"  # workers of one deduplication group drop a second run within a time window
     UNSAFE = "fragile"  # must never run twice, and has no idempotency key
 
 
 class AttemptOutcome(StrEnum):
-    """How an attempt ended. The values are those of the simulator's wire and of the counters' names."""
+    """How an attempt ended. The values are also used in the names of counters."""
 
     SERVED = "served"
-    REJECTED = "turned_away"  # by the worker, before it began
+    REJECTED = "turned_away"  # by the worker, before the job began
     SERVER_ERROR = "server_error"
     TIMEOUT = "no_answer"
     NO_CONNECTION = "no_connection"
     CONNECTION_LOST = "connection_lost"
     CANCELLED = "called_off"
     NOT_SENT = "not_sent"
-    INVALID_REQUEST = "unusable"  # the worker rejects the request itself; not on the simulator's wire
+    INVALID_REQUEST = "unusable"  # the worker rejects the request as invalid; not in the simulator's protocol
 
 
 WIRE_OUTCOMES = frozenset(AttemptOutcome) - {AttemptOutcome.INVALID_REQUEST}
@@ -32,12 +32,12 @@
 
 
 class UpdateKind(StrEnum):
-    """What a membership update holds."""
+    """What a membership update contains."""
 
     CHANGES = "changes"
     SNAPSHOT = "all"
-    BOOTSTRAP = "remembered"  # the list from the configuration, or from the process before
-    REFUSED = "refused"  # discovery has not answered
+    BOOTSTRAP = "remembered"  # the list from the configuration, or from the previous process
+    REFUSED = "refused"  # discovery gave no list
 
 
 class WorkerState(StrEnum):
@@ -49,11 +49,11 @@
 
 
 class NoticeKind(IntEnum):
-    """What a worker reports of a job in flight."""
+    """What a worker reports about a job in flight."""
 
     STARTED = 1
     PROGRESS = 2
 
 
 RETRY_FLAG = 2
-"""Flag of a job: a client's retry, where clients mark theirs."""
+"""Bit in a job's flags: the job is a client's retry. Set only where clients mark their retries."""
--- a/beaconhinge/policy/interface/events.py
+++ b/beaconhinge/policy/interface/events.py
@@ -17,20 +17,21 @@
     cell: int = 0
     zone: int = 0
     weight: float = 1.0
-    # Of its last start, by the list: names that start, alike at every dispatcher. 0: long ago.
+    # Time of its last start by the list, equal for all dispatchers, which identifies the start. 0: long ago.
     started_at: float = 0.0
-    # The same on this dispatcher's own clock, which the age goes by; 0: `started_at` is on that clock.
+    # The same on this dispatcher's own clock, from which the worker's age is computed. 0: `started_at` is on
+    # that clock.
     slow_start_from: float = 0.0
 
 
 @dataclass(slots=True)
 class Start:
-    """The instance has started with empty state."""
+    """The dispatcher has started with empty state."""
 
 
 @dataclass(slots=True)
 class MembershipUpdate:
-    """A list of workers, a change of it, or a refusal."""
+    """A list of workers, a change of the list, or a failed request for it."""
 
     kind: UpdateKind
     version: int = 0
@@ -39,7 +40,10 @@
 
 @dataclass(slots=True)
 class MaintenanceMode:
-    """Operators take a worker out, or put it back, whatever lists say. Not on the simulator's wire."""
+    """An operator puts a worker into maintenance or takes it out, whatever the list says.
+
+    Not in the simulator's protocol.
+    """
 
     worker: int
     enabled: bool
@@ -47,9 +51,9 @@
 
 @dataclass(slots=True)
 class SiblingLoad:
-    """Another process of this dispatcher has more slots in use on a worker, or fewer.
+    """Another process of this dispatcher uses more slots of a worker, or fewer if `slots` is negative.
 
-    0: the worker gave a sign there. Not on the simulator's wire.
+    0: that process received something from the worker. Not in the simulator's protocol.
     """
 
     worker: int
@@ -58,37 +62,38 @@
 
 @dataclass(slots=True)
 class JobArrived:
-    """A request has arrived and waits for its one final answer, `remaining` seconds at most."""
+    """A request has arrived. It needs its one final answer within `remaining` seconds."""
 
     request: int
     class_index: int
     tenant: int
     remaining: float
     key: str = ""
-    size_hint: float = 0.0  # expected work in standard-core seconds; 0: unknown
+    size_hint: float = 0.0  # expected work in seconds of a standard core; 0: unknown
     slots: float = 1.0
     memory: float = 0.0
     flags: int = 0
-    may_run_elsewhere: bool = False  # it may have run elsewhere, and nobody knows where
-    client_timeout: float = 0.0  # seconds that its client waits, maybe more than `remaining`; 0: no more
-    # From when these two times count; 0: from the event itself. Not on the simulator's wire.
+    may_run_elsewhere: bool = False  # whether it may have run on an unknown worker already
+    client_timeout: float = 0.0  # seconds that its client waits; may exceed `remaining`. 0: equal to it
+    # Time from which `remaining` and `client_timeout` count; 0: that of the event. Not in the simulator's
+    # protocol.
     times_from: float = 0.0
 
 
 @dataclass(slots=True)
 class ProgressNotice:
-    """A worker reports that a job has started, or how far it is."""
+    """A worker reports that a job has started, or how much of it is done."""
 
     request: int
     worker: int
     attempt: int
-    kind: int  # a NoticeKind; any other number counts as progress
+    kind: int  # a NoticeKind; any other number means progress
     fraction_done: float = 0.0
 
 
 @dataclass(slots=True)
 class StreamStarted:
-    """The first bytes of a streamed answer went to the client: no other attempt may answer."""
+    """The first bytes of a streamed answer were sent to the client, so no other attempt may answer."""
 
     request: int
     worker: int
@@ -98,7 +103,7 @@
 
 @dataclass(slots=True)
 class AttemptEnded:
-    """An attempt is over; `settled` is set when the request has its final answer."""
+    """An attempt has ended. `settled` is set if the request has its final answer."""
 
     request: int
     worker: int
@@ -112,21 +117,21 @@
 
 @dataclass(slots=True)
 class ClientDisconnected:
-    """The client has left; attempts in flight still have their outcomes."""
+    """The client has disconnected. Attempts in flight still report their outcomes."""
 
     request: int
 
 
 @dataclass(slots=True)
 class DeadlinePassed:
-    """The request's deadline is past and it has no final answer. Not on the simulator's wire."""
+    """The deadline of a request without a final answer has passed. Not in the simulator's protocol."""
 
     request: int
 
 
 @dataclass(slots=True)
 class PeerMessage:
-    """A datagram of another dispatcher of the group."""
+    """A datagram from another dispatcher of the group has arrived."""
 
     peer: int
     payload: bytes
@@ -134,7 +139,7 @@
 
 @dataclass(slots=True)
 class ProbeResult:
-    """The answer of a probed worker, or why there is none."""
+    """A probe has ended, with the worker's answer or the reason why there is none."""
 
     worker: int
     outcome: AttemptOutcome
@@ -144,14 +149,14 @@
 
 @dataclass(slots=True)
 class ProcessStalled:
-    """The instance itself did not run for so many seconds, until now."""
+    """This process itself did not run for the last `seconds` seconds."""
 
     seconds: float
 
 
 @dataclass(slots=True)
 class TimerFired:
-    """A timer that was set has run out."""
+    """A timer has expired."""
 
     token: int
 
--- a/beaconhinge/policy/interface/pair_reader.py
+++ b/beaconhinge/policy/interface/pair_reader.py
@@ -5,9 +5,9 @@
 
 
 class PairReader:
-    """Typed look-ups in path=value pairs.
+    """Reads typed values from path=value pairs.
 
-    All raise ValueError naming the key of a value that makes no sense.
+    All methods raise ValueError for an invalid value; the message names its key.
     """
 
     def __init__(self, pairs: Mapping[str, str]) -> None:
@@ -15,7 +15,7 @@
         self.pairs = pairs
 
     def number(self, key: str, default: float) -> float:
-        """A finite number, or the default where the key is absent, empty or `-`."""
+        """Return a finite number, or the default if the key is absent or its value empty or `-`."""
         text = self.pairs.get(key, "-")
         if text in ("-", ""):
             return default
@@ -28,22 +28,22 @@
         return value
 
     def non_negative(self, key: str, default: float) -> float:
-        """A number that is not below zero."""
+        """Return a number that must not be negative."""
         value = self.number(key, default)
         if value < 0:
             raise ValueError(f"{key}: must not be negative")
         return value
 
     def integer(self, key: str, default: int) -> int:
-        """A number cut to a whole one."""
+        """Return a number truncated to an integer."""
         return int(self.number(key, default))
 
     def flag(self, key: str) -> bool:
-        """Whether the value says yes."""
+        """Whether the value is `true` or `1`."""
         return self.pairs.get(key, "false") in ("true", "1")
 
     def numbers(self, key: str) -> list[float]:
-        """A list of numbers with commas between."""
+        """Return a list of comma-separated numbers; empty if the value is absent, empty or `-`."""
         text = self.pairs.get(key, "")
         try:
             return [float(part) for part in text.split(",")] if text not in ("", "-") else []
--- a/beaconhinge/policy/interface/settings.py
+++ b/beaconhinge/policy/interface/settings.py
@@ -1,4 +1,4 @@
-"""Settings of a dispatcher and how they are read from path=value pairs."""
+"""Settings of a dispatcher, and how to read them from path=value pairs."""
 
 from __future__ import annotations
 
@@ -11,9 +11,9 @@
 
 @dataclass(slots=True, frozen=True)
 class RequestClass:
-    """One class of jobs.
+    """One request class.
 
-    A job is wanted within `latency_objective_s` + `objective_stretch` x its own run time.
+    The latency objective of a job is `latency_objective_s` + `objective_stretch` x its own run time.
     """
 
     latency_objective_s: float
@@ -31,7 +31,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Tenant:
-    """A tenant's share of the service and its quota in requests a second (0: no quota)."""
+    """A tenant's share of the fleet rate, and its quota in requests per second (0: no quota)."""
 
     share: float = 1.0
     quota_rps: float = 0.0
@@ -39,7 +39,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Settings:
-    """Settings of one dispatcher, fixed at its start. Defaults stand for keys that may be absent."""
+    """Settings of one dispatcher, fixed at its start. Absent keys have the defaults."""
 
     classes: tuple[RequestClass, ...]
     tenants: tuple[Tenant, ...] = (Tenant(),)
@@ -57,14 +57,14 @@
     max_attempts: int = 4
     max_queued: int = 20000
     connect_timeout_s: float = 0.25
-    progress_interval_s: float = 0.0  # interval of progress notices; 0: none
+    progress_interval_s: float = 0.0  # interval of workers' progress notices; 0: they send none
     reports_start: bool = False
-    free_slots_field: str = ""  # name of the load report value that holds free slots, "" if none does
-    queue_field: str = ""  # of the one that holds the jobs that wait
+    free_slots_field: str = ""  # field of load reports with the number of free slots; "": none
+    queue_field: str = ""  # field of load reports with the number of queued jobs; "": none
     over_quota_value: float = 1.0
     answer_grace_s: float = 0.0
     drain_grace_s: float = 0.0
-    # Within it idle connections to a draining worker are closed; 0: no such rule.
+    # Seconds within which idle connections to a draining worker must be closed; 0: not required.
     drain_close_within_s: float = 0.0
     slow_start_min_share: float = 1.0
     slow_start_s: float = 0.0
@@ -79,10 +79,10 @@
 
     @classmethod
     def from_pairs(cls, pairs: Mapping[str, str]) -> Settings:
-        """Read path=value pairs; unknown keys are skipped.
+        """Read the settings from path=value pairs. Unknown keys are ignored.
 
         Raises:
-            ValueError: A value makes no sense; the text names its key.
+            ValueError: A value is invalid; the message names its key.
         """
         read = PairReader(pairs)
         classes = _read_classes(read)
@@ -174,7 +174,7 @@
 
 
 def _read_group(read: PairReader) -> tuple[int, int]:
-    """Size of the group, and the own number in it."""
+    """Read the size of the group, and this dispatcher's number in it, from 0."""
     group_size = read.integer("groupSize", 1)
     if group_size < 1:
         raise ValueError("groupSize: must be 1 or more")
@@ -185,7 +185,7 @@
 
 
 def _read_report_fields(pairs: Mapping[str, str]) -> tuple[str, str]:
-    """Names of the load report values that hold free slots and queued jobs; empty where none does."""
+    """Read the names of the load report fields for free slots and queued jobs; empty if there is none."""
     if pairs.get("report.source", "none") != "answers":
         return "", ""
     names = pairs.get("report.names", "").split(",")
