--- a/beaconhinge/simulator.py
+++ b/beaconhinge/simulator.py
@@ -1,4 +1,4 @@
-"""The adapter for the simulator: batches of events as text on standard input, actions on standard output."""
+"""Adapter for the simulator: reads batches of events from standard input and writes actions as text lines."""
 
 from __future__ import annotations
 
@@ -13,11 +13,11 @@
 
 
 class WireError(Exception):
-    """A malformed event or frame; its text names batch, line and field."""
+    """A malformed event or batch. The message names the batch, line and field."""
 
 
 class _Line:
-    """The values of one line, read by name so that a complaint can say which field is wrong."""
+    """The fields of one line of input. Each is read with its name, which error messages contain."""
 
     __slots__ = ("location", "parts")
 
@@ -28,14 +28,14 @@
     def error(self, name: str, problem: str) -> WireError:
         return WireError(f"{self.location}: {self.parts[0]}: field {name}: {problem}")
 
-    def text(self, at: int, name: str) -> str:
-        if at >= len(self.parts):
+    def text(self, position: int, name: str) -> str:
+        if position >= len(self.parts):
             raise self.error(name, "missing")
-        value = self.parts[at]
+        value = self.parts[position]
         return "" if value == "-" else value
 
-    def integer(self, at: int, name: str, default: int | None = None) -> int:
-        value = self.text(at, name)
+    def integer(self, position: int, name: str, default: int | None = None) -> int:
+        value = self.text(position, name)
         if value == "" and default is not None:
             return default
         try:
@@ -43,26 +43,26 @@
         except ValueError:
             raise self.error(name, f"{value!r} is not a whole number") from None
 
-    def number(self, at: int, name: str, default: float | None = None) -> float:
-        value = self.text(at, name)
+    def number(self, position: int, name: str, default: float | None = None) -> float:
+        value = self.text(position, name)
         if value == "" and default is not None:
             return default
         try:
             result = float(value)
         except ValueError:
             raise self.error(name, f"{value!r} is not a number") from None
-        if result - result != 0.0:
+        if result - result != 0.0:  # it is NaN for NaN and infinity
             raise self.error(name, f"{value!r} is not a finite number")
         return result
 
-    def hex_bytes(self, at: int, name: str) -> bytes:
+    def hex_bytes(self, position: int, name: str) -> bytes:
         try:
-            return bytes.fromhex(self.text(at, name))
+            return bytes.fromhex(self.text(position, name))
         except ValueError:
-            raise self.error(name, "not hex digits") from None
+            raise self.error(name, "expected hex digits") from None
 
-    def load(self, at: int, name: str) -> dict[str, float] | None:
-        value = self.parts[at] if at < len(self.parts) else "-"
+    def load(self, position: int, name: str) -> dict[str, float] | None:
+        value = self.parts[position] if position < len(self.parts) else "-"
         if value in ("-", ""):
             return None
         try:
@@ -70,14 +70,14 @@
         except ValueError:
             raise self.error(name, f"{value!r} is not a load report") from None
 
-    def outcome(self, at: int, name: str) -> AttemptOutcome:
-        value = self.text(at, name)
+    def outcome(self, position: int, name: str) -> AttemptOutcome:
+        value = self.text(position, name)
         if value not in WIRE_OUTCOMES:
-            raise self.error(name, f"{value!r} is no outcome")
+            raise self.error(name, f"{value!r} is not an outcome")
         return AttemptOutcome(value)
 
 
-def _job(line: _Line) -> interface.JobArrived:
+def _parse_job(line: _Line) -> interface.JobArrived:
     return interface.JobArrived(
         line.integer(2, "call"),
         line.integer(3, "cls"),
@@ -91,7 +91,7 @@
     )
 
 
-def _resolved(line: _Line) -> interface.AttemptEnded:
+def _parse_attempt_ended(line: _Line) -> interface.AttemptEnded:
     return interface.AttemptEnded(
         line.integer(2, "call"),
         line.integer(3, "worker"),
@@ -104,7 +104,7 @@
     )
 
 
-def _notice(line: _Line) -> interface.ProgressNotice:
+def _parse_progress_notice(line: _Line) -> interface.ProgressNotice:
     return interface.ProgressNotice(
         line.integer(2, "call"),
         line.integer(3, "worker"),
@@ -114,7 +114,7 @@
     )
 
 
-def _head(line: _Line) -> interface.StreamStarted:
+def _parse_stream_started(line: _Line) -> interface.StreamStarted:
     return interface.StreamStarted(
         line.integer(2, "call"),
         line.integer(3, "worker"),
@@ -123,11 +123,11 @@
     )
 
 
-def _peer(line: _Line) -> interface.PeerMessage:
+def _parse_peer_message(line: _Line) -> interface.PeerMessage:
     return interface.PeerMessage(line.integer(2, "originPeer"), line.hex_bytes(3, "contents"))
 
 
-def _probe(line: _Line) -> interface.ProbeResult:
+def _parse_probe_result(line: _Line) -> interface.ProbeResult:
     return interface.ProbeResult(
         line.integer(2, "worker"),
         line.outcome(3, "outcome"),
@@ -137,12 +137,12 @@
 
 
 PARSERS: dict[str, Callable[[_Line], interface.Event]] = {
-    "WORK_ITEM": _job,
-    "RESOLVED": _resolved,
-    "NOTICE": _notice,
-    "HEAD_RECEIVED": _head,
-    "NEIGHBOUR_SAYS": _peer,
-    "CHECK_RESULT": _probe,
+    "WORK_ITEM": _parse_job,
+    "RESOLVED": _parse_attempt_ended,
+    "NOTICE": _parse_progress_notice,
+    "HEAD_RECEIVED": _parse_stream_started,
+    "NEIGHBOUR_SAYS": _parse_peer_message,
+    "CHECK_RESULT": _parse_probe_result,
     "REMINDER": lambda line: interface.TimerFired(line.integer(2, "tag")),
     "VANISHED": lambda line: interface.ClientDisconnected(line.integer(2, "call")),
 }
@@ -168,7 +168,7 @@
 
 
 class SimulatorAdapter:
-    """Runs all instances of one simulator process, each a `Dispatcher` of its own."""
+    """Runs all dispatcher instances of one simulator process. Each has its own `Dispatcher`."""
 
     def __init__(self, source: TextIO, sink: TextIO, errors: TextIO) -> None:
         self.source = source
@@ -178,10 +178,10 @@
         self._unknown_events: set[str] = set()
 
     def run(self) -> int:
-        """Answer batches until the input ends.
+        """Read and answer batches until the input ends.
 
         Returns:
-            The exit status: 0 at the end of the input, 2 if it is malformed.
+            The exit status: 0 at the end of the input, 2 if the input is malformed.
         """
         number = 0
         try:
@@ -196,11 +196,11 @@
             return 2
 
     def _answer_batch(self, head: list[str], number: int) -> int:
-        opening = _Line(f"line {number}", head)
+        batch_line = _Line(f"line {number}", head)
         if head[0] != "BATCH":
             raise WireError(f"line {number}: expected BATCH, not {head[0]!r}")
-        now = opening.number(1, "clock")
-        index = opening.text(2, "index")
+        now = batch_line.number(1, "clock")
+        index = batch_line.text(2, "index")
         reply: list[str] = []
         readline = self.source.readline
         parsers = PARSERS
@@ -238,7 +238,7 @@
         try:
             for action in dispatcher.handle(now, event):
                 reply.append(FORMATS[type(action)](instance, action))
-        except Exception as error:  # noqa: BLE001 - one instance that fails must not end the others
+        except Exception as error:  # noqa: BLE001 - a failure of one instance must not end the others
             self._report_crash(instance, error, reply)
 
     def _report_crash(self, instance: int, error: Exception, reply: list[str]) -> None:
@@ -265,7 +265,7 @@
     def _update_membership(self, now: float, line: _Line, index: str, number: int, reply: list[str]) -> int:
         how = line.text(2, "how")
         if how not in frozenset(UpdateKind):
-            raise line.error("how", f"{how!r} is not known")
+            raise line.error("how", f"{how!r} is not a kind of update")
         members = []
         for _ in range(line.integer(4, "rows", 0)):
             text = self.source.readline()
@@ -273,10 +273,10 @@
             parts = text.rstrip("\n").split("\t")
             item = _Line(f"batch {index}, line {number}", parts)
             if parts[0] != "ITEM":
-                raise item.error("rows", "the count of entries is wrong")
+                raise item.error("rows", "there are fewer ITEM lines than this count")
             status = item.text(3, "health")
             if status not in frozenset(WorkerState):
-                raise item.error("health", f"{status!r} is not known")
+                raise item.error("health", f"{status!r} is not a state of a worker")
             members.append(
                 interface.MemberEntry(
                     item.integer(4, "worker"),
@@ -294,7 +294,7 @@
 
 
 def main() -> int:
-    """Serve the simulator on the standard streams."""
+    """Serve the simulator on the standard streams. Return the exit status."""
     return SimulatorAdapter(sys.stdin, sys.stdout, sys.stderr).run()
 
 
