--- a/tests/policy/test_admission.py
+++ b/tests/policy/test_admission.py
@@ -1,9 +1,9 @@
-"""Decisions on shares and rate."""
+"""Admission control: fair shares, the fleet rate, and rejections on arrival."""
 
 from __future__ import annotations
 
 import pytest
-from decision_helpers import finals
+from decision_helpers import final_answers
 from helpers import job, sends, started
 
 from beaconhinge.gossip.peers import smoothed_rate
@@ -12,15 +12,15 @@
 from beaconhinge.policy.fair_shares import max_min_shares
 
 
-def test_max_min_lends_unused_share() -> None:
+def test_max_min_shares_lend_what_is_not_wanted() -> None:
     assert max_min_shares(10, [2, 20, 20], [1, 1, 1]) == pytest.approx([10 / 3, 4, 4])
 
 
-def test_max_min_keeps_the_whole_share_of_a_quiet_tenant_as_its_limit() -> None:
+def test_max_min_shares_keep_whole_share_as_limit_of_idle_tenant() -> None:
     assert max_min_shares(10, [1, 1], [1, 1]) == pytest.approx([5, 5])
 
 
-def test_max_min_by_told_shares() -> None:
+def test_max_min_shares_follow_configured_shares() -> None:
     assert max_min_shares(10, [50, 50], [3, 1]) == pytest.approx([7.5, 2.5])
 
 
@@ -29,23 +29,23 @@
     assert smoothed_rate(10.0, 10.0, 1.0, 2.0) == pytest.approx(10.0)
 
 
-def test_rate_is_cut_once_an_interval_and_rises_again() -> None:
+def test_fleet_rate_is_cut_once_per_interval_and_rises_again() -> None:
     dispatcher = started()
     for number in range(1, 9):
         dispatcher.handle(100.0 + number * 0.1, job(number))
     dispatcher.admission.rejections, dispatcher.admission.sends = 5, 8
     dispatcher.handle(101.5, interface.TimerFired(TICK_TIMER))
-    first = dispatcher.admission.fleet_rate
-    assert first < float("inf")
+    rate_after_cut = dispatcher.admission.fleet_rate
+    assert rate_after_cut < float("inf")
     dispatcher.admission.rejections, dispatcher.admission.sends = 5, 8
     dispatcher.handle(101.6, interface.TimerFired(TICK_TIMER))
-    assert dispatcher.admission.fleet_rate == first
+    assert dispatcher.admission.fleet_rate == rate_after_cut
     dispatcher.admission.rejections = 0
     dispatcher.handle(102.6, interface.TimerFired(TICK_TIMER))
-    assert dispatcher.admission.fleet_rate > first
+    assert dispatcher.admission.fleet_rate > rate_after_cut
 
 
-def test_over_rate_tenant_is_refused_unsent_and_the_other_is_not() -> None:
+def test_only_the_tenant_over_its_rate_is_rejected() -> None:
     dispatcher = started(orgs__count="2", orgs__0__share="0.5", orgs__1__share="0.5")
     for number in range(1, 40):
         dispatcher.handle(100.0, job(number, tenant=0))
@@ -58,26 +58,26 @@
     dispatcher.admission.allocate_rates({(0, 0): 20.0, (1, 0): 0.5})
     dispatcher.admission.buckets[(0, 0)].tokens = 0.0
     dispatcher.admission.buckets[(1, 0)].tokens = 1.0
-    refused = dispatcher.handle(100.1, job(41, tenant=0))
-    assert finals(refused) == [interface.Reject]
-    assert not sends(refused)
-    assert finals(dispatcher.handle(100.1, job(42, tenant=1))) == []
+    rejected = dispatcher.handle(100.1, job(41, tenant=0))
+    assert final_answers(rejected) == [interface.Reject]
+    assert not sends(rejected)
+    assert final_answers(dispatcher.handle(100.1, job(42, tenant=1))) == []
 
 
-def test_retry_after_spreads_clients() -> None:
+def test_retry_after_is_random_within_its_limits() -> None:
     dispatcher = started(count=0)
-    advice = set()
+    retry_delays = set()
     for number in range(1, 20):
         for action in dispatcher.handle(100.0, job(number, remaining=0.05)):
             if isinstance(action, interface.Reject):
-                advice.add(action.retry_after)
-    assert len(advice) == 19
-    assert all(1.0 <= a <= 2.0 for a in advice)
+                retry_delays.add(action.retry_after)
+    assert len(retry_delays) == 19
+    assert all(1.0 <= a <= 2.0 for a in retry_delays)
 
 
-def test_a_repeat_past_its_worth_is_refused_at_arrival() -> None:
+def test_late_client_retry_is_rejected_on_arrival() -> None:
     dispatcher = started()
     assert sends(dispatcher.handle(100.0, job(1)))
     late = dispatcher.handle(103.0, job(2, remaining=0.8))
-    assert finals(late) == [interface.Reject]
+    assert final_answers(late) == [interface.Reject]
     assert not sends(late)
--- a/tests/policy/test_attempts_and_health.py
+++ b/tests/policy/test_attempts_and_health.py
@@ -1,9 +1,9 @@
-"""Decisions on attempts and health."""
+"""Retries after the outcomes of attempts, and the health of workers."""
 
 from __future__ import annotations
 
 import pytest
-from decision_helpers import finals
+from decision_helpers import final_answers
 from helpers import job, outcome, sends, started
 
 from beaconhinge.policy import interface
@@ -13,41 +13,41 @@
 )
 
 
-@pytest.mark.parametrize("what", [AttemptOutcome.REJECTED, AttemptOutcome.NO_CONNECTION])
-def test_proven_unrun_fragile_goes_elsewhere(what: str) -> None:
+@pytest.mark.parametrize("attempt_outcome", [AttemptOutcome.REJECTED, AttemptOutcome.NO_CONNECTION])
+def test_unsafe_job_that_never_ran_is_sent_to_another_worker(attempt_outcome: str) -> None:
     dispatcher = started()
     first = sends(dispatcher.handle(100.0, job(1, 2)))[0].worker
-    again = sends(dispatcher.handle(100.1, outcome(1, first, what)))
+    again = sends(dispatcher.handle(100.1, outcome(1, first, attempt_outcome)))
     assert len(again) == 1
     assert again[0].worker != first
 
 
 @pytest.mark.parametrize(
-    "what",
+    "attempt_outcome",
     [
         AttemptOutcome.SERVER_ERROR,
         AttemptOutcome.CONNECTION_LOST,
         AttemptOutcome.TIMEOUT,
     ],
 )
-def test_fragile_that_may_have_run_is_aborted(what: str) -> None:
+def test_unsafe_job_that_may_have_run_is_failed(attempt_outcome: str) -> None:
     dispatcher = started()
     first = sends(dispatcher.handle(100.0, job(1, 2)))[0].worker
-    actions = dispatcher.handle(100.1, outcome(1, first, what))
-    assert finals(actions) == [interface.Fail]
+    actions = dispatcher.handle(100.1, outcome(1, first, attempt_outcome))
+    assert final_answers(actions) == [interface.Fail]
     assert not sends(actions)
 
 
-def test_keyed_stays_in_its_cell_and_window() -> None:
+def test_deduplicated_job_is_retried_only_in_its_cell_and_window() -> None:
     dispatcher = started()
     first = sends(dispatcher.handle(100.0, job(1, 1)))[0].worker
     again = sends(dispatcher.handle(100.1, outcome(1, first, AttemptOutcome.SERVER_ERROR)))
     assert [s.worker % 2 for s in again] == [first % 2]
     actions = dispatcher.handle(102.5, outcome(1, again[0].worker, AttemptOutcome.SERVER_ERROR, 1))
-    assert finals(actions) == [interface.Fail]
+    assert final_answers(actions) == [interface.Fail]
 
 
-def test_a_fast_failer_is_benched_and_returns_by_single_trials() -> None:
+def test_failing_worker_is_ejected_and_gets_one_job_on_probation() -> None:
     dispatcher = started()
     first = sends(dispatcher.handle(100.0, job(1, 2)))[0].worker
     dispatcher.handle(100.1, outcome(1, first, AttemptOutcome.SERVER_ERROR))
@@ -59,7 +59,7 @@
     assert placed.count(first) <= 1
 
 
-def test_never_more_than_three_quarters_of_the_fleet_are_benched() -> None:
+def test_at_most_three_quarters_of_the_fleet_are_ejected() -> None:
     dispatcher = started()
     for number in range(1, 40):
         for send in sends(dispatcher.handle(100.0, job(number, 2))):
@@ -67,7 +67,7 @@
     assert sum(w.on_probation for w in dispatcher.workers.values()) == 3
 
 
-def test_a_worker_that_turns_away_with_slots_free_is_at_fault_not_the_load() -> None:
+def test_rejection_with_free_slots_is_a_failure_not_overload() -> None:
     dispatcher = started()
     for worker in dispatcher.workers.values():
         worker.learned_limit = 4.0
@@ -77,7 +77,7 @@
     assert dispatcher.admission.rejections == 0
 
 
-def test_a_time_out_blames_only_a_worker_that_was_silent() -> None:
+def test_timeout_is_no_failure_of_a_worker_that_sent_progress() -> None:
     dispatcher = started(count=2)
     first = sends(dispatcher.handle(100.0, job(1)))[0].worker
     dispatcher.handle(102.0, interface.ProgressNotice(1, first, 0, NoticeKind.PROGRESS, 0.3))
@@ -85,7 +85,7 @@
     assert dispatcher.workers[first].failure_rate == 0.0
 
 
-def test_unknown_ended_and_gone_requests_are_ignored() -> None:
+def test_events_of_unknown_or_ended_requests_are_ignored() -> None:
     dispatcher = started()
     assert dispatcher.handle(100.0, outcome(9, 100, AttemptOutcome.SERVER_ERROR)) == []
     assert dispatcher.handle(100.0, interface.ClientDisconnected(9)) == []
@@ -93,11 +93,11 @@
     dispatcher.handle(100.1, interface.ClientDisconnected(1))
     late = dispatcher.handle(100.2, outcome(1, first, AttemptOutcome.SERVER_ERROR))
     assert not sends(late)
-    assert finals(late) == []
+    assert final_answers(late) == []
     assert dispatcher.workers[first].in_flight == 0
 
 
-def test_a_start_told_with_the_answer_does_not_make_a_worker_infinitely_quick() -> None:
+def test_start_reported_with_the_answer_leaves_speed_finite() -> None:
     dispatcher = started(count=2, familyInfo__tellsStart="true")
     first = sends(dispatcher.handle(100.0, job(1)))[0].worker
     dispatcher.handle(100.5, interface.ProgressNotice(1, first, 0, NoticeKind.STARTED))
--- a/tests/policy/test_deadline_passed.py
+++ b/tests/policy/test_deadline_passed.py
@@ -1,4 +1,4 @@
-"""A request whose deadline is past without a final answer gets that of the policy, once."""
+"""A request without a final answer at its deadline gets one from the policy, once."""
 
 from __future__ import annotations
 
@@ -20,10 +20,10 @@
     ("class_index", "workers", "answer"),
     [(RETRYABLE, 2, interface.Reject), (UNSAFE, 2, interface.Fail), (UNSAFE, 0, interface.Reject)],
 )
-def test_the_final_answer_at_the_deadline_says_what_may_have_run(
+def test_final_answer_at_deadline_depends_on_what_may_have_run(
     class_index: int, workers: int, answer: type
 ) -> None:
-    # Guards against a 502 that the policy never gave where a job is safe to repeat, or never ran.
+    # Guards against a 502, which the policy did not decide, for a job that is safe to repeat or never ran.
     dispatcher = Dispatcher(settings(), 1)
     dispatcher.handle(100.0, interface.Start())
     dispatcher.handle(100.0, interface.MembershipUpdate(UpdateKind.BOOTSTRAP, 1, members(workers)))
--- a/tests/policy/test_large_groups.py
+++ b/tests/policy/test_large_groups.py
@@ -1,4 +1,8 @@
-"""Large groups: bounded reports, cold workers with few owners, second copies, little sight. No fleet is modelled."""
+"""Policy in large groups, where a dispatcher sends few attempts itself.
+
+The tests cover reports of bounded size, cold workers whose budget only a few dispatchers share, hedging, and
+requests to discovery. Workers are not simulated: each test gives the outcomes itself.
+"""
 
 from __future__ import annotations
 
@@ -19,12 +23,15 @@
 
 
 def member(size: int, number: int = 0, workers: int = 4, **changes: str) -> Dispatcher:
-    given = {"groupSize": str(size), "myNumber": str(number), "policyLimits__peers": "true", **changes}
-    return started(workers, number + 1, **given)  # type: ignore[arg-type]
+    pairs = {"groupSize": str(size), "myNumber": str(number), "policyLimits__peers": "true", **changes}
+    return started(workers, number + 1, **pairs)  # type: ignore[arg-type]
 
 
 class Group:
-    """Dispatchers that hear each other's reports; jobs are served at once, messages may be lost or swapped."""
+    """Dispatchers that exchange reports.
+
+    Jobs are served at once; messages may be lost, reordered or repeated.
+    """
 
     def __init__(self, size: int, loss: float = 0.0) -> None:
         self.members = [member(size, number) for number in range(size)]
@@ -37,6 +44,7 @@
         self.now = 100.0
 
     def run(self, seconds: float, rate: float) -> None:
+        """Run all for a time; each receives `rate` jobs per second on average."""
         until = self.now + seconds
         while self.now < until:
             self.now += 0.1
@@ -46,8 +54,8 @@
                 dispatcher.handle(self.now, interface.TimerFired(TICK_TIMER))
                 if self.random.random() < rate * 0.1:
                     self.jobs += 1
-                    for send in self.carry(number, dispatcher.handle(self.now, job(self.jobs))):
-                        self.carry(
+                    for send in self.deliver(number, dispatcher.handle(self.now, job(self.jobs))):
+                        self.deliver(
                             number,
                             dispatcher.handle(
                                 self.now, outcome(send.request, send.worker, AttemptOutcome.SERVED)
@@ -61,9 +69,10 @@
                         if isinstance(a, interface.SetTimer) and a.token == REPORT_TIMER
                     ]
                     self.report_at[number] = self.now + timers[0]
-                    self.carry(number, actions)
+                    self.deliver(number, actions)
 
-    def carry(self, sender: int, actions: list[interface.Action]) -> list[interface.SendAttempt]:
+    def deliver(self, sender: int, actions: list[interface.Action]) -> list[interface.SendAttempt]:
+        """Deliver the messages among the actions of one dispatcher. Return its sends."""
         for action in actions:
             if isinstance(action, interface.SendToPeer):
                 to = range(len(self.members)) if action.peer < 0 else [action.peer]
@@ -74,7 +83,7 @@
                     if self.random.random() >= self.loss:
                         self.delayed.append((peer, interface.PeerMessage(sender, action.payload)))
         if len(self.delayed) > 20 or not self.loss:
-            if self.loss:  # out of order, and some of them twice
+            if self.loss:  # deliver out of order, and three of them twice
                 self.random.shuffle(self.delayed)
                 self.delayed += self.delayed[:3]
             for peer, message in self.delayed:
@@ -84,7 +93,7 @@
 
 
 @pytest.mark.parametrize("size", [20, 150, 300])
-def test_delivered_bytes_for_each_own_job_do_not_grow_with_the_group(size: int) -> None:
+def test_report_bytes_per_job_do_not_grow_with_the_group(size: int) -> None:
     group = Group(size)
     group.run(12.0, rate=2.0)
     group.bytes = group.jobs = 0
@@ -93,46 +102,53 @@
 
 
 @pytest.mark.parametrize(("size", "loss"), [(20, 0.0), (150, 0.0), (150, 0.3)])
-def test_the_demand_of_the_fleet_is_known_from_the_circle(size: int, loss: float) -> None:
+def test_fleet_demand_is_estimated_from_reports_of_the_circle(size: int, loss: float) -> None:
+    """Each dispatcher receives reports of its circle only, and scales them to the whole group."""
     group = Group(size, loss)
     group.run(20.0, rate=2.0)
-    real = group.jobs * 0.5 / 20.0  # hinted work a second
-    seen = sorted(sum(m.admission.total_demand().values()) for m in group.members)
-    assert 0.7 * real < seen[size // 10]
-    assert seen[-size // 10] < 1.4 * real
-    parts = [m.admission.own_demand_share(m.admission.total_demand()) for m in group.members]
-    assert sum(parts) == pytest.approx(1.0, rel=0.25)
+    demand = group.jobs * 0.5 / 20.0  # hinted work per second
+    estimates = sorted(sum(m.admission.total_demand().values()) for m in group.members)
+    assert 0.7 * demand < estimates[size // 10]
+    assert estimates[-size // 10] < 1.4 * demand
+    demand_shares = [m.admission.own_demand_share(m.admission.total_demand()) for m in group.members]
+    assert sum(demand_shares) == pytest.approx(1.0, rel=0.25)
 
 
-def test_a_silent_part_of_the_group_and_a_restart_of_all_are_survived() -> None:
+def test_demand_is_right_with_silent_peers_and_after_a_restart_of_all() -> None:
     group = Group(150)
     group.run(10.0, rate=2.0)
     group.silent = set(range(0, 150, 3))
     group.run(45.0, rate=2.0)
-    heard = [m for n, m in enumerate(group.members) if n not in group.silent]
-    # A third of each circle is silent and asks for nothing: so does a third of the fleet.
-    assert sum(sum(m.admission.total_demand().values()) for m in heard) / len(heard) == pytest.approx(
+    reporting = [m for n, m in enumerate(group.members) if n not in group.silent]
+    # A third of each circle is silent and has no demand, as a third of the whole fleet.
+    assert sum(sum(m.admission.total_demand().values()) for m in reporting) / len(reporting) == pytest.approx(
         100.0, rel=0.25
     )
     group.silent = set()
     group.members = [member(150, number) for number in range(150)]
     group.run(25.0, rate=2.0)
-    parts = [m.admission.own_demand_share(m.admission.total_demand()) for m in group.members]
-    assert sum(parts) == pytest.approx(1.0, rel=0.3)
+    demand_shares = [m.admission.own_demand_share(m.admission.total_demand()) for m in group.members]
+    assert sum(demand_shares) == pytest.approx(1.0, rel=0.3)
 
 
-def test_unheard_peers_leave_one_nth_and_jobs_are_still_placed() -> None:
+def test_without_peer_reports_demand_share_is_one_nth() -> None:
     for dispatcher in (member(150), member(150, policyLimits__peers="false")):
         assert dispatcher.admission.own_demand_share(dispatcher.admission.total_demand()) == 1 / 150
         assert sends(dispatcher.handle(100.1, job(1)))
 
 
-def test_foreign_bytes_and_numbers_change_nothing() -> None:
+def test_invalid_peer_messages_and_numbers_are_ignored() -> None:
     dispatcher = member(150)
-    outside = 149  # in another circle than number 0
-    good = codec.encode_report(codec.DemandReport(5, 1, 0.5, [(0, 0, 9.0, 0.0)]))
-    former = struct.pack(">HBBIHHBB", 0x6F73, 2, 1, 5, 1, 500, 0, 0)
-    for peer, payload in ((outside, good), (1, former), (0, good), (900, b""), (1, good + good)):
+    other_circle_peer = 149  # in another circle than number 0
+    valid = codec.encode_report(codec.DemandReport(5, 1, 0.5, [(0, 0, 9.0, 0.0)]))
+    old_format = struct.pack(">HBBIHHBB", 0x6F73, 2, 1, 5, 1, 500, 0, 0)
+    for peer, payload in (
+        (other_circle_peer, valid),
+        (1, old_format),
+        (0, valid),
+        (900, b""),
+        (1, valid + valid),
+    ):
         dispatcher.handle(100.1, interface.PeerMessage(peer, payload))
     assert dispatcher.gossip.peers == {}
     assert dispatcher.admission.total_demand() == {}
@@ -140,7 +156,7 @@
 
 @pytest.mark.parametrize("size", [2, 20, 150])
 @pytest.mark.parametrize("age", [0.0, 3.0, 8.0])
-def test_all_together_stay_under_the_cold_budget_and_use_it(size: int, age: float) -> None:
+def test_group_stays_within_the_cold_workers_budget_and_uses_it(size: int, age: float) -> None:
     now, slots, hint = 100.0, 4.0, 0.3
     group = [member(size, number, workers=0) for number in range(size)]
     sent: list[tuple[float, float]] = []
@@ -161,38 +177,41 @@
             if number in dispatcher.requests.by_id:
                 dispatcher.handle(now, interface.ClientDisconnected(number))
         now += 0.1
-    given = group[0].settings
+    settings = group[0].settings
     for start, _ in sent:
         ramp = (
-            given.slow_start_min_share
-            + (1 - given.slow_start_min_share)
-            * (start + given.overload_window_s - 100.0 + age)
-            / given.slow_start_s
+            settings.slow_start_min_share
+            + (1 - settings.slow_start_min_share)
+            * (start + settings.overload_window_s - 100.0 + age)
+            / settings.slow_start_s
         )
-        window = sum(load for at, load in sent if start <= at < start + given.overload_window_s)
-        assert window <= given.overload_multiple * ramp * slots * given.overload_window_s
+        window = sum(load for at, load in sent if start <= at < start + settings.overload_window_s)
+        assert window <= settings.overload_multiple * ramp * slots * settings.overload_window_s
     assert len(sent) >= 2
 
 
-def test_slow_handshakes_leave_open_connections_in_use() -> None:
+def test_failed_connect_leaves_open_connections_in_use() -> None:
+    """A worker that is slow to accept a new connection still serves those that are open."""
     dispatcher = member(150, workers=2)
     first = sends(dispatcher.handle(100.0, job(1)))[0].worker
     dispatcher.handle(100.1, outcome(1, first, AttemptOutcome.SERVED))
-    for n, worker in enumerate(dispatcher.workers.values(), 2):  # a further, new connection to each fails
+    for n, worker in enumerate(dispatcher.workers.values(), 2):  # another new connection to each worker fails
         request = n
         dispatcher.workers[200 - worker.id + 1].ejected_until = 200.0
-        worker.ejected_until, open_ones, worker.idle_connections = 0.0, worker.idle_connections, []
+        worker.ejected_until, open_connections, worker.idle_connections = 0.0, worker.idle_connections, []
         assert sends(dispatcher.handle(100.2, job(request)))[0].worker == worker.id
-        worker.idle_connections = open_ones
+        worker.idle_connections = open_connections
         dispatcher.handle(100.2, interface.ClientDisconnected(request))
         dispatcher.handle(100.26, outcome(request, worker.id, AttemptOutcome.NO_CONNECTION))
     for worker in dispatcher.workers.values():
         worker.ejected_until = 0.0
     assert sends(dispatcher.handle(100.3, job(9)))[0].worker == first
-    assert not sends(dispatcher.handle(100.3, job(10)))  # the open one is taken, no new one is tried yet
+    # The open connection is in use, and it is too early for a new one.
+    assert not sends(dispatcher.handle(100.3, job(10)))
 
 
-def test_an_early_time_out_of_an_impatient_client_does_not_blame() -> None:
+def test_early_client_timeout_is_no_failure_of_the_worker() -> None:
+    """A client that waits less than the mean latency would otherwise get a healthy worker ejected."""
     dispatcher = member(150)
     dispatcher.estimates.mean_latency_s = 1.0
     worker = sends(dispatcher.handle(100.0, job(1, 2, remaining=0.4)))[0].worker
@@ -200,60 +219,65 @@
     assert dispatcher.workers[worker].failure_rate == 0.0
 
 
-@pytest.mark.parametrize(("flags", "refused"), [(0, False), (RETRY_FLAG, True)])
-def test_less_time_left_is_a_repeat_only_by_its_mark_where_clients_mark(flags: int, refused: bool) -> None:
+@pytest.mark.parametrize(("flags", "rejected"), [(0, False), (RETRY_FLAG, True)])
+def test_shorter_timeout_is_no_retry_where_clients_mark_retries(flags: int, rejected: bool) -> None:
     dispatcher = member(2, clients__marksRetry="true")
     dispatcher.handle(100.0, job(1, 2))
     actions = dispatcher.handle(100.1, job(2, 2, remaining=0.8, flags=flags))
-    assert any(isinstance(a, interface.Reject) for a in actions) == refused
+    assert any(isinstance(a, interface.Reject) for a in actions) == rejected
 
 
-TELLS = {"familyInfo__tellsStart": "true", "policyLimits__mayDuplicate": "true"}
+HEDGING = {"familyInfo__tellsStart": "true", "policyLimits__mayDuplicate": "true"}
 
 
-def test_jobs_that_wait_for_their_start_are_not_sent_twice() -> None:
-    """A copy of each waiting job gave a busy fleet twice its work, since a cancel does not drop what waits."""
-    dispatcher = member(40, **TELLS)
+def test_jobs_that_wait_for_their_start_are_not_hedged() -> None:
+    """A copy of each waiting job would double a busy fleet's work, as a cancel doesn't remove queued jobs."""
+    dispatcher = member(40, **HEDGING)
     dispatcher.handle(100.0, interface.PeerMessage(1, codec.encode_report(codec.DemandReport(5, 1, 0.5))))
     for number in (1, 2):
         dispatcher.handle(100.0, job(number, remaining=9.0))
-    signs = [
-        (worker.key, codec.DeltaKind.SERVED) for worker in dispatcher.workers.values()
-    ]  # of jobs of others
+    # Jobs of other dispatchers, which these workers have served.
+    served_deltas = [(worker.key, codec.DeltaKind.SERVED) for worker in dispatcher.workers.values()]
     for step in range(1, 30):
-        news = codec.encode_deltas(codec.DeltaMessage(5, 1 + step, signs))
+        deltas_message = codec.encode_deltas(codec.DeltaMessage(5, 1 + step, served_deltas))
         for event in (
-            interface.PeerMessage(1, news),
+            interface.PeerMessage(1, deltas_message),
             interface.TimerFired(TICK_TIMER),
             interface.TimerFired(17),
             interface.TimerFired(18),
         ):
             assert not sends(dispatcher.handle(100.0 + step / 10, event))
     assert [len(r.attempts) for r in dispatcher.requests.by_id.values()] == [1, 1]
-    later = [dispatcher.handle(103.0 + step / 10, interface.TimerFired(TICK_TIMER)) for step in range(20)]
-    assert any(sends(actions) for actions in later)  # from a worker that has fallen silent they are fetched
-
-
-def test_the_work_of_one_job_does_not_grow_with_the_fleet(monkeypatch: pytest.MonkeyPatch) -> None:
-    looked = []
-    able = Router.is_eligible
-    monkeypatch.setattr(Router, "is_eligible", lambda self, w, r: looked.append(w) or able(self, w, r))
+    after_silence = [
+        dispatcher.handle(103.0 + step / 10, interface.TimerFired(TICK_TIMER)) for step in range(20)
+    ]
+    # Jobs on a worker that has fallen silent are hedged.
+    assert any(sends(actions) for actions in after_silence)
+
+
+def test_routing_checks_a_bounded_number_of_workers(monkeypatch: pytest.MonkeyPatch) -> None:
+    """The cost of routing one job must not grow with the fleet."""
+    checked = []
+    is_eligible = Router.is_eligible
+    monkeypatch.setattr(
+        Router, "is_eligible", lambda self, w, r: checked.append(w) or is_eligible(self, w, r)
+    )
     dispatcher = member(150, workers=400)
     dispatcher.handle(100.0, job(1))
-    assert 0 < len(looked) <= 2 * SAMPLE_SIZE
+    assert 0 < len(checked) <= 2 * SAMPLE_SIZE
 
 
-def test_a_small_clump_of_a_tenant_within_its_quota_is_not_over_it() -> None:
+def test_small_burst_of_a_tenant_is_within_its_quota() -> None:
     dispatcher = member(150, orgs__count="1", orgs__0__quotaRps="30", orgs__0__share="1")
-    for step in range(200):  # twenty seconds without a job fill the quota's bucket
+    for step in range(200):  # 20 s without a job fill the quota's bucket
         dispatcher.handle(100.0 + step * 0.1, interface.TimerFired(TICK_TIMER))
     for n in range(1, 5):
         dispatcher.handle(120.0, job(n))
     assert [dispatcher.requests.by_id[n].over_quota for n in range(1, 5)] == [False] * 4
 
 
-def asked(group: list[Dispatcher], refused: bool, seconds: float) -> list[float]:
-    """When each of a group asks for the list, after a start or a refusal that all had at 100.0."""
+def fetch_times(group: list[Dispatcher], refused: bool, seconds: float) -> list[float]:
+    """Times at which the dispatchers request the list, after a common start or refusal at 100.0."""
     times = []
     for dispatcher in group:
         if refused:
@@ -270,16 +294,20 @@
 
 
 @pytest.mark.parametrize("refused", [False, True])
-def test_calls_to_discovery_after_a_common_start_or_failure_are_spread(refused: bool) -> None:
-    """Forty watches broke within a second, all asked again within a third of one, and none was ever answered."""
+def test_requests_to_discovery_are_spread_after_start_or_refusal(refused: bool) -> None:
+    """Discovery answers nobody when all dispatchers send requests at once.
+
+    When the watches of forty dispatchers broke within a second, all requested the list again within a third
+    of a second, and no request was ever answered.
+    """
     group = [member(40, number, membershipMode="on_request") for number in range(40)]
-    times = asked(group, refused, 4.9 if not refused else 9.9)
-    assert len(times) == 40  # well before not asking counts as knowing
+    times = fetch_times(group, refused, 4.9 if not refused else 9.9)
+    assert len(times) == 40  # long before a dispatcher without a request is held to know the list
     busiest = max(sum(start <= t < start + 1.0 for t in times) for start in times)
     assert busiest <= (16 if not refused else 10)
 
 
-def test_a_refused_call_is_repeated_ever_later_but_in_time_for_the_rule() -> None:
+def test_refused_fetch_is_repeated_with_growing_limited_delay() -> None:
     dispatcher, now, waits = member(40, membershipMode="on_request"), 100.0, []
     for _ in range(60):
         dispatcher.handle(now, interface.MembershipUpdate(UpdateKind.REFUSED))
--- a/tests/policy/test_off_wire_events.py
+++ b/tests/policy/test_off_wire_events.py
@@ -1,8 +1,8 @@
-"""Events that the simulator's wire does not know, compared with a golden text of the first decisions.
+"""Events that are not in the simulator's protocol, compared with golden texts of earlier decisions.
 
-Operators take workers out and put them back, sibling processes have slots out, and the process itself stalls,
-among jobs, outcomes, progress notices and membership updates. `data/off_wire_*.txt` was written by the code as
-it stood before its parts were named and taken apart; the names of actions in it are those of today.
+Among jobs, outcomes, progress notices and membership updates, operators put workers into maintenance,
+sibling processes use slots, and the process itself stalls. The texts in `data/off_wire_*.txt` were recorded
+before the policy was split into components; the names of actions in them have been updated since.
 """
 
 from __future__ import annotations
@@ -42,7 +42,7 @@
     "familyInfo.reportX0": "free_slots",
     "policyLimits.probes": "true",
 }
-SITES = {
+DEPLOYMENTS = {
     "alone": {**PAIRS, **TENANTS, **PROGRESS},
     "pair": {**PAIRS, **TENANTS, **PROGRESS, "groupSize": "2", "myNumber": "1", "policyLimits.peers": "true"},
     "silent_pair": {**PAIRS, **TENANTS, **REPORTS, "groupSize": "2", "membershipMode": "on_request"},
@@ -61,7 +61,7 @@
 
 
 class Script:
-    """Feeds a dispatcher with events drawn from a seed and with the ends of what it sends; keeps what it says."""
+    """Feeds a dispatcher with random events and the outcomes of its attempts, and records its actions."""
 
     def __init__(self, pairs: dict[str, str], seed: int) -> None:
         self.random = random.Random(seed)
@@ -72,21 +72,21 @@
             tuple[float, float, int, int, int]
         ] = []  # ends at, sent at, request, worker, attempt
         self.attempts: dict[int, int] = {}
-        self.out = dict.fromkeys(range(100, 100 + WORKERS), 0)
+        self.attempts_in_flight = dict.fromkeys(range(100, 100 + WORKERS), 0)
         self.in_maintenance: set[int] = set()
         self.lines: list[str] = []
 
     def feed(self, name: str, *values: object) -> None:
-        """One event, and the answer to it as lines of text."""
+        """Pass one event to the dispatcher, record its actions as lines of text, and perform them."""
         actions = self.dispatcher.handle(self.now, getattr(interface, name)(*values))
         for action in actions:
-            shown = ", ".join(v.hex() if isinstance(v, bytes) else repr(v) for v in astuple(action))
-            self.lines.append(f"{self.now:.2f} {name}: {type(action).__name__}({shown})")
+            values_text = ", ".join(v.hex() if isinstance(v, bytes) else repr(v) for v in astuple(action))
+            self.lines.append(f"{self.now:.2f} {name}: {type(action).__name__}({values_text})")
         for action in actions:
-            self.obey(type(action).__name__, astuple(action))
+            self.perform(type(action).__name__, astuple(action))
 
-    def obey(self, name: str, values: tuple[Any, ...]) -> None:
-        """Let time and workers do what an action asks for."""
+    def perform(self, name: str, values: tuple[Any, ...]) -> None:
+        """Perform an action: set a timer, answer a probe, or start an attempt of random duration."""
         if name == "SetTimer":
             self.timers.append((self.now + values[1], values[0]))
         elif name == "ProbeWorker":
@@ -97,12 +97,12 @@
             request, worker = values[0], values[1]
             attempt = self.attempts.get(request, 0)
             self.attempts[request] = attempt + 1
-            self.out[worker] += 1
-            took = self.random.choice((0.1, 0.3, 0.6, 1.5))
-            self.running.append((self.now + took, self.now, request, worker, attempt))
+            self.attempts_in_flight[worker] += 1
+            duration_s = self.random.choice((0.1, 0.3, 0.6, 1.5))
+            self.running.append((self.now + duration_s, self.now, request, worker, attempt))
 
     def end_attempts(self) -> None:
-        """End what has run long enough, and tell of the progress of some of the rest."""
+        """End the attempts whose time has come, and report progress of some others."""
         for entry in sorted(self.running):
             ends_at, sent_at, request, worker, attempt = entry
             if ends_at > self.now:
@@ -111,20 +111,20 @@
                     self.feed("ProgressNotice", request, worker, attempt, self.random.choice((1, 2)), share)
                 continue
             self.running.remove(entry)
-            self.out[worker] -= 1
+            self.attempts_in_flight[worker] -= 1
             outcome = interface.AttemptOutcome(self.random.choice(OUTCOMES))
             load = (
-                {"x0": float(max(0, 4 - self.out[worker])), "depth": 0.0}
+                {"x0": float(max(0, 4 - self.attempts_in_flight[worker])), "depth": 0.0}
                 if self.random.random() < 0.5
                 else None
             )
             settled = outcome.value == "served"
             self.feed("AttemptEnded", request, worker, attempt, outcome, settled, self.now - sent_at, load)
 
-    def off_wire(self) -> None:
-        """Now and then an event that the simulator's wire does not know."""
+    def feed_off_wire_event(self) -> None:
+        """Feed, at random, an event that is not in the simulator's protocol."""
         draw = self.random.random()
-        worker = self.random.randrange(100, 101 + WORKERS)  # one of them is in no list
+        worker = self.random.randrange(100, 101 + WORKERS)  # the last one is in no list
         if draw < 0.02:
             enabled = worker not in self.in_maintenance
             (self.in_maintenance.add if enabled else self.in_maintenance.discard)(worker)
@@ -135,7 +135,7 @@
             self.feed("ProcessStalled", self.random.choice((0.3, 1.0, 3.0)))
 
     def update_membership(self, kind: str) -> None:
-        """A list, or a change, with drains and restarts."""
+        """Feed a list or a change; changes contain drains and restarts."""
         members = []
         for number in range(WORKERS):
             if kind == "changes" and self.random.random() < 0.6:
@@ -148,7 +148,7 @@
         self.feed("MembershipUpdate", interface.UpdateKind(kind), 1, members)
 
     def run(self) -> str:
-        """All lines of the run."""
+        """Run the script and return all recorded lines."""
         self.feed("Start")
         self.update_membership("remembered")
         requests, steps = 0, int(DURATION_S / STEP_S)
@@ -158,7 +158,7 @@
                 self.timers.remove(timer)
                 self.feed("TimerFired", timer[1])
             self.end_attempts()
-            self.off_wire()
+            self.feed_off_wire_event()
             if step % 50 == 0:
                 self.update_membership(self.random.choice(("all", "changes", "changes", "refused")))
             if self.random.random() < (0.9 if 250 < step < 350 else 0.4):
@@ -172,7 +172,7 @@
         return "".join(f"{line}\n" for line in self.lines)
 
 
-@pytest.mark.parametrize("site", SITES)
-def test_events_off_the_wire_are_answered_as_ever(site: str) -> None:
-    expected = (DATA / f"off_wire_{site}.txt").read_text()
-    assert Script(SITES[site], 5).run().splitlines() == expected.splitlines()
+@pytest.mark.parametrize("deployment", DEPLOYMENTS)
+def test_decisions_match_golden_text(deployment: str) -> None:
+    expected = (DATA / f"off_wire_{deployment}.txt").read_text()
+    assert Script(DEPLOYMENTS[deployment], 5).run().splitlines() == expected.splitlines()
--- a/tests/policy/test_other_deployments.py
+++ b/tests/policy/test_other_deployments.py
@@ -1,4 +1,7 @@
-"""What worked on the first deployment by luck has to hold for any: unsafe classes without a key, pushed weights."""
+"""Behaviour that held by chance on the first deployment and must hold on any.
+
+The cases are unsafe classes without an idempotency key, pushed weights, and clients that retry at once.
+"""
 
 from __future__ import annotations
 
@@ -15,26 +18,26 @@
 from beaconhinge.policy.outlier_detection import MAX_EJECTION_S
 
 HANGING, WORKERS = 100, 9
-UNSAFE, WAITS = 2, 25.0  # the class, and the seconds that its clients wait
-SLOTS = 4  # of a worker
+UNSAFE, CLIENT_TIMEOUT_S = 2, 25.0  # number of the class, and how long its clients wait
+SLOTS = 4  # slots of each worker
 
 
-def weighed(weights: list[float]) -> list[interface.MemberEntry]:
+def weighted_members(weights: list[float]) -> list[interface.MemberEntry]:
     listed = members(WORKERS)
     for member, weight in zip(listed, weights, strict=True):
         member.weight = weight
     return listed
 
 
-class Play:
-    """One dispatcher and workers that take a second for a job, but for one that takes jobs and answers none.
+class Simulation:
+    """One dispatcher, and workers that need a second for a job. One worker accepts jobs and answers none.
 
-    A worker turns away what comes beyond its slots. Its reports are `late` seconds old. Clients that are refused
-    come again at once, `retries` times.
+    A worker rejects jobs beyond its slots. Its load reports are `report_age_s` seconds old. Clients of
+    rejected jobs retry at once, `retries` times.
     """
 
     def __init__(
-        self, weights: list[float], hangs_for: float = 0.0, late: float = 0.0, retries: int = 0
+        self, weights: list[float], hangs_for_s: float = 0.0, report_age_s: float = 0.0, retries: int = 0
     ) -> None:
         reports = {
             "report__source": "answers",
@@ -42,114 +45,121 @@
             "familyInfo__reportX0": "free_slots",
         }
         self.dispatcher = Dispatcher(
-            settings(requestClasses__2__hardLimit=str(WAITS), **(reports if late else {})), 1
+            settings(requestClasses__2__hardLimit=str(CLIENT_TIMEOUT_S), **(reports if report_age_s else {})),
+            1,
         )
-        self.sent: list[tuple[float, int, int]] = []  # when, to whom, which job
+        self.sent: list[tuple[float, int, int]] = []  # time, worker, request
         self.ended: Counter[str] = Counter()
-        self.hangs_for, self.late, self.retries = hangs_for, late, retries
-        self.spans: list[tuple[int, float, float]] = []  # worker, from when to when it ran a job
-        self.tries: dict[int, int] = {}  # of the job: which try of its client
+        self.hangs_for_s, self.report_age_s, self.retries = hangs_for_s, report_age_s, retries
+        self.runs: list[tuple[int, float, float]] = []  # worker, start and end of a job
+        self.retry_counts: dict[int, int] = {}  # number of the client's retry, by request
         self._numbers = count(1_000_000)
         self._order = count()
-        self._due: list[tuple[float, int, interface.Event]] = []
+        self._events: list[tuple[float, int, interface.Event]] = []
         self._feed(100.0, interface.Start())
-        self._feed(100.0, interface.MembershipUpdate(UpdateKind.BOOTSTRAP, 1, weighed(weights)))
+        self._feed(100.0, interface.MembershipUpdate(UpdateKind.BOOTSTRAP, 1, weighted_members(weights)))
 
-    def jobs(self, rate: float, seconds: float) -> None:
+    def run_jobs(self, rate: float, seconds: float) -> None:
         for number in range(int(rate * seconds)):
-            self._later(100.5 + number / rate, job(number + 1, UNSAFE, remaining=WAITS, size_hint=1.0))
-        while self._due and self._due[0][0] < 100.5 + seconds:
-            now, _, event = heapq.heappop(self._due)
+            self._schedule(
+                100.5 + number / rate, job(number + 1, UNSAFE, remaining=CLIENT_TIMEOUT_S, size_hint=1.0)
+            )
+        while self._events and self._events[0][0] < 100.5 + seconds:
+            now, _, event = heapq.heappop(self._events)
             self._feed(now, event)
 
-    def list_again(self, at: float, weights: list[float]) -> None:
-        self._later(at, interface.MembershipUpdate(UpdateKind.CHANGES, int(at), weighed(weights)))
+    def update_list(self, at: float, weights: list[float]) -> None:
+        self._schedule(at, interface.MembershipUpdate(UpdateKind.CHANGES, int(at), weighted_members(weights)))
 
-    def _later(self, at: float, event: interface.Event) -> None:
-        heapq.heappush(self._due, (at, next(self._order), event))
+    def _schedule(self, at: float, event: interface.Event) -> None:
+        heapq.heappush(self._events, (at, next(self._order), event))
 
     def _running(self, worker: int, at: float) -> int:
-        return sum(begun <= at < ended for who, begun, ended in self.spans if who == worker)
+        return sum(started_at <= at < ended for runner, started_at, ended in self.runs if runner == worker)
 
     def _feed(self, now: float, event: interface.Event) -> None:
         for action in self.dispatcher.handle(now, event):
             if isinstance(action, interface.SendAttempt):
                 self._run(now, action)
             elif isinstance(action, interface.SetTimer):
-                self._later(now + action.after, interface.TimerFired(action.token))
+                self._schedule(now + action.after, interface.TimerFired(action.token))
             elif isinstance(action, (interface.Reject, interface.Fail)):
                 self.ended[type(action).__name__] += 1
-                turn = self.tries.get(action.request, 0)
-                if isinstance(action, interface.Reject) and turn < self.retries:
-                    again = next(self._numbers)
-                    self.tries[again] = turn + 1
-                    self._later(now, job(again, UNSAFE, remaining=WAITS, size_hint=1.0, flags=RETRY_FLAG))
+                retry_count = self.retry_counts.get(action.request, 0)
+                if isinstance(action, interface.Reject) and retry_count < self.retries:
+                    request_id = next(self._numbers)
+                    self.retry_counts[request_id] = retry_count + 1
+                    self._schedule(
+                        now,
+                        job(request_id, UNSAFE, remaining=CLIENT_TIMEOUT_S, size_hint=1.0, flags=RETRY_FLAG),
+                    )
 
     def _run(self, now: float, send: interface.SendAttempt) -> None:
         number = sum(request == send.request for _, _, request in self.sent)
         self.sent.append((now, send.worker, send.request))
-        what, after = AttemptOutcome.SERVED, 1.0
-        if send.worker == HANGING and now < 100.0 + self.hangs_for:
-            what, after = AttemptOutcome.TIMEOUT, WAITS
+        outcome, after = AttemptOutcome.SERVED, 1.0
+        if send.worker == HANGING and now < 100.0 + self.hangs_for_s:
+            outcome, after = AttemptOutcome.TIMEOUT, CLIENT_TIMEOUT_S
         elif self._running(send.worker, now) >= SLOTS:
-            what, after = AttemptOutcome.REJECTED, 0.002
+            outcome, after = AttemptOutcome.REJECTED, 0.002
         else:
-            self.spans.append((send.worker, now, now + after))
-        self.ended[what] += 1
+            self.runs.append((send.worker, now, now + after))
+        self.ended[outcome] += 1
         load = None
-        if self.late and what != AttemptOutcome.TIMEOUT:
-            free = SLOTS - self._running(send.worker, now + after - self.late)
+        if self.report_age_s and outcome != AttemptOutcome.TIMEOUT:
+            free = SLOTS - self._running(send.worker, now + after - self.report_age_s)
             load = {"x0": float(free), "depth": 0.0}
-        self._later(
-            now + after, interface.AttemptEnded(send.request, send.worker, number, what, True, after, load)
+        self._schedule(
+            now + after, interface.AttemptEnded(send.request, send.worker, number, outcome, True, after, load)
         )
 
 
-@pytest.mark.parametrize("late", [0.0, 5.0])
+@pytest.mark.parametrize("report_age_s", [0.0, 5.0])
 @pytest.mark.parametrize("rate", [3.0, 6.0, 9.0])
-def test_a_worker_that_hangs_costs_an_unsafe_class_its_slots_and_nobody_is_refused_for_it(
-    rate: float, late: float
+def test_hanging_worker_gets_few_unsafe_jobs_and_causes_no_rejection(
+    rate: float, report_age_s: float
 ) -> None:
-    play = Play([1.0] * WORKERS, hangs_for=60.0, late=late)
-    play.jobs(rate, 60.0)
-    there = [at for at, worker, _ in play.sent if worker == HANGING]
-    first = [at for at in there if at < there[0] + WAITS]
-    assert (
-        1 <= len(first) <= 4
-    )  # of up to 225: two slots before any worker has taught better, and those it seems to gain
-    assert (
-        len(there) - len(first) <= len(first) + (60.0 - WAITS) / MAX_EJECTION_S
-    )  # then one at a time, ever rarer
-    assert max(Counter(request for _, _, request in play.sent).values()) == 1  # none has been sent twice
-    assert not play.ended[interface.Reject.__name__]
-    assert not play.ended[interface.Fail.__name__]
-
-
-def test_weights_that_follow_the_load_late_move_nobody() -> None:
-    """They are the same for all dispatchers: going by them, all would swing together between the workers."""
-    steady, swinging = Play([1.0] * WORKERS), Play([1.0] * WORKERS)
-    for turn in range(20):
-        swinging.list_again(100.6 + turn, [0.1 if (n + turn) % 2 else 3.0 for n in range(WORKERS)])
-        steady.list_again(100.6 + turn, [1.0] * WORKERS)
-    for play in (steady, swinging):
-        play.jobs(6.0, 25.0)
+    simulation = Simulation([1.0] * WORKERS, hangs_for_s=60.0, report_age_s=report_age_s)
+    simulation.run_jobs(rate, 60.0)
+    sent_to_hanging = [at for at, worker, _ in simulation.sent if worker == HANGING]
+    first = [at for at in sent_to_hanging if at < sent_to_hanging[0] + CLIENT_TIMEOUT_S]
+    # Of up to 225 jobs it first gets two, the initial limit, and a few more as its kind's limit is learned.
+    assert 1 <= len(first) <= 4
+    # Later it gets one at a time on probation, more and more rarely.
+    assert len(sent_to_hanging) - len(first) <= len(first) + (60.0 - CLIENT_TIMEOUT_S) / MAX_EJECTION_S
+    # No job is sent twice.
+    assert max(Counter(request for _, _, request in simulation.sent).values()) == 1
+    assert not simulation.ended[interface.Reject.__name__]
+    assert not simulation.ended[interface.Fail.__name__]
+
+
+def test_weights_in_the_list_do_not_change_routing() -> None:
+    """All dispatchers get the same weights. If they used them, all would move to the same workers at once."""
+    steady, swinging = Simulation([1.0] * WORKERS), Simulation([1.0] * WORKERS)
+    for step in range(20):
+        swinging.update_list(100.6 + step, [0.1 if (n + step) % 2 else 3.0 for n in range(WORKERS)])
+        steady.update_list(100.6 + step, [1.0] * WORKERS)
+    for simulation in (steady, swinging):
+        simulation.run_jobs(6.0, 25.0)
     assert swinging.sent == steady.sent
     assert len(steady.sent) == 150
 
 
-@pytest.mark.parametrize(("late", "most"), [(0.0, 1.0), (5.0, 1.25)])
-def test_clients_that_come_again_three_times_at_once_do_not_multiply_the_work_of_a_full_fleet(
-    late: float, most: float
+@pytest.mark.parametrize(("report_age_s", "max_attempts_per_run"), [(0.0, 1.0), (5.0, 1.25)])
+def test_immediate_client_retries_do_not_multiply_work_when_full(
+    report_age_s: float, max_attempts_per_run: float
 ) -> None:
-    """Twice as many jobs as the fleet can run, and each refusal brings another, up to three: of all that the workers
-    see attempts for the jobs that they run, and with reports 5 s late a fourth more, which they turn away.
+    """Clients send twice as many jobs as the fleet can run, and retry each rejected one up to three times.
+
+    The workers must receive only the jobs that they run; with load reports 5 s old a fourth more, which they
+    reject.
     """
-    play = Play([1.0] * WORKERS, late=late, retries=3)
-    play.jobs(2.0 * WORKERS * SLOTS, 20.0)
-    wanted, run = 2 * WORKERS * SLOTS * 20, len(play.spans)
-    assert wanted + len(play.tries) > 2 * wanted  # the clients did come again
-    assert len(play.sent) <= most * run
-    assert run >= 0.7 * wanted / 2  # of what the fleet can run
-    ends = Counter(request for _, _, request in play.sent)
-    assert len(ends) >= run
-    assert max(ends.values()) <= 4
+    simulation = Simulation([1.0] * WORKERS, report_age_s=report_age_s, retries=3)
+    simulation.run_jobs(2.0 * WORKERS * SLOTS, 20.0)
+    job_count, run = 2 * WORKERS * SLOTS * 20, len(simulation.runs)
+    assert job_count + len(simulation.retry_counts) > 2 * job_count  # the clients did retry
+    assert len(simulation.sent) <= max_attempts_per_run * run
+    assert run >= 0.7 * job_count / 2  # the fleet can run half of the jobs
+    attempts_by_request = Counter(request for _, _, request in simulation.sent)
+    assert len(attempts_by_request) >= run
+    assert max(attempts_by_request.values()) <= 4
--- a/tests/policy/test_placement.py
+++ b/tests/policy/test_placement.py
@@ -1,4 +1,4 @@
-"""Decisions on placement."""
+"""Placement: limits, cold workers, leaving workers, and the subscription to the list."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 from beaconhinge.quota_snapshots import record
 
 
-def test_width_and_threshold_are_respected() -> None:
+def test_job_is_queued_when_all_workers_are_at_their_limit() -> None:
     dispatcher = started(count=2)
     for worker in dispatcher.workers.values():
         worker.learned_limit = 2.0
@@ -24,7 +24,7 @@
     assert dispatcher.placement.queue.by_kind[-1]
 
 
-def test_a_freed_slot_goes_to_the_held_job() -> None:
+def test_freed_slot_goes_to_the_queued_job() -> None:
     dispatcher = started(count=1)
     dispatcher.workers[100].learned_limit = 1.0
     dispatcher.handle(100.0, job(1))
@@ -32,7 +32,7 @@
     assert [s.request for s in sends(dispatcher.handle(100.3, outcome(1, 100, AttemptOutcome.SERVED)))] == [2]
 
 
-def test_threshold_learns_from_free_slots_and_from_full() -> None:
+def test_limit_is_learned_from_free_slots_and_rejections() -> None:
     dispatcher = started(
         count=1, report__source="answers", report__names="tps,x0", familyInfo__reportX0="free_slots"
     )
@@ -48,7 +48,7 @@
     assert dispatcher.admission.rejections == 1
 
 
-def test_a_cold_worker_gets_less_than_a_warm_one_from_its_first_second() -> None:
+def test_cold_worker_gets_less_work_than_a_warm_one() -> None:
     def placed(started_at: float, hint: float) -> int:
         dispatcher = started(count=0, groupSize="3")
         dispatcher.handle(
@@ -59,14 +59,19 @@
         dispatcher.estimates.seconds_per_work = 1.0
         return sum(bool(sends(dispatcher.handle(102.0, job(n, size_hint=hint)))) for n in range(1, 20))
 
-    # A third of 0.75 of fall_multiple x ramp x slots x tip_after is the work that may be sent in any second.
-    assert placed(started_at=101.99, hint=0.1) == 8  # 0.8 s: light jobs fill the slots
-    assert placed(started_at=98.0, hint=0.4) == 7  # 3.1 s
+    # 0.75 x overload_multiple x ramp x slots x overload_window_s is the work that all three dispatchers may
+    # send in any second; a third of it is this dispatcher's.
+    assert placed(started_at=101.99, hint=0.1) == 8  # these short jobs, 0.8 s in all, fill the slots first
+    assert placed(started_at=98.0, hint=0.4) == 7  # of a budget of 3.1 s
     assert placed(started_at=0.0, hint=0.4) == 8
 
 
-def test_a_cold_workers_budget_counts_a_class_by_what_its_jobs_take_on_that_kind() -> None:
-    """All classes were counted at the mean of all, weighed to short ones: long jobs pushed it over threefold."""
+def test_cold_budget_counts_jobs_by_class_and_kind_of_worker() -> None:
+    """The work of a job is the mean of its class on that kind of worker.
+
+    If jobs of all classes counted as the mean of all, which short jobs dominate, long jobs would overload a
+    cold worker threefold.
+    """
 
     def placed(cls: int, seconds: float) -> int:
         dispatcher = started(count=0, groupSize="3")
@@ -80,12 +85,12 @@
                 dispatcher.estimates.work_by_class.record(dispatcher.settings.classes[cls], kind, work, 1.0)
         return sum(bool(sends(dispatcher.handle(102.0, job(n, cls, size_hint=0.0)))) for n in range(1, 20))
 
-    assert placed(cls=0, seconds=0.1) == 7  # at the mean of all, 0.4 s, of 3.1 s
+    assert placed(cls=0, seconds=0.1) == 7  # the mean of all jobs, 0.4 s, counts, of a budget of 3.1 s
     assert placed(cls=0, seconds=1.0) == placed(cls=2, seconds=1.0) == 3
     assert placed(cls=2, seconds=4.0) == 0
 
 
-def test_a_cold_workers_budget_goes_by_its_kinds_slots_where_its_own_seem_more() -> None:
+def test_cold_budget_uses_the_smaller_of_own_and_kinds_limit() -> None:
     dispatcher = started(count=0)
     dispatcher.handle(102.0, interface.MembershipUpdate(UpdateKind.SNAPSHOT, 2, members(1, started_at=98.0)))
     (
@@ -97,19 +102,21 @@
         2.0,
         1.0,
     )
-    # 0.75 x 3 x 0.52 x 2 slots x 1 s: 2.3 s
+    # The budget is 0.75 x 3 x 0.52 x 2 slots x 1 s = 2.3 s.
     assert sum(bool(sends(dispatcher.handle(102.0, job(n, size_hint=0.4)))) for n in range(1, 20)) == 5
 
 
-@pytest.mark.parametrize("books", [False, True])
-def test_what_an_earlier_life_may_have_sent_to_a_cold_worker_counts_until_its_time_is_over(
-    books: bool,
+@pytest.mark.parametrize("restored", [False, True])
+def test_cold_budget_counts_sends_of_an_earlier_process(
+    restored: bool,
 ) -> None:
-    """A process that was killed and came back in time had its budget anew; with books, which say nothing of that,
-    also after this was mended: they moved the start back by which it is known.
+    """A process that is killed and restarted has no record of what it sent to a cold worker before.
+
+    It must not use the worker's budget until the window has passed since its own start. Restoring a quota
+    snapshot, which has no record of these sends either, must not move that start back.
     """
-    dispatcher = started(count=0)  # at 100.0; the budget is over 1 s
-    if books:
+    dispatcher = started(count=0)  # started at 100.0; the window of the budget is 1 s
+    if restored:
         record.restore(dispatcher, record.take(dispatcher, 100.0), 100.0, 0.0)
         dispatcher.quotas.tokens = [99.0] * len(dispatcher.quotas.tokens)
     for now, started_at, expected in ((100.9, 99.0, False), (100.95, 100.5, True), (101.1, 99.0, True)):
@@ -122,7 +129,7 @@
         assert bool(sends(dispatcher.handle(now, job(int(now * 100), size_hint=0.1)))) is expected
 
 
-def test_a_restart_under_the_same_id_is_cold_again() -> None:
+def test_restart_under_the_same_id_resets_health_and_start() -> None:
     dispatcher = started(count=1)
     dispatcher.workers[100].failure_rate = 0.9
     dispatcher.handle(105.0, interface.MembershipUpdate(UpdateKind.CHANGES, 2, members(1, started_at=105.0)))
@@ -131,7 +138,7 @@
     assert worker.started_at == 105.0
 
 
-def test_drained_and_missing_workers_get_nothing_at_once() -> None:
+def test_draining_and_unlisted_workers_get_no_jobs() -> None:
     dispatcher = started(count=2)
     dispatcher.handle(
         100.0,
@@ -142,13 +149,13 @@
     assert not sends(dispatcher.handle(100.0, job(9)))
 
 
-@pytest.mark.parametrize("how", [UpdateKind.CHANGES, UpdateKind.SNAPSHOT, UpdateKind.BOOTSTRAP])
-def test_idle_connections_to_a_leaving_worker_are_given_back(how: str) -> None:
+@pytest.mark.parametrize("update_kind", [UpdateKind.CHANGES, UpdateKind.SNAPSHOT, UpdateKind.BOOTSTRAP])
+def test_idle_connections_to_a_leaving_worker_are_closed(update_kind: str) -> None:
     dispatcher = started(count=1, rules__drainRelease="0.8")
     dispatcher.handle(100.0, job(1))
     leaving = [interface.MemberEntry(100, WorkerState.DRAINING)]
     assert interface.CloseIdleConnections(100) in dispatcher.handle(
-        101.0, interface.MembershipUpdate(how, 2, leaving)
+        101.0, interface.MembershipUpdate(update_kind, 2, leaving)
     )
     assert interface.CloseIdleConnections(100) in dispatcher.handle(
         102.0, outcome(1, 100, AttemptOutcome.SERVED)
@@ -163,19 +170,20 @@
     )
 
 
-def test_subscription_is_asked_again_with_back_off_inside_the_limit() -> None:
+def test_subscription_is_repeated_with_limited_backoff() -> None:
     dispatcher = Dispatcher(settings(membershipMode="on_request", rules__mustAskIn="8"), 3)
     assert interface.SubscribeMembership(True) in dispatcher.handle(100.0, interface.Start())
-    asked, now = [100.0], 100.0
+    subscribed_at, now = [100.0], 100.0
     dispatcher.handle(now, interface.MembershipUpdate(UpdateKind.REFUSED))
     while now < 140.0:
         now += 0.1
         actions = dispatcher.handle(now, interface.TimerFired(TICK_TIMER))
         if interface.SubscribeMembership(True) in actions:
-            asked.append(now)
+            subscribed_at.append(now)
             dispatcher.handle(now, interface.MembershipUpdate(UpdateKind.REFUSED))
-    gaps = [b - a for a, b in zip(asked, asked[1:], strict=False)]
-    # Not asking counts as knowing after four times 8 s when a call was refused; half of that is kept free.
+    gaps = [b - a for a, b in zip(subscribed_at, subscribed_at[1:], strict=False)]
+    # After a refusal, a dispatcher is held to know the list after four times 8 s. The back-off uses half of
+    # that time.
     assert len(gaps) > 5
     assert max(gaps) <= 16.2
     assert sum(gaps[:3]) < sum(gaps[-3:])
--- a/tests/policy/test_policy_peers.py
+++ b/tests/policy/test_policy_peers.py
@@ -1,4 +1,4 @@
-"""Decisions on peers."""
+"""Reports and deltas of peers: demand shares, slots in use and failures of workers."""
 
 from __future__ import annotations
 
@@ -13,23 +13,25 @@
 from beaconhinge.policy.dispatcher import REPORT_TIMER, TICK_TIMER
 
 
-def report(incarnation: int, sequence: int, allowed: float, out: int = 0) -> interface.PeerMessage:
-    slots = [(codec.worker_key(100), out)] if out else []
+def report(incarnation: int, sequence: int, allowed: float, in_flight: int = 0) -> interface.PeerMessage:
+    slots = [(codec.worker_key(100), in_flight)] if in_flight else []
     body = codec.DemandReport(incarnation, sequence, 0.5, [(0, 0, allowed, 0.0)], in_flight=slots)
     return interface.PeerMessage(1, codec.encode_report(body))
 
 
-def news(incarnation: int, sequence: int, *entries: tuple[int, int]) -> interface.PeerMessage:
-    told = [(codec.worker_key(worker), what) for worker, what in entries]
-    return interface.PeerMessage(1, codec.encode_deltas(codec.DeltaMessage(incarnation, sequence, told)))
+def deltas(incarnation: int, sequence: int, *entries: tuple[int, int]) -> interface.PeerMessage:
+    keyed_entries = [(codec.worker_key(worker), kind) for worker, kind in entries]
+    return interface.PeerMessage(
+        1, codec.encode_deltas(codec.DeltaMessage(incarnation, sequence, keyed_entries))
+    )
 
 
-def test_a_new_bucket_reports_at_once() -> None:
+def test_new_bucket_is_reported_at_once() -> None:
     actions = group(1, 0).handle(100.0, job(1))
     assert any(isinstance(a, interface.SendToPeer) for a in actions)
 
 
-def test_one_nth_until_the_peer_is_heard_then_by_demand() -> None:
+def test_demand_share_is_one_nth_until_the_peer_reports() -> None:
     dispatcher = group(1, 0)
     dispatcher.handle(100.0, job(1))
     dispatcher.handle(100.5, interface.TimerFired(REPORT_TIMER))
@@ -38,7 +40,7 @@
     assert dispatcher.admission.own_demand_share(dispatcher.admission.total_demand()) < 0.1
 
 
-def test_stale_repeated_and_foreign_reports_change_nothing() -> None:
+def test_stale_repeated_and_invalid_reports_are_ignored() -> None:
     dispatcher = group(1, 0)
     dispatcher.handle(100.0, report(5, 10, 5.0))
     before = dict(dispatcher.gossip.peers[1].demand)
@@ -53,65 +55,66 @@
     assert 3 not in dispatcher.gossip.peers
 
 
-def test_a_restarted_peer_loses_its_old_usage_at_once() -> None:
+def test_restarted_peer_loses_its_old_demand_at_once() -> None:
     dispatcher = group(1, 0)
     dispatcher.handle(100.0, report(5, 10, 500.0))
     dispatcher.handle(100.5, report(6, 1, 0.5))
     assert sum(dispatcher.gossip.peers[1].demand.values()) == pytest.approx(1.0, rel=0.1)
 
 
-def test_a_silent_peer_is_aged_out_with_its_slots() -> None:
+def test_silent_peer_is_forgotten_with_its_slots() -> None:
     dispatcher = group(1, 0)
-    dispatcher.handle(100.0, report(5, 1, 5.0, out=3))
+    dispatcher.handle(100.0, report(5, 1, 5.0, in_flight=3))
     assert dispatcher.limits.slots_in_flight(dispatcher.workers[100]) == 3
     dispatcher.handle(110.0, interface.TimerFired(TICK_TIMER))
     assert dispatcher.limits.slots_in_flight(dispatcher.workers[100]) == 0
     assert not dispatcher.gossip.peers[1].demand
 
 
-def test_news_count_what_a_peer_has_out_and_a_report_mends_what_was_lost() -> None:
+def test_deltas_count_slots_and_a_report_corrects_lost_ones() -> None:
+    """Deltas may be lost, repeated or late; the next report contains the true number of slots."""
     dispatcher, worker = group(1, 0), 100
-    out = lambda: dispatcher.limits.slots_in_flight(dispatcher.workers[worker])  # noqa: E731
-    dispatcher.handle(100.0, news(5, 1, (worker, codec.DeltaKind.SENT)))
-    assert out() == 1
-    dispatcher.handle(100.0, report(5, 2, 1.0, out=1))
+    slots = lambda: dispatcher.limits.slots_in_flight(dispatcher.workers[worker])  # noqa: E731
+    dispatcher.handle(100.0, deltas(5, 1, (worker, codec.DeltaKind.SENT)))
+    assert slots() == 1
+    dispatcher.handle(100.0, report(5, 2, 1.0, in_flight=1))
     sent, ended = (worker, codec.DeltaKind.SENT), (worker, codec.DeltaKind.SERVED)
-    for message, there in (
-        (news(5, 3, sent, sent), 3),
-        (news(5, 3, sent, sent), 3),
-        (news(5, 2, sent), 3),
-        (news(5, 5, ended, ended, ended, ended), 0),
-        (news(5, 6, sent), 1),
-        (report(5, 7, 1.0, out=4), 4),
-        (news(6, 8, sent), 1),
-        (report(6, 9, 1.0, out=2), 2),
+    for message, expected_slots in (
+        (deltas(5, 3, sent, sent), 3),
+        (deltas(5, 3, sent, sent), 3),
+        (deltas(5, 2, sent), 3),
+        (deltas(5, 5, ended, ended, ended, ended), 0),
+        (deltas(5, 6, sent), 1),
+        (report(5, 7, 1.0, in_flight=4), 4),
+        (deltas(6, 8, sent), 1),
+        (report(6, 9, 1.0, in_flight=2), 2),
     ):
         dispatcher.handle(100.1, message)
-        assert out() == there
-    dispatcher.handle(100.2, interface.PeerMessage(1, news(6, 10, sent).payload[:-1]))
-    dispatcher.handle(
-        100.2, news(6, 10, (999, codec.DeltaKind.SENT))
-    )  # of a worker that the own list has not named
-    assert out() == 2
+        assert slots() == expected_slots
+    dispatcher.handle(100.2, interface.PeerMessage(1, deltas(6, 10, sent).payload[:-1]))
+    # Deltas of a worker that is not in the own list are ignored.
+    dispatcher.handle(100.2, deltas(6, 10, (999, codec.DeltaKind.SENT)))
+    assert slots() == 2
     assert 999 not in dispatcher.workers
 
 
-def test_failures_that_peers_tell_of_bench_a_worker_and_their_successes_bring_it_back() -> None:
+def test_peers_failures_eject_a_worker_and_successes_restore_it() -> None:
     dispatcher = group(1, 0)
     dispatcher.handle(100.0, report(5, 1, 1.0))
     worker = dispatcher.workers[100]
-    dispatcher.handle(100.0, news(5, 2, (100, codec.DeltaKind.FAILED)))
-    assert not worker.on_probation  # one word alone does not bench
-    dispatcher.handle(100.1, news(5, 3, (100, codec.DeltaKind.FAILED)))
+    dispatcher.handle(100.0, deltas(5, 2, (100, codec.DeltaKind.FAILED)))
+    assert not worker.on_probation  # one failure that a peer reports does not eject a worker
+    dispatcher.handle(100.1, deltas(5, 3, (100, codec.DeltaKind.FAILED)))
     assert worker.on_probation
     assert worker.ejected_until > 100.1
     for sequence in range(4, 8):
-        dispatcher.handle(100.2, news(5, sequence, (100, codec.DeltaKind.SERVED)))
+        dispatcher.handle(100.2, deltas(5, sequence, (100, codec.DeltaKind.SERVED)))
     assert not worker.on_probation
     assert worker.ejected_until < 100.2
 
 
-def test_a_peer_that_holds_all_slots_does_not_starve_this_dispatcher() -> None:
+def test_peer_with_all_slots_does_not_starve_this_dispatcher() -> None:
+    """A peer that holds all slots could refill them forever, so this dispatcher may use its share of them."""
     dispatcher = group(1, 0)
     body = codec.DemandReport(5, 1, 0.5, in_flight=[(codec.worker_key(100 + i), 2) for i in range(4)])
     dispatcher.handle(100.0, interface.PeerMessage(1, codec.encode_report(body)))
@@ -124,14 +127,14 @@
     )
     data = codec.encode_report(full)
     assert len(data) <= codec.MAX_BYTES
-    back = codec.decode(data)
-    assert isinstance(back, codec.DemandReport)
-    assert back.limits == full.limits
-    assert back.in_flight
-    assert back.in_flight == full.in_flight[: len(back.in_flight)]
-    for told, was in zip(back.buckets, full.buckets, strict=True):
-        assert told[:2] == was[:2]
-        assert told[2:] == pytest.approx(was[2:], rel=0.05)
+    decoded = codec.decode(data)
+    assert isinstance(decoded, codec.DemandReport)
+    assert decoded.limits == full.limits
+    assert decoded.in_flight
+    assert decoded.in_flight == full.in_flight[: len(decoded.in_flight)]
+    for decoded_bucket, bucket in zip(decoded.buckets, full.buckets, strict=True):
+        assert decoded_bucket[:2] == bucket[:2]
+        assert decoded_bucket[2:] == pytest.approx(bucket[2:], rel=0.05)
     for bad in (data[:-1], data + b"\0", b"\0" + data[1:], b""):
         assert codec.decode(bad) is None
     short = codec.encode_deltas(codec.DeltaMessage(7, 300, [(w, w % 4) for w in range(300)]))
--- a/tests/policy/test_policy_rules.py
+++ b/tests/policy/test_policy_rules.py
@@ -1,4 +1,4 @@
-"""The four rules over generated histories, and offenders that show that the checker can fail."""
+"""Checks generated histories against the four rules, and shows that the checker finds violations."""
 
 from __future__ import annotations
 
@@ -93,7 +93,9 @@
     assert logs[0] == logs[1]
 
 
-def offender(answer: list[interface.Action], when: type) -> PolicyDriver:
+def scripted_driver(answer: list[interface.Action], when: type) -> PolicyDriver:
+    """Return a driver of a policy that answers events of one type with these actions, others with none."""
+
     def policy(now: float, event: interface.Event) -> list[interface.Action]:
         return list(answer) if isinstance(event, when) else []
 
@@ -102,16 +104,16 @@
     return driver
 
 
-def test_checker_sees_a_lost_request() -> None:
-    driver = offender([], interface.JobArrived)
+def test_checker_finds_a_request_without_an_answer() -> None:
+    driver = scripted_driver([], interface.JobArrived)
     driver.feed(job(1))
     driver.advance(driver.now + 5)
     driver.checker.end(driver.now)
     assert driver.checker.broken == ["1: no answer for 1"]
 
 
-def test_checker_sees_a_send_after_the_end() -> None:
-    driver = offender([interface.Reject(1), interface.SendAttempt(1, 100)], interface.JobArrived)
+def test_checker_finds_a_send_after_the_final_answer() -> None:
+    driver = scripted_driver([interface.Reject(1), interface.SendAttempt(1, 100)], interface.JobArrived)
     driver.feed(job(1))
     assert driver.checker.broken == ["1: send after the end of 1"]
 
@@ -120,8 +122,8 @@
     ("answer", "cls"),
     [(interface.SendAttempt(1, 100), 2), (interface.Reject(1), 2), (interface.SendAttempt(1, 101), 1)],
 )
-def test_checker_sees_a_second_effect(answer: interface.Action, cls: int) -> None:
-    driver = offender([answer], interface.AttemptEnded)
+def test_checker_finds_a_job_that_may_run_twice(answer: interface.Action, cls: int) -> None:
+    driver = scripted_driver([answer], interface.AttemptEnded)
     driver.feed(job(1, cls))
     driver.checker.actions(driver.now, [interface.SendAttempt(1, 100)])
     driver.feed(interface.AttemptEnded(1, 100, 0, AttemptOutcome.CONNECTION_LOST))
@@ -129,8 +131,8 @@
     assert driver.checker.broken[0].startswith("2:")
 
 
-def test_checker_sees_a_send_to_a_drained_worker() -> None:
-    driver = offender([interface.SendAttempt(1, 100)], interface.JobArrived)
+def test_checker_finds_a_send_to_a_drained_worker() -> None:
+    driver = scripted_driver([interface.SendAttempt(1, 100)], interface.JobArrived)
     driver.feed(
         interface.MembershipUpdate(UpdateKind.CHANGES, 2, [interface.MemberEntry(100, WorkerState.DRAINING)])
     )
@@ -139,12 +141,12 @@
     assert driver.checker.broken == ["3: send to 100, which has left"]
 
 
-def test_checker_sees_connections_kept_to_a_leaving_worker() -> None:
+def test_checker_finds_connections_kept_to_a_leaving_worker() -> None:
     chosen = settings(rules__drainRelease="0.8")
-    for given_back in (False, True):
+    for are_closed in (False, True):
         driver = PolicyDriver(
             chosen,
-            lambda _now, _event, back=given_back: [interface.CloseIdleConnections(100)] if back else [],
+            lambda _now, _event, close=are_closed: [interface.CloseIdleConnections(100)] if close else [],
         )
         driver.feed(interface.MembershipUpdate(UpdateKind.SNAPSHOT, 1, members(2)))
         driver.feed(
@@ -153,11 +155,11 @@
             )
         )
         driver.checker.end(driver.now + 1.0)
-        assert bool(driver.checker.broken) != given_back
+        assert bool(driver.checker.broken) != are_closed
 
 
-def test_checker_sees_a_cold_worker_pushed_over() -> None:
-    driver = offender([], interface.JobArrived)
+def test_checker_finds_an_overloaded_cold_worker() -> None:
+    driver = scripted_driver([], interface.JobArrived)
     driver.feed(
         interface.MembershipUpdate(UpdateKind.CHANGES, 2, [interface.MemberEntry(100, started_at=driver.now)])
     )
--- a/tests/policy/test_policy_settings.py
+++ b/tests/policy/test_policy_settings.py
@@ -1,4 +1,4 @@
-"""Settings as path=value pairs."""
+"""Reading of settings from path=value pairs."""
 
 from __future__ import annotations
 
@@ -24,12 +24,12 @@
         ("requestClasses.0.semantics", "odd"),
     ],
 )
-def test_senseless_settings_name_their_key(key: str, value: str) -> None:
+def test_invalid_settings_raise_an_error_with_their_key(key: str, value: str) -> None:
     with pytest.raises(ValueError, match=key.replace(".", r"\.")):
         interface.Settings.from_pairs({**PAIRS, key: value})
 
 
-def test_unknown_keys_are_skipped_and_absent_ones_have_defaults() -> None:
-    read = interface.Settings.from_pairs({"requestClasses.count": "1", "later.invention": "1"})
-    assert read.classes[0].semantics == Semantics.RETRYABLE
-    assert read.group_size == 1
+def test_unknown_keys_are_ignored_and_absent_ones_have_defaults() -> None:
+    parsed = interface.Settings.from_pairs({"requestClasses.count": "1", "later.invention": "1"})
+    assert parsed.classes[0].semantics == Semantics.RETRYABLE
+    assert parsed.group_size == 1
