--- a/tests/policy/test_admission.py
+++ b/tests/policy/test_admission.py
@@ -25,11 +25,13 @@
 
 
 def test_first_rate_estimate_is_not_biased_low() -> None:
+    """Smoothing from 0 would make the first estimates of a rate too low."""
     assert smoothed_rate(0.0, 10.0, 1.0, 0.0) == pytest.approx(10.0)
     assert smoothed_rate(10.0, 10.0, 1.0, 2.0) == pytest.approx(10.0)
 
 
 def test_fleet_rate_is_cut_once_per_interval_and_rises_again() -> None:
+    """A second cut within the interval would come before the first one shows an effect."""
     dispatcher = started()
     for number in range(1, 9):
         dispatcher.handle(100.0 + number * 0.1, job(number))
@@ -46,6 +48,7 @@
 
 
 def test_only_the_tenant_over_its_rate_is_rejected() -> None:
+    """A tenant with too much load must not use up the rate of another one."""
     dispatcher = started(orgs__count="2", orgs__0__share="0.5", orgs__1__share="0.5")
     for number in range(1, 40):
         dispatcher.handle(100.0, job(number, tenant=0))
@@ -65,6 +68,7 @@
 
 
 def test_retry_after_is_random_within_its_limits() -> None:
+    """With equal delays all rejected clients would return at the same time."""
     dispatcher = started(count=0)
     retry_delays = set()
     for number in range(1, 20):
@@ -76,6 +80,7 @@
 
 
 def test_late_client_retry_is_rejected_on_arrival() -> None:
+    """The shorter timeout shows that the first try was 3.2 s ago, so the objective has passed."""
     dispatcher = started()
     assert sends(dispatcher.handle(100.0, job(1)))
     late = dispatcher.handle(103.0, job(2, remaining=0.8))
--- a/tests/policy/test_attempts_and_health.py
+++ b/tests/policy/test_attempts_and_health.py
@@ -15,6 +15,7 @@
 
 @pytest.mark.parametrize("attempt_outcome", [AttemptOutcome.REJECTED, AttemptOutcome.NO_CONNECTION])
 def test_unsafe_job_that_never_ran_is_sent_to_another_worker(attempt_outcome: str) -> None:
+    """These outcomes guarantee that the job never started, so it can't run twice."""
     dispatcher = started()
     first = sends(dispatcher.handle(100.0, job(1, 2)))[0].worker
     again = sends(dispatcher.handle(100.1, outcome(1, first, attempt_outcome)))
@@ -31,6 +32,7 @@
     ],
 )
 def test_unsafe_job_that_may_have_run_is_failed(attempt_outcome: str) -> None:
+    """After these outcomes a retry could run the job a second time."""
     dispatcher = started()
     first = sends(dispatcher.handle(100.0, job(1, 2)))[0].worker
     actions = dispatcher.handle(100.1, outcome(1, first, attempt_outcome))
@@ -39,6 +41,7 @@
 
 
 def test_deduplicated_job_is_retried_only_in_its_cell_and_window() -> None:
+    """In another cell, or after the window of 2 s, a second run would not be dropped."""
     dispatcher = started()
     first = sends(dispatcher.handle(100.0, job(1, 1)))[0].worker
     again = sends(dispatcher.handle(100.1, outcome(1, first, AttemptOutcome.SERVER_ERROR)))
@@ -48,6 +51,7 @@
 
 
 def test_failing_worker_is_ejected_and_gets_one_job_on_probation() -> None:
+    """A worker that fails fast always has free slots and would attract all traffic."""
     dispatcher = started()
     first = sends(dispatcher.handle(100.0, job(1, 2)))[0].worker
     dispatcher.handle(100.1, outcome(1, first, AttemptOutcome.SERVER_ERROR))
@@ -60,6 +64,7 @@
 
 
 def test_at_most_three_quarters_of_the_fleet_are_ejected() -> None:
+    """If nearly all workers fail, the cause is elsewhere, and jobs still need workers."""
     dispatcher = started()
     for number in range(1, 40):
         for send in sends(dispatcher.handle(100.0, job(number, 2))):
@@ -68,6 +73,7 @@
 
 
 def test_rejection_with_free_slots_is_a_failure_not_overload() -> None:
+    """A worker that rejects far below its limit is faulty; the fleet rate must not be cut for it."""
     dispatcher = started()
     for worker in dispatcher.workers.values():
         worker.learned_limit = 4.0
@@ -78,6 +84,7 @@
 
 
 def test_timeout_is_no_failure_of_a_worker_that_sent_progress() -> None:
+    """A job may time out on a healthy worker. Its progress notice shows that the worker runs."""
     dispatcher = started(count=2)
     first = sends(dispatcher.handle(100.0, job(1)))[0].worker
     dispatcher.handle(102.0, interface.ProgressNotice(1, first, 0, NoticeKind.PROGRESS, 0.3))
@@ -98,6 +105,7 @@
 
 
 def test_start_reported_with_the_answer_leaves_speed_finite() -> None:
+    """The run time from start to answer is then 0, and so would be the worker's time per work."""
     dispatcher = started(count=2, familyInfo__tellsStart="true")
     first = sends(dispatcher.handle(100.0, job(1)))[0].worker
     dispatcher.handle(100.5, interface.ProgressNotice(1, first, 0, NoticeKind.STARTED))
--- a/tests/policy/test_large_groups.py
+++ b/tests/policy/test_large_groups.py
@@ -94,6 +94,7 @@
 
 @pytest.mark.parametrize("size", [20, 150, 300])
 def test_report_bytes_per_job_do_not_grow_with_the_group(size: int) -> None:
+    """If each dispatcher reported to all others, bytes per job would grow with the group."""
     group = Group(size)
     group.run(12.0, rate=2.0)
     group.bytes = group.jobs = 0
@@ -131,7 +132,7 @@
     assert sum(demand_shares) == pytest.approx(1.0, rel=0.3)
 
 
-def test_without_peer_reports_demand_share_is_one_nth() -> None:
+def test_without_peer_reports_share_is_one_nth_and_jobs_are_placed() -> None:
     for dispatcher in (member(150), member(150, policyLimits__peers="false")):
         assert dispatcher.admission.own_demand_share(dispatcher.admission.total_demand()) == 1 / 150
         assert sends(dispatcher.handle(100.1, job(1)))
@@ -157,6 +158,7 @@
 @pytest.mark.parametrize("size", [2, 20, 150])
 @pytest.mark.parametrize("age", [0.0, 3.0, 8.0])
 def test_group_stays_within_the_cold_workers_budget_and_uses_it(size: int, age: float) -> None:
+    """Each dispatcher knows only its own sends, but all of them together may overload the worker."""
     now, slots, hint = 100.0, 4.0, 0.3
     group = [member(size, number, workers=0) for number in range(size)]
     sent: list[tuple[float, float]] = []
@@ -221,6 +223,7 @@
 
 @pytest.mark.parametrize(("flags", "rejected"), [(0, False), (RETRY_FLAG, True)])
 def test_shorter_timeout_is_no_retry_where_clients_mark_retries(flags: int, rejected: bool) -> None:
+    """Clients of one class may have different timeouts; only the flag shows a retry."""
     dispatcher = member(2, clients__marksRetry="true")
     dispatcher.handle(100.0, job(1, 2))
     actions = dispatcher.handle(100.1, job(2, 2, remaining=0.8, flags=flags))
@@ -268,6 +271,7 @@
 
 
 def test_small_burst_of_a_tenant_is_within_its_quota() -> None:
+    """This dispatcher's share of the quota is 0.2 jobs per second, but jobs arrive in bursts."""
     dispatcher = member(150, orgs__count="1", orgs__0__quotaRps="30", orgs__0__share="1")
     for step in range(200):  # 20 s without a job fill the quota's bucket
         dispatcher.handle(100.0 + step * 0.1, interface.TimerFired(TICK_TIMER))
@@ -308,6 +312,7 @@
 
 
 def test_refused_fetch_is_repeated_with_growing_limited_delay() -> None:
+    """Discovery that refuses must get fewer requests, but the list must not get too old."""
     dispatcher, now, waits = member(40, membershipMode="on_request"), 100.0, []
     for _ in range(60):
         dispatcher.handle(now, interface.MembershipUpdate(UpdateKind.REFUSED))
--- a/tests/policy/test_load_probing.py
+++ b/tests/policy/test_load_probing.py
@@ -50,6 +50,7 @@
 
 
 def test_missing_probe_results_delay_a_job_by_one_tick_at_most() -> None:
+    """A probe may be lost. A job must not wait for its result until the deadline."""
     dispatcher = started(20, **WITHOUT_PEER_MESSAGES)
     workers = probed_workers(dispatcher.handle(101.0, job(1)))
     assert not sends(probe_result(dispatcher, 101.002, workers[0], free=3.0))
@@ -73,6 +74,7 @@
 
 
 def test_job_without_any_worker_gets_one_final_answer_in_time() -> None:
+    """Without a worker to probe, no probe result would ever end the wait."""
     dispatcher = started(0, **WITHOUT_PEER_MESSAGES)
     assert dispatcher.handle(101.0, job(1, remaining=2.0)) == []
     ends = [
@@ -98,6 +100,7 @@
 
 
 def test_cancelled_job_of_a_silent_worker_is_a_failure() -> None:
+    """A client that leaves early would otherwise hide that the worker hangs."""
     dispatcher = started(4, groupSize="1")
     dispatcher.estimates.mean_latency_s = 0.5
     [send] = sends(dispatcher.handle(101.0, job(1)))
@@ -119,6 +122,8 @@
 
 
 def test_only_large_groups_reserve_workers_for_the_tightest_class() -> None:
+    """Jobs with a tight objective are late when they wait behind long ones."""
+
     def affinities(size: str) -> tuple[list[float], list[float]]:
         dispatcher = started(200, groupSize=size, requestClasses__0__aim="0.2")
         short, long = dispatcher.settings.classes[0], dispatcher.settings.classes[1]
--- a/tests/policy/test_off_wire_events.py
+++ b/tests/policy/test_off_wire_events.py
@@ -173,6 +173,6 @@
 
 
 @pytest.mark.parametrize("deployment", DEPLOYMENTS)
-def test_decisions_match_golden_text(deployment: str) -> None:
+def test_decisions_on_off_wire_events_match_golden_text(deployment: str) -> None:
     expected = (DATA / f"off_wire_{deployment}.txt").read_text()
     assert Script(DEPLOYMENTS[deployment], 5).run().splitlines() == expected.splitlines()
--- a/tests/policy/test_placement.py
+++ b/tests/policy/test_placement.py
@@ -49,6 +49,8 @@
 
 
 def test_cold_worker_gets_less_work_than_a_warm_one() -> None:
+    """A cold worker is overloaded by work that a warm one can do."""
+
     def placed(started_at: float, hint: float) -> int:
         dispatcher = started(count=0, groupSize="3")
         dispatcher.handle(
@@ -91,6 +93,7 @@
 
 
 def test_cold_budget_uses_the_smaller_of_own_and_kinds_limit() -> None:
+    """A worker's own limit may have been learned too high, and its budget would overload it."""
     dispatcher = started(count=0)
     dispatcher.handle(102.0, interface.MembershipUpdate(UpdateKind.SNAPSHOT, 2, members(1, started_at=98.0)))
     (
@@ -130,6 +133,7 @@
 
 
 def test_restart_under_the_same_id_resets_health_and_start() -> None:
+    """Failures of the previous process must not count against the new one."""
     dispatcher = started(count=1)
     dispatcher.workers[100].failure_rate = 0.9
     dispatcher.handle(105.0, interface.MembershipUpdate(UpdateKind.CHANGES, 2, members(1, started_at=105.0)))
@@ -151,6 +155,7 @@
 
 @pytest.mark.parametrize("update_kind", [UpdateKind.CHANGES, UpdateKind.SNAPSHOT, UpdateKind.BOOTSTRAP])
 def test_idle_connections_to_a_leaving_worker_are_closed(update_kind: str) -> None:
+    """The rules require this within `rules.drainRelease` seconds, also after later outcomes."""
     dispatcher = started(count=1, rules__drainRelease="0.8")
     dispatcher.handle(100.0, job(1))
     leaving = [interface.MemberEntry(100, WorkerState.DRAINING)]
@@ -171,6 +176,7 @@
 
 
 def test_subscription_is_repeated_with_limited_backoff() -> None:
+    """Repeated requests must get rarer, but not so rare that the list is older than the rules allow."""
     dispatcher = Dispatcher(settings(membershipMode="on_request", rules__mustAskIn="8"), 3)
     assert interface.SubscribeMembership(True) in dispatcher.handle(100.0, interface.Start())
     subscribed_at, now = [100.0], 100.0
--- a/tests/policy/test_policy_peers.py
+++ b/tests/policy/test_policy_peers.py
@@ -27,6 +27,7 @@
 
 
 def test_new_bucket_is_reported_at_once() -> None:
+    """Until peers know of a new tenant's demand they take too large a share of its rate."""
     actions = group(1, 0).handle(100.0, job(1))
     assert any(isinstance(a, interface.SendToPeer) for a in actions)
 
@@ -41,6 +42,7 @@
 
 
 def test_stale_repeated_and_invalid_reports_are_ignored() -> None:
+    """Datagrams may be reordered, repeated or damaged, or come from an unknown peer."""
     dispatcher = group(1, 0)
     dispatcher.handle(100.0, report(5, 10, 5.0))
     before = dict(dispatcher.gossip.peers[1].demand)
@@ -56,6 +58,7 @@
 
 
 def test_restarted_peer_loses_its_old_demand_at_once() -> None:
+    """The demand of the peer's previous process would reduce this dispatcher's share."""
     dispatcher = group(1, 0)
     dispatcher.handle(100.0, report(5, 10, 500.0))
     dispatcher.handle(100.5, report(6, 1, 0.5))
@@ -63,6 +66,7 @@
 
 
 def test_silent_peer_is_forgotten_with_its_slots() -> None:
+    """A peer that has crashed would otherwise hold its slots and demand forever."""
     dispatcher = group(1, 0)
     dispatcher.handle(100.0, report(5, 1, 5.0, in_flight=3))
     assert dispatcher.limits.slots_in_flight(dispatcher.workers[100]) == 3
--- a/tests/simulator/test_adapter.py
+++ b/tests/simulator/test_adapter.py
@@ -60,6 +60,7 @@
 
 
 def test_retire_and_power_on_in_one_batch_reset_an_instance() -> None:
+    """Events of requests of the retired instance must not reach the new one."""
     exit_status, lines, _ = run(
         batch(1, power_on(0), work_item(0, 7))
         + batch(2, "RETIRE\t0\n", power_on(0, 6), now=101.0)
@@ -160,6 +161,7 @@
 
 
 def test_instances_act_the_same_together_and_alone() -> None:
+    """Instances in one process must not share any state."""
     together = run(transcript([0, 1, 2]))[1]
     for instance in range(3):
         assert lines_of(together, instance) == lines_of(run(transcript([instance]))[1], instance)
