--- a/beaconhinge/policy/admission.py
+++ b/beaconhinge/policy/admission.py
@@ -189,7 +189,7 @@
             bucket_rate = tenant_rates[tenant] * demand[key] / wanted[tenant] if wanted[tenant] > 0 else 0.0
             bucket.rate = max(bucket_rate * own_share, MIN_RATE)
 
-    def entries(self) -> list[codec.BucketUsage]:
+    def usage_since_report(self) -> list[codec.BucketUsage]:
         """Work admitted and rejected since the last report, for each bucket that had any."""
         return [
             codec.BucketUsage(*key, bucket.allowed, bucket.denied)
--- a/beaconhinge/policy/attempt_outcomes.py
+++ b/beaconhinge/policy/attempt_outcomes.py
@@ -36,7 +36,7 @@
         slow_start: SlowStart,
         outliers: OutlierDetection,
     ) -> None:
-        """Update these components."""
+        """Keep the components to update."""
         self._context = context
         self._workers = workers
         self._admission = admission
--- a/beaconhinge/policy/interface/settings.py
+++ b/beaconhinge/policy/interface/settings.py
@@ -19,12 +19,12 @@
     latency_objective_s: float
     deadline_s: float
     semantics: Semantics = Semantics.RETRYABLE
-    dedup_group: str = "all"
-    dedup_window_s: float = 0.0
-    late_value: float = 0.0
+    dedup_group: str = "all"  # workers that share deduplication: "all", those of a "zone" or of a "cell"
+    dedup_window_s: float = 0.0  # time from the first try in which a second run is dropped
+    late_value: float = 0.0  # value of an answer after the objective; 0: none
     importance: float = 1.0
     objective_stretch: float = 0.0
-    worker_kind: int = -1
+    worker_kind: int = -1  # kind of worker that may run it; -1: any
     stream: bool = False
     priority: int = 0
 
@@ -61,13 +61,14 @@
     reports_start: bool = False
     free_slots_field: str = ""  # field of load reports with the number of free slots; "": none
     queue_field: str = ""  # field of load reports with the number of queued jobs; "": none
-    over_quota_value: float = 1.0
+    over_quota_value: float = 1.0  # value of an over-quota job relative to one within the quota
     answer_grace_s: float = 0.0
     drain_grace_s: float = 0.0
     # Seconds within which idle connections to a draining worker must be closed; 0: not required.
     drain_close_within_s: float = 0.0
-    slow_start_min_share: float = 1.0
-    slow_start_s: float = 0.0
+    slow_start_min_share: float = 1.0  # share of its full capacity that a worker has at its start
+    slow_start_s: float = 0.0  # time in which a worker warms up to its full capacity
+    # A cold worker is overloaded by more than this many times the work that it can do within the window.
     overload_multiple: float = 1.0
     overload_window_s: float = 1.0
     quantum: float = 0.001
--- a/beaconhinge/policy/membership.py
+++ b/beaconhinge/policy/membership.py
@@ -41,8 +41,8 @@
     def fetch(self) -> None:
         """Request the list from discovery, where it is on request, and schedule the next request.
 
-        A dispatcher that has not requested the list for longer than the maximum age is held to know its
-        changes; after a refusal, for longer than four times that.
+        The rules treat a dispatcher that has not requested the list for longer than the maximum age as if it
+        had received all changes. After a refused request, they do so after four times the maximum age.
         """
         settings = self._context.settings
         if settings.membership_on_request:
--- a/beaconhinge/policy/peer_reports.py
+++ b/beaconhinge/policy/peer_reports.py
@@ -40,7 +40,7 @@
         limits: ConcurrencyLimits,
         estimates: WorkEstimates,
     ) -> None:
-        """Report the counts of these components."""
+        """Keep the components whose counts are reported."""
         self._context = context
         self._gossip = gossip
         self._workers = workers
@@ -65,7 +65,7 @@
     def report(self) -> None:
         """Send the counts to peers and reset them. In a large group, adapt the interval to the bytes sent."""
         span = self._context.now - self.reported_at
-        entries = self._admission.entries()
+        entries = self._admission.usage_since_report()
         delivered = self._gossip.send_report(self._own_report(span, entries))
         if self._context.large_group:
             work = sum(allowed + denied for _, _, allowed, denied in entries)
--- a/beaconhinge/policy/placement.py
+++ b/beaconhinge/policy/placement.py
@@ -105,7 +105,7 @@
                 if worker is not None:
                     self.queue.remove(entry)
                     self.send(request, worker)
-                elif not request.answered and request.first_run is None:
+                elif not request.answered and request.first_possible_run is None:
                     break
         self._router.freed_worker = None
 
--- a/beaconhinge/policy/progress_notices.py
+++ b/beaconhinge/policy/progress_notices.py
@@ -22,7 +22,7 @@
         limits: ConcurrencyLimits,
         stalls: StallDetection,
     ) -> None:
-        """Update these components."""
+        """Keep the components to update."""
         self._context = context
         self._workers = workers
         self._requests = requests
--- a/beaconhinge/policy/request_queue.py
+++ b/beaconhinge/policy/request_queue.py
@@ -27,19 +27,22 @@
 
     Attributes:
         rank: Priority, lower first.
-        until: Time in seconds at which the entry expires.
+        expires_at: Time in seconds at which the entry expires.
         id: Id of the request.
         request: The request.
     """
 
     rank: int
-    until: float
+    expires_at: float
     id: int
     request: Request
 
 
 class RequestQueue:
-    """Queued requests, sorted by rank and then by the time until which they must start."""
+    """Queued requests by kind of worker, sorted by rank and then by the time at which they expire.
+
+    A request that is not late expires when it must have started, and a late one when it is given up.
+    """
 
     def __init__(self, context: Context, retries: RetryPolicy) -> None:
         """Create an empty queue."""
@@ -50,11 +53,11 @@
     def add(self, request: Request) -> bool:
         """Queue a request. Return False if too little time is left to serve it."""
         now = self._context.now
-        late, until = now >= request.start_by, self._retries.give_up_at(request)
-        if now >= until:
+        late, expires_at = now >= request.start_by, self._retries.give_up_at(request)
+        if now >= expires_at:
             return False
-        request.queued, until = True, until if late else min(until, request.start_by)
-        entry = QueuedRequest(2 * late + request.over_quota, until, request.id, request)
+        request.queued, expires_at = True, expires_at if late else min(expires_at, request.start_by)
+        entry = QueuedRequest(2 * late + request.over_quota, expires_at, request.id, request)
         insort(self.by_kind.setdefault(request.request_class.worker_kind, []), entry)
         return True
 
@@ -71,7 +74,7 @@
     def take_expired(self) -> Iterator[QueuedRequest]:
         """Remove expired and answered requests, and yield the entries of those without a final answer."""
         for queue in self.by_kind.values():
-            for entry in [e for e in queue if e.until <= self._context.now or e.request.answered]:
+            for entry in [e for e in queue if e.expires_at <= self._context.now or e.request.answered]:
                 queue.remove(entry)
                 entry.request.queued = False
                 if not entry.request.answered:
--- a/beaconhinge/policy/request_table.py
+++ b/beaconhinge/policy/request_table.py
@@ -45,7 +45,7 @@
     queued: bool = False
 
     @property
-    def first_run(self) -> Attempt | None:
+    def first_possible_run(self) -> Attempt | None:
         """The first attempt that may have run or may still run, or None."""
         return next((a for a in self.attempts if not a.never_ran), None)
 
@@ -77,7 +77,7 @@
 
         It is a rejection if nothing has run or a repeat is harmless, else a failure.
         """
-        if request.first_run is None or request.harmless_to_repeat:
+        if request.first_possible_run is None or request.harmless_to_repeat:
             self.reject(request)
         else:
             self.fail(request)
--- a/beaconhinge/policy/retries.py
+++ b/beaconhinge/policy/retries.py
@@ -22,7 +22,7 @@
         A job that may have run already is sent again only if it is harmless to repeat, or if the worker is in
         the deduplication group that drops a second run, and within its window.
         """
-        cls, first = request.request_class, request.first_run
+        cls, first = request.request_class, request.first_possible_run
         if first is None or cls.semantics == Semantics.RETRYABLE:
             return True
         # The request is written at this time at the latest. The window counts from the first try, because
@@ -38,7 +38,7 @@
         """Whether class, time and number of attempts allow another attempt after the last one failed."""
         if not self.attempts_left(request) or self._context.now >= self.give_up_at(request):
             return False
-        first = request.first_run
+        first = request.first_possible_run
         return first is None or self.may_run_on(request, first.worker)
 
     def attempts_left(self, request: Request) -> bool:
@@ -48,8 +48,9 @@
     def give_up_at(self, request: Request) -> float:
         """Time in seconds at which a queued job is given up.
 
-        Size hints are rough, so it is never before `start_by`, until which a first attempt would be in time.
-        It is at least two ticks before the deadline.
+        Size hints are rough, so a request may start until `start_by`, as long as a first attempt would be in
+        time, even if the hint says that it ends too late. The result is at least two ticks before the
+        deadline.
         """
         last = request.deadline - 2 * self._context.tick_s
         return min(last, max(request.start_by, request.deadline - request.expected_s / MAX_SPEEDUP))
--- a/beaconhinge/policy/slow_start.py
+++ b/beaconhinge/policy/slow_start.py
@@ -36,8 +36,9 @@
 
         Returns:
             1 for a worker that is not cold. For a cold worker, 0 if this dispatcher must not send it the
-            request, so as not to overload it. Otherwise 1 if all dispatchers share its budget, else the ramp
-            multiplied by the group's size over the number of dispatchers that share the budget.
+            request, because that could overload the worker or would be late. Otherwise 1 if all dispatchers
+            share its budget, else the ramp multiplied by the group's size over the number of dispatchers that
+            share the budget.
         """
         if not self.is_cold(worker):
             return 1.0
