--- a/beaconhinge/__init__.py
+++ b/beaconhinge/__init__.py
@@ -1,3 +1,3 @@
-"""beaconhinge: a dispatcher (load balancer) on real sockets round the decisions in `beaconhinge.policy`."""
+"""beaconhinge: a dispatcher (load balancer) that carries out the decisions of `beaconhinge.policy`."""
 
 __version__ = "0.1.0"
--- a/beaconhinge/__main__.py
+++ b/beaconhinge/__main__.py
@@ -1,4 +1,4 @@
-"""The program that `run` starts: configuration, signals at the start, exit status."""
+"""Entry point of the program: reads the configuration, blocks signals at the start, sets the exit status."""
 
 from __future__ import annotations
 
@@ -26,14 +26,14 @@
 
 
 def run(environment: Mapping[str, str]) -> int:
-    """Serve until a signal ends it; returns the exit status.
+    """Serve until SIGTERM or SIGINT, and return the exit status.
 
-    BEACONHINGE_CONFIG names our own TOML, where there is one.
+    The variable BEACONHINGE_CONFIG names the local configuration file (TOML); without it there is none.
     """
-    # libuv's io_uring starts a kernel thread that polls. It took nine tenths of the CPU within half a core,
-    # and the work here ran late. libuv reads this when the loop is made.
+    # With io_uring, libuv starts a kernel thread that polls. Under a limit of half a core that thread took
+    # nine tenths of the CPU, and the dispatcher ran late. libuv reads the variable when the loop is created.
     os.environ["UV_USE_IO_URING"] = "0"
-    # A new configuration may come while this starts: SIGHUP would end a process that has no handler yet.
+    # SIGHUP may arrive during the start; its default action would end the process before the handler is set.
     signal.pthread_sigmask(signal.SIG_BLOCK, SIGNALS_BLOCKED_AT_START)
     local_config: LocalConfig | None = None
     read_local_config: Callable[[], LocalConfig] | None = None
@@ -48,20 +48,23 @@
                 environment = {**environment, "RELAY_CONFIG": local_config.platform.config}
         shared_folder = Path(environment["TMPDIR"]) if environment.get("TMPDIR") else None
         read_config = lambda: load(environment)  # noqa: E731
-        uvloop.run(_serve_to_the_end(serve(read_config, local_config, shared_folder, read_local_config)))
+        uvloop.run(
+            _serve_and_ignore_signals(serve(read_config, local_config, shared_folder, read_local_config))
+        )
     except ConfigError as error:
-        return _complain(f"{error}", EXIT_BAD_CONFIG)
+        return _report_error(f"{error}", EXIT_BAD_CONFIG)
     except Error as error:
-        return _complain(f"cannot start: {error}", EXIT_FAILED)
+        return _report_error(f"cannot start: {error}", EXIT_FAILED)
     except OSError as error:
-        return _complain(f"cannot serve: {error}", EXIT_FAILED)
+        return _report_error(f"cannot serve: {error}", EXIT_FAILED)
     return EXIT_OK
 
 
-async def _serve_to_the_end(serving: Coroutine[None, None, None]) -> None:
-    """Serve, and ignore signals after that: the loop restores the default actions as it closes.
+async def _serve_and_ignore_signals(serving: Coroutine[None, None, None]) -> None:
+    """Await `serving`, then ignore signals, since the event loop restores their default actions as it closes.
 
-    One that came then ended the process with the status of the signal, though all was answered.
+    Without this, a signal during the close ended the process with the signal's status, though every request
+    had been answered.
     """
     await serving
     loop = asyncio.get_running_loop()
@@ -71,8 +74,9 @@
         signal.signal(number, signal.SIG_IGN)
 
 
-def _complain(why: str, status: int) -> int:
-    print(f"beaconhinge: {why}", file=sys.stderr)
+def _report_error(message: str, status: int) -> int:
+    """Print a message to stderr, and return the exit status."""
+    print(f"beaconhinge: {message}", file=sys.stderr)
     return status
 
 
--- a/beaconhinge/application.py
+++ b/beaconhinge/application.py
@@ -1,4 +1,4 @@
-"""The parts of a running dispatcher: built, started and stopped in the order that stands here."""
+"""Builds the components of a dispatcher process, and starts and stops them in the order that they need."""
 
 from __future__ import annotations
 
@@ -27,10 +27,10 @@
 from .runtime.metrics import Metrics
 from .runtime.timer_wheel import TimerWheel
 
-# Blocked from the first moment of `run` until their handlers are set.
+# `run` in `__main__.py` blocks these signals first; `handle_signals` unblocks them once handlers are set.
 SIGNALS_BLOCKED_AT_START = {signal.SIGHUP}
 
-# What only some configurations need is imported where it is built: a start stays lean.
+# Modules that only some configurations need are imported where they are used, to keep the start short.
 if TYPE_CHECKING:
     from .config.local import LocalConfig
     from .net.leases import LeaseService
@@ -45,16 +45,17 @@
     shared_folder: Path | None = None,
     read_local_config: Callable[[], LocalConfig] | None = None,
 ) -> None:
-    """Serve until SIGTERM or SIGINT, and end in good order.
+    """Serve until SIGTERM or SIGINT, then shut down in order.
 
     Args:
-        read_config: reads the platform's configuration, at the start and at each SIGHUP.
-        local_config: our own configuration, where there is one.
-        shared_folder: where a process leaves its address for the one that will replace it.
-        read_local_config: reads our own configuration as it is now.
+        read_config: reads the platform's configuration; called at the start and at each SIGHUP.
+        local_config: the local configuration as read at the start; None if there is none.
+        shared_folder: the folder of the file in which a process publishes its management address to the
+            process that will replace it; None disables upgrades without downtime.
+        read_local_config: reads the local configuration again at a SIGHUP; None if there is none.
 
     Raises:
-        ConfigError: the configuration is faulty.
+        ConfigError: the configuration is invalid.
         Error: an address or the store cannot be used.
         OSError: a socket or a file cannot be used.
     """
@@ -67,9 +68,9 @@
 
 
 class Application:
-    """The composition of the process. The constructor builds the parts that every configuration has.
+    """Owns the components of the process. The constructor builds those that every configuration has.
 
-    `start` adds the others, since they may need what an earlier process hands over.
+    `start` adds the optional ones, since they may need state that an earlier process hands over.
     """
 
     def __init__(
@@ -79,7 +80,7 @@
         shared_folder: Path | None,
         read_local_config: Callable[[], LocalConfig] | None,
     ) -> None:
-        """Build the parts, in the order in which each needs the ones before it; see `serve`."""
+        """Build the components, each after those that it depends on; see `serve` for the arguments."""
         self.read_config = read_config
         self.local_config = local_config
         self.read_local_config = read_local_config
@@ -91,7 +92,7 @@
         timers = self.timers = TimerWheel(clock.now, metrics.log_exception)
         dispatcher = Dispatcher(config.settings, config.seed)
         policy_runner = self.policy_runner = PolicyRunner(dispatcher, timers, metrics)
-        # Beside the operators' descriptors a second process needs its own to start with.
+        # Beside the descriptors for operators' calls, reserve those that a second process needs to start.
         reserved = 2 * (MAX_CALLERS + 1) + RESERVED_DESCRIPTORS if config.mgmt else 0
         budget = DescriptorBudget(config.limits.sockets, config.limits.max_body_bytes, reserved)
         self.workers = WorkerPool(config, policy_runner, timers, budget, metrics)
@@ -139,7 +140,10 @@
         )
 
     def handle_signals(self, stop: Callable[[], None]) -> None:
-        """Set the handlers of signals; a SIGHUP that came since `run` began is dealt with now."""
+        """Set the signal handlers: SIGTERM and SIGINT call `stop`, SIGUSR1 logs counters, SIGHUP reloads.
+
+        A SIGHUP that arrived while it was blocked takes effect now.
+        """
         loop = asyncio.get_running_loop()
         for number in (signal.SIGTERM, signal.SIGINT):
             loop.add_signal_handler(number, stop)
@@ -148,17 +152,17 @@
         signal.pthread_sigmask(signal.SIG_UNBLOCK, SIGNALS_BLOCKED_AT_START)
 
     async def start(self) -> None:
-        """Start the parts.
+        """Start the components in order.
 
-        What an earlier process hands over comes first, then peers and the policy, then what was stored; all
-        of that before the first client is accepted, and operators' calls last.
+        State handed over by an earlier process is read first; then the peer socket and the policy start, and
+        stored state is restored. Only then does the listener accept clients; operators' calls come last.
         """
         inherited = await self.upgrade.inherit() if self.upgrade is not None else None
         self.peers.listen()
         self.policy_runner.feed(interface.Start())
         if self.upgrade is not None and inherited is not None:
             self.upgrade.restore(inherited)
-        self._start_stored_parts(inherited)
+        self._start_optional_components(inherited)
         self.discovery.start_from_bootstrap()
         self.listener.listen()
         if self.recovery is not None:
@@ -178,7 +182,7 @@
         )
 
     async def stop(self) -> None:
-        """Stop the parts: give leases back, answer clients, save quotas and the store."""
+        """Stop the components: release leases, answer clients, save the quotas and close the store."""
         self.metrics.log("stopping", owed=self.listener.unanswered)
         if self.leases is not None:
             self.leases.leave()
@@ -193,30 +197,33 @@
         self.metrics.log("stopped")
 
     def reload(self) -> None:
-        """Read the whole configuration again; nothing of a faulty one counts. Requests in work go on."""
+        """Read the whole configuration again and apply it; an invalid one changes nothing.
+
+        Requests in progress continue.
+        """
         try:
-            new = self.read_config()
+            new_config = self.read_config()
             self._reload_leases()
         except ConfigError as error:
             self.metrics.count_and_log("reload_refused", why=error)
             return
-        self.discovery.switch_to(new.discovery)
-        self.peers.set_addresses(new)
+        self.discovery.switch_to(new_config.discovery)
+        self.peers.set_addresses(new_config)
         self.metrics.count("reloads")
         self.metrics.log(
             "reloaded",
-            discovery=f"{new.discovery[0]}:{new.discovery[1]}",
-            wait_for_restart=",".join(self.config.changes_for_restart(new)) or "none",
+            discovery=f"{new_config.discovery[0]}:{new_config.discovery[1]}",
+            wait_for_restart=",".join(self.config.changes_for_restart(new_config)) or "none",
         )
 
     def _reload_leases(self) -> None:
         if self.leases is None or self.read_local_config is None:
             return
-        if why := self.leases.reload(self.read_local_config().leases):
-            raise ConfigError(why)
+        if refusal := self.leases.reload(self.read_local_config().leases):
+            raise ConfigError(refusal)
 
-    def _start_stored_parts(self, inherited: dict[str, Any] | None) -> None:
-        """Start what our own configuration switches on: quota snapshots, recovery, leases."""
+    def _start_optional_components(self, inherited: dict[str, Any] | None) -> None:
+        """Start the components that the local configuration enables: quota snapshots, recovery and leases."""
         local_config = self.local_config
         if local_config is None:
             return
@@ -258,9 +265,9 @@
             )
 
     def _start_snapshots(self, local_config: LocalConfig) -> SnapshotWriter:
-        """Restore the quotas of the last run before the policy decides anything.
+        """Open the store, restore the last run's quotas, schedule the next snapshot and return the writer.
 
-        Blocks; no client is accepted yet.
+        Blocks the event loop, which is safe because no client is accepted yet.
         """
         from .quota_snapshots.writer import SnapshotWriter
         from .store import Store
@@ -279,6 +286,7 @@
 
 
 def _log_writer(local_config: LocalConfig, clock: Clock) -> Callable[[str, dict[str, object]], None] | None:
+    """Return the writer for the configured log format; None for plain text."""
     if local_config.log.format == "plain":
         return None
     from .logs import writer
