--- a/beaconhinge/net/restart.py
+++ b/beaconhinge/net/restart.py
@@ -1,4 +1,7 @@
-"""Wires a start: its phases, the word with the others, orphans of the old life, workers out by hand."""
+"""Restart of a dispatcher: recovery stages, incarnations, orphaned jobs, workers in maintenance mode.
+
+The classes here connect the pure parts in `beaconhinge.recovery` to the store, the peers and the workers.
+"""
 
 from __future__ import annotations
 
@@ -16,16 +19,16 @@
 from .peers import PeerSocket
 from .worker_pool import WorkerPool
 
-STAGE_INTERVAL_S = 0.05  # seconds between turns of the phases
-MAX_QUERIED_PEERS = 8  # others that are asked: a return of many must not drown itself
+STAGE_INTERVAL_S = 0.05  # seconds between steps of the recovery stages
+MAX_QUERIED_PEERS = 8  # dispatchers queried; bounded, so that a restart of many does not flood itself
 DISK_TIMEOUT_S = 1.0  # seconds after which a record that is not on the disk counts as not written
-MAX_CONCURRENT_WITHDRAWALS = 4  # withdrawn at a time
-MAX_ORPHANS = 10_000  # remembered, so that each is withdrawn once
+MAX_CONCURRENT_WITHDRAWALS = 4  # orphaned jobs
+MAX_ORPHANS = 10_000  # orphaned jobs remembered, so that each is withdrawn only once
 INCARNATION_KEY, MAINTENANCE_PREFIX = b"life", b"hand/"
 
 
 class RestartCoordinator:
-    """Takes a start through its stages, and exchanges incarnations with other dispatchers."""
+    """Advances a start through its recovery stages, and exchanges incarnations with other dispatchers."""
 
     def __init__(
         self,
@@ -41,8 +44,8 @@
         self.timers = timers
         self.peers = peers
         self.metrics = metrics
-        self.delay_jobs = delay_jobs  # keeps new jobs waiting, or lets them go
-        # Called when others have heard of this life, or a later one, from another start.
+        self.delay_jobs = delay_jobs  # True holds new jobs back, False releases them
+        # Called when a peer has received this incarnation, or a later one, from another start.
         self.on_stale_incarnation: Callable[[], None] = lambda: None
         self.peer_incarnations = PeerIncarnations()
         self.incarnation = 0
@@ -53,32 +56,35 @@
 
     @property
     def stage_name(self) -> str:
-        """Name of the present stage."""
+        """Name of the current stage."""
         return NAMES[self.stages.stage]
 
     @property
     def serving(self) -> bool:
-        """Whether the list is as good as it gets, and others have been asked about this incarnation."""
+        """Whether the stages are complete: the list and peers' answers came, or their time limits passed."""
         return self.stages.stage == NORMAL
 
     def open(self, taken_over: bool) -> None:
-        """Begin, with an open listener; a process that took over from another one serves on as before."""
+        """Begin the stages; the listener is open.
+
+        A process that took over from another one skips them and serves at once.
+        """
         if taken_over:
             self.stages.stage = NORMAL
             self._report_stages([NORMAL])
         else:
             self._feed(stages.ListenerOpened())
             self._advance()
-        self.metrics.spawn(self._announce(), "life")
+        self.metrics.spawn(self._announce(), "announce incarnation")
 
     def process_resumed(self) -> None:
-        """The process stood still until now."""
+        """Handle the end of a pause of the whole process: query the peers again if recovery is under way."""
         self._feed(stages.ProcessResumed(self._queried_peers()))
         if not self.serving:
             self._query_unanswered()
 
     def list_received(self, how: str) -> None:
-        """Discovery has sent a list."""
+        """Handle a list of kind `how` (an `UpdateKind`) from discovery; only snapshots and changes count."""
         if how in (UpdateKind.SNAPSHOT, UpdateKind.CHANGES):
             self._feed(stages.ListReceived())
 
@@ -109,14 +115,17 @@
         for number in self.stages.unanswered:
             self._send_hello(number, asks=True)
 
-    # ---- the others ----------------------------------------------------------------------------------------
+    # ---- peers ---------------------------------------------------------------------------------------------
 
     def _queried_peers(self) -> frozenset[int]:
-        """Dispatchers to ask, the same at each start: they have heard of the incarnations before."""
+        """Return the numbers of the dispatchers to query.
+
+        They are the same at each start, since they have received the earlier incarnations.
+        """
         settings = self.config.settings
         size, own = settings.group_size, settings.own_number
-        most = min(MAX_QUERIED_PEERS, size - 1) if settings.peer_messages else 0
-        return frozenset((own + n) % size for n in range(1, most + 1))
+        count = min(MAX_QUERIED_PEERS, size - 1) if settings.peer_messages else 0
+        return frozenset((own + n) % size for n in range(1, count + 1))
 
     def _send_hello(self, number: int, asks: bool = False, stale: bool = False) -> None:
         self.peers.send(
@@ -133,7 +142,7 @@
         if hello.expects_reply:
             self._send_hello(number, stale=is_stale)
         if hello.stale and self.incarnation:
-            self.incarnation = 0  # told once, and it claims no life any more
+            self.incarnation = 0  # announces none from now on, so this is reported once
             self.metrics.count_and_log("folder_stale", told_by=number)
             self.on_stale_incarnation()
         self._feed(stages.PeerAnswered(number, hello.stage))
@@ -142,13 +151,13 @@
         if self.store is not None:
             await self._advance_incarnation(self.store)
         self._feed(stages.PeersQueried(self._queried_peers()))
-        for number in self._queried_peers():  # also where the phases have gone on without the disk
+        for number in self._queried_peers():  # even if the stages advanced while the disk was slow
             self._send_hello(number, asks=True)
 
     async def _advance_incarnation(self, store: Store) -> None:
-        """Count this start on the disk before it is announced.
+        """Write this start's incarnation to the store before it is announced.
 
-        The next start never announces it again then.
+        The next start then never announces the same one again.
         """
         name, number = self.config.name, self.config.settings.own_number
         try:
@@ -163,11 +172,11 @@
 
 
 class OrphanedJobs:
-    """Withdraws jobs of an earlier incarnation that workers still run for nobody, each once.
+    """Withdraws jobs of an earlier incarnation that workers still run though no client waits, each once.
 
     Args:
-        until: When no such job can be left.
-        may_be_awaited: Whether somebody may come for the result of a request.
+        until: The time in seconds from which no such job can be left; reports after it are ignored.
+        may_be_awaited: Returns whether the result of a request, by its id, may still be asked for.
     """
 
     def __init__(
@@ -188,7 +197,7 @@
         self._withdrawals = 0
 
     def observe(self, request: str, worker: int) -> None:
-        """A worker reports a job that no attempt is open for, and that has not ended."""
+        """Withdraw a job that a worker reports as running and for which this process has no open attempt."""
         job = request, worker
         if self.timers.now() >= self.until or job in self._seen or len(self._seen) >= MAX_ORPHANS:
             return
@@ -211,7 +220,7 @@
 
 
 class MaintenanceStore:
-    """Workers that operators have taken out, kept on the disk under this dispatcher's name."""
+    """Stores which workers operators have put into maintenance mode, signed with this dispatcher's name."""
 
     def __init__(self, config: Config, store: Store, timers: TimerWheel, metrics: Metrics) -> None:
         self.store = store
@@ -220,12 +229,12 @@
         self._signature = incarnations.sign_record(config.name, config.settings.own_number, b"")
 
     def restore(self, apply: Callable[[str, bool], None]) -> None:
-        """Apply what is on the disk; records of other dispatchers are counted and passed over."""
+        """Call `apply(worker, True)` for each stored worker; count and skip records of other dispatchers."""
         foreign = 0
         try:
-            for place, data in self.store.scan(MAINTENANCE_PREFIX):
+            for key, data in self.store.scan(MAINTENANCE_PREFIX):
                 if data == self._signature:
-                    apply(place[len(MAINTENANCE_PREFIX) :].decode(), True)
+                    apply(key[len(MAINTENANCE_PREFIX) :].decode(), True)
                 else:
                     foreign += 1
         except (StoreError, ValueError) as error:
@@ -233,12 +242,16 @@
         if foreign:
             self.metrics.count_and_log("maintenance_records_foreign", records=foreign)
 
-    async def write(self, worker: str, out: bool) -> str:
-        """Write that a worker is out, or back; the reason where it could not be written, or an empty text."""
-        place = MAINTENANCE_PREFIX + worker.encode()
+    async def write(self, worker: str, in_maintenance: bool) -> str:
+        """Store that a worker is in maintenance mode, or no longer is.
+
+        Returns:
+            An empty text, or why the record could not be written within DISK_TIMEOUT_S.
+        """
+        key = MAINTENANCE_PREFIX + worker.encode()
         try:
             async with self.timers.timeout(DISK_TIMEOUT_S):
-                await self.store.commit([Put(place, self._signature) if out else Delete(place)])
+                await self.store.commit([Put(key, self._signature) if in_maintenance else Delete(key)])
             return ""
         except (StoreError, TimeoutError) as error:
             self.metrics.count_and_log("maintenance_write_failed", why=f"{type(error).__name__}: {error}")
