--- a/beaconhinge/management/handover.py
+++ b/beaconhinge/management/handover.py
@@ -1,8 +1,8 @@
-"""What one process of a dispatcher hands to the one that replaces it: a versioned form with a checksum. Pure.
+"""State that one process of a dispatcher hands to its successor, with a version and a checksum. Pure.
 
-Beside the quota snapshots, which outlast a restart, it holds what only a process that goes on at
-once can use: what each worker has out and has taught, what peers were told last, and the list. Nothing
-of a torn, foreign or older form is used.
+Quota snapshots hold what outlasts a restart. This state also has what only a process that continues at once
+can use: the slots in use on each worker, what was learned about the worker, what peers were last sent, and
+the list of workers. A state that is truncated, foreign or of another version is discarded as a whole.
 """
 
 from __future__ import annotations
@@ -24,16 +24,28 @@
 from ..policy.workers import Worker
 
 VERSION = 1
-SEQUENCE_ALLOWANCE = 16  # numbers that the old process may have used up after it took the form
+SEQUENCE_ALLOWANCE = 16  # sequence numbers that the old process may use after it exported its state
 MAX_FRAME_BYTES = 8 * 1024 * 1024
-_HEAD = struct.Struct(">IB")
+_FRAME_HEADER = struct.Struct(">IB")  # length of the payload in bytes, kind
 _MAGIC = b"beaconhinge handover %d " % VERSION
 
-# Kinds of frames between the two processes.
-STATE, SERVING, PARTED, DONE, CALL_BACK, SLOTS, OUT, BACK, DRAIN, RESUME = range(1, 11)
-
-# Keys of the stored form and the attributes behind them. Keys never change: another version may read them.
-# Of a worker: what it has taught and how it is judged. Times are Unix time, which both processes have.
+# Kinds of frames between the two processes; the numbers never change, since another version may read them.
+(
+    STATE,
+    SERVING,
+    ADDRESSES_RELEASED,
+    ALL_ANSWERED,
+    CALLBACK,
+    SLOTS_CHANGE,
+    DISABLE_WORKER,
+    ENABLE_WORKER,
+    DRAIN,
+    RESUME,
+) = range(1, 11)
+
+# The tables below map keys of the exported state to attribute names. Keys never change, since another version
+# may read them.
+# Of a worker: what was learned about it, and its ejection. Times are Unix time, which both processes share.
 _WORKER_FIELDS = {
     "kind": "kind",
     "cell": "cell",
@@ -56,8 +68,8 @@
     "speed": "relative_speed",
     "speed_at": "speed_measured_at",
 }
-# Of the parts of the policy: the part, and its attribute.
-_FIGURES = {
+# Of the dispatcher: the name of a component of the policy, and of the component's attribute.
+_POLICY_FIELDS = {
     "rate": ("admission", "fleet_rate"),
     "part": ("admission", "demand_share"),
     "mean_work": ("estimates", "mean_work"),
@@ -92,62 +104,64 @@
 
 
 class HandoverError(Exception):
-    """A state, or a frame, that must not be used; the text says why."""
+    """A handed-over state or a frame is unusable; the text says why."""
 
 
 def seal(content: dict[str, Any]) -> bytes:
-    """Bytes of a state, with version and checksum."""
+    """Return the bytes of a state, with version and checksum."""
     body = json.dumps(content, separators=(",", ":")).encode()
     return _MAGIC + hashlib.blake2s(body, digest_size=16).hexdigest().encode() + b"\n" + body
 
 
-def unseal(form: bytes) -> dict[str, Any]:
-    """The state in these bytes.
+def unseal(sealed: bytes) -> dict[str, Any]:
+    """Return the state in bytes that `seal` has made.
 
     Raises:
-        HandoverError: The bytes are foreign, torn or of another version.
+        HandoverError: The bytes are foreign, truncated, corrupted or of another version.
     """
-    head, _, body = form.partition(b"\n")
-    if not head.startswith(_MAGIC):
-        raise HandoverError("foreign, or of another version")
-    if head[len(_MAGIC) :] != hashlib.blake2s(body, digest_size=16).hexdigest().encode():
-        raise HandoverError("torn: its checksum is wrong")
+    header, _, body = sealed.partition(b"\n")
+    if not header.startswith(_MAGIC):
+        raise HandoverError("not a handover state, or one of another version")
+    if header[len(_MAGIC) :] != hashlib.blake2s(body, digest_size=16).hexdigest().encode():
+        raise HandoverError("handover state truncated or corrupted: its checksum does not match")
     content = json.loads(body)
     if not isinstance(content, dict):
-        raise HandoverError("not an object")
+        raise HandoverError("handover state is not a JSON object")
     return content
 
 
 def encode_frame(kind: int, payload: bytes = b"") -> bytes:
-    """Bytes of one frame between the two processes."""
-    return _HEAD.pack(len(payload), kind) + payload
+    """Return the bytes of one frame between the two processes."""
+    return _FRAME_HEADER.pack(len(payload), kind) + payload
 
 
 class FrameReader:
-    """Turns bytes in pieces of any size into frames."""
+    """Decodes frames from a stream of bytes that arrives in pieces of any size."""
 
     def __init__(self) -> None:
-        self._waiting = bytearray()
+        self._unread = bytearray()
 
     def feed(self, data: bytes) -> Iterator[tuple[int, bytes]]:
-        """Take in bytes, and yield each frame that is complete.
+        """Append bytes, and yield the kind and payload of each complete frame.
 
         Raises:
-            HandoverError: A frame is too long.
+            HandoverError: A frame is longer than MAX_FRAME_BYTES.
         """
-        self._waiting += data
-        while len(self._waiting) >= _HEAD.size:
-            length, kind = _HEAD.unpack_from(self._waiting)
+        self._unread += data
+        while len(self._unread) >= _FRAME_HEADER.size:
+            length, kind = _FRAME_HEADER.unpack_from(self._unread)
             if length > MAX_FRAME_BYTES:
-                raise HandoverError(f"a frame of {length} bytes")
-            if len(self._waiting) < _HEAD.size + length:
+                raise HandoverError(f"a frame of {length} bytes is over the limit")
+            if len(self._unread) < _FRAME_HEADER.size + length:
                 return
-            payload = bytes(self._waiting[_HEAD.size : _HEAD.size + length])
-            del self._waiting[: _HEAD.size + length]
+            payload = bytes(self._unread[_FRAME_HEADER.size : _FRAME_HEADER.size + length])
+            del self._unread[: _FRAME_HEADER.size + length]
             yield kind, payload
 
 
-# Stored folders and processes of earlier versions name the settings by the text that these classes once had.
+# The fingerprint of the settings is made from the `repr` that RequestClass and Tenant had in earlier
+# versions, since stored folders and processes of those versions have it; these tables keep the attribute
+# names of that time.
 _CLASS_FIELDS = {
     "aim": "latency_objective_s",
     "deadline": "deadline_s",
@@ -164,37 +178,38 @@
 _TENANT_FIELDS = {"share": "share", "quota_rps": "quota_rps"}
 
 
-def _plain(value: object) -> object:
+def _enum_value(value: object) -> object:
     return value.value if isinstance(value, Semantics) else value
 
 
-def _stored_text(name: str, fields: dict[str, str], value: object) -> str:
-    shown = ((stored, getattr(value, attribute)) for stored, attribute in fields.items())
-    pairs = (f"{stored}={_plain(field)!r}" for stored, field in shown)
+def _stored_repr(name: str, fields: dict[str, str], value: object) -> str:
+    items = ((stored, getattr(value, attribute)) for stored, attribute in fields.items())
+    pairs = (f"{stored}={_enum_value(field)!r}" for stored, field in items)
     return f"{name}({', '.join(pairs)})"
 
 
-def _stored_tuple(items: list[str]) -> str:
+def _stored_tuple_repr(items: list[str]) -> str:
     return f"({items[0]},)" if len(items) == 1 else f"({', '.join(items)})"
 
 
 def fingerprint(settings: Settings) -> str:
-    """A digest of the settings without which the figures mean something else."""
-    classes = [_stored_text("RequestClass", _CLASS_FIELDS, cls) for cls in settings.classes]
-    tenants = [_stored_text("Tenant", _TENANT_FIELDS, tenant) for tenant in settings.tenants]
+    """Return a hexadecimal digest of the settings on which the meaning of the state depends."""
+    classes = [_stored_repr("RequestClass", _CLASS_FIELDS, cls) for cls in settings.classes]
+    tenants = [_stored_repr("Tenant", _TENANT_FIELDS, tenant) for tenant in settings.tenants]
     group = f"{settings.group_size!r}, {settings.own_number!r}"
-    named = f"({_stored_tuple(classes)}, {_stored_tuple(tenants)}, {group})"
-    return hashlib.blake2s(named.encode(), digest_size=8).hexdigest()
+    text = f"({_stored_tuple_repr(classes)}, {_stored_tuple_repr(tenants)}, {group})"
+    return hashlib.blake2s(text.encode(), digest_size=8).hexdigest()
 
 
-def take(dispatcher: Dispatcher) -> dict[str, Any]:
-    """What the dispatcher knows, without its jobs: these stay where they are. Changes nothing."""
+def export_state(dispatcher: Dispatcher) -> dict[str, Any]:
+    """Return the dispatcher's state without its jobs, which stay in this process. Changes nothing."""
     classes = dispatcher.settings.classes
     limits = dispatcher.limits
     return {
         "settings": fingerprint(dispatcher.settings),
         "books": {
-            stored: getattr(getattr(dispatcher, part), name) for stored, (part, name) in _FIGURES.items()
+            stored: getattr(getattr(dispatcher, part), name)
+            for stored, (part, name) in _POLICY_FIELDS.items()
         },
         "quota": dispatcher.quotas.tokens,
         "longest": dispatcher.arrivals.max_client_timeouts,
@@ -202,15 +217,15 @@
         "most_free": list(limits.max_free_slots.items()),
         "by_hand": list(dispatcher.membership.in_maintenance.items()),
         "buckets": [
-            [*key, [getattr(b, name) for name in _BUCKET_FIELDS.values()]]
-            for key, b in dispatcher.admission.buckets.items()
+            [*key, [getattr(bucket, name) for name in _BUCKET_FIELDS.values()]]
+            for key, bucket in dispatcher.admission.buckets.items()
         ],
-        "workers": [_take_worker(worker, classes) for worker in dispatcher.workers.values()],
-        "fleet": _take_fleet(dispatcher.gossip),
+        "workers": [_export_worker(worker, classes) for worker in dispatcher.workers.values()],
+        "fleet": _export_group(dispatcher.gossip),
     }
 
 
-def _take_worker(worker: Worker, classes: Sequence[RequestClass]) -> list[Any]:
+def _export_worker(worker: Worker, classes: Sequence[RequestClass]) -> list[Any]:
     return [
         worker.id,
         {stored: getattr(worker, name) for stored, name in _WORKER_FIELDS.items()},
@@ -219,7 +234,7 @@
     ]
 
 
-def _take_fleet(group: GossipNode) -> dict[str, Any]:
+def _export_group(group: GossipNode) -> dict[str, Any]:
     return {
         "incarnation": group.incarnation,
         "sequence": group._sequence,
@@ -230,35 +245,35 @@
         "peers": [
             [
                 number,
-                {stored: getattr(p, name) for stored, name in _PEER_FIELDS.items()},
-                [[*key, rate] for key, rate in p.demand.items()],
-                list(p.in_flight.items()),
+                {stored: getattr(peer, name) for stored, name in _PEER_FIELDS.items()},
+                [[*key, rate] for key, rate in peer.demand.items()],
+                list(peer.in_flight.items()),
             ]
-            for number, p in group.peers.items()
+            for number, peer in group.peers.items()
         ],
     }
 
 
 def restore(dispatcher: Dispatcher, content: dict[str, Any]) -> None:
-    """Fill a dispatcher that has just been started.
+    """Fill a dispatcher that has just been started with a state from `export_state`.
 
     Raises:
-        HandoverError: The state is torn or of other settings; nothing has been changed then.
+        HandoverError: The state is malformed or of other settings; the dispatcher is unchanged then.
     """
     try:
         restored = _read_state(dispatcher, content)
         group = _read_group(dispatcher.gossip, content["fleet"])
     except (KeyError, TypeError, ValueError, IndexError, AttributeError) as error:
         raise HandoverError(f"{type(error).__name__}: {error}") from None
-    _put_state(dispatcher, restored)
-    _put_group(dispatcher.gossip, group)
+    _apply_state(dispatcher, restored)
+    _apply_group(dispatcher.gossip, group)
 
 
 @dataclass(slots=True)
 class _State:
-    """State of the parts of a dispatcher, read and checked, before any of it is put in place."""
+    """State of the policy's components, read and checked before any of it is applied."""
 
-    figures: dict[str, float]
+    policy_values: dict[str, float]
     quota_tokens: list[float]
     max_client_timeouts: list[float]
     buckets: dict[tuple[int, int], TenantBucket]
@@ -270,21 +285,22 @@
 
 @dataclass(slots=True)
 class _Group:
-    """The same of what is known of the group."""
+    """State of the gossip with the other dispatchers, read and checked before any of it is applied."""
 
     peers: dict[int, Peer]
-    board: Counter[int]
-    seen: Counter[int]
-    hub: int | None
+    in_flight_slots: Counter[int]
+    aggregated_in_flight: Counter[int]
+    aggregator: int | None
     incarnation: int
     sequence: int
-    hub_heard: float
+    aggregator_heard_at: float
 
 
 def _read_state(dispatcher: Dispatcher, content: dict[str, Any]) -> _State:
     settings = dispatcher.settings
-    figures = {
-        stored: _figure_type(dispatcher, stored)(float(content["books"][stored])) for stored in _FIGURES
+    policy_values = {
+        stored: _policy_field_type(dispatcher, stored)(float(content["books"][stored]))
+        for stored in _POLICY_FIELDS
     }
     if content["settings"] != fingerprint(settings):
         raise ValueError("taken under other settings or in another group")
@@ -292,9 +308,9 @@
     max_client_timeouts = [float(seconds) for seconds in content["longest"]]
     expected = len(settings.tenants), len(settings.classes)
     if (len(quota_tokens), len(max_client_timeouts)) != expected:
-        raise ValueError("not a figure for each tenant and class")
+        raise ValueError("expected quota tokens for each tenant and a client time-out for each class")
     return _State(
-        figures=figures,
+        policy_values=policy_values,
         quota_tokens=quota_tokens,
         max_client_timeouts=max_client_timeouts,
         buckets={
@@ -308,9 +324,9 @@
     )
 
 
-def _figure_type(dispatcher: Dispatcher, stored: str) -> type[float]:
-    """The type of a figure in its part: counts are whole numbers."""
-    part, name = _FIGURES[stored]
+def _policy_field_type(dispatcher: Dispatcher, stored: str) -> type[float]:
+    """Return the type of a component's attribute by its stored key: `int` for counts, otherwise `float`."""
+    part, name = _POLICY_FIELDS[stored]
     return type(getattr(getattr(dispatcher, part), name))
 
 
@@ -322,7 +338,7 @@
     ejections: list[list[Any]],
 ) -> Worker:
     worker = Worker(int(number), codec.worker_key(int(number)))
-    fields = {"slow_start_from": fields["started_at"], **fields}  # which older forms do not have
+    fields = {"slow_start_from": fields["started_at"], **fields}  # missing in states of older processes
     for stored, name in _WORKER_FIELDS.items():
         setattr(worker, name, type(getattr(worker, name))(fields[stored]))
     worker.slow_start_sends = deque((float(at), float(load)) for at, load in sends)
@@ -352,18 +368,18 @@
     peers = {int(entry[0]): _read_peer(*entry[1:]) for entry in stored["peers"]}
     return _Group(
         peers={number: peer for number, peer in peers.items() if number in group.group_peers},
-        board=_read_slots(stored["board"]),
-        seen=_read_slots(stored["seen"]),
-        hub=None if stored["hub"] is None else int(stored["hub"]),
+        in_flight_slots=_read_slots(stored["board"]),
+        aggregated_in_flight=_read_slots(stored["seen"]),
+        aggregator=None if stored["hub"] is None else int(stored["hub"]),
         incarnation=int(stored["incarnation"]),
         sequence=int(stored["sequence"]),
-        hub_heard=float(stored["hub_heard"]),
+        aggregator_heard_at=float(stored["hub_heard"]),
     )
 
 
-def _put_state(dispatcher: Dispatcher, state: _State) -> None:
-    for stored, value in state.figures.items():
-        part, name = _FIGURES[stored]
+def _apply_state(dispatcher: Dispatcher, state: _State) -> None:
+    for stored, value in state.policy_values.items():
+        part, name = _POLICY_FIELDS[stored]
         setattr(getattr(dispatcher, part), name, value)
     dispatcher.quotas.tokens = state.quota_tokens
     dispatcher.arrivals.max_client_timeouts = state.max_client_timeouts
@@ -374,9 +390,13 @@
     dispatcher.membership.in_maintenance = state.in_maintenance
 
 
-def _put_group(group: GossipNode, restored: _Group) -> None:
-    group.peers, group.aggregated_in_flight, group.aggregator = restored.peers, restored.seen, restored.hub
-    group.in_flight_table.slots = restored.board
-    group.in_flight_table.sent_keys = dict.fromkeys(restored.board)  # all of it is told again in turn
-    group.incarnation, group._aggregator_heard_at = restored.incarnation, restored.hub_heard
+def _apply_group(group: GossipNode, restored: _Group) -> None:
+    group.peers, group.aggregated_in_flight, group.aggregator = (
+        restored.peers,
+        restored.aggregated_in_flight,
+        restored.aggregator,
+    )
+    group.in_flight_table.slots = restored.in_flight_slots
+    group.in_flight_table.sent_keys = dict.fromkeys(restored.in_flight_slots)  # all are sent again in turn
+    group.incarnation, group._aggregator_heard_at = restored.incarnation, restored.aggregator_heard_at
     group._sequence = (restored.sequence + SEQUENCE_ALLOWANCE) & 0xFFFF
--- a/beaconhinge/net/upgrade.py
+++ b/beaconhinge/net/upgrade.py
@@ -1,8 +1,9 @@
-"""Replacing the process under load: the two processes of one dispatcher find each other, and one takes over.
+"""Upgrade without downtime: a new process of a dispatcher takes over from the running one, under load.
 
-The one that serves leaves word in `$TMPDIR` where it can be called. The new one calls there, is given what
-the other knows, opens the shared addresses and says so; the other then lets go of them. Until it has ended,
-call-backs that reach the wrong one are passed on, and the slots of its jobs are told.
+The running process publishes its management address in a rendezvous file in `$TMPDIR`. The new process calls
+that address, receives the running one's state, listens on the shared addresses and reports that it serves.
+The old process then releases the addresses. Until the old process ends, call-backs that reach the wrong
+process are forwarded, and the old one reports the slots that its jobs use on workers.
 """
 
 from __future__ import annotations
@@ -36,12 +37,12 @@
 from .sockets import DescriptorBudget, connect
 from .worker_pool import WorkerPool
 
-ANSWER_TIMEOUT_S = 1.0  # seconds that the process that serves has for each of its two answers
-READY_WITHIN_S = 4.5  # seconds after its start, of 6, by which a new process says that it is ready
-CHECK_INTERVAL_S = 0.05
-SLOTS_INTERVAL_S = 0.05  # seconds between looks at the own slots out, while the other process wants to know
-BUDGET_SHARE = 0.5  # of sockets and bodies for each of the two
-_SLOTS = struct.Struct(">Id")
+ANSWER_TIMEOUT_S = 1.0  # seconds that the running process has for each of its two answers
+READY_WITHIN_S = 4.5  # seconds after its start by which a new process reports ready; it is allowed 6 s
+CHECK_INTERVAL_S = 0.05  # seconds between checks whether all requests are answered
+SLOTS_INTERVAL_S = 0.05  # seconds between reports of changes in used slots to the successor
+BUDGET_SHARE = 0.5  # share of sockets and of memory for bodies that each of the two processes has
+_SLOTS_CHANGE = struct.Struct(">Id")  # worker number, change in used slots
 
 
 class ProcessLink:
@@ -51,15 +52,15 @@
         self.sock = sock
         self.metrics = metrics
         self.frames = handover.FrameReader()
-        self._received: list[tuple[int, bytes]] = []  # read, and not yet taken
+        self._received: list[tuple[int, bytes]] = []  # decoded frames that `next_frame` has not returned yet
         self._outgoing: asyncio.Queue[bytes] = asyncio.Queue()
 
     async def next_frame(self) -> tuple[int, bytes]:
-        """The kind and payload of the next frame.
+        """Return the kind and payload of the next frame.
 
         Raises:
             OSError: The connection has ended.
-            HandoverError: The frame must not be used.
+            HandoverError: The frame is too long.
         """
         while not self._received:
             data = await asyncio.get_running_loop().sock_recv(self.sock, 65536)
@@ -69,13 +70,13 @@
         return self._received.pop(0)
 
     def start(self, on_frame: Callable[[int, bytes], None], on_closed: Callable[[], None]) -> None:
-        """Read and write from now on: `on_frame` gets each frame, `on_closed` is called once at the end."""
+        """Start to read and write: `on_frame` receives each frame, `on_closed` is called once at the end."""
         self._on_frame, self._on_closed = on_frame, on_closed
-        self._writing = self.metrics.spawn(self._write(), "link")
-        self.metrics.spawn(self._read(), "link")
+        self._writing = self.metrics.spawn(self._write(), "process link")
+        self.metrics.spawn(self._read(), "process link")
 
     def send(self, kind: int, payload: bytes = b"") -> None:
-        """Queue a frame; it is lost if the connection ends first."""
+        """Queue a frame for sending; it is lost if the connection ends first."""
         self._outgoing.put_nowait(handover.encode_frame(kind, payload))
 
     async def _read(self) -> None:
@@ -84,14 +85,14 @@
                 self._on_frame(*await self.next_frame())
         except OSError:
             pass
-        except HandoverError as why:
-            self.metrics.count_and_log("handover_unusable", why=why)
-        except Exception as error:  # a defect here: the other process goes on by itself
-            self.metrics.log_exception("link", error)
+        except HandoverError as frame_error:
+            self.metrics.count_and_log("handover_unusable", why=frame_error)
+        except Exception as error:  # a defect in this program; the other process continues alone
+            self.metrics.log_exception("process link", error)
         self._close()
 
     async def _write(self) -> None:
-        with contextlib.suppress(OSError):  # the reader notices as well
+        with contextlib.suppress(OSError):  # `_read` detects the end of the connection as well
             while True:
                 await asyncio.get_running_loop().sock_sendall(self.sock, await self._outgoing.get())
 
@@ -102,12 +103,14 @@
 
 
 class ProcessUpgrade:
-    """Takes over from the process that serves, and hands over to the one that comes after.
+    """Takes over from the running process, and hands over to a new process later.
 
     Attributes:
-        parts: What other parts hand over, and what they do when the new process has died.
-        predecessor: The link to the process that this one replaces.
-        successor: The link to the process that replaces this one.
+        parts: For each component that hands over state of its own, by name: a function that returns the
+            state, and one that is called when the new process has died.
+        predecessor: The link to the process that this one replaces; None if there is none.
+        successor: The link to the process that replaces this one; None if there is none.
+        token: The secret that a successor must present; published in the rendezvous file.
     """
 
     def __init__(
@@ -137,42 +140,40 @@
         self.metrics = metrics
         self.rendezvous_file = shared / f"beaconhinge-{config.listen[0]}-{config.listen[1]}.json"
         self.token = secrets.token_hex(16)
-        # What other parts hand over, and what they do when the new process has died.
         self.parts: dict[str, tuple[Callable[[], Any], Callable[[], None]]] = {}
-        self.predecessor: ProcessLink | None = None  # to the process that this one replaces
-        self.successor: ProcessLink | None = None  # to the one that replaces this one
+        self.predecessor: ProcessLink | None = None
+        self.successor: ProcessLink | None = None
         self._ready_deadline = timers.now() + READY_WITHIN_S
         self._addresses_released = asyncio.Event()
-        self._predecessor_done = False  # the one before owes nothing any more
-        self._predecessor_slots: Counter[int] = Counter()  # slots out by the one before, by worker
-        self._reported_slots: Counter[int] = Counter()  # own slots out, as the one after knows them
+        self._predecessor_done = False  # the predecessor has answered all its requests
+        self._predecessor_slots: Counter[int] = Counter()  # slots that the predecessor uses, by worker number
+        self._reported_slots: Counter[int] = Counter()  # this process's used slots, as last reported
         workers.on_unmatched_callback = self._forward_callback
         operators.forward = self._forward_operator_call
         operators.may_replace = lambda: self.ready
 
     @property
     def ready(self) -> bool:
-        """Whether the predecessor may be ended: it owes nothing any more, or this process waits no longer."""
+        """Whether the predecessor may be ended: it has answered everything, or READY_WITHIN_S has passed."""
         return self.predecessor is None or self._predecessor_done or self.timers.now() >= self._ready_deadline
 
     @property
     def paired(self) -> bool:
-        """Whether another process of this dispatcher is there."""
+        """Whether another process of this dispatcher is connected."""
         return self.predecessor is not None or self.successor is not None
 
     # ---- the new process -----------------------------------------------------------------------------------
 
     async def inherit(self) -> dict[str, Any] | None:
-        """Ask the process that serves for its state.
+        """Request the state of the running process, if there is one.
 
         Returns:
-            The state; None if there is no such process or, with a log line, if it does not answer: then this
-                one
-            starts from nothing.
+            The state; None if there is no running process. Also None, with a log line, if it does not answer
+            with a usable state. In both cases this process starts without state.
         """
         try:
-            found = json.loads(self.rendezvous_file.read_bytes())
-            where, token = address(found["mgmt"], "mgmt"), found["token"]
+            rendezvous = json.loads(self.rendezvous_file.read_bytes())
+            management_address, token = address(rendezvous["mgmt"], "mgmt"), rendezvous["token"]
         except FileNotFoundError:
             return None
         except (OSError, ValueError, TypeError, KeyError, ConfigError) as error:
@@ -183,48 +184,51 @@
         sock = None
         try:
             async with self.timers.timeout(ANSWER_TIMEOUT_S):
-                sock = await connect(where)
+                sock = await connect(management_address)
                 link = ProcessLink(sock, self.metrics)
                 await asyncio.get_running_loop().sock_sendall(sock, f"{calls.TAKE_OVER} {token}\n".encode())
-                kind, form = await link.next_frame()
+                kind, sealed = await link.next_frame()
             if kind != handover.STATE:
-                raise HandoverError(f"a frame of kind {kind}")
-            content = handover.unseal(form)
+                raise HandoverError(f"expected the state, received a frame of kind {kind}")
+            content = handover.unseal(sealed)
         except (OSError, HandoverError, ValueError, RecursionError) as error:
             if sock is not None:
                 sock.close()
-            # Left over by a process that was killed: nobody is there to be called.
+            # Usually a process that was killed has left the file, and nothing listens at that address.
             self.metrics.count_and_log("handover_unusable", why=f"{type(error).__name__}: {error}")
             return None
         self.predecessor = link
         return content
 
     def restore(self, content: dict[str, Any]) -> None:
-        """Take in the state, after the start of the policy and before its first list."""
+        """Apply the predecessor's state; called after the policy has started and before its first list.
+
+        An unusable state is logged and not applied.
+        """
         self.budget.set_share(BUDGET_SHARE)
         try:
-            hosts = self.discovery.list_parser.parse(content["list"])
-            out = [str(host_id) for host_id in content["out"]]
-            here = tuple(content["discovery"]) == self.discovery.address
-            module = content["module"]
+            worker_list = self.discovery.list_parser.parse(content["list"])
+            in_maintenance = [str(host_id) for host_id in content["out"]]
+            same_discovery = tuple(content["discovery"]) == self.discovery.address
+            policy_state = content["module"]
         except (WorkerListError, KeyError, TypeError) as error:
             self.metrics.count_and_log("handover_unusable", why=f"{type(error).__name__}: {error}")
             return
         try:
-            handover.restore(self.policy_runner.dispatcher, module)
+            handover.restore(self.policy_runner.dispatcher, policy_state)
             for worker in self.policy_runner.dispatcher.workers.values():
                 self._predecessor_slots[worker.id] = round(worker.in_flight)
-        except HandoverError as why:  # as with other settings: the list and the operators' word still hold
-            self.metrics.count_and_log("handover_unusable", why=why)
-        self.discovery.take_over_list(hosts, here)
-        for host_id in out:
+        except HandoverError as state_error:  # e.g. other settings; list and maintenance modes still apply
+            self.metrics.count_and_log("handover_unusable", why=state_error)
+        self.discovery.take_over_list(worker_list, same_discovery)
+        for host_id in in_maintenance:
             self.operators.set_maintenance(host_id, True)
-        self.metrics.log("taken_over", workers=len(hosts.endpoints), out=len(out))
+        self.metrics.log("taken_over", workers=len(worker_list.endpoints), out=len(in_maintenance))
 
     async def announce_serving(self) -> None:
-        """Tell the predecessor that this process serves.
+        """Notify the predecessor that this process serves, and publish this process's management address.
 
-        Once it has released the addresses, say where to call.
+        The address is published once the predecessor has released the shared ones, or after ANSWER_TIMEOUT_S.
         """
         if self.predecessor is not None:
             self.predecessor.start(self._receive_from_predecessor, self._predecessor_ended)
@@ -235,12 +239,12 @@
         self._write_rendezvous()
 
     def _receive_from_predecessor(self, kind: int, payload: bytes) -> None:
-        if kind == handover.PARTED:
+        if kind == handover.ADDRESSES_RELEASED:
             self._addresses_released.set()
-        elif kind == handover.DONE:
+        elif kind == handover.ALL_ANSWERED:
             self._predecessor_done = True
-        elif kind == handover.SLOTS:
-            number, slots = _SLOTS.unpack(payload)
+        elif kind == handover.SLOTS_CHANGE:
+            number, slots = _SLOTS_CHANGE.unpack(payload)
             self._predecessor_slots[number] += slots
             self.policy_runner.feed(interface.SiblingLoad(number, slots))
         else:
@@ -259,43 +263,44 @@
     # ---- the old process -----------------------------------------------------------------------------------
 
     def accept_successor(self, token: str, sock: socket.socket) -> str:
-        """Hand over to a new process that has called.
+        """Hand over to a new process that has connected on `sock` and presented `token`.
 
         Returns:
-            Why it may not take over, or an empty text: then the socket is kept.
+            Why it may not take over; an empty text if it may, and then this object owns the socket.
         """
         if not secrets.compare_digest(token.encode(), self.token.encode()):
             return "not the word that this process has left"
         if self.successor is not None or self.listener.ending:
             return "another has taken over" if self.successor is not None else "this process is ending"
-        form = handover.seal(
+        sealed = handover.seal(
             {
-                "module": handover.take(self.policy_runner.dispatcher),
+                "module": handover.export_state(self.policy_runner.dispatcher),
                 "out": sorted(self.operators.in_maintenance),
                 "list": self.discovery.list_parser.to_json(
                     self.discovery.version or 0, self.workers.endpoints()
                 ),
                 "discovery": self.discovery.address,
-                **{name: give() for name, (give, _) in self.parts.items()},
+                **{name: export() for name, (export, _) in self.parts.items()},
             }
         )
         link = self.successor = ProcessLink(sock, self.metrics)
         link.start(self._receive_from_successor, self._successor_ended)
         self._reported_slots = self._slots_in_flight()
-        link.send(handover.STATE, form)
+        link.send(handover.STATE, sealed)
         self.timers.after(SLOTS_INTERVAL_S, self._report_slots)
         return ""
 
     def _receive_from_successor(self, kind: int, payload: bytes) -> None:
         if kind == handover.SERVING and self.successor is not None:
-            self.metrics.spawn(self._release_addresses(self.successor), "let go")
+            self.metrics.spawn(self._release_addresses(self.successor), "release addresses")
         else:
             self._receive_shared(kind, payload, self.successor)
 
     async def _release_addresses(self, link: ProcessLink) -> None:
-        """Release the shared addresses; what this process has taken it brings to its end.
+        """Release the shared addresses, and finish the requests that this process has accepted.
 
-        The new one may die at any point: then all has been taken back, or nothing was released.
+        The successor may die at any point: then `_successor_ended` has taken the addresses back, or none was
+        released.
         """
         if self.successor is not link:
             return
@@ -304,16 +309,16 @@
         await self.listener.hand_over()
         if self.successor is link:
             self.metrics.log("handed_over", owed=self.listener.unanswered)
-            link.send(handover.PARTED)
+            link.send(handover.ADDRESSES_RELEASED)
         while self.successor is link and self.listener.unanswered:
             await asyncio.sleep(CHECK_INTERVAL_S)
         if self.successor is link:
-            link.send(handover.DONE)
+            link.send(handover.ALL_ANSWERED)
 
     def _successor_ended(self) -> None:
         self.successor = None
         if self.listener.handed and not self.listener.ending:
-            self.metrics.count_and_log("taken_back")  # the new process died: this one goes on
+            self.metrics.count_and_log("taken_back")  # the successor died, so this process continues to serve
             self.policy_runner.dispatcher.gossip.incarnation = (
                 self.policy_runner.dispatcher.gossip.incarnation + 1
             ) & 0xFF
@@ -328,46 +333,52 @@
         if self.successor is None:
             return
         self.timers.after(SLOTS_INTERVAL_S, self._report_slots)
-        out = self._slots_in_flight()
-        for number in {*out, *self._reported_slots}:
-            if out[number] != self._reported_slots[number]:
+        in_flight = self._slots_in_flight()
+        for number in {*in_flight, *self._reported_slots}:
+            if in_flight[number] != self._reported_slots[number]:
                 self.successor.send(
-                    handover.SLOTS, _SLOTS.pack(number, out[number] - self._reported_slots[number])
+                    handover.SLOTS_CHANGE,
+                    _SLOTS_CHANGE.pack(number, in_flight[number] - self._reported_slots[number]),
                 )
-        self._reported_slots = out
+        self._reported_slots = in_flight
 
     def _slots_in_flight(self) -> Counter[int]:
         workers = self.policy_runner.dispatcher.workers.values()
         return Counter({worker.id: round(worker.in_flight) for worker in workers if worker.in_flight})
 
-    # ---- both ----------------------------------------------------------------------------------------------
+    # ---- both processes ------------------------------------------------------------------------------------
 
     def _write_rendezvous(self) -> None:
-        """Write where to call this process; a new file takes the old one's place as a whole."""
-        new = self.rendezvous_file.with_suffix(".new")
+        """Publish this process's management address and token; the file is replaced atomically."""
+        new_file = self.rendezvous_file.with_suffix(".new")
         try:
             with contextlib.suppress(FileNotFoundError):
-                new.unlink()
-            with os.fdopen(os.open(new, os.O_WRONLY | os.O_CREAT | os.O_EXCL, 0o600), "w") as file:
+                new_file.unlink()
+            with os.fdopen(os.open(new_file, os.O_WRONLY | os.O_CREAT | os.O_EXCL, 0o600), "w") as file:
                 json.dump({"mgmt": f"{self.mgmt[0]}:{self.mgmt[1]}", "token": self.token}, file)
-            new.replace(self.rendezvous_file)
-        except OSError as error:  # the next process starts from nothing
+            new_file.replace(self.rendezvous_file)
+        except OSError as error:  # the next process starts without state
             self.metrics.count_and_log("handover_file_write_failed", why=error)
 
-    def _links(self, but: ProcessLink | None) -> list[ProcessLink]:
-        return [link for link in (self.predecessor, self.successor) if link is not None and link is not but]
+    def _links(self, excluded: ProcessLink | None) -> list[ProcessLink]:
+        return [
+            link for link in (self.predecessor, self.successor) if link is not None and link is not excluded
+        ]
 
-    def _forward_callback(self, body: bytes, worker: int, but: ProcessLink | None = None) -> None:
-        """Forward a call-back for no job of this process: it may be for one of the other's."""
-        for link in self._links(but):
-            link.send(handover.CALL_BACK, body)
+    def _forward_callback(self, body: bytes, worker: int, excluded: ProcessLink | None = None) -> None:
+        """Forward a call-back that matches no job of this process; it may belong to the other process."""
+        for link in self._links(excluded):
+            link.send(handover.CALLBACK, body)
             self.metrics.count("callbacks_passed_on")
-            if link is self.predecessor:  # the worker lives, though nothing is told here
+            if link is self.predecessor:  # a sign of life from the worker, which this process would not see
                 self.policy_runner.feed(interface.SiblingLoad(worker, 0.0))
 
     def _forward_operator_call(self, call: OperatorCall) -> None:
-        """Forward what holds for both processes; a drain is for the one that takes clients."""
-        kinds = {calls.DISABLE: handover.OUT, calls.ENABLE: handover.BACK}
+        """Forward a call that applies to both processes; a drain or resume goes to the successor only.
+
+        The successor is the process that accepts clients.
+        """
+        kinds = {calls.DISABLE: handover.DISABLE_WORKER, calls.ENABLE: handover.ENABLE_WORKER}
         for link in self._links(None):
             if call.name in kinds:
                 link.send(kinds[call.name], call.argument.encode())
@@ -375,14 +386,14 @@
                 link.send(handover.DRAIN if call.name == calls.DRAIN else handover.RESUME)
 
     def _receive_shared(self, kind: int, payload: bytes, link: ProcessLink | None) -> None:
-        if kind == handover.CALL_BACK:
+        if kind == handover.CALLBACK:
             self.workers.receive_callback(
                 payload, lambda body, worker: self._forward_callback(body, worker, link)
             )
             return
-        for other in self._links(link):  # a third, where one upgrade follows close on another
+        for other in self._links(link):  # a third process, if a second upgrade begins before the first ends
             other.send(kind, payload)
-        if kind in (handover.OUT, handover.BACK):
-            self.operators.set_maintenance(payload.decode("ascii"), kind == handover.OUT)
+        if kind in (handover.DISABLE_WORKER, handover.ENABLE_WORKER):
+            self.operators.set_maintenance(payload.decode("ascii"), kind == handover.DISABLE_WORKER)
         else:
             self.operators.set_drained(kind == handover.DRAIN)
--- a/tests/management/test_handover.py
+++ b/tests/management/test_handover.py
@@ -45,10 +45,10 @@
 
 def test_what_is_handed_over_is_what_was_taken() -> None:
     old = worked()
-    form = handover.seal({"module": handover.take(old)})
+    form = handover.seal({"module": handover.export_state(old)})
     new = started(6, seed=2, groupSize="3", policyLimits__peers="true")
     handover.restore(new, handover.unseal(form)["module"])
-    given, got = handover.take(old), handover.take(new)
+    given, got = handover.export_state(old), handover.export_state(new)
     assert (
         got["fleet"].pop("sequence")
         == (given["fleet"].pop("sequence") + handover.SEQUENCE_ALLOWANCE) & 0xFFFF
@@ -87,19 +87,19 @@
 
 
 def test_what_does_not_fit_changes_nothing() -> None:
-    content = handover.take(worked())
+    content = handover.export_state(worked())
     for key in content:
         for wrong in (None, [1], {}, "text", [[1, 2, 3, 4, 5]]):
             new = started(6, groupSize="3", policyLimits__peers="true")
-            before = json.dumps(handover.take(new))
+            before = json.dumps(handover.export_state(new))
             try:
                 handover.restore(new, {**content, key: wrong})
             except HandoverError:
-                assert json.dumps(handover.take(new)) == before
+                assert json.dumps(handover.export_state(new)) == before
 
 
 def test_frames_in_pieces_are_frames() -> None:
-    sent = [(handover.STATE, b"x" * 3000), (handover.SERVING, b""), (handover.CALL_BACK, b"{}")]
+    sent = [(handover.STATE, b"x" * 3000), (handover.SERVING, b""), (handover.CALLBACK, b"{}")]
     data, draw = b"".join(handover.encode_frame(kind, payload) for kind, payload in sent), random.Random(3)
     for _ in range(50):
         frames, got, at = FrameReader(), [], 0
@@ -113,7 +113,7 @@
 
 
 def test_figures_of_other_settings_are_not_used() -> None:
-    content = handover.take(worked())
+    content = handover.export_state(worked())
     for changes in ({"groupSize": "4"}, {"requestClasses__0__aim": "2"}, {"myNumber": "1"}):
         new = started(6, **{"groupSize": "3", "policyLimits__peers": "true", **changes})
         with pytest.raises(HandoverError, match="other settings"):
--- a/tests/management/test_upgrade.py
+++ b/tests/management/test_upgrade.py
@@ -86,9 +86,9 @@
                 listener = tcp_listener(("127.0.0.1", harness.port), "listen", shared=True)
                 new.say(handover.SERVING)
             if step == "has the door":
-                await new.expect(handover.PARTED)
+                await new.expect(handover.ADDRESSES_RELEASED)
                 assert await operator.call("ready") == "FAILURE another process has taken over\n"
-                await new.expect(handover.DONE)
+                await new.expect(handover.ALL_ANSWERED)
             if listener is not None:
                 listener.close()
             new.die()
@@ -110,7 +110,7 @@
     module = ScriptedPolicy([interface.SendAttempt(1, FIRST)])
     module.take = lambda: {}  # type: ignore[attr-defined]
     monkeypatch.setattr("beaconhinge.application.Dispatcher", lambda settings, seed: module)
-    monkeypatch.setattr("beaconhinge.management.handover.take", lambda module: {})
+    monkeypatch.setattr("beaconhinge.management.handover.export_state", lambda module: {})
     module.workers = {}  # type: ignore[attr-defined]
 
     async def scenario(harness: Harness, operator: Operator, word: Path) -> None:
@@ -124,15 +124,15 @@
         await new.take_over(word)
         await new.expect(handover.STATE)
         await harness.callback(state="done", id="r9", result="not known here")
-        assert json.loads(await new.expect(handover.CALL_BACK))["id"] == "r9"
+        assert json.loads(await new.expect(handover.CALLBACK))["id"] == "r9"
         listener = tcp_listener(("127.0.0.1", harness.port), "listen", shared=True)
         new.say(handover.SERVING)
-        await new.expect(handover.PARTED)
+        await new.expect(handover.ADDRESSES_RELEASED)
         assert await idle.read() == b""  # between jobs: it comes again by the new process
-        new.say(handover.CALL_BACK, b'{"id": "r1", "from": "s-0", "state": "done", "result": "one"}')
+        new.say(handover.CALLBACK, b'{"id": "r1", "from": "s-0", "state": "done", "result": "one"}')
         answer = await read_message(reader)
         assert (answer.status, answer.body, answer.headers["connection"]) == (200, b"one", "close")
-        await new.expect(handover.DONE)
+        await new.expect(handover.ALL_ANSWERED)
         _, late = await harness.open()
         accepted, _ = await asyncio.get_running_loop().sock_accept(listener)  # steered to the new one
         accepted.close()
@@ -155,7 +155,7 @@
             await new.take_over(word)
             await new.expect(handover.STATE)
             new.say(handover.SERVING)
-            await new.expect(handover.PARTED)
+            await new.expect(handover.ADDRESSES_RELEASED)
             if dies:
                 new.die()
                 while await operator.call("ready") != "SUCCESS ready\n":
@@ -163,10 +163,10 @@
         assert await operator.call("resume") == "SUCCESS serves\n"
         await new.expect(handover.RESUME)
         assert new.got.empty()  # the job is in work
-        new.say(handover.CALL_BACK, b'{"id": "r1", "from": "s-0", "state": "done", "result": "one"}')
+        new.say(handover.CALLBACK, b'{"id": "r1", "from": "s-0", "state": "done", "result": "one"}')
         assert (await read_message(reader)).body == b"one"
         writer.close()
-        await new.expect(handover.DONE)
+        await new.expect(handover.ALL_ANSWERED)
         new.die()
 
     upgrade(scenario, tmp_path)
@@ -194,9 +194,9 @@
         await new.take_over(word)
         await new.expect(handover.STATE)
         await operator.call("disable-server s-0")
-        assert await new.expect(handover.OUT) == b"s-0"
+        assert await new.expect(handover.DISABLE_WORKER) == b"s-0"
         assert (await operator.figures())["hosts_down"] == 1
-        new.say(handover.BACK, b"s-0")
+        new.say(handover.ENABLE_WORKER, b"s-0")
         while (await operator.figures())["hosts_down"]:
             await asyncio.sleep(0.01)
         await operator.call("drain")
@@ -229,7 +229,7 @@
         if fault in forms:
             writer.write(handover.encode_frame(handover.STATE, forms[fault]))
         elif fault == "other frame":
-            writer.write(handover.encode_frame(handover.PARTED))
+            writer.write(handover.encode_frame(handover.ADDRESSES_RELEASED))
         await reader.read()
         writer.close()
 
