--- a/beaconhinge/net/management.py
+++ b/beaconhinge/net/management.py
@@ -1,4 +1,4 @@
-"""The address for operators' calls: sockets apart from the clients', with descriptors reserved for them."""
+"""Serves operators' calls on an address apart from the clients', with file descriptors reserved for it."""
 
 from __future__ import annotations
 
@@ -15,18 +15,21 @@
 from ..runtime.timer_wheel import TimerWheel
 from .sockets import tcp_listener
 
-MAX_CALLERS = 8  # descriptors reserved; with as many callers the one that has been silent longest goes
-CALL_TIMEOUT_S = 5.0  # a caller has it for its line: some keep a connection 4 s without one
-ANSWER_TIMEOUT_S = 1.0  # it has it to take the answer, and to close
-ACCEPT_RETRY_S = 0.01  # after a failed accept
+MAX_CALLERS = 8  # connections, with reserved descriptors; beyond, the caller silent longest is disconnected
+CALL_TIMEOUT_S = 5.0  # for a caller to send its line; some keep a connection 4 s without one
+ANSWER_TIMEOUT_S = 1.0  # for a caller to read the answer and close the connection
+ACCEPT_RETRY_S = 0.01  # pause after a failed accept
 
 
 class Management:
-    """Accepts operators' calls, one a connection.
+    """Accepts operators' calls, one per connection.
 
     Attributes:
-        acts: by name, what each call does; it returns the answer, or a wait for it.
-        adopt: takes the connection of a new process of this dispatcher; returns why not, if it does not.
+        handlers: by call name, the function that carries out the call; it returns the answer, or an awaitable
+            of the answer.
+        accept_successor: called with the token and the connection of a new process of this dispatcher. It
+            returns an empty text if it keeps the connection, otherwise why it does not. None if upgrades are
+            disabled.
     """
 
     def __init__(
@@ -41,11 +44,11 @@
         self.timers = timers
         self.metrics = metrics
         self.accept_successor: Callable[[str, socket.socket], str] | None = None
-        self._callers: dict[socket.socket, asyncio.Task[None]] = {}  # in the order they came
-        self._adopted: set[socket.socket] = set()
+        self._callers: dict[socket.socket, asyncio.Task[None]] = {}  # oldest connection first
+        self._successors: set[socket.socket] = set()  # connections that `accept_successor` keeps
 
     def listen(self) -> None:
-        """Listen and accept.
+        """Listen on the address, and accept callers in a task.
 
         Raises:
             AddressUnavailable: the address is in use, or is not this machine's.
@@ -56,13 +59,12 @@
         while True:
             try:
                 sock, _ = await asyncio.get_running_loop().sock_accept(listener)
-            except OSError as error:  # the caller has left again, or descriptors are short after all
+            except OSError as error:  # the caller has disconnected, or the process is out of descriptors
                 self.metrics.count_and_log("management_accept_failed", why=error)
                 await asyncio.sleep(ACCEPT_RETRY_S)
                 continue
-            if (
-                len(self._callers) >= MAX_CALLERS
-            ):  # a whole call is answered at once: the first has not made one
+            if len(self._callers) >= MAX_CALLERS:
+                # A complete call is answered at once, so the oldest connection has not sent one.
                 self._close_caller(next(iter(self._callers)))
             sock.setblocking(False)
             task = self._callers[sock] = self.metrics.spawn(self._serve(sock), "management call")
@@ -89,18 +91,21 @@
                 sock.shutdown(socket.SHUT_WR)
                 while await loop.sock_recv(sock, 1024):  # closing on unread bytes would reset the answer away
                     pass
-        except OSError:  # a time-out is one too
+        except OSError:  # includes TimeoutError
             pass
 
     def _done(self, sock: socket.socket, _task: asyncio.Task[None]) -> None:
-        self._callers.pop(sock, None)  # not in `_serve`: a caller that is closed may never have got that far
-        if sock in self._adopted:
-            self._adopted.remove(sock)
+        self._callers.pop(sock, None)  # not in `_serve`, which a closed caller's task may never have entered
+        if sock in self._successors:
+            self._successors.remove(sock)
         else:
             sock.close()
 
     async def _read_line(self, sock: socket.socket) -> bytes:
-        """Up to the end of the line or of the stream; one byte over the bound is enough to refuse it."""
+        """Return what the caller sent up to the end of the line or of the stream.
+
+        Reading stops once the line is over `calls.MAX_LINE_BYTES`, since `calls.parse` then refuses it.
+        """
         line = b""
         while b"\n" not in line and len(line) <= calls.MAX_LINE_BYTES:
             part = await asyncio.get_running_loop().sock_recv(sock, calls.MAX_LINE_BYTES + 2)
@@ -111,23 +116,26 @@
         return first + end
 
     def _answer(self, line: bytes, sock: socket.socket) -> bytes | Awaitable[bytes]:
-        """Nothing for a connection that another process of this dispatcher keeps."""
+        """Carry out the call in a line; return the answer or an awaitable of it.
+
+        The answer is empty, and the connection stays open, if a new process of this dispatcher takes it over.
+        """
         try:
             call = calls.parse(line)
             self.metrics.count("management_calls")
             if call.name != calls.TAKE_OVER:
                 return self.handlers[call.name](call)
-            why = (
+            refusal = (
                 self.accept_successor(call.argument, sock)
                 if self.accept_successor is not None
                 else "no place to leave word in"
             )
-            if not why:
-                self._adopted.add(sock)
-            return calls.failure(f"{call.name}: {why}") if why else b""
-        except InvalidCallError as why:
-            self.metrics.count_and_log("management_call_refused", why=why)
-            return calls.failure(str(why))
-        except Exception as error:  # noqa: BLE001  # a defect here: the operator hears of it too
+            if not refusal:
+                self._successors.add(sock)
+            return calls.failure(f"{call.name}: {refusal}") if refusal else b""
+        except InvalidCallError as invalid:
+            self.metrics.count_and_log("management_call_refused", why=invalid)
+            return calls.failure(str(invalid))
+        except Exception as error:  # noqa: BLE001  # a defect in this program, reported to the operator too
             self.metrics.log_exception("management call", error)
             return calls.failure("internal error")
--- a/beaconhinge/net/operator_calls.py
+++ b/beaconhinge/net/operator_calls.py
@@ -1,4 +1,4 @@
-"""What operators' calls do here: each is passed to the part that owns it."""
+"""Carries out operators' calls by passing each to the component that it concerns."""
 
 from __future__ import annotations
 
@@ -19,12 +19,14 @@
     """Carries out operators' calls.
 
     Attributes:
-        out: ids of the workers that are out by hand; they may leave the list meanwhile.
-        replaces: whether a process before this one may be ended.
-        others: hears of each change; tells the other process of an upgrade.
-        keep: stores that a worker is out or not; returns why not, if it could not.
-        phase: the phase of recovery, where there are phases.
-        acts: by name, what each call does.
+        in_maintenance: ids of the workers in maintenance mode; they may be missing from the list meanwhile.
+        may_replace: returns whether this process can replace its predecessor, which may then be ended.
+        forward: called with each call that changes something; sends it to the other process of an upgrade.
+        persist_maintenance: stores whether a worker is in maintenance mode; returns why it could not, or an
+            empty text. None if nothing is stored.
+        phase: returns the name of the recovery stage; None if recovery is not enabled.
+        handlers: by call name, the function that carries out the call; it returns the answer, or an awaitable
+            of the answer.
     """
 
     def __init__(
@@ -49,8 +51,8 @@
         self.handlers: dict[str, Callable[[OperatorCall], bytes | Awaitable[bytes]]] = {
             calls.READY: self._ready,
             calls.SHOW_STAT: self._show_stat,
-            calls.DISABLE: self._take_out_or_put_back,
-            calls.ENABLE: self._take_out_or_put_back,
+            calls.DISABLE: self._disable_or_enable,
+            calls.ENABLE: self._disable_or_enable,
             calls.DRAIN: self._drain_or_resume,
             calls.RESUME: self._drain_or_resume,
         }
@@ -80,30 +82,32 @@
             )
         )
 
-    def _take_out_or_put_back(self, call: OperatorCall) -> bytes | Awaitable[bytes]:
+    def _disable_or_enable(self, call: OperatorCall) -> bytes | Awaitable[bytes]:
         if call.argument not in self.in_maintenance and not self.workers.is_listed(call.argument):
             return calls.failure(f"{call.argument}: no such worker in the list")
-        out = call.name == calls.DISABLE
-        self.set_maintenance(call.argument, out)
+        disable = call.name == calls.DISABLE
+        self.set_maintenance(call.argument, disable)
         self.forward(call)
-        answer = f"{call.argument} is {'out' if out else 'in'}"
+        answer = f"{call.argument} is {'out' if disable else 'in'}"
         return (
             calls.success(answer)
             if self.persist_maintenance is None
-            else self._answer_when_persisted(self.persist_maintenance(call.argument, out), answer)
+            else self._answer_when_persisted(self.persist_maintenance(call.argument, disable), answer)
         )
 
-    async def _answer_when_persisted(self, keeping: Awaitable[str], answer: str) -> bytes:
-        why = await keeping
-        return calls.failure(f"{answer}, but not after a restart: {why}") if why else calls.success(answer)
+    async def _answer_when_persisted(self, persisting: Awaitable[str], answer: str) -> bytes:
+        reason = await persisting
+        return (
+            calls.failure(f"{answer}, but not after a restart: {reason}") if reason else calls.success(answer)
+        )
 
-    def set_maintenance(self, host_id: str, out: bool) -> None:
-        """Take a worker out or put it back; a second time changes nothing."""
-        if out == (host_id in self.in_maintenance):
+    def set_maintenance(self, host_id: str, enabled: bool) -> None:
+        """Switch a worker's maintenance mode on or off; no effect if it is so already."""
+        if enabled == (host_id in self.in_maintenance):
             return
         self.in_maintenance ^= {host_id}
-        self.policy_runner.metrics.log("worker_out" if out else "worker_back", worker=host_id)
-        self.policy_runner.feed(interface.MaintenanceMode(worker_number(host_id), out))
+        self.policy_runner.metrics.log("worker_out" if enabled else "worker_back", worker=host_id)
+        self.policy_runner.feed(interface.MaintenanceMode(worker_number(host_id), enabled))
 
     def _drain_or_resume(self, call: OperatorCall) -> bytes:
         if self.listener.ending:
@@ -115,6 +119,6 @@
         return calls.success("drains" if drain else "serves")
 
     def set_drained(self, drain: bool) -> None:
-        """Drain or resume; after a hand-over that is for the other process to do."""
+        """Drain or resume this process; no effect after a hand-over, which leaves that to the successor."""
         if not self.listener.handed:
             self.listener.drain() if drain else self.listener.resume()
