--- a/beaconhinge/management/__init__.py
+++ b/beaconhinge/management/__init__.py
@@ -1,1 +1,1 @@
-"""What operators ask of a running dispatcher. Pure: no sockets, no clock."""
+"""Operators' calls, and the state that an upgrade hands over. Pure: no sockets, no clock."""
--- a/beaconhinge/management/calls.py
+++ b/beaconhinge/management/calls.py
@@ -1,7 +1,8 @@
-"""The operators' calls: one line in, one answer out. Pure.
+"""The protocol of operators' calls: a caller sends one line and receives one answer. Pure.
 
-A line is a call's name and, where the call has one, a worker's id, parted by blanks. An answer starts with
-`SUCCESS` or `FAILURE`; that of `show-stat` is the figures and a line `EOT` in place of this.
+A line holds the name of a call and, if the call takes one, an argument such as a worker's id, separated by
+blanks. An answer is one line that starts with `SUCCESS` or `FAILURE`; the answer to `show-stat` is its
+figures followed by a line `EOT` instead.
 """
 
 from __future__ import annotations
@@ -12,8 +13,8 @@
 DISABLE, ENABLE = "disable-server", "enable-server"
 LEASE_LIST, LEASE_TAKE, LEASE_GIVE = "lease-list", "lease-take", "lease-give"
 LEASE_HAND_OVER = "lease-hand-over"
-TAKE_OVER = "take-over"  # between two processes of one dispatcher
-# What each call needs beside its name.
+TAKE_OVER = "take-over"  # sent by a new process of the same dispatcher, not by operators
+# The argument of each call, as texts of errors name it; empty if the call takes none.
 ARGUMENT_BY_CALL = {
     READY: "",
     SHOW_STAT: "",
@@ -27,26 +28,26 @@
     LEASE_HAND_OVER: "a lease's name",
     TAKE_OVER: "the word that a process has left",
 }
-MAX_LINE_BYTES = 512  # bytes
+MAX_LINE_BYTES = 512
 
 
 class InvalidCallError(Exception):
-    """A line that is no call; the text says what is wrong."""
+    """A line is not a valid call; the text says what is wrong with it."""
 
 
 @dataclass(slots=True, frozen=True)
 class OperatorCall:
-    """One call of an operator, with its argument where it has one."""
+    """One call of an operator; `argument` is empty if the call takes none."""
 
     name: str
     argument: str = ""
 
 
 def parse(line: bytes) -> OperatorCall:
-    """Read a call from a line, which may end in CR, LF, both or nothing.
+    """Return the call in a line, which may end in CR, LF, both or nothing.
 
     Raises:
-        InvalidCallError: The line is no call.
+        InvalidCallError: The line is not a valid call.
     """
     if len(line) > MAX_LINE_BYTES:
         raise InvalidCallError(f"the line is over {MAX_LINE_BYTES} bytes")
@@ -56,27 +57,30 @@
     words = text.decode("ascii").split()
     if not words:
         raise InvalidCallError(f"no call; known are {', '.join(ARGUMENT_BY_CALL)}")
-    name, *rest = words
+    name, *arguments = words
     if name not in ARGUMENT_BY_CALL:
         raise InvalidCallError(f"{name[:40]}: no such call; known are {', '.join(ARGUMENT_BY_CALL)}")
-    wanted = 1 if ARGUMENT_BY_CALL[name] else 0
-    if len(rest) < wanted:
+    expected = 1 if ARGUMENT_BY_CALL[name] else 0
+    if len(arguments) < expected:
         raise InvalidCallError(f"{name}: {ARGUMENT_BY_CALL[name]} is missing")
-    if len(rest) > wanted:
-        raise InvalidCallError(f"{name}: {rest[wanted][:40]} is one word too many")
-    return OperatorCall(name, *rest)
+    if len(arguments) > expected:
+        raise InvalidCallError(f"{name}: {arguments[expected][:40]} is one word too many")
+    return OperatorCall(name, *arguments)
 
 
 def success(text: str) -> bytes:
-    """The answer to a call that was carried out."""
+    """Return the answer to a call that was carried out."""
     return f"SUCCESS {text}\n".encode()
 
 
-def failure(why: str) -> bytes:
-    """The answer to a call that was not; one line, whatever the text: it may quote what a caller sent."""
-    return b"FAILURE " + why.encode("ascii", "backslashreplace").replace(b"\n", b" ") + b"\n"
+def failure(reason: str) -> bytes:
+    """Return the answer to a call that was not carried out.
+
+    Always one line of ASCII, since `reason` may quote what a caller sent.
+    """
+    return b"FAILURE " + reason.encode("ascii", "backslashreplace").replace(b"\n", b" ") + b"\n"
 
 
 def multi_line(text: str) -> bytes:
-    """An answer that shows something; its last line says that it is complete."""
+    """Return an answer that shows `text`; its last line, `EOT`, marks it as complete."""
     return text.encode() + b"\nEOT\n"
--- a/beaconhinge/management/figures.py
+++ b/beaconhinge/management/figures.py
@@ -1,4 +1,4 @@
-"""The figures that `show-stat` shows. Pure; each is counted where its thing happens, by this name."""
+"""The figures in the answer to `show-stat`. Pure; each is counted under its name where its event occurs."""
 
 from __future__ import annotations
 
@@ -7,12 +7,12 @@
 
 from ..policy.dispatcher import Dispatcher
 
-SUCCESS, BUSY, FAILURE = "success", "busy", "failure"  # by class
+SUCCESS, BUSY, FAILURE = "success", "busy", "failure"  # kinds of figures of a request class
 BACKEND_CALLS = "backend_calls"
 
 
 def counter_name(kind: str, cls: str) -> str:
-    """The name of a class's figure in `Metrics.counters`."""
+    """Return the name in `Metrics.counters` of a request class's figure of one kind."""
     return f"{kind}_{cls}"
 
 
@@ -24,33 +24,41 @@
     down: int,
     phase: str = "",
 ) -> str:
-    """The figures as one line of JSON.
+    """Return the figures as one line of JSON.
 
-    Every class of the settings appears; the phase only where there are phases.
+    Args:
+        counters: `Metrics.counters`.
+        classes: names of the request classes; each appears, also with zeros alone.
+        inflight: requests without an answer.
+        listed: workers in the list.
+        down: listed workers that get no jobs now; see `count_down`.
+        phase: name of the recovery stage; left out if empty.
     """
     calls = {
         cls: {kind: counters.get(counter_name(kind, cls), 0) for kind in (SUCCESS, BUSY, FAILURE)}
         for cls in classes
     }
-    shown = {
+    stat = {
         "calls": calls,
         BACKEND_CALLS: counters.get(BACKEND_CALLS, 0),
         "inflight": inflight,
         "hosts_listed": listed,
         "hosts_down": down,
     }
-    return json.dumps({**shown, "phase": phase} if phase else shown, separators=(",", ":"))
+    return json.dumps({**stat, "phase": phase} if phase else stat, separators=(",", ":"))
 
 
 def count_down(dispatcher: Dispatcher, listed: Iterable[int], now: float) -> int:
-    """Of the listed workers, by number, those that get no jobs now: taken out by hand, leaving, ejected, or
-    silent while they have jobs.
+    """Return how many of the listed workers get no jobs now.
+
+    These are in maintenance mode, draining, ejected, or silent while they have jobs. `listed` holds numbers
+    of workers; `now` is the policy's time in seconds.
     """
-    found = 0
+    down = 0
     for number in listed:
         worker = dispatcher.workers.get(number)
         if worker is None:
             continue
         ejected = worker.on_probation and now < worker.ejected_until
-        found += not worker.listed or ejected or dispatcher.is_silent(worker)
-    return found
+        down += not worker.listed or ejected or dispatcher.is_silent(worker)
+    return down
