--- a/tests/management/test_calls.py
+++ b/tests/management/test_calls.py
@@ -1,4 +1,4 @@
-"""Lines of operators, and the words of the answers."""
+"""Parsing of operators' calls, and the texts of failures."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
         (b"enable-server  s-1", OperatorCall("enable-server", "s-1")),
     ],
 )
-def test_a_call_is_read_whatever_ends_its_line(line: bytes, call: OperatorCall, end: bytes) -> None:
+def test_parse_accepts_every_line_ending(line: bytes, call: OperatorCall, end: bytes) -> None:
     assert calls.parse(line + end) == call
 
 
@@ -43,14 +43,14 @@
         (b"x" * 513, "over 512 bytes"),
     ],
 )
-def test_what_is_wrong_with_a_line_is_named(line: bytes, why: str) -> None:
+def test_parse_error_names_what_is_wrong(line: bytes, why: str) -> None:
     with pytest.raises(InvalidCallError, match=why):
         calls.parse(line)
 
 
-def test_any_bytes_are_a_call_or_a_bad_call_and_the_answer_is_one_line() -> None:
-    draw = random.Random(11)
-    words = [word.encode() for word in calls.ARGUMENT_BY_CALL] + [
+def test_random_bytes_parse_or_fail_with_a_one_line_answer() -> None:
+    rng = random.Random(11)
+    fragments = [name.encode() for name in calls.ARGUMENT_BY_CALL] + [
         b" ",
         b"\n",
         b"\r",
@@ -60,11 +60,11 @@
         b"x" * 300,
     ]
     for _ in range(2000):
-        line = b"".join(draw.choice(words) for _ in range(draw.randrange(6)))
+        line = b"".join(rng.choice(fragments) for _ in range(rng.randrange(6)))
         try:
             assert calls.parse(line).name in calls.ARGUMENT_BY_CALL
-        except InvalidCallError as why:
-            answer = calls.failure(str(why))
+        except InvalidCallError as error:
+            answer = calls.failure(str(error))
             assert answer.startswith(b"FAILURE ")
             assert answer.count(b"\n") == 1
             assert answer.endswith(b"\n")
