--- a/tests/management/test_upgrade.py
+++ b/tests/management/test_upgrade.py
@@ -15,7 +15,7 @@
 import pytest
 import uvloop
 from harness import Harness, ReceivedMessage, ScriptedPolicy, free_port, job_bytes, read_message, run_scenario
-from test_management import FIRST, Operator
+from test_management import FIRST_WORKER, Operator
 
 from beaconhinge.management import handover
 from beaconhinge.management.handover import FrameReader
@@ -107,7 +107,7 @@
 def test_jobs_of_the_old_process_end_there_and_call_backs_find_their_way(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    module = ScriptedPolicy([interface.SendAttempt(1, FIRST)])
+    module = ScriptedPolicy([interface.SendAttempt(1, FIRST_WORKER)])
     module.take = lambda: {}  # type: ignore[attr-defined]
     monkeypatch.setattr("beaconhinge.application.Dispatcher", lambda settings, seed: module)
     monkeypatch.setattr("beaconhinge.management.handover.export_state", lambda module: {})
@@ -258,7 +258,7 @@
         ):
             while (await harness.request(UP)).status == 503:  # until discovery has answered
                 await asyncio.sleep(0.01)
-            await Operator(mgmt).ready()
+            await Operator(mgmt).wait_until_ready()
             # What does not hang on settings holds all the same.
             assert (await Operator(mgmt).figures())["hosts_down"] == (fault == "other settings")
         server.close()
@@ -288,7 +288,7 @@
                     env={**os.environ, "RELAY_CONFIG": str(config), "TMPDIR": str(tmp_path)},
                 )
             )
-            await operators[-1].ready()
+            await operators[-1].wait_until_ready()
 
         await start()
         asking = asyncio.create_task(harness.clients.run(4.0))
