--- a/tests/management/test_upgrade.py
+++ b/tests/management/test_upgrade.py
@@ -1,4 +1,4 @@
-"""One process takes over from another: each side against a scripted other, and two real ones under load."""
+"""Upgrades: the old and the new process, each against a scripted peer, and real processes under load."""
 
 from __future__ import annotations
 
@@ -28,32 +28,39 @@
 
 
 class Successor:
-    """The new process, as the old one sees it."""
+    """Stands in for the new process towards the old one; its test scripts the frames that it sends."""
 
     def __init__(self) -> None:
-        self.frames, self.got, self.read = FrameReader(), asyncio.Queue[tuple[int, bytes]](), b""
+        self.frame_reader, self.received, self.received_bytes = (
+            FrameReader(),
+            asyncio.Queue[tuple[int, bytes]](),
+            b"",
+        )
 
-    async def take_over(self, word: Path, token: str = "") -> None:
-        while not word.exists():
+    async def take_over(self, rendezvous_file: Path, token: str = "") -> None:
+        while not rendezvous_file.exists():
             await asyncio.sleep(0.01)
-        told = json.loads(word.read_text())
-        self.reader, self.writer = await asyncio.open_connection("127.0.0.1", int(told["mgmt"].split(":")[1]))
-        self.writer.write(f"take-over {token or told['token']}\n".encode())
+        rendezvous = json.loads(rendezvous_file.read_text())
+        self.reader, self.writer = await asyncio.open_connection(
+            "127.0.0.1", int(rendezvous["mgmt"].split(":")[1])
+        )
+        self.writer.write(f"take-over {token or rendezvous['token']}\n".encode())
         self.reading = asyncio.create_task(self._read())
 
     async def _read(self) -> None:
         while data := await self.reader.read(65536):
-            self.read += data
-            if not self.read.startswith(b"FAILURE"):
-                for found in self.frames.feed(data):
-                    self.got.put_nowait(found)
+            self.received_bytes += data
+            if not self.received_bytes.startswith(b"FAILURE"):
+                for frame in self.frame_reader.feed(data):
+                    self.received.put_nowait(frame)
 
     async def expect(self, kind: int) -> bytes:
-        while (found := await self.got.get())[0] != kind:
+        """Skip frames until one of this kind arrives, and return its payload."""
+        while (frame := await self.received.get())[0] != kind:
             pass
-        return found[1]
+        return frame[1]
 
-    def say(self, kind: int, payload: bytes = b"") -> None:
+    def send(self, kind: int, payload: bytes = b"") -> None:
         self.writer.write(handover.encode_frame(kind, payload))
 
     def die(self) -> None:
@@ -61,30 +68,35 @@
         self.writer.transport.abort()
 
 
-def upgrade(scenario: Any, tmp_path: Path, **more: Any) -> None:
+def run_upgrade_scenario(scenario: Any, tmp_path: Path, **options: Any) -> None:
     port = free_port()
 
-    async def told(harness: Harness) -> None:
+    async def with_operator(harness: Harness) -> None:
         await scenario(harness, Operator(port), tmp_path / f"beaconhinge-127.0.0.1-{harness.port}.json")
 
-    run_scenario(told, mgmt=f"127.0.0.1:{port}", shared=tmp_path, **more)
+    run_scenario(with_operator, mgmt=f"127.0.0.1:{port}", shared=tmp_path, **options)
+
+
+def test_the_old_process_serves_on_if_the_new_one_dies_at_any_step(tmp_path: Path) -> None:
+    """The new process presents a wrong token, then dies after each step of a take-over in turn.
 
+    The steps: connected, state received ("has the form"), listening, addresses released ("has the door").
+    """
 
-def test_a_new_process_that_dies_at_any_step_leaves_the_old_one_serving(tmp_path: Path) -> None:
-    async def scenario(harness: Harness, operator: Operator, word: Path) -> None:
+    async def scenario(harness: Harness, operator: Operator, rendezvous_file: Path) -> None:
         new = Successor()
-        await new.take_over(word, "0" * 32)
+        await new.take_over(rendezvous_file, "0" * 32)
         await new.reading
-        assert new.read == b"FAILURE take-over: not the word that this process has left\n"
+        assert new.received_bytes == b"FAILURE take-over: not the word that this process has left\n"
         for step in ("called", "has the form", "serves", "has the door"):
             new = Successor()
-            await new.take_over(word)
+            await new.take_over(rendezvous_file)
             if step != "called":
                 assert "module" in handover.unseal(await new.expect(handover.STATE))
             listener = None
             if step in ("serves", "has the door"):
                 listener = tcp_listener(("127.0.0.1", harness.port), "listen", shared=True)
-                new.say(handover.SERVING)
+                new.send(handover.SERVING)
             if step == "has the door":
                 await new.expect(handover.ADDRESSES_RELEASED)
                 assert await operator.call("ready") == "FAILURE another process has taken over\n"
@@ -96,24 +108,25 @@
                 await asyncio.sleep(0.01)
             assert (await harness.request(UP)).status == 200
             reader, writer = await harness.open()
-            for _ in range(2):  # connections are kept again
+            for _ in range(2):  # connections are kept open again
                 writer.write(UP)
                 assert "connection" not in (await read_message(reader)).headers
             writer.close()
 
-    upgrade(scenario, tmp_path)
+    run_upgrade_scenario(scenario, tmp_path)
 
 
-def test_jobs_of_the_old_process_end_there_and_call_backs_find_their_way(
+def test_the_old_process_finishes_its_jobs_and_call_backs_are_forwarded(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    module = ScriptedPolicy([interface.SendAttempt(1, FIRST_WORKER)])
-    module.take = lambda: {}  # type: ignore[attr-defined]
-    monkeypatch.setattr("beaconhinge.application.Dispatcher", lambda settings, seed: module)
-    monkeypatch.setattr("beaconhinge.management.handover.export_state", lambda module: {})
-    module.workers = {}  # type: ignore[attr-defined]
-
-    async def scenario(harness: Harness, operator: Operator, word: Path) -> None:
+    """A call-back that reaches the process without the job must be forwarded to the other one."""
+    policy = ScriptedPolicy([interface.SendAttempt(1, FIRST_WORKER)])
+    policy.take = lambda: {}  # type: ignore[attr-defined]
+    monkeypatch.setattr("beaconhinge.application.Dispatcher", lambda settings, seed: policy)
+    monkeypatch.setattr("beaconhinge.management.handover.export_state", lambda dispatcher: {})
+    policy.workers = {}  # type: ignore[attr-defined]
+
+    async def scenario(harness: Harness, operator: Operator, rendezvous_file: Path) -> None:
         idle, idle_writer = await harness.open()
         idle_writer.write(UP)
         await read_message(idle)
@@ -121,20 +134,20 @@
         writer.write(job_bytes())
         await harness.workers[0].seen.get()
         new = Successor()
-        await new.take_over(word)
+        await new.take_over(rendezvous_file)
         await new.expect(handover.STATE)
         await harness.callback(state="done", id="r9", result="not known here")
         assert json.loads(await new.expect(handover.CALLBACK))["id"] == "r9"
         listener = tcp_listener(("127.0.0.1", harness.port), "listen", shared=True)
-        new.say(handover.SERVING)
+        new.send(handover.SERVING)
         await new.expect(handover.ADDRESSES_RELEASED)
-        assert await idle.read() == b""  # between jobs: it comes again by the new process
-        new.say(handover.CALLBACK, b'{"id": "r1", "from": "s-0", "state": "done", "result": "one"}')
+        assert await idle.read() == b""  # an idle client is closed, and reconnects to the new process
+        new.send(handover.CALLBACK, b'{"id": "r1", "from": "s-0", "state": "done", "result": "one"}')
         answer = await read_message(reader)
         assert (answer.status, answer.body, answer.headers["connection"]) == (200, b"one", "close")
         await new.expect(handover.ALL_ANSWERED)
         _, late = await harness.open()
-        accepted, _ = await asyncio.get_running_loop().sock_accept(listener)  # steered to the new one
+        accepted, _ = await asyncio.get_running_loop().sock_accept(listener)  # directed to the new process
         accepted.close()
         late.close()
         listener.close()
@@ -142,19 +155,21 @@
         await harness.running
         new.die()
 
-    upgrade(scenario, tmp_path)
+    run_upgrade_scenario(scenario, tmp_path)
+
 
+def test_all_answered_is_sent_only_to_the_current_successor(tmp_path: Path) -> None:
+    """A job outlives a first successor that dies; the second one must wait until the job is answered."""
 
-def test_a_new_process_hears_that_nothing_is_owed_only_of_its_own_take_over(tmp_path: Path) -> None:
-    async def scenario(harness: Harness, operator: Operator, word: Path) -> None:
+    async def scenario(harness: Harness, operator: Operator, rendezvous_file: Path) -> None:
         reader, writer = await harness.open()
         writer.write(job_bytes())
         await harness.workers[0].seen.get()
         for dies in (True, False):
             new = Successor()
-            await new.take_over(word)
+            await new.take_over(rendezvous_file)
             await new.expect(handover.STATE)
-            new.say(handover.SERVING)
+            new.send(handover.SERVING)
             await new.expect(handover.ADDRESSES_RELEASED)
             if dies:
                 new.die()
@@ -162,18 +177,20 @@
                     await asyncio.sleep(0.01)
         assert await operator.call("resume") == "SUCCESS serves\n"
         await new.expect(handover.RESUME)
-        assert new.got.empty()  # the job is in work
-        new.say(handover.CALLBACK, b'{"id": "r1", "from": "s-0", "state": "done", "result": "one"}')
+        assert new.received.empty()  # the job is still in progress
+        new.send(handover.CALLBACK, b'{"id": "r1", "from": "s-0", "state": "done", "result": "one"}')
         assert (await read_message(reader)).body == b"one"
         writer.close()
         await new.expect(handover.ALL_ANSWERED)
         new.die()
 
-    upgrade(scenario, tmp_path)
+    run_upgrade_scenario(scenario, tmp_path)
 
 
-def test_a_call_back_to_work_does_not_undo_sigterm(tmp_path: Path) -> None:
-    async def scenario(harness: Harness, operator: Operator, word: Path) -> None:
+def test_resume_and_drain_are_refused_after_sigterm(tmp_path: Path) -> None:
+    """An operator's `resume` must not undo a shutdown that has begun."""
+
+    async def scenario(harness: Harness, operator: Operator, rendezvous_file: Path) -> None:
         _, writer = await harness.open()
         writer.write(job_bytes())
         await harness.workers[0].seen.get()
@@ -185,40 +202,44 @@
         await harness.callback(state="done", result="one")
         await harness.running
 
-    upgrade(scenario, tmp_path)
+    run_upgrade_scenario(scenario, tmp_path)
 
 
-def test_what_operators_ask_of_one_process_holds_for_both(tmp_path: Path) -> None:
-    async def scenario(harness: Harness, operator: Operator, word: Path) -> None:
+def test_operators_calls_are_forwarded_to_the_other_process(tmp_path: Path) -> None:
+    async def scenario(harness: Harness, operator: Operator, rendezvous_file: Path) -> None:
         new = Successor()
-        await new.take_over(word)
+        await new.take_over(rendezvous_file)
         await new.expect(handover.STATE)
         await operator.call("disable-server s-0")
         assert await new.expect(handover.DISABLE_WORKER) == b"s-0"
         assert (await operator.figures())["hosts_down"] == 1
-        new.say(handover.ENABLE_WORKER, b"s-0")
+        new.send(handover.ENABLE_WORKER, b"s-0")
         while (await operator.figures())["hosts_down"]:
             await asyncio.sleep(0.01)
         await operator.call("drain")
         await new.expect(handover.DRAIN)
         new.die()
 
-    upgrade(scenario, tmp_path)
+    run_upgrade_scenario(scenario, tmp_path)
 
 
 @pytest.mark.parametrize(
     "fault", ["torn", "foreign", "older", "other frame", "silence", "no process", "no word", "other settings"]
 )
-def test_without_a_whole_form_the_new_process_starts_from_nothing(
+def test_a_new_process_starts_without_state_if_the_old_one_sends_none(
     fault: str, tmp_path: Path, monkeypatch: pytest.MonkeyPatch, capsys: pytest.CaptureFixture[str]
 ) -> None:
+    """The old process sends an unusable state or none, or the rendezvous file is unusable ("no word").
+
+    The new process must then serve all the same, and log `handover_unusable` once.
+    """
     monkeypatch.setattr("beaconhinge.net.upgrade.ANSWER_TIMEOUT_S", 0.2)
     monkeypatch.setattr("beaconhinge.net.upgrade.READY_WITHIN_S", 0.3)
-    form = handover.seal({"module": {}})
-    forms = {
-        "torn": form[:-1],
+    sealed = handover.seal({"module": {}})
+    states = {
+        "torn": sealed[:-1],
         "foreign": b"{}",
-        "older": form.replace(b" 1 ", b" 0 ", 1),
+        "older": sealed.replace(b" 1 ", b" 0 ", 1),
         "other settings": handover.seal(
             {"module": {"settings": "others"}, "out": ["s-0"], "discovery": ["127.0.0.1", 1], "list": LIST}
         ),
@@ -226,8 +247,8 @@
 
     async def old(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         await reader.readline()
-        if fault in forms:
-            writer.write(handover.encode_frame(handover.STATE, forms[fault]))
+        if fault in states:
+            writer.write(handover.encode_frame(handover.STATE, states[fault]))
         elif fault == "other frame":
             writer.write(handover.encode_frame(handover.ADDRESSES_RELEASED))
         await reader.read()
@@ -238,7 +259,7 @@
         port, mgmt = server.sockets[0].getsockname()[1], free_port()
         if fault == "no process":
             server.close()
-        said = (
+        content = (
             b"{}" if fault == "no word" else json.dumps({"mgmt": f"127.0.0.1:{port}", "token": "t"}).encode()
         )
         from harness import running_harness
@@ -253,13 +274,15 @@
                 1,
                 {"mgmt": f"127.0.0.1:{mgmt}"},
                 shared=tmp_path,
-                before=lambda listen: (tmp_path / f"beaconhinge-127.0.0.1-{listen}.json").write_bytes(said),
+                before=lambda listen: (tmp_path / f"beaconhinge-127.0.0.1-{listen}.json").write_bytes(
+                    content
+                ),
             ) as harness,
         ):
             while (await harness.request(UP)).status == 503:  # until discovery has answered
                 await asyncio.sleep(0.01)
             await Operator(mgmt).wait_until_ready()
-            # What does not hang on settings holds all the same.
+            # Maintenance modes do not depend on settings: they are taken over even if the settings differ.
             assert (await Operator(mgmt).figures())["hosts_down"] == (fault == "other settings")
         server.close()
 
@@ -268,9 +291,9 @@
 
 
 def test_two_upgrades_under_load_lose_and_repeat_nothing(tmp_path: Path) -> None:
-    """Real processes. Every job gets its one answer, none runs twice, and the figures of the three add up."""
+    """Real processes: each job gets one answer and runs once, and the counters of all three add up."""
 
-    async def load() -> None:
+    async def upgrade_twice() -> None:
         harness = DemoFleet(6, 60.0, 5, tmp_path)
         for server in (harness.discovery.server, *(worker.server for worker in harness.workers)):
             server.start()
@@ -291,7 +314,7 @@
             await operators[-1].wait_until_ready()
 
         await start()
-        asking = asyncio.create_task(harness.clients.run(4.0))
+        clients_running = asyncio.create_task(harness.clients.run(4.0))
         await asyncio.sleep(0.5)
         assert (await operators[0].call(f"disable-server {harness.workers[0].name}")).startswith("SUCCESS")
         for old in (0, 1):
@@ -299,8 +322,8 @@
             processes[old].send_signal(signal.SIGTERM)
             while processes[old].poll() is None:
                 await asyncio.sleep(0.02)
-        await asking
-        shown = await operators[2].figures()
+        await clients_running
+        stat = await operators[2].figures()
         processes[2].send_signal(signal.SIGTERM)
         while processes[2].poll() is None:
             await asyncio.sleep(0.02)
@@ -318,13 +341,13 @@
         assert sum(worker.runs.total() for worker in harness.workers) == harness.clients.asked
         served = re.findall(r" success_\w+=(\d+)", "".join(logs))
         assert sum(map(int, served)) == harness.clients.asked
-        assert shown["hosts_down"] == 1  # out by hand, over two upgrades
+        assert stat["hosts_down"] == 1  # its maintenance mode outlasts two upgrades
         assert all(" taken_over " in log for log in logs[1:])
         assert all(" handed_over " in log for log in logs[:2])
         assert all(" other_process_ended" in log for log in logs[1:])
 
     async def bounded() -> None:
         async with asyncio.timeout(40):
-            await load()
+            await upgrade_twice()
 
     uvloop.run(bounded())
