--- a/beaconhinge/net/restart.py
+++ b/beaconhinge/net/restart.py
@@ -83,9 +83,9 @@
         if not self.serving:
             self._query_unanswered()
 
-    def list_received(self, how: str) -> None:
-        """Handle a list of kind `how` (an `UpdateKind`) from discovery; only snapshots and changes count."""
-        if how in (UpdateKind.SNAPSHOT, UpdateKind.CHANGES):
+    def list_received(self, kind: str) -> None:
+        """Handle a list of a kind (an `UpdateKind`) from discovery; only snapshots and changes count."""
+        if kind in (UpdateKind.SNAPSHOT, UpdateKind.CHANGES):
             self._feed(stages.ListReceived())
 
     def _feed(self, event: stages.Event) -> None:
@@ -113,7 +113,7 @@
 
     def _query_unanswered(self) -> None:
         for number in self.stages.unanswered:
-            self._send_hello(number, asks=True)
+            self._send_hello(number, expects_reply=True)
 
     # ---- peers ---------------------------------------------------------------------------------------------
 
@@ -127,10 +127,12 @@
         count = min(MAX_QUERIED_PEERS, size - 1) if settings.peer_messages else 0
         return frozenset((own + n) % size for n in range(1, count + 1))
 
-    def _send_hello(self, number: int, asks: bool = False, stale: bool = False) -> None:
+    def _send_hello(self, number: int, expects_reply: bool = False, stale: bool = False) -> None:
         self.peers.send(
             number,
-            incarnations.encode(Hello(self.stages.stage, self.incarnation, self.start_id, asks, stale)),
+            incarnations.encode(
+                Hello(self.stages.stage, self.incarnation, self.start_id, expects_reply, stale)
+            ),
         )
 
     def _receive_hello(self, number: int, payload: bytes) -> None:
@@ -152,7 +154,7 @@
             await self._advance_incarnation(self.store)
         self._feed(stages.PeersQueried(self._queried_peers()))
         for number in self._queried_peers():  # even if the stages advanced while the disk was slow
-            self._send_hello(number, asks=True)
+            self._send_hello(number, expects_reply=True)
 
     async def _advance_incarnation(self, store: Store) -> None:
         """Write this start's incarnation to the store before it is announced.
@@ -193,7 +195,7 @@
         self.until = until
         self.may_be_awaited = may_be_awaited
         self._seen: set[tuple[str, int]] = set()
-        self._waiting: list[tuple[str, int]] = []
+        self._queue: list[tuple[str, int]] = []
         self._withdrawals = 0
 
     def observe(self, request: str, worker: int) -> None:
@@ -204,15 +206,15 @@
         if self.may_be_awaited(request):
             return
         self._seen.add(job)
-        self._waiting.append(job)
+        self._queue.append(job)
         if self._withdrawals < MAX_CONCURRENT_WITHDRAWALS:
             self._withdrawals += 1
-            self.metrics.spawn(self._withdraw(), "orphans")
+            self.metrics.spawn(self._withdraw(), "withdraw orphaned jobs")
 
     async def _withdraw(self) -> None:
         try:
-            while self._waiting:
-                request, worker = self._waiting.pop(0)
+            while self._queue:
+                request, worker = self._queue.pop(0)
                 self.metrics.count("orphans_withdrawn")
                 await self.workers.withdraw(request, worker)
         finally:
--- a/beaconhinge/net/upgrade.py
+++ b/beaconhinge/net/upgrade.py
@@ -103,7 +103,7 @@
 
 
 class ProcessUpgrade:
-    """Takes over from the running process, and hands over to a new process later.
+    """Takes over from the running process at the start, and hands over to a new process later.
 
     Attributes:
         parts: For each component that hands over state of its own, by name: a function that returns the
@@ -117,7 +117,7 @@
         self,
         config: Config,
         mgmt: Address,
-        shared: Path,
+        shared_folder: Path,
         policy_runner: PolicyRunner,
         workers: WorkerPool,
         discovery: Discovery,
@@ -138,7 +138,7 @@
         self.budget = budget
         self.timers = timers
         self.metrics = metrics
-        self.rendezvous_file = shared / f"beaconhinge-{config.listen[0]}-{config.listen[1]}.json"
+        self.rendezvous_file = shared_folder / f"beaconhinge-{config.listen[0]}-{config.listen[1]}.json"
         self.token = secrets.token_hex(16)
         self.parts: dict[str, tuple[Callable[[], Any], Callable[[], None]]] = {}
         self.predecessor: ProcessLink | None = None
@@ -154,7 +154,7 @@
 
     @property
     def ready(self) -> bool:
-        """Whether the predecessor may be ended: it has answered everything, or READY_WITHIN_S has passed."""
+        """Whether the predecessor, if any, may be ended: it owes no answer, or READY_WITHIN_S has passed."""
         return self.predecessor is None or self._predecessor_done or self.timers.now() >= self._ready_deadline
 
     @property
