--- a/beaconhinge/net/management.py
+++ b/beaconhinge/net/management.py
@@ -89,7 +89,7 @@
             async with self.timers.timeout(ANSWER_TIMEOUT_S):
                 await loop.sock_sendall(sock, answer)
                 sock.shutdown(socket.SHUT_WR)
-                while await loop.sock_recv(sock, 1024):  # closing on unread bytes would reset the answer away
+                while await loop.sock_recv(sock, 1024):  # closing with unread bytes would lose the answer
                     pass
         except OSError:  # includes TimeoutError
             pass
--- a/tests/test_application.py
+++ b/tests/test_application.py
@@ -45,8 +45,7 @@
         request = asyncio.create_task(harness.post())  # in progress during the whole reload
         worker = await asyncio.wait_for(worker_with_job(harness), 5)
         harness.reload(discovery=f"127.0.0.1:{new_discovery.port}")
-        # A version of the old discovery has no meaning for the new one, so the whole list is read, then
-        # watched.
+        # The old discovery's versions mean nothing to the new one: the whole list is read, then watched.
         assert (await new_discovery.seen.get()).start_line == "GET /discovery/hosts HTTP/1.1"
         watch = (await new_discovery.seen.get()).start_line
         assert watch.startswith("GET /discovery/hosts?index=3&wait=")
