--- a/beaconhinge/dispatch/__init__.py
+++ b/beaconhinge/dispatch/__init__.py
@@ -1,1 +1,1 @@
-"""The life of a request between the listener, the policy and the worker connections; no sockets here."""
+"""Handles requests between the listener, the policy and the worker connections. Opens no sockets itself."""
--- a/beaconhinge/dispatch/attempt.py
+++ b/beaconhinge/dispatch/attempt.py
@@ -1,4 +1,4 @@
-"""One attempt: a request sent once to one worker. The first end that is reported counts."""
+"""One attempt: a request sent once to one worker. Its first reported outcome is final."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 @dataclass(slots=True, frozen=True)
 class AttemptFinished:
-    """An attempt has its outcome."""
+    """Event: an attempt has ended, with its outcome and, if it was served, the result in `body`."""
 
     attempt: Attempt
     outcome: AttemptOutcome
@@ -23,13 +23,13 @@
 
 @dataclass(slots=True, frozen=True)
 class AttemptProgress:
-    """A worker reports on an attempt in flight."""
+    """Event: a worker has reported the progress of an attempt in flight."""
 
     attempt: Attempt
     kind: int
     """A `NoticeKind`."""
     share: float
-    """Part of the work that is done."""
+    """Completed share of the work, from 0 to 1."""
 
 
 AttemptEvent: TypeAlias = AttemptFinished | AttemptProgress
@@ -37,26 +37,28 @@
 
 @dataclass(slots=True, frozen=True)
 class SiblingAttempts:
-    """The other attempts of an attempt's request."""
+    """Summary of the other attempts of the same request."""
 
     at_worker: int
-    """In flight at the same worker."""
+    """Number of attempts in flight at the same worker."""
     in_flight: int
-    """In flight at any worker."""
+    """Number of attempts in flight at any worker."""
     may_have_run: bool
-    """Whether one of those that have ended may have run the job."""
+    """Whether an attempt that has ended may have run the job."""
 
 
 class Attempt:
-    """One send to one worker. The first end counts, whoever reports it; all later ones are ignored.
+    """One send of a job to one worker. The first outcome reported is final; later ones are ignored.
 
     Attributes:
-        number: counts the attempts of a request from 0.
-        until: the time at which it ends without an answer.
-        open: whether it has no outcome yet.
-        may_be_written: whether its first byte may have been written.
-        on_end: called once with the outcome; set by the transport.
-        timer: ends it at `until`.
+        number: Index of the attempt within its request, from 0.
+        worker: Number of the worker.
+        sent_at: Time at which the attempt was started, in seconds.
+        expires_at: Time at which the attempt times out, in seconds.
+        open: Whether the attempt has no outcome yet.
+        may_be_written: Whether the first byte may have been written.
+        on_end: Called once with the outcome; set by the transport.
+        timer: Ends the attempt at `expires_at`.
     """
 
     def __init__(
@@ -65,58 +67,65 @@
         number: int,
         worker: int,
         sent_at: float,
-        until: float,
-        post: Callable[[AttemptEvent], None],
+        expires_at: float,
+        post_event: Callable[[AttemptEvent], None],
         client_is_waiting: Callable[[], bool],
         siblings_of: Callable[[Attempt], SiblingAttempts],
     ) -> None:
-        """Make an open attempt; `post` takes its events to the request."""
+        """Create an open attempt; `post_event` delivers its events to the request."""
         self.job = job
         self.number = number
         self.worker = worker
         self.sent_at = sent_at
-        self.until = until
+        self.expires_at = expires_at
         self.open = True
         self.may_be_written = False
         self.on_end: Callable[[AttemptOutcome], None] = _ignore_end
         self.timer: Timer | None = None
-        self._post = post
+        self._post_event = post_event
         self._client_is_waiting = client_is_waiting
         self._siblings_of = siblings_of
 
     def client_is_waiting(self) -> bool:
-        """Whether somebody waits for an answer, as far as can be seen this moment.
+        """Return whether the client still waits for an answer, as far as can be seen at this moment.
 
-        A connection may come up, or a turn of the loop be due, long after the client has gone.
+        Callers check this again after each wait: a connection may be established, or a turn of the event
+        loop may run, long after the client has disconnected.
         """
         return self._client_is_waiting()
 
     def siblings(self) -> SiblingAttempts:
-        """The other attempts of the same request, as they are this moment."""
+        """Return the current state of the other attempts of the same request."""
         return self._siblings_of(self)
 
     def end(
         self, outcome: AttemptOutcome, body: bytes = b"", load: Mapping[str, float] | None = None
     ) -> None:
-        """Set the outcome, unless there is one already."""
+        """Set the outcome, unless the attempt has one already.
+
+        Args:
+            outcome: How the attempt ended.
+            body: The result, if the job was served.
+            load: The load report that came with the outcome, if any.
+        """
         if self.open:
             self.open = False
             if self.timer is not None:
                 self.timer.cancel()
             self.on_end(outcome)
-            self._post(AttemptFinished(self, outcome, body, load))
+            self._post_event(AttemptFinished(self, outcome, body, load))
 
     def report_progress(self, kind: int, share: float = 0.0) -> None:
-        """Pass on what the worker reports, while the attempt is open."""
+        """Post a progress report (a `NoticeKind` and a share from 0 to 1) while the attempt is open."""
         if self.open:
-            self._post(AttemptProgress(self, kind, share))
+            self._post_event(AttemptProgress(self, kind, share))
 
 
 class AttemptTransport(Protocol):
-    """Brings attempts to workers."""
+    """Sends attempts to workers."""
 
     def start(self, attempt: Attempt) -> None:
-        """Begin to send it, in a task of its own; the attempt is told how it ends."""
+        """Start to send the attempt in a task of its own; its outcome is reported by `Attempt.end`."""
 
 
 def _ignore_end(_outcome: AttemptOutcome) -> None:
--- a/beaconhinge/dispatch/job.py
+++ b/beaconhinge/dispatch/job.py
@@ -1,4 +1,4 @@
-"""What a client hands in, what it gets back, and what is known of its idempotency key."""
+"""Jobs as clients submit them, the answers to them, and the state of their idempotency keys."""
 
 from __future__ import annotations
 
@@ -13,22 +13,25 @@
     SERVED = "served"
     REJECTED = "refused"
     FAILED = "failed"
-    CLIENT_GONE = "gone"  # nobody is left to answer
+    CLIENT_GONE = "gone"  # the client disconnected before its answer
 
 
 @dataclass(slots=True)
 class Job:
-    """What a client hands in, whatever protocol it speaks."""
+    """A job as submitted by a client, whatever protocol the client speaks."""
 
     id: str
     class_index: int
     tenant: int
     remaining_s: float
-    """From `received_at` until it must have its answer."""
+    """Seconds from `received_at` to the deadline for the answer."""
     received_at: float
-    """When it was read; what it had waited for that by then is subtracted from its times."""
+    """Time at which the job was read, in seconds.
+
+    The time that it had waited to be read is already subtracted from `remaining_s` and `client_timeout_s`.
+    """
     target: bytes
-    """Path and query, passed on unchanged."""
+    """Path and query, forwarded unchanged."""
     body: bytes
     idempotency_key: str = ""
     route_key: str = ""
@@ -36,42 +39,50 @@
     memory: float = 0.0
     is_retry: bool = False
     work_s: float = 0.0
-    """Seconds of a standard core that it may take; 0 if that is not known."""
+    """Estimated work in seconds of a standard core; 0 if unknown."""
     client_timeout_s: float = 0.0
-    """From `received_at`, how long its client waits; 0 for `remaining_s` and no more."""
+    """Seconds that the client waits from `received_at`; 0 if the client waits for `remaining_s` only."""
 
     @property
     def deadline(self) -> float:
-        """The time by which it must have its answer."""
+        """Time by which the client must have its answer, in seconds."""
         return self.received_at + self.remaining_s
 
 
 @dataclass(slots=True, frozen=True)
 class Answer:
-    """The end of a request, with the result or the time after which to try again."""
+    """The end of a request, with the result or the time after which to retry."""
 
     end: RequestEnd
     body: bytes = b""
+    """The result, if the request was served."""
     retry_after: float = 0.0
+    """Seconds after which a rejected client may retry; 0 if no time is announced."""
 
 
 @dataclass(slots=True, frozen=True)
 class KeyStatus:
-    """What is known of a job's idempotency key before the job is started."""
+    """Result of the look-up of a job's idempotency key, before the job is started."""
 
     may_run_elsewhere: bool = False
-    """It may have run elsewhere, or may be about to."""
+    """Whether a job with the same key may have run, or may yet run, at another dispatcher."""
     result: bytes | None = None
-    """The result of an earlier request with the same key."""
+    """The result of an earlier request with the same key; None if there is none."""
     registered: bool = False
-    """The key is registered now; `IdempotencyKeys.left` is due when the request ends."""
+    """Whether the key is now registered: `IdempotencyKeys.release` must be called when the request ends."""
 
 
 class IdempotencyKeys(Protocol):
-    """Knows which keys are, or were lately, at this or another dispatcher."""
+    """Registry of the idempotency keys in use, or recently used, at this or another dispatcher."""
 
     async def register(self, job: Job) -> KeyStatus:
-        """Look the job's key up, and register it if nobody else has it."""
+        """Look up the job's key, and register it if no other dispatcher has it."""
 
     def release(self, job: Job, may_have_run: bool, result: bytes | None) -> None:
-        """Take note of the end of a job whose key was registered."""
+        """Record the end of a job whose key was registered.
+
+        Args:
+            job: The job.
+            may_have_run: Whether a worker may have run it, or may yet.
+            result: The result if the job was served, else None.
+        """
--- a/beaconhinge/dispatch/request.py
+++ b/beaconhinge/dispatch/request.py
@@ -1,4 +1,4 @@
-"""The life of one request, whatever its protocol: taken, attempted as the policy decides, answered once."""
+"""Runs one request, whatever its protocol: starts the attempts that the policy decides on, answers once."""
 
 from __future__ import annotations
 
@@ -16,33 +16,34 @@
 from .job import Answer, IdempotencyKeys, Job, KeyStatus, RequestEnd
 from .policy_runner import PolicyRunner
 
-# Operators' figure for each end; a request whose client left is in none.
+# Figure shown to operators for each end; a request whose client left is counted in none.
 FIGURE_OF_END = {
     RequestEnd.SERVED: figures.SUCCESS,
     RequestEnd.REJECTED: figures.BUSY,
     RequestEnd.FAILED: figures.FAILURE,
 }
 
-# Seconds after its deadline from which an answer counts as late.
+# An answer later than this after its deadline counts as late.
 LATE_ANSWER_S = 0.1
 
-# Request numbers stay under 2^32 like the simulator's; the policy adds to them for its timers.
-REQUEST_NUMBERS = 0xFFFF0000
+# Request numbers restart at 1 after this one. They stay under 2^32 like the simulator's, with room above: the
+# policy adds to them to number its timers.
+MAX_REQUEST_NUMBER = 0xFFFF0000
 
 
 @dataclass(slots=True, frozen=True)
 class ClientLeft:
-    """The client has closed its connection."""
+    """Step: the client has closed its connection."""
 
 
 @dataclass(slots=True, frozen=True)
 class Overdue:
-    """The deadline is past, and the time that the policy has to answer after it."""
+    """Step: the deadline has passed, and half of the grace period for the answer after it."""
 
 
 @dataclass(slots=True, frozen=True)
 class Admitted:
-    """The policy knows of the job; what it decided at once stands before this in the queue."""
+    """Step: the job was passed to the policy. The actions that it returned at once precede this step."""
 
 
 Step: TypeAlias = (
@@ -59,42 +60,42 @@
 
 
 class RequestObserver(Protocol):
-    """Follows a request on its way; the answer comes by itself. Attempts are named by their numbers."""
+    """Receives the progress of a request, but not its answer. Attempts are given by number."""
 
     def accepted(self) -> None:
-        """The policy has not rejected the request at once."""
+        """Called when the policy has not rejected the request at once."""
 
     def started(self, attempt: int) -> None:
-        """The worker has begun with the job."""
+        """Called when the worker has started the job."""
 
     def progress(self, attempt: int, share: float) -> None:
-        """The worker has done so much of the job, from 0 to 1."""
+        """Called when the worker reports the completed share of the job, from 0 to 1."""
 
     def lost(self, attempt: int) -> None:
-        """The attempt ended without a result."""
+        """Called when the attempt has ended without a result."""
 
 
-def _outcome_as_is(_attempt: Attempt, outcome: AttemptOutcome) -> AttemptOutcome:
+def _unchanged_outcome(_attempt: Attempt, outcome: AttemptOutcome) -> AttemptOutcome:
     return outcome
 
 
-def _whole_span(since: float, now: float) -> float:
+def _elapsed_s(since: float, now: float) -> float:
     return max(now - since, 0.0)
 
 
-def _client_stays() -> bool:
+def _never_left() -> bool:
     return False
 
 
 class RequestTable:
-    """All requests that have no end yet, or have attempts without one.
+    """All requests that have no answer yet or have open attempts.
 
     Attributes:
-        requests: by the id that the client gave.
-        reported_outcome: what an attempt's outcome is reported to the policy as.
-        own_seconds: the part of a span of time in which this process ran.
-        wait_before_admission: a new job waits for it, for a bounded time.
-        keys: idempotency keys, where they are kept.
+        requests: The requests by the id that the client gave.
+        reported_outcome: Returns the outcome that is reported to the policy for an attempt and its outcome.
+        own_seconds: Returns how many of the seconds between two times this process was running.
+        wait_before_admission: Awaited, for a bounded time, before a new job is passed to the policy.
+        keys: Registry of idempotency keys; None if none is kept.
     """
 
     def __init__(
@@ -106,7 +107,7 @@
         settings: interface.Settings,
         class_names: Sequence[str],
     ) -> None:
-        """Make an empty table whose attempts are sent by `transport`."""
+        """Create an empty table whose attempts are sent by `transport`."""
         self.class_names = class_names
         self.policy_runner = policy_runner
         self.transport = transport
@@ -115,23 +116,26 @@
         self.settings = settings
         self.requests: dict[str, Request] = {}
         self._last_number = 0
-        self.reported_outcome: Callable[[Attempt, AttemptOutcome], AttemptOutcome] = _outcome_as_is
-        self.own_seconds: Callable[[float, float], float] = _whole_span
+        self.reported_outcome: Callable[[Attempt, AttemptOutcome], AttemptOutcome] = _unchanged_outcome
+        self.own_seconds: Callable[[float, float], float] = _elapsed_s
         self.wait_before_admission: Callable[[], Awaitable[None]] | None = None
         self.keys: IdempotencyKeys | None = None
 
     @property
     def full(self) -> bool:
-        """Whether there is no room for another request."""
+        """Whether the table holds the maximum number of requests, `max_queued`."""
         return len(self.requests) >= self.settings.max_queued
 
     @property
     def unanswered(self) -> int:
-        """Number of requests whose end has not come yet."""
+        """Number of requests without an answer."""
         return sum(not request.answer.done() for request in self.requests.values())
 
     def reject(self, job: Job) -> Answer:
-        """Reject a job without asking the policy: there is no room for it, or no time."""
+        """Return a rejection for a job without passing it to the policy.
+
+        Used where there is no room for the job, no time left, or the process is shutting down.
+        """
         self.metrics.count(figures.counter_name(figures.BUSY, self.class_names[job.class_index]))
         return Answer(RequestEnd.REJECTED, retry_after=self.settings.max_retry_after_s)
 
@@ -139,16 +143,16 @@
         self,
         job: Job,
         observer: RequestObserver | None = None,
-        has_client_left: Callable[[], bool] = _client_stays,
+        has_client_left: Callable[[], bool] = _never_left,
     ) -> Request:
         """Start a request in a task of its own.
 
         Args:
-            job: what the client handed in.
-            observer: hears of each step, for a streamed answer.
-            has_client_left: whether the client has gone, as far as can be seen this moment.
+            job: The job that the client submitted.
+            observer: Receives the request's progress, for a streamed answer.
+            has_client_left: Returns whether the client has disconnected, as far as can be seen now.
         """
-        self._last_number = self._last_number % REQUEST_NUMBERS + 1
+        self._last_number = self._last_number % MAX_REQUEST_NUMBER + 1
         request = self.requests[job.id] = Request(self, self._last_number, job, observer, has_client_left)
         self.metrics.count("requests_taken")
         self.metrics.spawn(request.run(), "request")
@@ -156,11 +160,11 @@
 
 
 class Request:
-    """One request with its attempts. Everything that happens to it is a step in one queue.
+    """One request with its attempts. Everything that happens to it is handled as a step from one queue.
 
     Attributes:
-        number: its number in events and actions of the policy.
-        answer: done once the client's answer is settled.
+        number: The request's number in the policy's events and actions.
+        answer: Future with the client's answer.
     """
 
     def __init__(
@@ -184,26 +188,26 @@
         self._client_left = False
 
     def client_left(self) -> None:
-        """Take note that the client has gone; later calls change nothing."""
+        """Record that the client has disconnected; later calls have no effect."""
         if not self._client_left:
             self._client_left = True
             self.table.policy_runner.monitor.client_disconnected(self.job.id, self.table.timers.now())
             self._steps.put_nowait(ClientLeft())
 
     def client_is_waiting(self) -> bool:
-        """Whether somebody waits for the answer still."""
+        """Return whether the client is connected and the request has no answer yet."""
         if not self._client_left and self._has_client_left():
             self.client_left()
         return not self._client_left and not self.answer.done()
 
     async def run(self) -> None:
-        """Serve the request from its admission until the last attempt has its outcome."""
+        """Process the request until it is answered and its last attempt has ended."""
         table, job = self.table, self.job
         table.policy_runner.request_handlers[self.number] = self._steps.put_nowait
         unsafe = table.settings.classes[job.class_index].semantics == Semantics.UNSAFE
         table.policy_runner.monitor.request_started(job.id, job.deadline, unsafe)
         overdue_at = job.deadline + table.settings.answer_grace_s / 2
-        backstop = table.timers.at(overdue_at, lambda: self._steps.put_nowait(Overdue()))
+        overdue_timer = table.timers.at(overdue_at, lambda: self._steps.put_nowait(Overdue()))
         key = KeyStatus()
         try:
             if table.wait_before_admission is not None or table.keys is not None and job.idempotency_key:
@@ -212,16 +216,19 @@
                 self._finish(Answer(RequestEnd.SERVED, key.result))
                 return
             self._submit(key)
-            # The last steps count as well: each send is due its outcome, and the policy each outcome.
+            # Steps are handled after the answer too: each attempt must get an outcome, and the policy must
+            # receive each outcome.
             while not self.answer.done() or not self._steps.empty() or any(a.open for a in self._attempts):
                 self._handle(await self._steps.get())
         finally:
-            backstop.cancel()
-            self._finish(Answer(RequestEnd.FAILED))  # only if something above has failed
+            overdue_timer.cancel()
+            self._finish(
+                Answer(RequestEnd.FAILED)
+            )  # takes effect only if an exception left the request without an answer
             self._leave_table(key)
 
     def _submit(self, key: KeyStatus) -> None:
-        """Let the policy decide on the job, in the time that is left of its own."""
+        """Pass the job to the policy, with the remaining part of its time."""
         job = self.job
         now = self.table.timers.now()
         spent_s = now - job.received_at
@@ -276,9 +283,10 @@
         del self.table.requests[self.job.id]
 
     async def _look_up_key(self) -> KeyStatus:
-        """What is found out before the policy knows of the job, in half of the job's time at most.
+        """Wait for admission and return the status of the job's key, within half of the job's time at most.
 
-        A slow disk, or dispatchers that do not answer, must not cost it its answer.
+        The bound ensures that a slow disk, or dispatchers that do not answer, do not use up the job's time.
+        On a time-out, a job with a key counts as one that may run elsewhere.
         """
         try:
             async with self.table.timers.timeout_at(self.job.received_at + self.job.remaining_s / 2):
@@ -290,38 +298,38 @@
         except TimeoutError:
             return KeyStatus(may_run_elsewhere=bool(self.job.idempotency_key))
 
-    def _start_attempt(self, order: interface.SendAttempt) -> None:
+    def _start_attempt(self, action: interface.SendAttempt) -> None:
         now = self.table.timers.now()
-        until = min(self.job.deadline, now + order.timeout if order.timeout > 0 else self.job.deadline)
+        expires_at = min(self.job.deadline, now + action.timeout if action.timeout > 0 else self.job.deadline)
         attempt = Attempt(
             self.job,
             len(self._attempts),
-            order.worker,
+            action.worker,
             now,
-            until,
+            expires_at,
             self._steps.put_nowait,
             self.client_is_waiting,
             self._siblings_of,
         )
-        busy = any(a.open and a.worker == order.worker for a in self._attempts)
+        has_open_attempt = any(a.open and a.worker == action.worker for a in self._attempts)
         self._attempts.append(attempt)
         self.table.metrics.count("attempts")
-        one_at_a_time = self.table.metrics.check(not busy, "one_attempt_per_worker")
-        if not self.client_is_waiting() or until <= now or not one_at_a_time:
+        one_at_a_time = self.table.metrics.check(not has_open_attempt, "one_attempt_per_worker")
+        if not self.client_is_waiting() or expires_at <= now or not one_at_a_time:
             attempt.end(AttemptOutcome.NOT_SENT)
             return
-        attempt.timer = self.table.timers.at(until, lambda: attempt.end(AttemptOutcome.TIMEOUT))
+        attempt.timer = self.table.timers.at(expires_at, lambda: attempt.end(AttemptOutcome.TIMEOUT))
         self.table.metrics.trace(
-            "attempts", "attempt", request=self.job.id, worker=order.worker, number=attempt.number
+            "attempts", "attempt", request=self.job.id, worker=action.worker, number=attempt.number
         )
         self.table.transport.start(attempt)
 
     def _siblings_of(self, attempt: Attempt) -> SiblingAttempts:
-        out = [
+        in_flight = [
             other for other in self._attempts if other is not attempt and other.open and other.may_be_written
         ]
         return SiblingAttempts(
-            sum(other.worker == attempt.worker for other in out), len(out), self._may_have_run
+            sum(other.worker == attempt.worker for other in in_flight), len(in_flight), self._may_have_run
         )
 
     def _on_admitted(self) -> None:
@@ -345,10 +353,12 @@
 
     def _on_overdue(self, step: Overdue) -> None:
         if not self._steps.empty():
-            # The loop was late: the policy's answer may wait behind the outcome at the deadline.
+            # The event loop was late: the outcome of an attempt that timed out at the deadline may still
+            # be in the queue, and the policy's answer follows it. Handle the queued steps first.
             self._steps.put_nowait(step)
             return
-        # The policy answers before this; if it fails to, it is asked, and the client gets an answer still.
+        # The policy should have answered by now. If it has not, it is notified of the deadline; if it then
+        # returns no action for the request, the client gets a failure.
         if not self.table.metrics.check(self.answer.done(), "answered_by_deadline"):
             self.table.metrics.log("request_overdue", **self._overdue_state())
             self.table.policy_runner.feed(interface.DeadlinePassed(self.number))
@@ -356,7 +366,7 @@
                 self._finish(Answer(RequestEnd.FAILED))
 
     def _overdue_state(self) -> dict[str, object]:
-        """What is logged of a request without an answer. Times are seconds after its deadline."""
+        """Return the log fields of a request without an answer. Times are in seconds after its deadline."""
         deadline, now = self.job.deadline, self.table.timers.now()
         return {
             "request": self.job.id,
@@ -400,13 +410,13 @@
         )
 
     def _finish(self, answer: Answer) -> bool:
-        """Settle the answer. The first one stands; returns whether this is it."""
+        """Set the answer if there is none yet; returns whether this call set it."""
         if self.answer.done():
             return False
         self.answer.set_result(answer)
-        self.job.body = b""  # attempts under way keep it as long as they need it
+        self.job.body = b""  # open attempts hold their own reference to the body
         for attempt in self._attempts:
-            if not attempt.may_be_written:  # it waits for its connection, and nobody for it
+            if not attempt.may_be_written:  # it still waits for a connection, and is no longer needed
                 attempt.end(AttemptOutcome.NOT_SENT)
         self.table.metrics.count("answer_" + answer.end)
         late_s = self.table.timers.now() - self.job.deadline
--- a/beaconhinge/dispatch/send_guard.py
+++ b/beaconhinge/dispatch/send_guard.py
@@ -1,9 +1,10 @@
-"""Whether an attempt may be sent to its worker at this moment. Pure.
+"""The send guard: decides whether an attempt may be sent to its worker at this moment. No I/O and no clock.
 
-Whoever writes the first byte of an attempt asks in the same turn of the event loop, and asks again after
-every wait: a list may have come, a client have disconnected, or a deadline have passed meanwhile. The answer
-is None, or the reason why not, under which it is counted (`send_refused_REASON`, docs/oncall.md). What was
-really written is checked apart from this by `invariants.py`, which shares none of its code.
+The code that writes the first byte of an attempt calls the guard in the same turn of the event loop, and
+again after every wait: meanwhile a list may have arrived, a client may have disconnected, or a deadline may
+have passed. The guard returns None, or the reason for the refusal, which is counted as
+`send_refused_REASON` (docs/oncall.md). What was actually written is checked independently by
+`invariants.py`, which shares no code with the guard.
 """
 
 from __future__ import annotations
@@ -15,37 +16,37 @@
 
 
 class SendRefusal(enum.Enum):
-    """Why an attempt may not begin. The values are parts of counters' names."""
+    """Why an attempt may not be sent. The values are parts of counters' names."""
 
-    LIST_UNKNOWN = "list_unknown"  # whether the endpoint list is current is unknown: wait, or do without
+    LIST_UNKNOWN = "list_unknown"  # it is unknown whether the list of workers is current: wait, or give up
     ATTEMPT_ENDED = "answered"  # the attempt, or its request, has ended
     CLIENT_GONE = "client_gone"
     DEADLINE_PASSED = "out_of_time"
     WORKER_REMOVED = "worker_removed"
     WORKER_DRAINING = "worker_draining"
-    WORKER_REPLACED = "worker_replaced"  # it has restarted, or moved, since it was chosen
+    WORKER_REPLACED = "worker_replaced"  # the worker has restarted or changed its address since it was chosen
     DISABLED_BY_OPERATOR = "out_by_hand"
-    ATTEMPT_IN_FLIGHT = "attempt_out"  # this worker already has an attempt of the request
+    ATTEMPT_IN_FLIGHT = "attempt_out"  # this worker already has an open attempt of the request
     UNSAFE_REPEAT = (
-        "unsafe_repeat"  # another attempt may have run, or may yet, and the class is not idempotent
+        "unsafe_repeat"  # another attempt may have run, or may yet run, and the class is not idempotent
     )
 
 
 @dataclass(frozen=True, slots=True)
 class SendState:
-    """Everything that decides whether an attempt may begin.
+    """The inputs of the decision whether an attempt may be sent.
 
     Attributes:
-        list_usable: Whether the endpoint list may be acted on.
-        entry_when_chosen: The worker's entry as it was when the worker was chosen.
-        current_entry: Its entry now; None if it is no longer listed.
-        same_address: Whether its address is still the one that is connected to.
+        list_usable: Whether the list of workers is current enough to act on.
+        entry_when_chosen: The worker's list entry at the time when the worker was chosen.
+        current_entry: The worker's current list entry; None if the worker is no longer listed.
+        same_address: Whether the worker's address is still the address of the connection.
         disabled_by_operator: Whether an operator has taken the worker out of service.
         attempt_open: Whether the attempt has not ended.
-        client_waiting: Whether the client is connected and waits.
-        time_left_s: Time to the attempt's deadline.
-        other_attempts_at_worker: Attempts of the request that this worker has.
-        other_attempts_in_flight: Attempts of the request that are in flight anywhere.
+        client_waiting: Whether the client is connected and has no answer yet.
+        time_left_s: Seconds until the attempt's time-out.
+        other_attempts_at_worker: Number of the request's other attempts in flight at this worker.
+        other_attempts_in_flight: Number of the request's other attempts in flight at any worker.
         may_have_run: Whether an attempt of the request that has ended may have run.
         must_not_run_twice: Whether the request's class is not idempotent.
     """
@@ -65,7 +66,7 @@
 
 
 def find_send_refusal(state: SendState) -> SendRefusal | None:
-    """Return why the attempt may not begin; None if it may."""
+    """Return why the attempt may not be sent; None if it may."""
     return _request_refusal(state) or _worker_refusal(state) or _repeat_refusal(state)
 
 
--- a/beaconhinge/net/attempts.py
+++ b/beaconhinge/net/attempts.py
@@ -1,6 +1,7 @@
-"""Attempts on the wire: dial, ask the guard, write the job, read the worker's answer to that; withdraw.
+"""Sends attempts to workers: connects, consults the send guard, writes the job and reads the worker's answer.
 
-The job's result comes later, by a call-back.
+The answer only says whether the worker accepted the job; the result follows in a call-back. Jobs that are no
+longer needed are withdrawn.
 """
 
 from __future__ import annotations
@@ -24,24 +25,24 @@
 if TYPE_CHECKING:
     from .worker_pool import WorkerPool
 
-LATE_ANSWER_S = 1.0  # an answer may take it whose attempt is over already
-MAX_ENCODING_S = 0.02  # what takes longer was held up
-MAX_ENCODINGS = 5  # on a machine where nothing is that fast, the last one is taken
-WORKER_SERVICE = "service.internal"  # the WorkerEndpoint header
+LATE_ANSWER_S = 1.0  # how long the answer to an attempt that has already ended is still awaited
+MAX_ENCODING_S = 0.02  # an encoding that takes longer was interrupted by a pause of the process
+MAX_ENCODINGS = 5  # the last one is sent however long it took, for machines that are always slower
+WORKER_SERVICE = "service.internal"  # value of the Host header in requests to workers
 
-STATUS_TAKEN = 202
+STATUS_ACCEPTED = 202
 STATUS_SERVER_ERROR = 500
-UNRUN_STATUSES = (503, 504)  # with X-Not-Processed: 1
+UNRUN_STATUSES = (503, 504)  # with X-Not-Processed: 1, the worker has not run the job
 CLIENT_ERRORS = range(400, 500)
-TRANSIENT_STATUSES = (408, 429)  # of these, those that speak of the moment and not of the request
+TRANSIENT_STATUSES = (408, 429)  # client errors that are temporary and not caused by the request
 
 
-def _encode_job(sent: SentAttempt, left_ms: int) -> bytes:
+def _encode_job(sent: SentAttempt, remaining_ms: int) -> bytes:
     job = sent.attempt.job
     headers = {
         "Host": WORKER_SERVICE,
         "X-Request-ID": job.id,
-        "X-Timeout-Ms": str(left_ms),
+        "X-Timeout-Ms": str(remaining_ms),
         "Content-Length": str(len(sent.body)),
     }
     if job.idempotency_key:
@@ -50,19 +51,20 @@
 
 
 class SentAttempt:
-    """An attempt on its way.
+    """An open attempt, while it is connected, sent and answered.
 
     Attributes:
-        taken: whether the worker has taken the job with a 202.
-        body: the job's, which an answered request lets go of while this may still connect.
-        task: sends it.
+        host: The worker's list entry when the attempt was started.
+        accepted: Whether the worker has accepted the job with a 202.
+        body: The job's body, kept here since an answered request drops its own while this may still connect.
+        task: The task that sends the attempt.
     """
 
     def __init__(self, attempt: Attempt, host: WorkerEndpoint) -> None:
-        """Begin with an attempt that nothing was done for yet."""
+        """Wrap an attempt that has not been started."""
         self.attempt = attempt
         self.host = host
-        self.taken = False
+        self.accepted = False
         self.body = attempt.job.body
         self.task: asyncio.Task[None] | None = None
 
@@ -79,7 +81,7 @@
         timers: TimerWheel,
         metrics: Metrics,
     ) -> None:
-        """`pool` has the workers, and the connections to them."""
+        """Create a sender; `pool` provides the workers and the connections to them."""
         self.config = config
         self.pool = pool
         self.load_reports = load_reports
@@ -89,14 +91,14 @@
         self.open: dict[tuple[str, str], SentAttempt] = {}  # by request id and worker id
 
     def find(self, request: str, worker: str) -> Attempt | None:
-        """The open attempt of a request at a worker, by their ids."""
+        """Return the open attempt of a request at a worker, both given by id; None if there is none."""
         sent = self.open.get((request, worker))
         return None if sent is None else sent.attempt
 
     def start(self, attempt: Attempt) -> None:
-        """Send an attempt, in a task of its own."""
+        """Send an attempt in a task of its own; ends it as NO_CONNECTION if its worker is not listed."""
         worker = self.pool.workers.get(attempt.worker)
-        if worker is None:  # it left the list before the instruction was carried out
+        if worker is None:  # it was removed from the list after the policy had chosen it
             attempt.end(AttemptOutcome.NO_CONNECTION)
             return
         sent = SentAttempt(attempt, worker.host)
@@ -105,36 +107,41 @@
         sent.task = self.metrics.spawn(self._send(sent), "attempt")
 
     async def withdraw(self, host: WorkerEndpoint, request: str) -> None:
-        """Notify a worker that nobody waits for a job any more."""
+        """Send a DELETE to a worker for a job whose result is no longer needed."""
         await self.pool.exchange(host, "DELETE", f"/jobs/{request}".encode())
 
     def _on_end(self, sent: SentAttempt, outcome: AttemptOutcome) -> None:
-        """Given up before the 202, the connection closes, up or not; after it, the job is withdrawn."""
+        """Clean up after an attempt that has ended, and report its end to the invariant monitor.
+
+        A cancelled or timed-out attempt has its connection closed, established or not, if the worker has not
+        yet answered 202; after the 202 the job is withdrawn.
+        """
         attempt, task = sent.attempt, sent.task
         self.open.pop((attempt.job.id, sent.host.id), None)
         self.policy_runner.monitor.attempt_ended(attempt.job.id, sent.host.id, outcome in PROVEN_UNRUN)
-        given_up = outcome in (AttemptOutcome.CANCELLED, AttemptOutcome.TIMEOUT)
-        if task is not None and not sent.taken:
-            # A result may come before its 202, for which the connection waits a little.
-            if given_up or not attempt.may_be_written:
+        abandoned = outcome in (AttemptOutcome.CANCELLED, AttemptOutcome.TIMEOUT)
+        if task is not None and not sent.accepted:
+            # A result may arrive before its 202: the connection waits LATE_ANSWER_S for the 202.
+            if abandoned or not attempt.may_be_written:
                 task.cancel()
             else:
                 self.timers.after(LATE_ANSWER_S, task.cancel)
-        elif given_up:
+        elif abandoned:
             self.metrics.spawn(self.withdraw(sent.host, attempt.job.id), "withdrawal")
 
     async def _send(self, sent: SentAttempt) -> None:
-        """Send the job and read the answer to that."""
+        """Send the job and read the worker's answer; ends the attempt unless the worker accepted the job."""
         attempt, written = sent.attempt, False
         connection: Connection | None = None
         idle_for_s = 0.0
         try:
-            # A connection to a worker that has left meanwhile would fail, and count as its failure.
-            if (why := await self._settled_refusal(sent)) is not None:
+            # Without this check, a connection to a worker that has left meanwhile would fail, and count as a
+            # failure of the worker.
+            if (why := await self._refusal_once_list_usable(sent)) is not None:
                 self._refuse(sent, why)
                 return
             connection = await self.pool.connection(sent.host)
-            if (why := await self._settled_refusal(sent)) is not None:
+            if (why := await self._refusal_once_list_usable(sent)) is not None:
                 self._refuse(sent, why)
                 self.pool.put_back(sent.host, connection)
                 return
@@ -145,8 +152,8 @@
             self.metrics.count(BACKEND_CALLS)
             message = await connection.next()
         except (OSError, Closed, BadMessage) as error:  # a time-out is an OSError too
-            # Whether the last byte was written decides whether the job may have run. It is not sent again
-            # from here, on a stale connection either: that is the policy's choice.
+            # The job may have run only if all its bytes were written. Only the policy decides on a repeat, so
+            # the job is not sent again here, not even after a failure on a stale connection.
             if isinstance(error, BadMessage):
                 self.metrics.count_and_log("worker_answer_malformed", worker=sent.host.id, why=error)
             attempt.end(AttemptOutcome.CONNECTION_LOST if written else AttemptOutcome.NO_CONNECTION)
@@ -155,21 +162,22 @@
             if idle_for_s:
                 self.pool.record_reuse(idle_for_s, False)
             return
-        except asyncio.CancelledError:  # given up
+        except asyncio.CancelledError:  # the attempt was abandoned
             if connection is not None:
                 connection.close()
             raise
-        sent.taken = message.status == STATUS_TAKEN
+        sent.accepted = message.status == STATUS_ACCEPTED
         if idle_for_s:
             self.pool.record_reuse(idle_for_s, True)
         self.pool.keep(sent.host, connection, message)
-        if not sent.taken:
-            self._end_untaken(attempt, message)
+        if not sent.accepted:
+            self._end_unaccepted(attempt, message)
 
     def _request_bytes(self, sent: SentAttempt) -> bytes:
-        """What is written, in the turn of the loop in which this is called.
+        """Return the bytes of the job's request; they must be written in the same turn of the event loop.
 
-        Made anew where the process stood still meanwhile: the worker would be told of time that is over.
+        The request is encoded again if the process was paused meanwhile: otherwise the timeout announced to
+        the worker would include time that has already passed.
         """
         job = sent.attempt.job
         self.metrics.trace(
@@ -180,17 +188,20 @@
             list_version=self.pool.list_version,
         )
         for _ in range(MAX_ENCODINGS):
-            began = self.timers.now()
-            left_ms = max(int((sent.attempt.until - began) * 1000), 1)
-            data = _encode_job(sent, left_ms)
+            encoding_started_at = self.timers.now()
+            remaining_ms = max(int((sent.attempt.expires_at - encoding_started_at) * 1000), 1)
+            data = _encode_job(sent, remaining_ms)
             now = self.timers.now()
-            if now - began < MAX_ENCODING_S:
+            if now - encoding_started_at < MAX_ENCODING_S:
                 break
-        self.policy_runner.monitor.attempt_started(job.id, sent.host.id, now, left_ms)
+        self.policy_runner.monitor.attempt_started(job.id, sent.host.id, now, remaining_ms)
         return data
 
-    async def _settled_refusal(self, sent: SentAttempt) -> SendRefusal | None:
-        """The guard's answer for the moment in which this returns, once the list may be acted on."""
+    async def _refusal_once_list_usable(self, sent: SentAttempt) -> SendRefusal | None:
+        """Wait until the list of workers is usable, then return the guard's refusal, or None.
+
+        The result is valid in the turn of the event loop in which this returns.
+        """
         why = self._refusal(sent)
         if why is SendRefusal.LIST_UNKNOWN:
             self.metrics.count("sends_waited_for_list")
@@ -200,7 +211,7 @@
         return why
 
     def _refusal(self, sent: SentAttempt) -> SendRefusal | None:
-        """The guard's answer for this moment: what is written next is written in this turn of the loop."""
+        """Return the guard's refusal for this moment, or None; valid for this turn of the event loop only."""
         attempt, siblings = sent.attempt, sent.attempt.siblings()
         worker = self.pool.workers.get(attempt.worker)
         return find_send_refusal(
@@ -212,7 +223,7 @@
                 disabled_by_operator=self.pool.is_in_maintenance(sent.host.id),
                 attempt_open=attempt.open,
                 client_waiting=attempt.client_is_waiting(),
-                time_left_s=attempt.until - self.timers.now(),
+                time_left_s=attempt.expires_at - self.timers.now(),
                 other_attempts_at_worker=siblings.at_worker,
                 other_attempts_in_flight=siblings.in_flight,
                 may_have_run=siblings.may_have_run,
@@ -228,8 +239,8 @@
         )
         sent.attempt.end(AttemptOutcome.NOT_SENT)
 
-    def _end_untaken(self, attempt: Attempt, message: Message) -> None:
-        """End an attempt whose job the worker has not taken."""
+    def _end_unaccepted(self, attempt: Attempt, message: Message) -> None:
+        """End an attempt whose job the worker has not accepted, with an outcome derived from its answer."""
         status = message.status
         unrun = status in UNRUN_STATUSES and message.headers.get("x-not-processed") == "1"
         if not unrun and status != STATUS_SERVER_ERROR:
@@ -245,6 +256,7 @@
         if unrun:
             outcome = AttemptOutcome.REJECTED
         elif status in CLIENT_ERRORS and status not in TRANSIENT_STATUSES:
-            # Blamed on the worker, a faulty request went to three of them and had each of these left out.
+            # Not a server error: counted against the workers, a faulty request was sent to three of them and
+            # had each of them ejected.
             outcome = AttemptOutcome.INVALID_REQUEST
         attempt.end(outcome, load=self.load_reports.parse(message.headers.get("x-server-load")))
--- a/tests/net/test_announced_time.py
+++ b/tests/net/test_announced_time.py
@@ -1,4 +1,4 @@
-"""The time that a job tells its worker, where the process stands still while the job is made ready to be sent."""
+"""The timeout announced to a worker in X-Timeout-Ms, where the process is paused while it encodes the job."""
 
 from __future__ import annotations
 
@@ -15,33 +15,34 @@
 from beaconhinge.runtime.timer_wheel import TimerWheel
 
 LEFT_S = 5.0
-SLACK_S = 0.02  # of the 0.15 s that the terms allow
+SLACK_S = 0.02  # far less than the 0.15 s (DEADLINE_SLACK_S) that the invariant allows
 
 
 @pytest.mark.parametrize("pause_s", [0.005, 0.2, 0.9, 3.0])
-def test_a_pause_while_a_job_is_encoded_is_no_part_of_the_time_that_its_worker_is_told(
+def test_announced_timeout_excludes_pause_during_encoding(
     pause_s: float,
 ) -> None:
-    # Guards against workers that are given more time than their client has left: 0.9 s after a pause of that length.
+    # Guards against announcing more time to a worker than its client has left: after a pause of 0.9 s during the
+    # encoding of a job, the announced timeout was 0.9 s too long.
     async def announced(clock: PausingClock) -> tuple[float, float, int]:
-        broken = list[tuple[Any, ...]]()
-        monitor = SendMonitor(lambda *violation: broken.append(violation))
+        violations = list[tuple[Any, ...]]()
+        monitor = SendMonitor(lambda *violation: violations.append(violation))
         timers = TimerWheel(clock.now, lambda _where, _error: None)
         sender: Any = AttemptSender.__new__(AttemptSender)
         sender.timers, sender.metrics = timers, Metrics(clock.now, writer=lambda _event, _fields: None)
         sender.pool, sender.policy_runner = SimpleNamespace(list_version=1), SimpleNamespace(monitor=monitor)
-        until = clock.now() + LEFT_S
-        monitor.request_started("a", until, False)
+        expires_at = clock.now() + LEFT_S
+        monitor.request_started("a", expires_at, False)
         job = SimpleNamespace(id="a", idempotency_key="", target=b"/render")
-        attempt = SimpleNamespace(job=job, until=until)
-        sent = SimpleNamespace(attempt=attempt, host=SimpleNamespace(id="s-0"), body=b"work")
-        head = sender._request_bytes(sent).decode().split("\r\n")
+        attempt = SimpleNamespace(job=job, expires_at=expires_at)
+        sent_attempt = SimpleNamespace(attempt=attempt, host=SimpleNamespace(id="s-0"), body=b"work")
+        head = sender._request_bytes(sent_attempt).decode().split("\r\n")
         readings = clock.readings
-        told_ms = next(int(line.split(": ")[1]) for line in head if line.startswith("X-Timeout-Ms"))
-        assert broken == []
-        return told_ms / 1000, until - clock.now(), readings
-
-    whole = asyncio.run(announced(PausingClock()))
-    for reading in range(1, whole[2]):  # the first is that of the deadline
-        told_s, left_s, _ = asyncio.run(announced(PausingClock(reading, pause_s)))
-        assert told_s <= left_s + SLACK_S, reading
+        announced_ms = next(int(line.split(": ")[1]) for line in head if line.startswith("X-Timeout-Ms"))
+        assert violations == []
+        return announced_ms / 1000, expires_at - clock.now(), readings
+
+    unpaused = asyncio.run(announced(PausingClock()))
+    for reading in range(1, unpaused[2]):  # reading 0 sets the deadline
+        announced_s, remaining_s, _ = asyncio.run(announced(PausingClock(reading, pause_s)))
+        assert announced_s <= remaining_s + SLACK_S, reading
