--- a/beaconhinge/net/callbacks.py
+++ b/beaconhinge/net/callbacks.py
@@ -1,4 +1,4 @@
-"""Call-backs of workers: what they report of the jobs that they have taken."""
+"""Call-backs of workers: their reports on the jobs that they have accepted."""
 
 from __future__ import annotations
 
@@ -16,13 +16,13 @@
 
 
 class JobState(StrEnum):
-    """What a call-back says of a job. The values are those of the wire."""
+    """State of a job in a call-back. The values are those of the wire."""
 
     STARTED = "started"
     RUNNING = "running"
     DONE = "done"
     FAILED = "failed"
-    RETURNED = "returned"  # not begun, and not to be begun
+    RETURNED = "returned"  # the worker has not started the job and will not
     LOST = "lost"
 
 
@@ -35,39 +35,40 @@
 
 @dataclass(slots=True, frozen=True)
 class Callback:
-    """One call-back, as far as it must be read to find its attempt."""
+    """A parsed call-back. Only the fields that identify its attempt are extracted; none is validated."""
 
     request: Any
     worker: Any
     """The worker's id."""
     state: Any
-    """A `JobState`, or something unknown."""
+    """A `JobState`, or an unknown value."""
     content: Mapping[str, Any]
+    """All fields of the call-back."""
 
 
 def parse_callback(body: bytes) -> Callback:
-    """Read the body of a call-back.
+    """Parse the body of a call-back.
 
     Raises:
-        ValueError, TypeError, KeyError, RecursionError: it is none.
+        ValueError, TypeError, KeyError, RecursionError: The body is not a call-back.
     """
     content = json.loads(body)
     return Callback(content["id"], content["from"], content["state"], content)
 
 
 class UnmatchedCallbacks(Protocol):
-    """Who hears of call-backs for which no attempt is open here."""
+    """Handlers of call-backs for which no attempt is open in this process."""
 
     on_unmatched_callback: Callable[[bytes, int], None]
-    """Another process may have the attempt: the body, and the worker's number."""
+    """Called with the body and the worker's number; another process may have the attempt."""
     on_late_result: Callable[[str, str], None]
-    """A result came, for the request with that id."""
+    """Called with the request's id and the result, if the call-back has a result."""
     on_unowned_job: Callable[[str, int], None]
-    """A job is under way, of a request, at a worker."""
+    """Called with the request's id and the worker's number, if the worker has the job in progress."""
 
 
 class CallbackReceiver:
-    """Matches call-backs with open attempts."""
+    """Matches call-backs with open attempts and applies them."""
 
     def __init__(
         self,
@@ -76,37 +77,41 @@
         load_reports: LoadReportParser,
         metrics: Metrics,
     ) -> None:
-        """`find_attempt` finds the open attempt of a request's id at a worker's id."""
+        """Create a receiver; `find_attempt` returns the open attempt of a request's id at a worker's id."""
         self.find_attempt = find_attempt
         self.unmatched = unmatched
         self.load_reports = load_reports
         self.metrics = metrics
 
-    def receive(self, body: bytes, elsewhere: Callable[[bytes, int], None] | None = None) -> None:
-        """Take a call-back; it may come early, late, twice or for an earlier process of this dispatcher.
+    def receive(self, body: bytes, on_unmatched: Callable[[bytes, int], None] | None = None) -> None:
+        """Process a call-back; it may be early, late, repeated or for an earlier process of this dispatcher.
+
+        A malformed call-back is counted and dropped.
 
         Args:
-            body: JSON.
-            elsewhere: in place of `UnmatchedCallbacks.elsewhere`.
+            body: The body of the call-back, JSON.
+            on_unmatched: Called in place of `UnmatchedCallbacks.on_unmatched_callback`.
         """
         self.metrics.count("callbacks")
         try:
             callback = parse_callback(body)
             attempt = self.find_attempt(callback.request, callback.worker)
             if attempt is None:
-                self._pass_on(callback, body, elsewhere or self.unmatched.on_unmatched_callback)
+                self._report_unmatched(callback, body, on_unmatched or self.unmatched.on_unmatched_callback)
             else:
                 self._apply(attempt, callback)
         except (ValueError, TypeError, KeyError, AttributeError, RecursionError) as error:
             self.metrics.count_and_log("callback_malformed", why=f"{type(error).__name__}: {error}")
 
-    def _pass_on(self, callback: Callback, body: bytes, elsewhere: Callable[[bytes, int], None]) -> None:
+    def _report_unmatched(
+        self, callback: Callback, body: bytes, on_unmatched: Callable[[bytes, int], None]
+    ) -> None:
         self.metrics.count("callbacks_unmatched")
         if callback.state == JobState.DONE:
             self.unmatched.on_late_result(str(callback.request), str(callback.content["result"]))
         elif callback.state in (JobState.STARTED, JobState.RUNNING):
             self.unmatched.on_unowned_job(str(callback.request), worker_number(callback.worker))
-        elsewhere(body, worker_number(callback.worker))
+        on_unmatched(body, worker_number(callback.worker))
 
     def _apply(self, attempt: Attempt, callback: Callback) -> None:
         load = self.load_reports.parse(callback.content.get("load"))
@@ -116,9 +121,10 @@
         elif state == JobState.RUNNING:
             attempt.report_progress(NoticeKind.PROGRESS, float(callback.content["share"]))
         elif state == JobState.DONE:
-            # The client gets what the worker made and nothing else: a result that is no text is not served.
+            # A result that is not a string raises here and is not served: the client must get exactly what
+            # the worker returned.
             attempt.end(AttemptOutcome.SERVED, callback.content["result"].encode(), load)
         elif isinstance(state, str) and state in OUTCOMES_WITHOUT_RESULT:
             attempt.end(OUTCOMES_WITHOUT_RESULT[JobState(state)], load=load)
         else:
-            raise ValueError(f"state {state!r} is not known")
+            raise ValueError(f"state {state!r} is unknown")
--- a/beaconhinge/net/late_answers.py
+++ b/beaconhinge/net/late_answers.py
@@ -1,4 +1,4 @@
-"""Answers of discovery to calls that were given up, or cancelled: read still as they come, for a while."""
+"""Reads discovery's late answers: those to calls that timed out or were cancelled, for a limited time."""
 
 from __future__ import annotations
 
@@ -8,19 +8,19 @@
 from ..runtime.timer_wheel import TimerWheel
 from .http1 import Connection
 
-# How long an answer may still come. By then a change counts as notified whether or not it arrived.
+# How long a late answer is awaited. After that, a change counts as notified whether or not it arrived.
 LATE_ANSWER_MAX_S = 6.0
-# How many connections are read on for it, of the watch and of the reads beside it; the oldest is closed for
-# another one.
+# Maximum number of connections that are read for late answers, of the watch and of reads together. The oldest
+# is closed to make room for a new one.
 MAX_LATE_ANSWERS = 4
 
 
 class LateAnswers:
-    """Reads on connections whose call nobody waits for any more.
+    """Keeps reading connections whose call has been abandoned.
 
-    A change counts as notified once discovery has written it, and discovery answers a call that was given up
-    all the same. Closing the connection threw the answer away: jobs went to leaving workers until the next
-    call was answered.
+    A change counts as notified once discovery has written it, and discovery answers an abandoned call all
+    the same. Closing the connection at once discarded that answer: jobs were sent to leaving workers until
+    the next call was answered.
     """
 
     def __init__(self, timers: TimerWheel, metrics: Metrics) -> None:
@@ -29,9 +29,9 @@
         self._tasks: dict[Connection, asyncio.Task[None]] = {}
 
     def read(self, connection: Connection) -> None:
-        """Read a connection until its answer has ended, or LATE_ANSWER_MAX_S have passed, and close it.
+        """Read a connection until its answer is complete or LATE_ANSWER_MAX_S have passed, then close it.
 
-        What is read goes to the connection's `BodySink`, in the turn that reads it.
+        The bytes go to the connection's `BodySink`, in the turn of the event loop that reads them.
         """
         connection.read_arrived()
         while len(self._tasks) >= MAX_LATE_ANSWERS:
@@ -39,7 +39,7 @@
         self._tasks[connection] = self._metrics.spawn(self._read(connection), "late_answer")
 
     def close(self) -> None:
-        """Read what has arrived, and read no more: another discovery is called from now on."""
+        """Read what has arrived, then close all connections: another discovery server is used from now on."""
         for connection in list(self._tasks):
             self._close(connection)
 
@@ -53,7 +53,7 @@
         try:
             while not connection.settled and (left_s := until_s - self._timers.now()) > 0:
                 reading = connection.reading()
-                # Not awaited itself: the call that was given up may just be cancelling it.
+                # The task is not awaited directly: the abandoned call may be cancelling it at this moment.
                 done, _ = await asyncio.wait((reading,), timeout=left_s)
                 if done and not reading.cancelled() and not reading.result():
                     break
--- a/beaconhinge/net/probes.py
+++ b/beaconhinge/net/probes.py
@@ -1,4 +1,4 @@
-"""Probes: a short request that asks a worker whether it lives, or for its load."""
+"""Probes: short requests for a worker's health or its load."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 
 class Prober:
-    """Sends the probes that the policy asks for, and feeds it their results."""
+    """Sends the probes that the policy requests, and feeds it their results."""
 
     def __init__(
         self,
@@ -32,7 +32,16 @@
         timers: TimerWheel,
         metrics: Metrics,
     ) -> None:
-        """`exchange` sends a short request to a host."""
+        """Create a prober and register it with the policy runner.
+
+        Args:
+            find_host: Returns the listed worker with that number, or None.
+            exchange: Sends a short request (method and target) to a worker.
+            load_reports: Parses the answers.
+            policy_runner: Receives the results.
+            timers: Provides the clock.
+            metrics: Counts the probes.
+        """
         self.find_host = find_host
         self.exchange = exchange
         self.load_reports = load_reports
@@ -44,7 +53,7 @@
         )
 
     async def probe(self, number: int) -> None:
-        """Probe the worker with that number; one that is not listed counts as not reached."""
+        """Probe the worker with that number; an unlisted worker counts as NO_CONNECTION."""
         host, sent_at = self.find_host(number), self.timers.now()
         outcome, load = AttemptOutcome.NO_CONNECTION, None
         if host is not None:
