--- a/beaconhinge/net/client_connection.py
+++ b/beaconhinge/net/client_connection.py
@@ -1,4 +1,4 @@
-"""Reads the messages of one connection in turn, and writes the answer to each."""
+"""Reads the messages of a connection one after the other, and writes the answer to each."""
 
 from __future__ import annotations
 
@@ -7,13 +7,13 @@
 
 from ..runtime.metrics import Metrics
 from ..runtime.timer_wheel import TimerWheel
-from .client_table import LINGER_S, REQUEST_MAY_BE_ON_ITS_WAY_S, Client, ClientTable
+from .client_table import LINGER_S, REQUEST_IN_TRANSIT_S, Client, ClientTable
 from .http1 import BadMessage, Closed, Message
-from .request_router import Reply, problem
+from .request_router import Reply, error_response
 
-WRITE_TIMEOUT_S = 10.0  # a client has it to take its answer
+WRITE_TIMEOUT_S = 10.0  # for writing an answer, if the client reads slowly
 MESSAGE_TIMEOUT_S = 10.0  # from the first byte of a message to its last
-FIRST_MESSAGE_TIMEOUT_S = 2.5  # from connecting to the end of the first: who sends none holds a socket
+FIRST_MESSAGE_TIMEOUT_S = 2.5  # from connecting to the last byte of the first message; bounds unused sockets
 
 
 class ClientServer:
@@ -26,24 +26,24 @@
         timers: TimerWheel,
         metrics: Metrics,
     ) -> None:
-        """`respond` makes the reply to a message."""
+        """Create a server; `respond` returns the reply to a message."""
         self.clients = clients
         self.respond = respond
         self.timers = timers
         self.metrics = metrics
 
     async def serve(self, client: Client) -> None:
-        """Answer one message after the other until the connection ends, and close it."""
+        """Answer the messages of a connection until it ends, then close it; raises no error."""
         try:
             await self._answer_messages(client)
         except BadMessage as error:
             self.metrics.count_and_log("client_message_malformed", why=error)
-            await self._answer_last(client, problem(error.status, str(error), close=True))
+            await self._answer_last(client, error_response(error.status, str(error), close=True))
         except (Closed, OSError):  # a time-out is an OSError too
             pass
-        except Exception as error:  # noqa: BLE001  # a defect here: whoever asked still gets an answer
+        except Exception as error:  # noqa: BLE001  # a defect here: the client must still get an answer
             self.metrics.log_exception("connection", error)
-            await self._answer_last(client, problem(500, "internal error", close=True))
+            await self._answer_last(client, error_response(500, "internal error", close=True))
         finally:
             client.answering = False
             self.clients.closed(client)
@@ -52,13 +52,13 @@
     async def _answer_messages(self, client: Client) -> None:
         while True:
             message = await self._next_message(client)
-            if client.ended_here:
+            if client.is_shut_down:
                 self.metrics.count("requests_after_shutdown")
                 continue
-            self.clients.has_sent_message(client)
+            self.clients.record_message(client)
             reply = await self.respond(client, message)
             if reply.close:
-                await self._answer_last(client, reply.data, reply.leaves_room)
+                await self._answer_last(client, reply.data, reply.frees_place)
                 return
             async with self.timers.timeout(WRITE_TIMEOUT_S):
                 await client.connection.send(reply.data)
@@ -66,31 +66,40 @@
             self.clients.mark_used(client)
 
     async def _next_message(self, client: Client) -> Message:
-        """The next message. Guards against peers that send a part of one, or nothing, and hold a socket."""
+        """Return the next message.
+
+        The time-outs guard against peers that hold a socket and send only a part of a message, or nothing.
+
+        Raises:
+            BadMessage: The message was incomplete at its time-out.
+            Closed: The connection has ended, or no byte of the first message has arrived by its time-out.
+        """
         connection, limit_s = client.connection, MESSAGE_TIMEOUT_S
         if client in self.clients.without_message:
             limit_s = FIRST_MESSAGE_TIMEOUT_S
         else:
             await connection.begun()
-        for wait_s in (limit_s, REQUEST_MAY_BE_ON_ITS_WAY_S):
+        for wait_s in (limit_s, REQUEST_IN_TRANSIT_S):
             with contextlib.suppress(TimeoutError):
                 async with self.timers.timeout(wait_s):
                     return await connection.next()
-            if connection.silent():  # or this process was late itself, and has not read what had come
+            if (
+                connection.silent()
+            ):  # otherwise this process was late, and bytes that arrived in time are still unread
                 break
         if not connection.partial:
             raise Closed
         raise BadMessage(408, f"the message was not whole after {limit_s:g} s")
 
-    async def _answer_last(self, client: Client, data: bytes, leaves_room: bool = False) -> None:
-        """Write the last answer of a connection, and let the peer read it before the connection closes."""
-        self.clients.has_sent_message(client)
+    async def _answer_last(self, client: Client, data: bytes, frees_place: bool = False) -> None:
+        """Write the last answer of a connection, and give the peer LINGER_S to read it and to close."""
+        self.clients.record_message(client)
         client.answering = True
         try:
             async with self.timers.timeout(LINGER_S):
                 await client.connection.send(data)
-                if leaves_room:
-                    self.clients.leave_room(client)
+                if frees_place:
+                    self.clients.free_place(client)
                 await client.connection.linger()
         except OSError:
             pass
--- a/beaconhinge/net/client_table.py
+++ b/beaconhinge/net/client_table.py
@@ -1,4 +1,4 @@
-"""The connections of clients, and of workers that call back: who may be closed, and who is owed an answer."""
+"""The accepted connections: which are idle and may be closed, and which still await an answer."""
 
 from __future__ import annotations
 
@@ -8,18 +8,18 @@
 from ..runtime.timer_wheel import TimerWheel
 from .http1 import Connection
 
-LINGER_S = 1.0  # a peer has it to take a last answer and close
-REQUEST_MAY_BE_ON_ITS_WAY_S = 0.1  # after connecting, and after an answer
+LINGER_S = 1.0  # time that a peer has to read its last answer and close the connection
+REQUEST_IN_TRANSIT_S = 0.1  # how long after connecting, or after an answer, a request may still be in transit
 
 
 class Client:
     """A connection from a client, or from a worker that calls back.
 
     Attributes:
-        connection: the socket and its parser.
-        answering: an answer is being made or written.
-        sends_callbacks: it is a worker's.
-        ended_here: our side has ended: what comes now is not taken, its client sends it again.
+        connection: The socket with its parser.
+        answering: Whether an answer is being prepared or written.
+        sends_callbacks: Whether the peer is a worker.
+        is_shut_down: Whether our side is shut down. Later messages are ignored; the client must resend them.
     """
 
     def __init__(self, connection: Connection) -> None:
@@ -27,25 +27,25 @@
         self.connection = connection
         self.answering = False
         self.sends_callbacks = False
-        self.ended_here = False
+        self.is_shut_down = False
 
     @property
     def idle(self) -> bool:
-        """Whether nothing is owed to it, and nothing it sent waits to be read."""
+        """Whether the peer awaits no answer, and nothing that it sent waits to be read."""
         return not self.answering and not self.connection.partial and self.connection.silent()
 
 
 class ClientTable:
-    """All connections that were accepted.
+    """All accepted connections.
 
     Attributes:
-        clients: in the order of their last use.
-        without_message: those that have sent no whole message, in the order they came.
-        closing: those whose peer has been notified that the connection ends, until it closes as well.
+        clients: The open connections, least recently used first.
+        without_message: Those that have sent no complete message, in order of arrival.
+        closing: Connections with our side shut down, or about to be, until the peer closes as well.
     """
 
     def __init__(self, timers: TimerWheel, metrics: Metrics) -> None:
-        """Make an empty table."""
+        """Create an empty table."""
         self.timers = timers
         self.metrics = metrics
         self.clients: dict[Client, None] = {}
@@ -53,81 +53,89 @@
         self.closing: set[Client] = set()
 
     def add(self, client: Client) -> None:
-        """Take a new connection in."""
+        """Add a new connection."""
         client.connection.used_at = self.timers.now()
         self.clients[client] = self.without_message[client] = None
 
-    def has_sent_message(self, client: Client) -> None:
-        """Take note that it has sent a whole message."""
+    def record_message(self, client: Client) -> None:
+        """Record that the peer has sent a complete message."""
         self.without_message.pop(client, None)
 
     def mark_used(self, client: Client) -> None:
-        """Make it the one used last."""
+        """Make the connection the most recently used one, and give back the memory of its bodies."""
         client.connection.used_at = self.timers.now()
         client.connection.release()
         if self.clients.pop(client, client) is None:
             self.clients[client] = None
 
-    def forget(self, client: Client) -> None:
-        """Take it out; it may go on closing."""
+    def remove_open(self, client: Client) -> None:
+        """Remove the connection from the open ones; it may still be in `closing`."""
         self.clients.pop(client, None)
         self.without_message.pop(client, None)
 
-    def leave_room(self, client: Client) -> None:
-        """Leave its place to others: it has its last answer, and is about to close."""
-        self.forget(client)
+    def free_place(self, client: Client) -> None:
+        """Free the connection's place for others: its last answer is written, and it is about to close."""
+        self.remove_open(client)
         self.closing.add(client)
 
     def closed(self, client: Client) -> None:
-        """Take it out for good."""
-        self.forget(client)
+        """Remove a closed connection from the table."""
+        self.remove_open(client)
         self.closing.discard(client)
 
     def close_one(self) -> bool:
-        """Make room: first who has never sent a whole message, then who has sent none for the longest.
+        """Close one idle connection: one that has sent no complete message, or else the least recently used.
 
-        Returns whether there was one to close.
+        A connection that was accepted or used less than REQUEST_IN_TRANSIT_S ago is kept.
+
+        Returns:
+            Whether a connection was closed.
         """
-        idle_since = self.timers.now() - REQUEST_MAY_BE_ON_ITS_WAY_S
+        idle_since = self.timers.now() - REQUEST_IN_TRANSIT_S
         for client in chain(self.without_message, self.clients):
-            # A request that lies unread counts as taken: only who has sent nothing to this moment goes.
+            # An unread request counts as received: only a connection without unread bytes is closed.
             quiet = client.connection.silent() if client in self.without_message else client.idle
             if client.connection.used_at < idle_since and quiet:
-                self.forget(client)
+                self.remove_open(client)
                 client.connection.close()
                 self.metrics.count("connections_closed_for_room")
                 return True
         return False
 
     def end_idle(self, with_message_only: bool = False) -> None:
-        """End the idle connections of clients, or of those only that have sent a whole message."""
+        """Shut down the idle connections of clients.
+
+        Args:
+            with_message_only: Whether to keep those that have sent no complete message.
+        """
         for client in [client for client in self.clients if client.idle and not client.sends_callbacks]:
             if with_message_only and client in self.without_message:
                 continue
             self.end(client)
 
     def end_all(self) -> None:
-        """End every connection."""
+        """Shut down every connection."""
         for client in list(self.clients):
             self.end(client)
 
     def end(self, client: Client) -> None:
-        """End our side, and read until the peer has closed as well.
+        """Shut down our side, and keep reading until the peer closes as well, for LINGER_S at most.
 
-        What it sends meanwhile has crossed that and is not taken: it comes again elsewhere.
+        Requests that arrive meanwhile were sent before the peer saw the end; they are ignored, and the client
+        must resend them to another dispatcher.
         """
-        self.forget(client)
-        client.ended_here = True
-        client.connection.end()
+        self.remove_open(client)
+        client.is_shut_down = True
+        client.connection.shut_down_writing()
         self.closing.add(client)
         self.timers.after(LINGER_S, client.connection.close)
 
     def has_newcomers(self) -> bool:
-        """Whether somebody came so lately that its request may be on the way."""
-        since = self.timers.now() - REQUEST_MAY_BE_ON_ITS_WAY_S
+        """Return whether a connection is so new that its first request may still be in transit."""
+        since = self.timers.now() - REQUEST_IN_TRANSIT_S
         return any(client.connection.used_at > since for client in self.without_message)
 
     @property
     def unanswered(self) -> int:
-        """Number of clients that are owed an answer, or have sent what is not read yet."""
+        """Number of connections that await an answer, or whose peer has sent bytes that are not read yet."""
         return sum(not client.idle for client in self.clients)
--- a/beaconhinge/net/http1.py
+++ b/beaconhinge/net/http1.py
@@ -1,4 +1,4 @@
-"""HTTP/1.1 messages on asyncio's socket calls, parsed by httptools, with bounds on what a peer may send."""
+"""HTTP/1.1 connections on non-blocking sockets, parsed by httptools, with bounds on what a peer may send."""
 
 from __future__ import annotations
 
@@ -18,16 +18,16 @@
 
 MAX_HEAD_BYTES = 16 * 1024
 MAX_BODY_BYTES = 64 * 1024
-# One message raw, chunk framing and trailers included.
+# Raw bytes of one message, including chunk framing and trailers.
 MAX_MESSAGE_BYTES = MAX_HEAD_BYTES + 8 * MAX_BODY_BYTES
 MAX_MESSAGES_AHEAD = 4  # messages read ahead on a connection
-MAX_READS_BEFORE_CLOSE = 128  # of bytes that have arrived already
-READ_BYTES = 16 * 1024  # the buffer of a peer that has filled the first one
-FIRST_READ_BYTES = 2 * 1024  # the first buffer of each connection: most need no other
+MAX_READS_BEFORE_CLOSE = 128  # reads of bytes that have already arrived, before a connection is closed
+READ_BYTES = 16 * 1024  # buffer size of a connection once a read has filled its first buffer
+FIRST_READ_BYTES = 2 * 1024  # size of a connection's first buffer; most connections need no larger one
 
 
 class BadMessage(Exception):  # noqa: N818
-    """What a peer sent cannot be taken; `status`, of HTTP, and the text say why."""
+    """A peer sent an unacceptable message; `status` (an HTTP status) and the text give the reason."""
 
     def __init__(self, status: int, reason: str) -> None:
         super().__init__(reason)
@@ -40,10 +40,16 @@
 
 @dataclass(slots=True)
 class Message:
-    """A request or an answer, each with the fields that it has.
+    """A request or an answer; fields that do not apply keep their defaults.
 
     Attributes:
-        arrived_at: when the last byte of a request came to this machine, by its connection's clock.
+        method: Method of a request.
+        target: Target of a request: path and query.
+        status: Status of an answer.
+        arrived_at: Time at which the last byte of a request arrived at this machine, in seconds, by its
+            connection's clock.
+        headers: Values by header name in lower case; repeated headers are joined with ", ".
+        keep_alive: Whether the connection may be used after this message.
     """
 
     method: str = ""
@@ -56,28 +62,28 @@
 
 
 class BodySink(Protocol):
-    """Takes bodies while they arrive, in the turn of the loop that reads them.
+    """Receives bodies while they arrive, in the turn of the event loop that reads them.
 
-    Called from within the parser, but for `finish_read`: the others must not raise.
+    `begin_message` and `receive_body` are called from within the parser and must not raise.
     """
 
     def begin_message(self) -> None:
-        """A message has begun."""
+        """Called at the beginning of a message."""
 
     def receive_body(self, status: int, part: bytes) -> None:
-        """A part of the body of a message, of that status where it is an answer."""
+        """Called with each part of a body; `status` is the status of an answer, 0 for a request."""
 
     def finish_read(self) -> None:
-        """All that was read in this turn has been handed in."""
+        """Called once all bytes of one read have been parsed."""
 
 
 class Connection:
-    """One socket with its parser. At most one read is under way, see `reading`.
+    """One socket with its parser. At most one read is in progress, see `reading`.
 
     Attributes:
-        inbox: messages that are whole and not taken yet.
-        partial: a message has begun and is not whole.
-        used_at: when it was used last; set and read by its owner, 0 before the first use.
+        inbox: Complete messages that `next` has not returned yet.
+        partial: Whether a message has begun and is incomplete.
+        used_at: Time of the last use in seconds, 0 before the first; set and read by the connection's owner.
     """
 
     def __init__(
@@ -90,16 +96,17 @@
         body_sink: BodySink | None = None,
         now: Callable[[], float] = time.monotonic,
     ) -> None:
-        """Take the socket over.
+        """Take ownership of a socket.
 
         Args:
-            sock: connected and not blocking.
-            requests: whether the peer sends requests, not answers.
-            on_close: called once, as the socket is closed.
-            max_body_bytes: the longest body that is taken.
-            reserve_bytes: takes room for so many bytes of bodies, or gives it back.
-            body_sink: takes bodies while they arrive, beside the messages that are made of them.
-            now: the clock, in seconds.
+            sock: A connected, non-blocking socket.
+            requests: Whether the peer sends requests rather than answers.
+            on_close: Called once, when the socket is closed.
+            max_body_bytes: Maximum length of a body.
+            reserve_bytes: Reserves memory for that many bytes of bodies and returns whether there was enough;
+                a negative count gives memory back.
+            body_sink: Receives bodies while they arrive, in addition to the complete messages.
+            now: Clock, in seconds.
         """
         self.sock = sock
         self.inbox: deque[Message] = deque()
@@ -112,19 +119,19 @@
         self._reserve_bytes = reserve_bytes
         self._body_sink = body_sink
         self._now = now
-        self._reserved_bytes = 0  # bytes of bodies for which there is room taken
+        self._reserved_bytes = 0  # bytes of bodies for which memory is reserved
         self._buffer = bytearray(FIRST_READ_BYTES)
         self._view = memoryview(self._buffer)
         self._parser: Any = (httptools.HttpRequestParser if requests else httptools.HttpResponseParser)(self)
         self._requests = requests
-        self._fault: BadMessage | None = None
+        self._error: BadMessage | None = None
         self._message = Message()
         self._chunks: list[bytes] = []
         self._in_head = False
         self._raw_bytes = self._body_bytes = 0
         self._reading: asyncio.Task[bool] | None = None
 
-    # ---- called by httptools; what is raised in here would come out garbled, so faults are kept ----------
+    # ---- called by httptools; it would garble exceptions raised in here, so errors are stored in _error ---
 
     def on_message_begin(self) -> None:
         """Called by the parser."""
@@ -135,14 +142,16 @@
             self._body_sink.begin_message()
 
     def on_url(self, part: bytes) -> None:
-        """Called by the parser, perhaps with a part."""
+        """Called by the parser with all or a part of the target."""
         self._message.target += part
 
     def on_header(self, name: bytes, value: bytes) -> None:
         """Called by the parser, for headers and trailers."""
-        if self._in_head:  # trailers are not asked for and passed over
+        if self._in_head:  # trailers are ignored
             headers, key = self._message.headers, name.decode("latin-1").lower()
-            text = value.decode("latin-1").strip(" \t")  # blanks around are none of it: RFC 9110, 5.5
+            text = value.decode("latin-1").strip(
+                " \t"
+            )  # surrounding blanks are not part of the value: RFC 9110, 5.5
             headers[key] = f"{headers[key]}, {text}" if key in headers else text
 
     def on_headers_complete(self) -> None:
@@ -157,11 +166,11 @@
             self._fail(413, f"body over {self._max_body_bytes} bytes")
 
     def on_body(self, part: bytes) -> None:
-        """Called by the parser, perhaps with a part."""
+        """Called by the parser with all or a part of the body."""
         self._body_bytes += len(part)
         if self._body_bytes > self._max_body_bytes:
             self._fail(413, f"body over {self._max_body_bytes} bytes")
-        elif self._fault is None:
+        elif self._error is None:
             if self._reserve_bytes(len(part)):
                 self._reserved_bytes += len(part)
                 self._chunks.append(part)
@@ -171,24 +180,28 @@
                 self._fail(503, "too many bodies in hand: try again later")
 
     def on_message_complete(self) -> None:
-        """Called by the parser; interim answers are dropped."""
+        """Called by the parser; interim (1xx) answers are dropped."""
         self.partial = False
         message, chunks = self._message, self._chunks
-        self._message, self._chunks = Message(), []  # kept here, bodies once took twice the memory
+        self._message, self._chunks = (
+            Message(),
+            [],
+        )  # drop the references: bodies took twice the memory otherwise
         message.body = b"".join(chunks)
         message.keep_alive = self._parser.should_keep_alive()
         if self._requests:
-            # Not when it is read: it may have waited unaccepted, or in a process that stood still.
+            # Not the time of the read: the request may have waited in the accept queue or during a pause of
+            # the process.
             message.arrived_at = self._now() - sockets.seconds_since_data_arrived(self.sock)
-        if self._fault is None and (self._requests or message.status >= HTTPStatus.OK):
+        if self._error is None and (self._requests or message.status >= HTTPStatus.OK):
             self.inbox.append(message)
 
     def _fail(self, status: int, reason: str) -> None:
-        self._fault = self._fault or BadMessage(status, reason)
-        self._chunks = []  # nobody will read them
+        self._error = self._error or BadMessage(status, reason)
+        self._chunks = []  # the body will not be read
 
     def release(self) -> None:
-        """Give back the room of the bodies read so far: they have been dealt with."""
+        """Give back the memory reserved for bodies, unless a message is incomplete or not yet taken."""
         if not self.partial and not self.inbox:
             self._reserve_bytes(-self._reserved_bytes)
             self._reserved_bytes = 0
@@ -196,19 +209,19 @@
     # ---- reading and writing ---------------------------------------------------------------------------
 
     async def _fill(self) -> bool:
-        """Read once; False when the peer has ended or broken the connection."""
+        """Read and parse once; returns False if the peer has closed the connection or it has failed."""
         try:
             count = await self._receive()
         except OSError:
             return False
         if count == 0:
-            self._take_end()
+            self._handle_end_of_stream()
             return False
         self._parse(count)
         return True
 
     def _parse(self, count: int) -> None:
-        """Parse so many bytes of the buffer."""
+        """Parse the first `count` bytes of the buffer, and record an error if a bound is exceeded."""
         self._raw_bytes += count
         full = count == len(self._buffer) < READ_BYTES
         try:
@@ -230,43 +243,52 @@
             self._body_sink.finish_read()
 
     async def _receive(self) -> int:
-        """Wait for bytes, and read them in the very turn that parses them."""
+        """Wait for bytes and read them into the buffer, in the same turn of the event loop that parses them.
+
+        Bytes read in one turn and parsed in the next would be missed by `silent` and `partial` in between.
+
+        Returns:
+            The number of bytes; 0 at the end of the peer's stream.
+        """
         while True:
             try:
                 return self.sock.recv_into(self._buffer)
             except BlockingIOError:
                 await sockets.readable(self.sock)
 
-    def _take_end(self) -> None:
-        """An answer without a length is whole when its connection ends."""
+    def _handle_end_of_stream(self) -> None:
+        """Complete an answer that has no length: it ends with its connection."""
         headers = self._message.headers
         framed = "content-length" in headers or "transfer-encoding" in headers
         if not self._requests and self.partial and not self._in_head and not framed:
-            self.on_message_complete()  # it finds by itself that the connection does not stay
+            self.on_message_complete()  # the parser reports keep_alive as false
 
     def reading(self) -> asyncio.Task[bool]:
-        """The one outstanding read. It outlives those who wait for it, so that no bytes are lost."""
+        """Return the task of the one outstanding read; its result is False at the end of the connection.
+
+        The task goes on when a caller that awaits it is cancelled, so that no bytes are lost.
+        """
         if self._reading is None or self._reading.done():
             self._reading = asyncio.get_running_loop().create_task(self._fill())
         return self._reading
 
     @property
     def received(self) -> int:
-        """Raw bytes of the message that is being read, or was read last."""
+        """Number of raw bytes of the message that is being read, or was read last."""
         return self._raw_bytes
 
     def unfinished_body(self) -> bytes:
-        """What has come of the body of a message that is not whole."""
+        """Return the part of an incomplete message's body that has arrived."""
         return b"".join(self._chunks)
 
     @property
     def settled(self) -> bool:
-        """Whether `next` returns or raises without another read."""
-        return bool(self.inbox) or self._fault is not None
+        """Whether `next` would return or raise without another read."""
+        return bool(self.inbox) or self._error is not None
 
     def read_arrived(self) -> None:
-        """Read what has arrived and nobody has read yet, up to a bound, without waiting."""
-        with contextlib.suppress(OSError):  # nothing more is there, or the connection has broken
+        """Read and parse the bytes that have already arrived, in MAX_READS_BEFORE_CLOSE reads at most."""
+        with contextlib.suppress(OSError):  # no more bytes have arrived, or the connection has failed
             for _ in range(MAX_READS_BEFORE_CLOSE):
                 count = self.sock.recv_into(self._buffer)
                 if count == 0:
@@ -274,28 +296,32 @@
                 self._parse(count)
 
     async def begun(self) -> None:
-        """Wait for the first bytes of a message."""
-        while not self.inbox and not self.partial and self._fault is None:
+        """Wait for the first bytes of a message.
+
+        Raises:
+            Closed: The peer has closed the connection or it has failed.
+        """
+        while not self.inbox and not self.partial and self._error is None:
             if not await self.reading():
                 raise Closed
 
     async def next(self) -> Message:
-        """Wait for the next whole message.
+        """Wait for the next complete message and return it.
 
         Raises:
-            BadMessage: the peer has sent what cannot be taken.
-            Closed: the peer has ended or broken the connection.
+            BadMessage: The peer has sent an unacceptable message.
+            Closed: The peer has closed the connection or it has failed.
         """
         while not self.inbox:
-            if self._fault is not None:
-                raise self._fault
+            if self._error is not None:
+                raise self._error
             if not await self.reading() and not self.inbox:
                 raise Closed
         return self.inbox.popleft()
 
     @property
     def version(self) -> str:
-        """Of HTTP, as the peer's last message had it."""
+        """HTTP version of the peer's last message, for example "1.1"."""
         version: str = self._parser.get_http_version()
         return version
 
@@ -303,20 +329,24 @@
         """Write all of `data`.
 
         Raises:
-            OSError: the connection has broken.
+            OSError: The connection has failed.
         """
         await asyncio.get_running_loop().sock_sendall(self.sock, data)
 
     def silent(self) -> bool:
-        """Nothing waits to be read, not even the peer's end of the connection."""
+        """Return whether nothing waits to be read or taken, not even the end of the peer's stream."""
         return not self.inbox and self._peek() is None
 
-    def ended(self) -> bool:
-        """Whether the peer has gone, though the task that reads here may not have run since."""
+    def closed_by_peer(self) -> bool:
+        """Return whether we or the peer have closed the connection, even if its end was not read yet."""
         return not self._open or self._peek() == b""
 
     def _peek(self) -> bytes | None:
-        """The first unread byte; none if the peer has ended or broken the connection, None if it rests."""
+        """Return the first unread byte without reading it.
+
+        Returns:
+            The byte; b"" if the peer has closed the connection or it has failed; None if nothing is unread.
+        """
         try:
             return self.sock.recv(1, socket.MSG_PEEK)
         except BlockingIOError:
@@ -324,14 +354,17 @@
         except OSError:
             return b""
 
-    def end(self) -> None:
-        """Nothing more is written: the peer reads the end of the connection, and closes it."""
-        with contextlib.suppress(OSError):  # it has broken by now
+    def shut_down_writing(self) -> None:
+        """Shut down our side for writing: the peer reads the end of the stream, and should close as well."""
+        with contextlib.suppress(OSError):  # the connection has already failed
             self.sock.shutdown(socket.SHUT_WR)
 
     async def linger(self) -> None:
-        """Let the peer read a last answer: closing on its unread bytes would reset that away."""
-        self.end()
+        """Shut down writing and read until the peer closes, up to a bound on the reads.
+
+        Closing with unread bytes would reset the connection, and the peer could lose its last answer.
+        """
+        self.shut_down_writing()
         try:
             for _ in range(2 * MAX_BODY_BYTES // len(self._buffer)):
                 if not await self.reading():
@@ -340,7 +373,7 @@
             pass
 
     def close(self) -> None:
-        """Close the socket and give back what it took; a second call changes nothing."""
+        """Close the socket and give back its reservations; later calls have no effect."""
         if self._open:
             self._open = False
             if self._reading is not None:
@@ -353,7 +386,7 @@
 def response(
     status: int, body: bytes = b"", headers: Mapping[str, str] | None = None, close: bool = False
 ) -> bytes:
-    """The bytes of an answer; `close` says that the connection ends with it."""
+    """Return the bytes of an answer; `close` announces that the connection ends with it."""
     reason = HTTPStatus(status).phrase
     lines = [f"HTTP/1.1 {status} {reason}"]
     if status != HTTPStatus.NO_CONTENT:
@@ -365,6 +398,6 @@
 
 
 def request(method: str, target: bytes, headers: Mapping[str, str], body: bytes = b"") -> bytes:
-    """The bytes of a request; `headers` hold Content-Length where there is a body."""
+    """Return the bytes of a request; with a body, `headers` must contain Content-Length."""
     lines = "".join(f"{name}: {value}\r\n" for name, value in headers.items())
     return method.encode() + b" " + target + b" HTTP/1.1\r\n" + lines.encode("latin-1") + b"\r\n" + body
--- a/beaconhinge/net/job_parsing.py
+++ b/beaconhinge/net/job_parsing.py
@@ -1,4 +1,4 @@
-"""Reads a client's message as a job: every 4xx that a job can get, and the guess of its work. No sockets."""
+"""Parses client messages into jobs: all 4xx checks on a job, and the estimate of its work. No sockets."""
 
 from __future__ import annotations
 
@@ -11,16 +11,16 @@
 from ..runtime.metrics import Metrics
 from .http1 import BadMessage, Message
 
-MAX_TIMEOUT_S = 3600.0  # the longest time that a client may ask to wait
+MAX_TIMEOUT_S = 3600.0  # the longest X-Timeout-Ms, in seconds
 MAX_TIMEOUT_DIGITS = 9  # of X-Timeout-Ms
 MAX_REQUEST_ID_CHARS = 128
 MAX_COST_CHARS = 32  # of X-Cost
-MAX_ATTRIBUTE = 1e6  # of slots and of memory in X-Attrs
-COSTS_PER_S = 1e6  # X-Cost counts microseconds of a standard core
+MAX_ATTRIBUTE = 1e6  # exclusive bound of `slots` and of `memory` in X-Attrs
+COSTS_PER_S = 1e6  # X-Cost is in microseconds of a standard core
 
 
 class JobParser:
-    """Makes jobs of messages; a message that is none is refused with a status that no client retries."""
+    """Parses messages into jobs; an invalid message is refused with a status on which no client retries."""
 
     def __init__(
         self,
@@ -28,7 +28,7 @@
         now: Callable[[], float],
         metrics: Metrics,
     ) -> None:
-        """`now` is the clock that the messages' times of arrival are of."""
+        """Create a parser; `now` must be the clock by which messages' times of arrival are given."""
         self.config = config
         self.metrics = metrics
         self.classes = {name: i for i, name in enumerate(config.class_names)}
@@ -37,26 +37,26 @@
         self._now = now
 
     def class_of(self, path: str) -> int | None:
-        """The number of the class that a path names."""
+        """Return the index of the request class in a path's first segment; None if there is no such class."""
         return self.classes.get(unquote(path.split("/", 2)[1]) if path.startswith("/") else "")
 
-    def parse(self, path: str, message: Message, in_work: Container[str], answer_by: float) -> Job:
-        """Make a job of a message.
+    def parse(self, path: str, message: Message, open_request_ids: Container[str], answer_by: float) -> Job:
+        """Parse a message into a job.
 
         Args:
-            path: the message's target without its query.
-            message: a POST.
-            in_work: ids of the requests that are not over.
-            answer_by: the time by which this process answers whatever it takes.
+            path: The message's target without its query.
+            message: A POST.
+            open_request_ids: Ids of the open requests.
+            answer_by: Time by which this process must have answered all requests that it accepts.
 
         Raises:
-            BadMessage: names what is wrong with it.
+            BadMessage: The message is not a valid job; the text names the fault.
         """
         headers = message.headers
         class_index = self.class_of(path)
         if class_index is None:
             raise BadMessage(404, f"{path}: no such class of jobs")
-        request_id = _request_id(headers.get("x-request-id", ""), in_work)
+        request_id = _request_id(headers.get("x-request-id", ""), open_request_ids)
         tenant = self._tenant(headers.get("x-tenant-id", ""))
         client_timeout_s = _timeout_s(headers.get("x-timeout-ms", ""))
         key = headers.get("idempotency-key", "")
@@ -90,7 +90,7 @@
         return self.tenants[name]
 
     def _work_s(self, class_index: int, cost: str, client_timeout_s: float) -> float:
-        """Seconds that the job may take by its client's guess. A bad guess costs no job: it is counted."""
+        """Return the estimated work in seconds of a standard core; counts and ignores a malformed hint."""
         hint_s = 0.0
         if cost.isascii() and len(cost) <= MAX_COST_CHARS and cost.replace(".", "", 1).isdigit():
             hint_s = float(cost) / COSTS_PER_S
@@ -103,7 +103,7 @@
         return work_s
 
 
-def _request_id(text: str, in_work: Container[str]) -> str:
+def _request_id(text: str, open_request_ids: Container[str]) -> str:
     if not text:
         raise BadMessage(400, "X-Request-ID is missing")
     word = text.replace("-", "").replace("_", "")
@@ -111,7 +111,7 @@
         raise BadMessage(
             400, f"X-Request-ID: up to {MAX_REQUEST_ID_CHARS} letters, digits, - and _ are taken"
         )
-    if text in in_work:
+    if text in open_request_ids:
         raise BadMessage(409, "X-Request-ID: a request with this id is in work")
     return text
 
@@ -126,7 +126,7 @@
 
 
 def _attributes(text: str) -> dict[str, float]:
-    """Figures in X-Attrs; those of another kind are passed over."""
+    """Return the numeric attributes in X-Attrs by name; others are ignored."""
     attributes = {}
     for part in filter(None, text.split(",")):
         name, _, value = part.partition("=")
--- a/beaconhinge/net/listener.py
+++ b/beaconhinge/net/listener.py
@@ -1,4 +1,4 @@
-"""The one listening socket: clients, the health check, the workers' call-backs. Accepts, within the room."""
+"""The one listening socket, for clients, the health check and workers' call-backs. Accepts within limits."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 from ..runtime.metrics import Metrics
 from ..runtime.timer_wheel import TimerWheel
 from .client_connection import ClientServer
-from .client_table import REQUEST_MAY_BE_ON_ITS_WAY_S, Client, ClientTable
+from .client_table import REQUEST_IN_TRANSIT_S, Client, ClientTable
 from .http1 import Connection
 from .job_parsing import JobParser
 from .request_router import RequestRouter
@@ -24,20 +24,20 @@
 if TYPE_CHECKING:
     from .streams import Streams
 
-RESERVED_FOR_WORKERS = 0.25  # part of the sockets that clients leave to connections to workers
-RESERVED_FOR_CALLBACKS = 0.125  # part of the clients' connections that jobs in work leave free
-ACCEPTS_IN_A_TURN = 64  # connections, before others have their turn
-ACCEPT_RETRY_S = 0.01  # after a failed accept
-MAX_ACCEPT_FAILURES = 64  # as the listener closes: it can't wait for better times
+RESERVED_FOR_WORKERS = 0.25  # share of the sockets that is reserved for connections to workers
+RESERVED_FOR_CALLBACKS = 0.125  # share of the client connections that open jobs must leave free
+MAX_ACCEPTS_PER_TURN = 64  # connections accepted before other tasks of the event loop run
+ACCEPT_RETRY_S = 0.01  # delay after a failed accept
+MAX_ACCEPT_FAILURES = 64  # while the backlog is emptied at closing, where retries cannot be delayed
 
 
 class Listener:
-    """Accepts connections and has them served; drains, hands over and ends by `shutdown`.
+    """Accepts connections and has them served; `shutdown` drains, hands over and ends the process.
 
     Attributes:
-        ready: whether there is a list of workers to serve by.
-        clients: all connections.
-        state: how far this process is on a way out.
+        ready: Returns whether there is a list of workers to serve from.
+        clients: All accepted connections.
+        state: How far this process has got in draining, handing over or ending.
     """
 
     def __init__(
@@ -51,7 +51,7 @@
         budget: DescriptorBudget,
         metrics: Metrics,
     ) -> None:
-        """Build the parts that serve clients; nothing is accepted before `listen`."""
+        """Create the parts that serve clients; no connection is accepted before `listen`."""
         self.config = config
         self.ready = ready
         self.timers = timers
@@ -84,11 +84,11 @@
         self._accepting: asyncio.Task[None] | None = None
         budget.reclaimers.append(self.clients.close_one)
 
-    # ---- what others ask for -------------------------------------------------------------------------------
+    # ---- state and shutdown --------------------------------------------------------------------------------
 
     @property
     def streams(self) -> Streams | None:
-        """Answers as streams, where they are configured."""
+        """Progress streams, if they are configured, else None."""
         return self.router.streams
 
     @streams.setter
@@ -97,23 +97,23 @@
 
     @property
     def serving(self) -> bool:
-        """What the health check and the operators' `ready` say."""
+        """Whether the health check and the operators' `ready` answer yes."""
         return self.ready() and not self.state.draining
 
     @property
     def unanswered(self) -> int:
-        """Number of connections and detached streams that an answer is owed to."""
+        """Number of connections and detached streams that await an answer."""
         streams = self.router.streams
         return (streams.detached if streams is not None else 0) + self.clients.unanswered
 
     @property
     def draining(self) -> bool:
-        """Whether clients are sent away."""
+        """Whether the health check answers no, so that clients use other dispatchers."""
         return self.state.draining
 
     @property
     def ending(self) -> bool:
-        """Whether this process ends."""
+        """Whether this process is ending."""
         return self.state.ending
 
     @property
@@ -122,7 +122,7 @@
         return self.state.handed_over
 
     def drain(self) -> None:
-        """Send clients away, and stay."""
+        """Drain: send clients to other dispatchers, but keep the process running."""
         self.shutdown.drain()
 
     def resume(self) -> None:
@@ -130,7 +130,7 @@
         self.shutdown.resume()
 
     async def hand_over(self) -> None:
-        """Leave new connections to another process of this dispatcher."""
+        """Leave new connections to another process of this dispatcher, which listens already."""
         await self.shutdown.hand_over()
 
     def take_back(self) -> None:
@@ -138,7 +138,7 @@
         self.shutdown.take_back()
 
     async def finish(self) -> None:
-        """Serve what still comes, and return once all is answered."""
+        """Serve the remaining requests, and return once all are answered."""
         await self.shutdown.finish()
 
     # ---- accepting -----------------------------------------------------------------------------------------
@@ -147,45 +147,52 @@
         """Listen and accept.
 
         Raises:
-            AddressUnavailable: the address is in use, or is not this machine's.
+            AddressUnavailable: The address is in use or does not belong to this machine.
         """
         self._socket = tcp_listener(self.config.listen, "listen", self.config.mgmt is not None)
         self._accepting = self.metrics.spawn(self._accept(self._socket), "accept")
 
     def listen_again(self) -> None:
-        """Listen, unless that is so already."""
+        """Listen and accept, unless the socket is already open."""
         if self._socket is None:
             self.listen()
 
     def steer_to_successor(self) -> None:
-        """Lead new connections to the process that listened second."""
+        """Route new connections to the process that was the second to listen on this address."""
         if self._socket is not None and not steer_to_second(self._socket):
             self.metrics.count_and_log("steering_refused")
 
     async def _accept(self, listener: socket.socket) -> None:
-        """All who wait are let in at once: after a stop they have waited for long, and their time runs."""
+        """Accept connections, each time until the backlog is empty, yielding every MAX_ACCEPTS_PER_TURN.
+
+        After a pause of the process, the requests in the backlog have already used up much of their time.
+        """
         while True:
             await readable(listener)
             accepted = 0
             while await self._accept_one(listener):
                 accepted += 1
-                if accepted % ACCEPTS_IN_A_TURN == 0:
+                if accepted % MAX_ACCEPTS_PER_TURN == 0:
                     await asyncio.sleep(0)
 
     async def _accept_one(self, listener: socket.socket) -> bool:
-        """Whether somebody may be there still."""
+        """Accept one connection, waiting for a descriptor if none is free.
+
+        Returns:
+            Whether further connections may be waiting.
+        """
         while not self._reserve():
             self.metrics.count_and_log("clients_wait_for_sockets", used=self.budget.used)
             with contextlib.suppress(TimeoutError):
-                # others may have been still for long enough then
-                async with self.timers.timeout(REQUEST_MAY_BE_ON_ITS_WAY_S / 2):
+                # after half of that time, further connections may count as idle and can be closed
+                async with self.timers.timeout(REQUEST_IN_TRANSIT_S / 2):
                     await self.budget.wait_for_release()
         try:
             sock, _ = listener.accept()
         except BlockingIOError:
             self.budget.release()
             return False
-        except OSError as error:  # that connection has failed, or descriptors are short after all
+        except OSError as error:  # that connection has failed, or the process is out of descriptors after all
             self.budget.release()
             self.metrics.count_and_log("accept_failed", why=error)
             await asyncio.sleep(ACCEPT_RETRY_S)
@@ -195,21 +202,21 @@
 
     @property
     def max_clients(self) -> int:
-        """Connections that clients may have."""
+        """Maximum number of client connections."""
         limits = self.config.limits
         of_sockets = int((1 - RESERVED_FOR_WORKERS) * self.budget.total)
         return min(of_sockets, int(limits.max_connections * self.budget.share))
 
     @property
     def max_jobs(self) -> int:
-        """Connections of clients that may wait for a job's answer at a time."""
+        """Maximum number of client connections that wait for a job's answer at the same time."""
         return max(1, int((1 - RESERVED_FOR_CALLBACKS) * self.max_clients))
 
     def _reserve(self) -> bool:
-        """Take a descriptor for one more connection.
+        """Reserve a descriptor for one more connection; returns whether there was one.
 
-        Clients and workers' call-backs come in by the same socket: when there is no room, an idle connection
-        goes, or those would wait behind idle clients.
+        At the limit, an idle connection is closed: clients and workers' call-backs share the listening
+        socket, and both would otherwise wait behind idle clients.
         """
         has_room = len(self.clients.clients) < self.max_clients or self.clients.close_one()
         return has_room and self.budget.acquire()
@@ -231,7 +238,7 @@
         self.metrics.spawn(self.server.serve(client), "connection")
 
     def stop_listening(self) -> None:
-        """Take what waits in the backlog, since who sent it counts on an answer, and close the socket."""
+        """Accept the connections in the backlog, since their clients expect answers, and close the socket."""
         if self._socket is None or self._accepting is None:
             return
         self._accepting.cancel()
@@ -240,15 +247,16 @@
         self._socket = None
 
     def _accept_backlog(self, listener: socket.socket) -> None:
-        """Accept all who wait.
+        """Accept all connections in the backlog.
 
-        A call may fail for one of them, or for want of a descriptor, and the rest still wait.
+        A failed call does not mean that the backlog is empty: a single connection may have failed, or
+        descriptors may be short.
         """
         failures = 0
         while failures < MAX_ACCEPT_FAILURES and self.budget.acquire():
             try:
                 sock, _ = listener.accept()
-            except BlockingIOError:  # nobody is left
+            except BlockingIOError:  # the backlog is empty
                 self.budget.release()
                 return
             except OSError as error:
--- a/beaconhinge/net/request_router.py
+++ b/beaconhinge/net/request_router.py
@@ -1,4 +1,4 @@
-"""Answers one message of a client: health check, call-backs, streams, jobs, and whatever is none of these."""
+"""Routes received messages: health checks, call-backs, streams and jobs; answers all others with an error."""
 
 from __future__ import annotations
 
@@ -28,22 +28,22 @@
     """The bytes of an answer that are still to be written.
 
     Attributes:
-        data: the bytes.
-        close: whether the connection ends with them.
-        leaves_room: whether its place is another's as soon as they are written.
+        data: The bytes.
+        close: Whether the connection ends after them.
+        frees_place: Whether the connection no longer counts against the limit once they are written.
     """
 
     data: bytes
     close: bool
-    leaves_room: bool = False
+    frees_place: bool = False
 
 
 class RequestRouter:
-    """Finds out what a message asks for, and has it done.
+    """Determines what a message requests, and has it processed.
 
     Attributes:
-        streams: answers as streams, where they are configured.
-        jobs_in_work: connections whose job has no answer yet.
+        streams: Progress streams, if they are configured, else None.
+        open_jobs: Number of connections whose job has no answer yet.
     """
 
     def __init__(
@@ -56,17 +56,18 @@
         state: ServingState,
         metrics: Metrics,
     ) -> None:
-        """Answer nothing yet.
+        """Create a router without streams.
 
         Args:
-            requests: takes the jobs.
-            parser: makes them of messages.
-            on_callback: takes what workers report of jobs.
-            is_serving: what the health check says.
-            max_jobs: connections that may wait for a job's answer at a time. Workers' call-backs come by the
-                same listener: behind jobs that fill it they would wait until these are given up.
-            state: how far this process is on a way out.
-            metrics: counts what is refused.
+            requests: Table that runs the jobs.
+            parser: Parses messages into jobs.
+            on_callback: Called with the body of each call-back.
+            is_serving: Returns the result of the health check.
+            max_jobs: Returns how many connections may wait for a job's answer at a time. Workers' call-backs
+                arrive at the same listener: if jobs took all connections, call-backs would wait until these
+                jobs time out.
+            state: How far this process has got in draining, handing over or ending.
+            metrics: Counts refused messages.
         """
         self.requests = requests
         self.parser = parser
@@ -76,13 +77,13 @@
         self.state = state
         self.metrics = metrics
         self.streams: Streams | None = None
-        self.jobs_in_work = 0
+        self.open_jobs = 0
 
     async def respond(self, client: Client, message: Message) -> Reply:
-        """Have a message answered.
+        """Process a message and return the reply to it.
 
         Raises:
-            Closed: the client has gone meanwhile.
+            Closed: The client has disconnected meanwhile.
         """
         client.answering = True
         path = message.target.split(b"?", 1)[0].decode("latin-1")
@@ -91,7 +92,8 @@
             if message.method == "POST":
                 self.on_callback(message.body)
                 return Reply(response(204, close=not message.keep_alive), not message.keep_alive)
-        # An answer to HEAD has no body; ours have one, so the connection ends with it lest it be misread.
+        # An answer to HEAD must have no body, but ours have one: the connection ends after it, so that the
+        # body is not read as the next answer.
         close = self.state.closing_connections or not message.keep_alive or message.method == "HEAD"
         if path == HEALTH_PATH and message.method == "GET":
             up = self.is_serving()
@@ -104,25 +106,25 @@
             job = self.parser.parse(path, message, self.requests.requests, self.state.answer_by)
         except BadMessage as error:
             self.metrics.count_and_log("client_request_refused", status=error.status, why=error)
-            return Reply(problem(error.status, str(error), close), close)
+            return Reply(error_response(error.status, str(error), close), close)
         return await self._serve_job(client, message, job, close)
 
     async def _attach(
         self, streams: Streams, client: Client, message: Message, path: str, close: bool
     ) -> Reply:
-        """Go on with the stream of a job that was handed in before."""
+        """Attach the client to the stream of a job that was submitted before."""
         close = close or client.connection.version != "1.1"
-        name = message.headers.get("x-tenant-id")  # a browser's EventSource cannot say it
+        name = message.headers.get("x-tenant-id")  # a browser's EventSource cannot send it
         tenant = None if name is None else self.parser.tenants.get(name, -1)
         if await streams.attach(client.connection, message, tenant, close):
             return Reply(b"", close or self.state.closing_connections)
-        return Reply(problem(404, f"{path}: no such stream", close), close)
+        return Reply(error_response(404, f"{path}: no such stream", close), close)
 
     def _refuse_method(self, path: str, close: bool) -> Reply:
         if path in (HEALTH_PATH, CALLBACK_PATH) or self.parser.class_of(path) is not None:
             allowed = "GET" if path == HEALTH_PATH else "POST"
-            return Reply(problem(405, f"{path}: send {allowed}", close, {"Allow": allowed}), close)
-        return Reply(problem(404, f"{path}: no such path", close), close)
+            return Reply(error_response(405, f"{path}: send {allowed}", close, {"Allow": allowed}), close)
+        return Reply(error_response(404, f"{path}: no such path", close), close)
 
     async def _serve_job(self, client: Client, message: Message, job: Job, close: bool) -> Reply:
         if self.state.rejecting or job.remaining_s <= 0:
@@ -130,30 +132,34 @@
         if self.requests.full:
             self.metrics.count_and_log("requests_over_limit", held=len(self.requests.requests))
             return Reply(answer_bytes(self.requests.reject(job), close), close)
-        if self.jobs_in_work >= self.max_jobs():
-            self.metrics.count_and_log("jobs_over_connections", in_work=self.jobs_in_work)
-            return Reply(answer_bytes(self.requests.reject(job), True), True, leaves_room=True)
-        self.jobs_in_work += 1
+        if self.open_jobs >= self.max_jobs():
+            self.metrics.count_and_log("jobs_over_connections", in_work=self.open_jobs)
+            return Reply(answer_bytes(self.requests.reject(job), True), True, frees_place=True)
+        self.open_jobs += 1
         try:
             return await self._answer_job(client, message, job, close)
         finally:
-            self.jobs_in_work -= 1
+            self.open_jobs -= 1
 
     async def _answer_job(self, client: Client, message: Message, job: Job, close: bool) -> Reply:
-        """Have a job done, and its answer written as far as it is a stream."""
+        """Run a job and return the reply; for a stream, its answer is already written to the connection."""
         if self.streams is not None and self.streams.wants_stream(message):
-            close = close or client.connection.version != "1.1"  # which knows no chunks
+            close = close or client.connection.version != "1.1"  # HTTP/1.0 has no chunked encoding
             outcome = await self.streams.answer(client.connection, job, close)
             close = close or self.state.closing_connections
             return Reply(b"" if outcome is None else answer_bytes(outcome, close), close)
-        request = self.requests.take(job, has_client_left=client.connection.ended)
+        request = self.requests.take(job, has_client_left=client.connection.closed_by_peer)
         answer = await _wait_for_answer(client, request)
         close = self.state.closing_connections or not message.keep_alive
         return Reply(answer_bytes(answer, close), close)
 
 
 async def _wait_for_answer(client: Client, request: Request) -> Answer:
-    """Wait for the answer, with an eye on the client: it may close its connection and be gone."""
+    """Wait for the answer, and notify the request if the client disconnects meanwhile.
+
+    Raises:
+        Closed: The client has disconnected.
+    """
     while not request.answer.done():
         reading = client.connection.reading()
         await asyncio.wait((request.answer, reading), return_when=asyncio.FIRST_COMPLETED)
@@ -166,13 +172,13 @@
     return answer
 
 
-def problem(status: int, why: str, close: bool, headers: dict[str, str] | None = None) -> bytes:
-    """The bytes of an answer that says what is wrong with a message."""
+def error_response(status: int, why: str, close: bool, headers: dict[str, str] | None = None) -> bytes:
+    """Return the bytes of an error answer with `why` as its body."""
     return response(status, why.encode("ascii", "backslashreplace") + b"\n", headers, close)
 
 
 def answer_bytes(answer: Answer, close: bool) -> bytes:
-    """The bytes of a job's answer."""
+    """Return the bytes of a job's answer: status 200, 502 or 503."""
     if answer.end is RequestEnd.SERVED:
         return response(200, answer.body, close=close)
     if answer.end is RequestEnd.REJECTED:
--- a/tests/net/test_client_connection.py
+++ b/tests/net/test_client_connection.py
@@ -240,7 +240,7 @@
         if first == "request":
             before(monkeypatch, ClientTable, "end_idle", lambda: sock.sendall(job_bytes()))
         else:
-            after(monkeypatch, Connection, "end", lambda _: sock.sendall(job_bytes()))
+            after(monkeypatch, Connection, "shut_down_writing", lambda _: sock.sendall(job_bytes()))
         await harness.stop()
         if first == "request":
             await harness.workers[0].seen.get()
