--- a/tests/dispatch/test_deadline_pauses.py
+++ b/tests/dispatch/test_deadline_pauses.py
@@ -1,4 +1,4 @@
-"""A process that stands still between any two readings of its clock: the policy answers each client all the same."""
+"""A pause of the process at any reading of its clock: each client must still get the policy's own answer."""
 
 from __future__ import annotations
 
@@ -21,15 +21,15 @@
 from beaconhinge.runtime.metrics import Metrics
 from beaconhinge.runtime.timer_wheel import TICK_S, TimerWheel
 
-JOB_S = 0.45  # its client's time: short, so that every reading can be paused at
+JOB_S = 0.45  # the job's time limit: short, so that a pause can be tried at every reading
 GRACE_S = 0.008
 PAUSES_S = (0.005, 0.02, 0.2, 3.0)
-OFFSETS_S = (0.0, 0.0031)  # of the job within a tick of the timer wheel
+OFFSETS_S = (0.0, 0.0031)  # of the job's start within a tick of the timer wheel
 
 
 @dataclass
 class Workers:
-    """All workers: an attempt ends as `outcome` after so many seconds, or is never answered."""
+    """All workers: each attempt ends as `outcome` after `after_s` seconds; without one it is never answered."""
 
     timers: TimerWheel
     outcome: AttemptOutcome | None = None
@@ -43,8 +43,8 @@
             asyncio.get_running_loop().call_later(self.after_s, lambda: attempt.end(outcome))
 
 
-class SlowKeys:
-    """Keys whose look-up never ends by itself."""
+class HangingKeys:
+    """A registry of idempotency keys whose look-up never completes."""
 
     async def register(self, _job: Job) -> KeyStatus:
         await asyncio.Event().wait()
@@ -55,7 +55,9 @@
 
 
 @dataclass
-class Played:
+class RunResult:
+    """The answer of a run, how late it was after the deadline, the counters and the number of clock readings."""
+
     end: RequestEnd
     late_s: float
     counters: Counter[str]
@@ -69,7 +71,7 @@
     pass
 
 
-def queued_for_ever(_table: RequestTable, _workers: Workers, runner: PolicyRunner) -> None:
+def never_sent(_table: RequestTable, _workers: Workers, runner: PolicyRunner) -> None:
     none_ready = [
         interface.MemberEntry(worker=100 + i, state=interface.WorkerState.DRAINING) for i in range(4)
     ]
@@ -80,31 +82,33 @@
     workers.outcome, workers.after_s = AttemptOutcome.NO_CONNECTION, 0.13
 
 
-def lost_near_the_end(_table: RequestTable, workers: Workers, _runner: PolicyRunner) -> None:
+def lost_shortly_before_deadline(_table: RequestTable, workers: Workers, _runner: PolicyRunner) -> None:
     workers.outcome, workers.after_s = AttemptOutcome.CONNECTION_LOST, JOB_S - 0.11
 
 
-def keys_are_slow(table: RequestTable, _workers: Workers, _runner: PolicyRunner) -> None:
-    table.keys = SlowKeys()
+def key_look_up_hangs(table: RequestTable, _workers: Workers, _runner: PolicyRunner) -> None:
+    table.keys = HangingKeys()
 
 
-def play(prepare: Setup, clock: PausingClock, offset_s: float) -> Played:
-    async def scenario() -> Played:
+def run_job(prepare: Setup, clock: PausingClock, offset_s: float) -> RunResult:
+    async def scenario() -> RunResult:
         metrics = Metrics(clock.now, writer=lambda event, fields: None)
-        # As under -O, which `run` uses: what must hold is counted.
+        # As under -O, which `run` uses: a failed check is counted and does not raise.
         metrics.check = lambda holds, name: holds or metrics.count("broken_" + name) or False  # type: ignore[method-assign]
         timers = TimerWheel(clock.now, metrics.log_exception)
-        given = settings(requestClasses__0__hardLimit=str(JOB_S), rules__graceToAnswer=str(GRACE_S))
-        runner = PolicyRunner(Dispatcher(given, 1), timers, metrics)
+        job_settings = settings(requestClasses__0__hardLimit=str(JOB_S), rules__graceToAnswer=str(GRACE_S))
+        runner = PolicyRunner(Dispatcher(job_settings, 1), timers, metrics)
         workers = Workers(timers)
-        table = RequestTable(runner, workers, timers, metrics, given, ["render", "publish", "transfer"])
+        table = RequestTable(
+            runner, workers, timers, metrics, job_settings, ["render", "publish", "transfer"]
+        )
         runner.feed(interface.Start())
         runner.feed(interface.MembershipUpdate(UpdateKind.BOOTSTRAP, 1, members(4)))
         prepare(table, workers, runner)
         await asyncio.sleep(0.2 + offset_s)
         request = table.take(Job("a", 0, 0, JOB_S, clock.now(), b"/render", b"", idempotency_key="k"))
         answer = await request.answer
-        return Played(answer.end, clock.now() - request.job.deadline, metrics.counters, clock.readings)
+        return RunResult(answer.end, clock.now() - request.job.deadline, metrics.counters, clock.readings)
 
     return run_in_virtual_time(clock, scenario())
 
@@ -112,19 +116,19 @@
 @pytest.mark.parametrize("offset_s", OFFSETS_S)
 @pytest.mark.parametrize("pause_s", PAUSES_S)
 @pytest.mark.parametrize(
-    "prepare", [never_answered, queued_for_ever, connections_fail, lost_near_the_end, keys_are_slow]
+    "prepare", [never_answered, never_sent, connections_fail, lost_shortly_before_deadline, key_look_up_hangs]
 )
-def test_a_pause_at_any_reading_of_the_clock_leaves_the_client_the_policys_answer(
+def test_policy_answers_despite_pause_at_any_clock_reading(
     prepare: Setup, pause_s: float, offset_s: float
 ) -> None:
-    # Guards against a 502 in place of the policy's answer where the process stands still near a deadline.
-    whole = play(prepare, PausingClock(), offset_s)
-    assert whole.end is RequestEnd.REJECTED
-    wrong = list[tuple[int, RequestEnd, float, str]]()
-    for reading in range(whole.readings):
-        played = play(prepare, PausingClock(reading, pause_s), offset_s)
-        counted = [name for name in played.counters if name.startswith("broken_") or name == "task_failed"]
-        late_s = played.late_s - pause_s
-        if played.end is not RequestEnd.REJECTED or counted or late_s > GRACE_S + 2 * TICK_S:
-            wrong.append((reading, played.end, round(late_s, 4), " ".join(counted)))
-    assert not wrong
+    # Guards against a 502 in place of the policy's answer if the process is paused near a deadline.
+    unpaused = run_job(prepare, PausingClock(), offset_s)
+    assert unpaused.end is RequestEnd.REJECTED
+    failures = list[tuple[int, RequestEnd, float, str]]()
+    for reading in range(unpaused.readings):
+        result = run_job(prepare, PausingClock(reading, pause_s), offset_s)
+        broken = [name for name in result.counters if name.startswith("broken_") or name == "task_failed"]
+        late_s = result.late_s - pause_s
+        if result.end is not RequestEnd.REJECTED or broken or late_s > GRACE_S + 2 * TICK_S:
+            failures.append((reading, result.end, round(late_s, 4), " ".join(broken)))
+    assert not failures
--- a/tests/dispatch/test_invariants.py
+++ b/tests/dispatch/test_invariants.py
@@ -1,4 +1,4 @@
-"""The run-time check finds each rule that is broken on purpose, and nothing in a healthy history."""
+"""The send monitor reports each deliberately broken invariant, and nothing for a healthy history."""
 
 from __future__ import annotations
 
@@ -10,16 +10,16 @@
 
 
 class History:
-    """A request r1, taken at 100.0 with 5 s, and workers a and b."""
+    """A request r1, started at 100.0 with 5 s left, and ready workers a and b, listed at 99.0."""
 
     def __init__(self, unsafe: bool = False) -> None:
-        self.found: list[InvariantRule] = []
-        self.monitor = SendMonitor(lambda rule, _request, _worker, _why: self.found.append(rule))
-        self.monitor.list_received(listing(True, a="Ready", b="Ready"), 99.0)
+        self.violations: list[InvariantRule] = []
+        self.monitor = SendMonitor(lambda rule, _request, _worker, _why: self.violations.append(rule))
+        self.monitor.list_received(decoded_list(True, a="Ready", b="Ready"), 99.0)
         self.monitor.request_started("r1", 105.0, unsafe)
 
 
-def listing(full: bool, **states: str) -> dict[str, Any]:
+def decoded_list(full: bool, **states: str) -> dict[str, Any]:
     return {
         "version": 1,
         "full": full,
@@ -31,25 +31,30 @@
     history = History()
     history.monitor.attempt_started("r1", "a", 100.0, 5000)
     history.monitor.attempt_ended("r1", "a", never_ran=False)
-    history.monitor.list_received(listing(False, a="Terminating"), 101.0)
-    history.monitor.attempt_started("r1", "a", 101.3, 3700)  # within the grace
-    history.monitor.attempt_started("r1", "b", 102.0, 3000)  # a copy, of a class that may run twice
-    history.monitor.list_received(listing(False, a="Ready"), 103.0)
+    history.monitor.list_received(decoded_list(False, a="Terminating"), 101.0)
+    history.monitor.attempt_started("r1", "a", 101.3, 3700)  # within the grace period
+    history.monitor.attempt_started(
+        "r1", "b", 102.0, 3000
+    )  # a second copy, allowed since the class is idempotent
+    history.monitor.list_received(decoded_list(False, a="Ready"), 103.0)
     history.monitor.attempt_ended("r1", "a", never_ran=True)
     history.monitor.client_disconnected("r1", 104.0)
     history.monitor.attempt_started("r1", "a", 104.05, 950)
-    assert history.found == []
+    assert history.violations == []
 
 
 @pytest.mark.parametrize(
-    "left", [listing(False, a="Terminating"), listing(False, a="Gone"), listing(True, b="Ready")]
+    "departure",
+    [decoded_list(False, a="Terminating"), decoded_list(False, a="Gone"), decoded_list(True, b="Ready")],
 )
-def test_send_to_a_departed_worker(left: dict[str, Any]) -> None:
+def test_send_to_a_departed_worker_is_a_violation(departure: dict[str, Any]) -> None:
     history = History()
-    history.monitor.list_received(left, 100.0)
-    history.monitor.list_received(left, 100.3)  # announced again: it counts from the first announcement
+    history.monitor.list_received(departure, 100.0)
+    history.monitor.list_received(
+        departure, 100.3
+    )  # announced again: the grace period counts from the first announcement
     history.monitor.attempt_started("r1", "a", 100.5, 4500)
-    assert history.found == [InvariantRule.DRAIN]
+    assert history.violations == [InvariantRule.DRAIN]
 
 
 def test_snapshot_with_an_entry_without_id_removes_no_worker() -> None:
@@ -58,21 +63,21 @@
         {"full": True, "servers": [{"id": "b", "state": "Ready"}, {"id": 7}]}, 100.0
     )
     history.monitor.attempt_started("r1", "a", 101.0, 4000)
-    assert history.found == []
+    assert history.violations == []
 
 
-def test_send_for_a_disconnected_client_or_a_finished_request() -> None:
+def test_send_for_a_departed_client_or_finished_request_is_a_violation() -> None:
     history = History()
     history.monitor.client_disconnected("r1", 100.0)
     history.monitor.client_disconnected("r1", 100.3)
     history.monitor.attempt_started("r1", "a", 100.2, 4800)
     history.monitor.request_finished("r1")
     history.monitor.attempt_started("r1", "b", 100.2, 4800)
-    assert history.found == [InvariantRule.CLIENT_GONE, InvariantRule.CLIENT_GONE]
+    assert history.violations == [InvariantRule.CLIENT_GONE, InvariantRule.CLIENT_GONE]
 
 
 @pytest.mark.parametrize(
-    ("unsafe", "second", "ended", "unrun", "found"),
+    ("unsafe", "second", "ended", "never_ran", "violations"),
     [
         (False, "a", False, False, [InvariantRule.DUPLICATE]),
         (False, "b", False, False, []),
@@ -81,28 +86,28 @@
         (True, "b", True, True, []),
     ],
 )
-def test_second_attempt(
-    unsafe: bool, second: str, ended: bool, unrun: bool, found: list[InvariantRule]
+def test_second_attempt_is_checked_for_duplicates(
+    unsafe: bool, second: str, ended: bool, never_ran: bool, violations: list[InvariantRule]
 ) -> None:
     history = History(unsafe)
     history.monitor.attempt_started("r1", "a", 100.0, 5000)
     if ended:
-        history.monitor.attempt_ended("r1", "a", unrun)
+        history.monitor.attempt_ended("r1", "a", never_ran)
     history.monitor.attempt_started("r1", second, 101.0, 4000)
-    assert history.found == found
+    assert history.violations == violations
 
 
-def test_longer_timeout_announced_than_there_is_time_left() -> None:
+def test_announced_timeout_beyond_the_deadline_is_a_violation() -> None:
     history = History()
     history.monitor.attempt_started("r1", "a", 101.0, 4140)
     history.monitor.attempt_started("r1", "b", 101.0, 4160)
-    assert history.found == [InvariantRule.DEADLINE]
+    assert history.violations == [InvariantRule.DEADLINE]
 
 
-def test_departed_workers_are_remembered_in_bounds() -> None:
+def test_number_of_remembered_departed_workers_is_bounded() -> None:
     history = History()
     for number in range(DEPARTED_WORKERS_KEPT + 10):
-        history.monitor.list_received(listing(False, **{f"w{number}": "Gone"}), 100.0)
-    history.monitor.attempt_started("r1", "w0", 101.0, 4000)  # forgotten by now
+        history.monitor.list_received(decoded_list(False, **{f"w{number}": "Gone"}), 100.0)
+    history.monitor.attempt_started("r1", "w0", 101.0, 4000)  # no longer remembered
     history.monitor.attempt_started("r1", f"w{DEPARTED_WORKERS_KEPT}", 101.0, 4000)
-    assert history.found == [InvariantRule.DRAIN]
+    assert history.violations == [InvariantRule.DRAIN]
--- a/tests/dispatch/test_send_guard.py
+++ b/tests/dispatch/test_send_guard.py
@@ -1,4 +1,4 @@
-"""The guard: each reason on its own stops a send, and nothing else does."""
+"""The send guard: each reason on its own refuses a send, and nothing else does."""
 
 from __future__ import annotations
 
@@ -43,9 +43,9 @@
 ]
 
 
-def test_send_without_a_reason_against_it_is_allowed() -> None:
+def test_send_without_any_refusal_reason_is_allowed() -> None:
     assert find_send_refusal(ALLOWED) is None
-    # A safe class may have a copy elsewhere, and weights move.
+    # A job of an idempotent class may have another copy in flight, and a changed weight does not matter.
     assert (
         find_send_refusal(
             replace(
@@ -59,13 +59,13 @@
     )
 
 
-@pytest.mark.parametrize(("why", "change"), REFUSED_SENDS)
-def test_each_reason_alone_refuses_the_send(why: SendRefusal, change: dict[str, Any]) -> None:
-    assert find_send_refusal(replace(ALLOWED, **change)) is why
+@pytest.mark.parametrize(("refusal", "change"), REFUSED_SENDS)
+def test_each_reason_alone_refuses_the_send(refusal: SendRefusal, change: dict[str, Any]) -> None:
+    assert find_send_refusal(replace(ALLOWED, **change)) is refusal
 
 
 def test_every_reason_and_every_field_is_covered() -> None:
-    assert {why for why, _ in REFUSED_SENDS} == set(SendRefusal)
+    assert {refusal for refusal, _ in REFUSED_SENDS} == set(SendRefusal)
     assert {name for _, change in REFUSED_SENDS for name in change} | {"entry_when_chosen"} == {
         field.name for field in fields(SendState)
     }
--- a/tests/dispatch/test_work_estimates.py
+++ b/tests/dispatch/test_work_estimates.py
@@ -1,4 +1,4 @@
-"""Clients' hints of a job's cost: parsed, filled in where missing, bounded where absurd."""
+"""Clients' hints of a job's cost: parsed, filled in where missing, bounded where they are outliers."""
 
 from __future__ import annotations
 
@@ -16,19 +16,21 @@
 
 def test_deployment_with_few_hints_gets_no_estimates() -> None:
     estimator = WorkEstimator()
-    hints_s = [(n % 5 == 4) * 1e-6 for n in range(500)]  # one client in five says what no job costs
+    hints_s = [(n % 5 == 4) * 1e-6 for n in range(500)]  # one client in five sends a hint far too small
     assert [estimator.estimate_s(n % 3, work, 5.0) for n, work in enumerate(hints_s)] == [0.0] * 500
     assert not estimator.in_use
 
 
 def test_rough_hints_pass_and_missing_hint_is_the_mean_of_its_class() -> None:
     rng, estimator = random.Random(1), WorkEstimator()
-    hints_s = [rng.lognormvariate(0, 1.2) for _ in range(2000)]  # 1.2: from a tenth to ten times, and more
-    fitted = [estimator.estimate_s(0, work, 30.0) for work in hints_s]
-    assert sum(got == work for got, work in zip(fitted, hints_s, strict=True)) > 1980
+    hints_s = [
+        rng.lognormvariate(0, 1.2) for _ in range(2000)
+    ]  # sigma 1.2: hints from below a tenth to over ten times the median
+    estimates = [estimator.estimate_s(0, work, 30.0) for work in hints_s]
+    assert sum(got == work for got, work in zip(estimates, hints_s, strict=True)) > 1980
     assert estimator.estimate_s(0, 0.0, 30.0) == pytest.approx(statistics.mean(hints_s), rel=0.5)
-    cheap = [estimator.estimate_s(1, 0.01, 30.0) for _ in range(20)]
-    assert cheap == [0.01] * 20
+    cheap_estimates = [estimator.estimate_s(1, 0.01, 30.0) for _ in range(20)]
+    assert cheap_estimates == [0.01] * 20
     assert estimator.estimate_s(1, 0.0, 30.0) == pytest.approx(0.01)
     # A class whose clients never send a hint gets the mean of all jobs.
     assert estimator.estimate_s(2, 0.0, 30.0) > 0
@@ -46,7 +48,7 @@
     assert estimator.bounded_count >= 95
 
 
-def test_class_that_becomes_22_times_as_expensive_is_believed_at_once_and_others_are_unaffected() -> None:
+def test_22_fold_cost_increase_is_not_bounded_nor_affects_other_classes() -> None:
     estimator = WorkEstimator()
     for _ in range(100):
         assert (estimator.estimate_s(0, 0.5, 5.0), estimator.estimate_s(1, 3.0, 25.0)) == (0.5, 3.0)
@@ -56,20 +58,20 @@
 
 
 def test_use_of_hints_follows_their_share_without_flapping() -> None:
-    estimator, turns, before = WorkEstimator(), 0, True
+    estimator, switches, was_in_use = WorkEstimator(), 0, True
     for number in range(600):
         share = [1.0, 0.5, 0.1][number // 200]
         estimator.estimate_s(0, 0.5 if (number * 7 % 20) < 20 * share else 0.0, 5.0)
-        turns += estimator.in_use != before
-        before = estimator.in_use
-    assert turns == 1
+        switches += estimator.in_use != was_in_use
+        was_in_use = estimator.in_use
+    assert switches == 1
     assert not estimator.in_use
 
 
-def test_policy_gets_the_clients_hint_and_malformed_hint_rejects_no_job(
+def test_hint_reaches_the_policy_and_malformed_hint_rejects_no_job(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Without its reading `size_hint` stays 0, and every class is taken for one that costs the mean."""
+    """Guards against hints that are not parsed: `size_hint` stayed 0, and every class counted as one of mean cost."""
     module, counted, count = use_scripted_policy(monkeypatch), Counter[str](), Metrics.count
 
     def counting(metrics: Metrics, name: str, by: int = 1) -> None:
@@ -85,8 +87,10 @@
             client.write(job_bytes(X_Request_ID=f"r{number}", X_Cost=cost))
             seen.append((await next_event(module, interface.JobArrived)).size_hint)
         assert seen[:2] == [0.25, 0.5000005]
-        assert all(0.25 <= work <= 0.51 for work in seen[2:6])  # the mean in place of what cannot be read
-        assert seen[6] <= 5.0  # seconds that the client waits
+        assert all(
+            0.25 <= work <= 0.51 for work in seen[2:6]
+        )  # the mean in place of a missing or malformed hint
+        assert seen[6] <= 5.0  # bounded by the seconds that the client waits
         assert counted["work_hint_malformed"] == 3
         assert counted["work_hints_bounded"] == 1
 
