--- a/tests/net/test_http1.py
+++ b/tests/net/test_http1.py
@@ -1,4 +1,4 @@
-"""Messages come in pieces of any size, and mean the same; a request counts from its arrival."""
+"""Parsing of HTTP/1.1 messages: the same whatever pieces they arrive in; blanks around values are stripped."""
 
 from __future__ import annotations
 
@@ -13,13 +13,13 @@
 
 from beaconhinge.net.http1 import BadMessage, Closed, Connection
 
-WHOLE = [
+VALID_REQUESTS = [
     b"POST /render?part=1 HTTP/1.1\r\nHost: x\r\nX-Request-ID:\t r1 \t\r\nX-Tenant-Id:  two words  \r\n"
     b"X-Empty: \r\nX-Attrs: a=1\r\nX-Attrs: b=2\r\nContent-Length: 4 \r\n\r\nwork",
     b"POST /render HTTP/1.1\r\nHost: x\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nwo\r\n2;x=y\r\nrk\r\n0\r\nT: u\r\n\r\n",
     b"GET /up HTTP/1.1\r\nHost: x\r\nConnection: close \r\n\r\n",
 ]
-FAULTY = [
+MALFORMED_REQUESTS = [
     b"POST /render HTTP/1.1\r\nContent-Length: four\r\n\r\n",
     b"GET /up HTTP/1.1\r\nX" + b"y" * 20000,
     b"POST / HTTP/1.1\r\nContent-Length: 70000 \r\n\r\n",
@@ -37,56 +37,66 @@
 ]
 
 
-async def told(data: bytes, cuts: list[int], requests: bool = True) -> list[Any]:
-    """What is read of these bytes, written in pieces that end at the cuts."""
+async def read_messages(data: bytes, cuts: list[int], requests: bool = True) -> list[Any]:
+    """Write `data` in pieces that end at `cuts`, and return the messages read, then a status or "end"."""
     near, far = socket.socketpair()
     near.setblocking(False)
     far.setblocking(False)
-    connection, seen = Connection(near, requests=requests, on_close=lambda: None, now=lambda: 0.0), []
+    connection, results = Connection(near, requests=requests, on_close=lambda: None, now=lambda: 0.0), []
     write = asyncio.ensure_future(
         _write(far, [data[a:b] for a, b in zip([0, *cuts], [*cuts, None], strict=True)])
     )
     try:
         while True:
-            seen.append(dataclasses.asdict(await connection.next()))
+            results.append(dataclasses.asdict(await connection.next()))
     except BadMessage as error:
-        seen.append(error.status)
+        results.append(error.status)
     except Closed:
-        seen.append("end")
+        results.append("end")
     write.cancel()
     far.close()
     connection.close()
-    return seen
+    return results
 
 
 async def _write(sock: socket.socket, pieces: list[bytes]) -> None:
     for piece in pieces:
         await asyncio.get_running_loop().sock_sendall(sock, piece)
-        await asyncio.sleep(0)  # the reader has its turn before the next piece
+        await asyncio.sleep(0)  # lets the reader run before the next piece
     sock.shutdown(socket.SHUT_WR)
 
 
 @pytest.mark.parametrize(
     ("data", "requests"),
     [
-        *((data, True) for data in (*WHOLE, WHOLE[0] + WHOLE[1] + WHOLE[2], *FAULTY)),
+        *(
+            (data, True)
+            for data in (
+                *VALID_REQUESTS,
+                VALID_REQUESTS[0] + VALID_REQUESTS[1] + VALID_REQUESTS[2],
+                *MALFORMED_REQUESTS,
+            )
+        ),
         *((data, False) for data in ANSWERS),
     ],
     ids=range(13),
 )
-def test_pieces_of_any_size_are_read_as_the_whole(data: bytes, requests: bool) -> None:
+def test_message_in_pieces_of_any_size_is_read_as_one_piece(data: bytes, requests: bool) -> None:
     async def compare() -> None:
-        whole, draw = await told(data, [], requests), random.Random(5)
+        in_one_piece, rng = await read_messages(data, [], requests), random.Random(5)
         if len(data) < 1000:
-            assert await told(data, list(range(1, len(data))), requests) == whole
+            assert await read_messages(data, list(range(1, len(data))), requests) == in_one_piece
         for _ in range(20):
-            assert await told(data, sorted(draw.sample(range(1, len(data)), 5)), requests) == whole
+            assert (
+                await read_messages(data, sorted(rng.sample(range(1, len(data)), 5)), requests)
+                == in_one_piece
+            )
 
     uvloop.run(compare())
 
 
-def test_blanks_around_a_value_are_none_of_it() -> None:
-    message = uvloop.run(told(WHOLE[0], []))[0]
+def test_blanks_around_header_values_are_stripped() -> None:
+    message = uvloop.run(read_messages(VALID_REQUESTS[0], []))[0]
     assert message["headers"] == {
         "host": "x",
         "x-request-id": "r1",
--- a/tests/net/test_job_parsing.py
+++ b/tests/net/test_job_parsing.py
@@ -1,4 +1,4 @@
-"""The time that a job has: it counts from the arrival of its last byte, not from when it is read."""
+"""The time limits of a job: they count from the arrival of its last byte, not from the read."""
 
 from __future__ import annotations
 
@@ -26,30 +26,32 @@
 HEADERS = {"x-request-id": "r1", "x-tenant-id": "acme", "x-timeout-ms": "5000"}
 
 
-def parsed(arrived_at: float, now: float, answer_by: float) -> Job:
+def parse_job(arrived_at: float, now: float, answer_by: float) -> Job:
     parser = JobParser(parse(CONFIG), lambda: now, Metrics(lambda: now))
     message = Message(method="POST", target=b"/render", headers=dict(HEADERS), arrived_at=arrived_at)
     return parser.parse("/render", message, (), answer_by)
 
 
-def test_what_a_request_has_waited_to_be_read_is_subtracted_from_both_of_its_times() -> None:
-    """Its client's time-out stayed whole, and a repeat seemed to be of a first try that is younger than it is."""
-    job = parsed(arrived_at=10.0, now=12.0, answer_by=60.0)
+def test_wait_before_the_read_is_subtracted_from_both_time_limits() -> None:
+    """Guards against an unreduced client time-out: the first try of a repeated job seemed younger than it was."""
+    job = parse_job(arrived_at=10.0, now=12.0, answer_by=60.0)
     assert (job.received_at, job.remaining_s, job.client_timeout_s) == (12.0, 3.0, 3.0)
-    assert parsed(arrived_at=10.0, now=16.0, answer_by=60.0).remaining_s == -1.0
+    assert parse_job(arrived_at=10.0, now=16.0, answer_by=60.0).remaining_s == -1.0
 
 
-def test_the_end_of_the_process_bounds_only_the_time_to_the_answer() -> None:
-    job = parsed(arrived_at=10.0, now=12.0, answer_by=13.0)
+def test_shutdown_bounds_only_the_time_to_the_answer() -> None:
+    job = parse_job(arrived_at=10.0, now=12.0, answer_by=13.0)
     assert (job.remaining_s, job.client_timeout_s) == (1.0, 3.0)
 
 
 @pytest.mark.parametrize("late_s", [0.15, 0.6])
 @pytest.mark.parametrize("accepted_late", [False, True])
-def test_a_request_counts_from_its_arrival_however_late_it_is_read(
-    late_s: float, accepted_late: bool
-) -> None:
-    """Pauses under 0.2 s went unseen, and what waited to be accepted counted as having come when it was."""
+def test_arrival_time_does_not_depend_on_when_the_request_is_read(late_s: float, accepted_late: bool) -> None:
+    """Guards against an arrival time that is too late, which gives workers more time than clients have left.
+
+    Pauses of the process under 0.2 s were not detected, and a request on a connection that waited to be accepted
+    counted from the accept.
+    """
 
     async def run() -> None:
         with socket.create_server(("127.0.0.1", 0)) as listener, socket.socket() as client:
@@ -57,7 +59,7 @@
             sock = None if accepted_late else listener.accept()[0]
             sent_at = time.monotonic()
             client.sendall(job_bytes())
-            time.sleep(late_s)  # noqa: ASYNC251  # the process stands still
+            time.sleep(late_s)  # noqa: ASYNC251  # pauses the process
             sock = sock or listener.accept()[0]
             sock.setblocking(False)
             connection = Connection(sock, True, lambda: None)
@@ -68,7 +70,7 @@
     asyncio.run(run())
 
 
-def test_a_request_sent_ahead_counts_from_its_arrival_not_from_the_answer_before_it() -> None:
+def test_pipelined_request_counts_from_its_arrival() -> None:
     clock = [10.0]
 
     async def run() -> list[Any]:
--- a/tests/net/test_listener.py
+++ b/tests/net/test_listener.py
@@ -1,4 +1,4 @@
-"""Scenarios over loopback sockets: a job from its client to a worker and back."""
+"""Scenarios over loopback sockets: jobs from clients to workers and back, bad input, shutdown and overload."""
 
 from __future__ import annotations
 
@@ -11,9 +11,11 @@
 from harness import Harness, ReceivedMessage, accept_job, job_bytes, read_message, reply, run_scenario
 
 
-def test_a_job_is_passed_on_unchanged_and_its_result_is_the_answer() -> None:
+def test_job_is_forwarded_unchanged_and_its_result_is_the_answer() -> None:
     async def scenario(harness: Harness) -> None:
-        asked = asyncio.create_task(harness.post("/publish/a?b=%20c", b"\x00work", Idempotency_Key="k1"))
+        answer_task = asyncio.create_task(
+            harness.post("/publish/a?b=%20c", b"\x00work", Idempotency_Key="k1")
+        )
         sent = await harness.workers[0].seen.get()
         assert sent.start_line == "POST /publish/a?b=%20c HTTP/1.1"
         assert sent.body == b"\x00work"
@@ -21,28 +23,28 @@
         assert 4000 < int(sent.headers["x-timeout-ms"]) <= 5000
         assert (await harness.callback(state="started")).status == 204
         assert (await harness.callback(state="done", result="made \u00e9")).status == 204
-        answer = await asked
+        answer = await answer_task
         assert (answer.status, answer.body.decode()) == (200, "made \u00e9")
         assert (await harness.callback(state="done", result="made again")).status == 204
 
     run_scenario(scenario)
 
 
-def test_a_result_that_comes_before_the_202_counts() -> None:
-    told = asyncio.Event()
+def test_result_that_arrives_before_the_202_is_the_answer() -> None:
+    answered = asyncio.Event()
 
-    async def late(_message: ReceivedMessage) -> bytes | None:
-        await told.wait()
+    async def late_202(_message: ReceivedMessage) -> bytes | None:
+        await answered.wait()
         return reply(202)
 
     async def scenario(harness: Harness) -> None:
-        asked = asyncio.create_task(harness.post())
+        answer_task = asyncio.create_task(harness.post())
         await harness.workers[0].seen.get()
         await harness.callback(state="done", result="early")
-        assert (await asked).body == b"early"
-        told.set()
+        assert (await answer_task).body == b"early"
+        answered.set()
 
-    run_scenario(scenario, late)
+    run_scenario(scenario, late_202)
 
 
 @pytest.mark.parametrize(
@@ -58,7 +60,7 @@
         (b"nonsense\r\n\r\n", "connection_lost"),
     ],
 )
-def test_what_a_worker_answers_is_told_to_the_module(
+def test_worker_answer_is_counted_as_the_expected_outcome(
     answer: bytes | None, outcome: str, capfd: pytest.CaptureFixture[str]
 ) -> None:
     async def script(_message: ReceivedMessage) -> bytes | None:
@@ -108,7 +110,7 @@
         (400, b"malformed", b"what is this\r\n\r\n"),
     ],
 )
-def test_bad_input_is_answered_with_what_is_wrong(status: int, why: bytes, data: bytes) -> None:
+def test_bad_input_gets_an_error_that_names_the_fault(status: int, why: bytes, data: bytes) -> None:
     async def scenario(harness: Harness) -> None:
         answer = await harness.request(data)
         assert answer.status == status
@@ -152,11 +154,11 @@
         job_bytes().replace(b"\r\n\r\n", b"\r\nno colon\r\n\r\n", 1),
     ],
 )
-def test_faulty_framing_is_refused_and_nothing_behind_it_is_passed_on(data: bytes) -> None:
+def test_bad_framing_is_refused_and_no_later_bytes_are_forwarded(data: bytes) -> None:
     async def scenario(harness: Harness) -> None:
         reader, writer = await harness.open()
         writer.write(data + HIDDEN)
-        answer = await reader.read()  # to its end: the connection is closed
+        answer = await reader.read()  # to the end of the stream: the connection is closed
         assert re.match(rb"HTTP/1.1 (400|413) ", answer)
         assert answer.count(b"HTTP/1.1 ") == 1
         assert harness.workers[0].seen.empty()
@@ -185,26 +187,26 @@
         b"\xff\xfe",
     ],
 )
-def test_a_bad_call_back_is_dropped_with_a_204(body: bytes) -> None:
+def test_malformed_callback_is_dropped_and_answered_204(body: bytes) -> None:
     async def scenario(harness: Harness) -> None:
-        asked = asyncio.create_task(harness.post())
+        answer_task = asyncio.create_task(harness.post())
         await harness.workers[0].seen.get()
         head = b"POST /_jobs/news HTTP/1.1\r\nContent-Length: %d\r\n\r\n" % len(body)
         assert (await harness.request(head + body)).status == 204
-        assert not asked.done()
+        assert not answer_task.done()
         await harness.callback(state="done", result="good", load={"x0": "much"})
-        assert (await asked).body == b"good"
+        assert (await answer_task).body == b"good"
 
     run_scenario(scenario)
 
 
-def test_an_id_in_work_is_not_taken_twice() -> None:
+def test_id_of_an_open_request_is_refused_with_409() -> None:
     async def scenario(harness: Harness) -> None:
-        asked = asyncio.create_task(harness.post())
+        answer_task = asyncio.create_task(harness.post())
         await harness.workers[0].seen.get()
         assert (await harness.post()).status == 409
         await harness.callback(state="done", result="once")
-        assert (await asked).body == b"once"
+        assert (await answer_task).body == b"once"
 
     run_scenario(scenario)
 
@@ -213,10 +215,10 @@
     async def scenario(harness: Harness) -> None:
         worker = harness.workers[0]
         for name, pause in (("r1", 0.0), ("r2", 0.0), ("r3", 0.6)):
-            asked = asyncio.create_task(harness.post(X_Request_ID=name))
+            answer_task = asyncio.create_task(harness.post(X_Request_ID=name))
             await worker.seen.get()
             await harness.callback(id=name, state="done", result=name)
-            assert (await asked).status == 200
+            assert (await answer_task).status == 200
             if pause:
                 await worker.ended.get()  # closed by the dispatcher within the worker's limit
             assert worker.connections == 1
@@ -224,34 +226,34 @@
     run_scenario(scenario)
 
 
-def test_connections_that_break_when_used_again_are_kept_for_less_long() -> None:
+def test_connection_that_breaks_on_reuse_shortens_the_reuse_time() -> None:
     async def script(message: ReceivedMessage) -> bytes | None:
         if message.headers["x-request-id"] == "r2":
             return None
         return reply(202)
 
-    async def served(harness: Harness, name: str) -> None:
-        asked = asyncio.create_task(harness.post(X_Request_ID=name))
+    async def run_job(harness: Harness, name: str) -> None:
+        answer_task = asyncio.create_task(harness.post(X_Request_ID=name))
         await harness.workers[0].seen.get()
         await harness.callback(id=name, state="done", result=name)
-        assert (await asked).status == 200
+        assert (await answer_task).status == 200
 
     async def scenario(harness: Harness) -> None:
         worker = harness.workers[0]
-        await served(harness, "r1")
+        await run_job(harness, "r1")
         await asyncio.sleep(0.1)  # well within the 0.4 s of the settings
         assert (await harness.post(X_Request_ID="r2")).status == 503
         assert (await worker.seen.get()).headers["x-request-id"] == "r2"
-        await served(harness, "r4")
-        before = worker.connections
+        await run_job(harness, "r4")
+        connections_before = worker.connections
         await asyncio.sleep(0.1)
-        await served(harness, "r5")
-        assert worker.connections == before + 1  # not used again after 0.1 s
+        await run_job(harness, "r5")
+        assert worker.connections == connections_before + 1  # not reused after 0.1 s
 
     run_scenario(scenario, script)
 
 
-def test_a_pipelined_request_waits_its_turn() -> None:
+def test_pipelined_requests_are_answered_in_order() -> None:
     async def scenario(harness: Harness) -> None:
         reader, writer = await harness.open()
         writer.write(job_bytes(X_Request_ID="r1") + job_bytes(X_Request_ID="r2"))
@@ -264,18 +266,18 @@
     run_scenario(scenario)
 
 
-def test_after_sigterm_what_is_in_work_gets_its_result_and_the_rest_a_refusal() -> None:
+def test_after_sigterm_open_jobs_get_results_and_new_ones_are_rejected() -> None:
     async def scenario(harness: Harness) -> None:
         reader, writer = await harness.open()  # an idle client
-        asked = asyncio.create_task(harness.post())
+        answer_task = asyncio.create_task(harness.post())
         await harness.workers[0].seen.get()
         await harness.stop()
-        assert await reader.read() == b""  # the idle client is parted with
+        assert await reader.read() == b""  # the idle connection is closed
         await asyncio.sleep(0.3)  # from 0.45 to beyond 0.6 s after the signal
-        late = await harness.post(X_Request_ID="r2")
-        assert (late.status, late.headers["connection"]) == (503, "close")
-        await harness.callback(state="done", result="kept")  # on a connection of its own, as each call-back
-        answer = await asked
+        late_answer = await harness.post(X_Request_ID="r2")
+        assert (late_answer.status, late_answer.headers["connection"]) == (503, "close")
+        await harness.callback(state="done", result="kept")  # each call-back uses a connection of its own
+        answer = await answer_task
         assert (answer.body, answer.headers["connection"]) == (b"kept", "close")
         await harness.running
         with pytest.raises(OSError):
@@ -284,22 +286,26 @@
     run_scenario(scenario, accept_job)
 
 
-@pytest.mark.parametrize("before", [False, True])
-def test_after_sigterm_clients_are_served_while_no_other_dispatcher_is_heard(
-    monkeypatch: pytest.MonkeyPatch, before: bool
+@pytest.mark.parametrize("job_before", [False, True])
+def test_last_dispatcher_serves_clients_after_sigterm(
+    monkeypatch: pytest.MonkeyPatch, job_before: bool
 ) -> None:
-    """Once a job had come with all its time, the less of a process that ends was taken for a repeat, and refused."""
+    """A dispatcher that hears from no other one must serve on after SIGTERM until another is heard or time is up.
+
+    Guards against rejecting jobs in the shutdown: once a job had arrived with its full time limit, one whose limit
+    was cut by the shutdown was taken for a repeat, and rejected.
+    """
     monkeypatch.setattr("beaconhinge.net.shutdown.MAX_DEADLINE_S", 1.5)
 
     async def scenario(harness: Harness) -> None:
         (reader, writer), (slow_reader, slow_writer) = await harness.open(), await harness.open()
-        if before:
+        if job_before:
             writer.write(job_bytes(X_Request_ID="r0"))
             await harness.workers[0].seen.get()
             await harness.callback(id="r0", state="done", result="r0")
             assert (await read_message(reader)).body == b"r0"
         await harness.stop(alone=True)
-        await asyncio.sleep(0.7)  # with others about it would have parted with both
+        await asyncio.sleep(0.7)  # with other dispatchers, both connections would be closed by now
         for name in ("r1", "r2"):
             writer.write(job_bytes(X_Request_ID=name))
             assert (await harness.workers[0].seen.get()).headers["x-request-id"] == name
@@ -309,10 +315,10 @@
         slow_writer.write(job_bytes(X_Request_ID="r3"))
         assert (
             int((await harness.workers[0].seen.get()).headers["x-timeout-ms"]) < 1400
-        )  # not the 5000 asked for
+        )  # cut by the shutdown: 5000 were requested
         harness.send_peer_datagram()
-        assert await reader.read() == b""  # parted with: it has somewhere to go
-        answer = await read_message(slow_reader)  # before the program may be killed
+        assert await reader.read() == b""  # closed, since the client can use another dispatcher
+        answer = await read_message(slow_reader)  # answered before the process may be killed
         assert (answer.status, answer.headers["connection"]) == (503, "close")
         await harness.running
 
@@ -320,7 +326,7 @@
 
 
 @pytest.mark.parametrize(("sent", "answer"), [(job_bytes()[:-2], 408), (job_bytes()[:30], 408), (b"", None)])
-def test_half_a_message_or_none_does_not_hold_a_socket_for_long(
+def test_incomplete_or_missing_first_message_times_out(
     monkeypatch: pytest.MonkeyPatch, sent: bytes, answer: int | None
 ) -> None:
     monkeypatch.setattr("beaconhinge.net.client_connection.FIRST_MESSAGE_TIMEOUT_S", 0.1)
@@ -336,35 +342,35 @@
 
 
 @pytest.mark.parametrize("sent", [b"", job_bytes()[:-2], b"GET /up HTTP/1.1\r\n\r\n"])
-def test_a_crowd_that_stays_does_not_keep_out_clients_nor_news(sent: bytes) -> None:
+def test_idle_clients_do_not_block_new_clients_or_callbacks(sent: bytes) -> None:
     async def scenario(harness: Harness) -> None:
-        crowd = []
+        idle = []
         for _ in range(70):  # 64 descriptors leave 30 to clients
-            crowd.append(await harness.open())
-            crowd[-1][1].write(sent)
+            idle.append(await harness.open())
+            idle[-1][1].write(sent)
         async with asyncio.timeout(2):
-            asked = asyncio.create_task(harness.post())
+            answer_task = asyncio.create_task(harness.post())
             await harness.workers[0].seen.get()
             await harness.callback(state="done", result="in time")
-            assert (await asked).body == b"in time"
-        for _, writer in crowd:
+            assert (await answer_task).body == b"in time"
+        for _, writer in idle:
             writer.close()
 
     run_scenario(scenario, limits={"sockets": 64})
 
 
-def test_unfinished_bodies_are_bounded_by_the_memory() -> None:
+def test_memory_for_incomplete_bodies_is_bounded() -> None:
     async def scenario(harness: Harness) -> None:
-        half = job_bytes(body=b"x" * 60000)[:-1]
-        crowd = [await harness.open() for _ in range(45)]  # 32 MB leave room for 41 of them
-        for _, writer in crowd:
-            writer.write(half)
-        answers = [asyncio.create_task(read_message(reader)) for reader, _ in crowd]
+        incomplete = job_bytes(body=b"x" * 60000)[:-1]
+        clients = [await harness.open() for _ in range(45)]  # 32 MB of memory suffice for 41 of the bodies
+        for _, writer in clients:
+            writer.write(incomplete)
+        answers = [asyncio.create_task(read_message(reader)) for reader, _ in clients]
         done, rest = await asyncio.wait(answers, timeout=1, return_when=asyncio.FIRST_COMPLETED)
         assert {answer.result().status for answer in done} == {503}
-        for _, writer in crowd:
+        for _, writer in clients:
             writer.close()
-        await asyncio.wait(rest)  # each ends with its connection, and what it held is given back
+        await asyncio.wait(rest)  # each ends with its connection, which gives its memory back
         for answer in rest:
             assert isinstance(answer.exception(), asyncio.IncompleteReadError)
         assert (await harness.post(body=b"x" * 60000, X_Timeout_Ms="100")).status == 503
@@ -372,7 +378,7 @@
     run_scenario(scenario, limits={"sockets": 256, "memory_mb": 32})
 
 
-def test_a_defect_in_the_frontend_is_answered_with_a_500(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_unexpected_exception_is_answered_with_a_500(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr("beaconhinge.net.job_parsing._attributes", lambda text: 1 / 0)
 
     async def scenario(harness: Harness) -> None:
@@ -381,8 +387,10 @@
     run_scenario(scenario)
 
 
-def test_short_of_sockets_new_connections_wait_and_none_is_closed_on_its_request() -> None:
-    async def slow(harness: Harness, name: str) -> int:
+def test_new_connections_wait_for_sockets_and_none_is_closed() -> None:
+    """All 50 clients get an answer, though they send their requests late and only 30 fit at a time."""
+
+    async def post_slowly(harness: Harness, name: str) -> int:
         reader, writer = await harness.open()
         await asyncio.sleep(0.05)
         writer.write(job_bytes(X_Request_ID=name, X_Timeout_Ms="200", body=b"x" * 20000))
@@ -391,12 +399,12 @@
         return status
 
     async def scenario(harness: Harness) -> None:  # 64 descriptors leave 30 to clients
-        assert await asyncio.gather(*(slow(harness, f"r{i}") for i in range(50))) == [503] * 50
+        assert await asyncio.gather(*(post_slowly(harness, f"r{i}") for i in range(50))) == [503] * 50
 
     run_scenario(scenario, limits={"sockets": 64})
 
 
-def test_short_of_sockets_long_idle_clients_make_room() -> None:
+def test_long_idle_clients_are_closed_for_new_ones() -> None:
     async def scenario(harness: Harness) -> None:
         idle = [await harness.open() for _ in range(30)]
         assert (await harness.post(X_Timeout_Ms="200")).status == 503
@@ -407,12 +415,12 @@
     run_scenario(scenario, limits={"sockets": 64})
 
 
-def test_request_that_waited_behind_a_crowd_while_the_process_stood_still_has_the_rest_of_its_time() -> None:
-    """Workers were given up to 1.8 s more than their clients had left.
+def test_request_that_waits_through_a_pause_keeps_only_its_remaining_time() -> None:
+    """Guards against giving workers up to 1.8 s more than their clients have left.
 
-    A process stood still for 2 s, in which more idle clients came than it has room for. Room was made for those
-    behind them 0.1 s and more after it went on, when what they had sent was taken for new. Cause: its arrival was
-    guessed from when the process last ran. Shown by the kernel's own time of arrival, by which it counts now.
+    During a pause of 2 s, more idle clients connected than there is room for. The clients behind them in the
+    backlog were accepted 0.1 s or more after the pause, and their requests counted as new: the time of arrival was
+    estimated from when the process last ran. The kernel's own time of arrival is used now.
     """
 
     async def scenario(harness: Harness) -> None:
@@ -420,7 +428,7 @@
         idle = [socket.create_connection(address) for _ in range(70)]
         client = socket.create_connection(address)
         client.sendall(job_bytes(X_Timeout_Ms="4000"))
-        time.sleep(1.5)  # noqa: ASYNC251  # the process stands still
+        time.sleep(1.5)  # noqa: ASYNC251  # pauses the process
         attempt = await harness.workers[0].seen.get()
         assert int(attempt.headers["x-timeout-ms"]) <= 4000 - 1500 + 150
         for sock in [*idle, client]:
