--- a/beaconhinge/dispatch/request.py
+++ b/beaconhinge/dispatch/request.py
@@ -93,7 +93,7 @@
     Attributes:
         requests: The requests by the id that the client gave.
         reported_outcome: Returns the outcome that is reported to the policy for an attempt and its outcome.
-        own_seconds: Returns how many of the seconds between two times this process was running.
+        running_seconds: Returns how many of the seconds between two times this process was running.
         wait_before_admission: Awaited, for a bounded time, before a new job is passed to the policy.
         keys: Registry of idempotency keys; None if none is kept.
     """
@@ -117,7 +117,7 @@
         self.requests: dict[str, Request] = {}
         self._last_number = 0
         self.reported_outcome: Callable[[Attempt, AttemptOutcome], AttemptOutcome] = _unchanged_outcome
-        self.own_seconds: Callable[[float, float], float] = _elapsed_s
+        self.running_seconds: Callable[[float, float], float] = _elapsed_s
         self.wait_before_admission: Callable[[], Awaitable[None]] | None = None
         self.keys: IdempotencyKeys | None = None
 
@@ -396,7 +396,7 @@
         )
         if step.outcome == AttemptOutcome.SERVED:
             self._finish(Answer(RequestEnd.SERVED, step.body))
-        latency = self.table.own_seconds(attempt.sent_at, self.table.timers.now())
+        latency = self.table.running_seconds(attempt.sent_at, self.table.timers.now())
         self.table.policy_runner.feed(
             interface.AttemptEnded(
                 self.number,
--- a/beaconhinge/net/recovery.py
+++ b/beaconhinge/net/recovery.py
@@ -117,7 +117,7 @@
         timers.postponed_for = self._timers_postponed_for
         policy_runner.check_for_stall = peers.has_just_stalled = self.check
         requests.reported_outcome = self._excuse
-        requests.own_seconds = self.detector.running_seconds
+        requests.running_seconds = self.detector.running_seconds
 
     def check(self) -> bool:
         """Whether the process has just gone on after a stall; all parts know it then."""
