--- a/beaconhinge/net/client_table.py
+++ b/beaconhinge/net/client_table.py
@@ -130,7 +130,7 @@
         self.closing.add(client)
         self.timers.after(LINGER_S, client.connection.close)
 
-    def has_newcomers(self) -> bool:
+    def has_recent_connections(self) -> bool:
         """Return whether a connection is so new that its first request may still be in transit."""
         since = self.timers.now() - REQUEST_IN_TRANSIT_S
         return any(client.connection.used_at > since for client in self.without_message)
--- a/beaconhinge/net/shutdown.py
+++ b/beaconhinge/net/shutdown.py
@@ -140,7 +140,7 @@
         while self.unanswered():
             await asyncio.sleep(POLL_S)
         self.socket.stop_listening()
-        while self.unanswered() or self.clients.has_newcomers():
+        while self.unanswered() or self.clients.has_recent_connections():
             await asyncio.sleep(POLL_S)
         self.clients.end_all()
         while self.clients.closing:  # closed here at once, what is on its way would reset the answers
