--- a/beaconhinge/dispatch/request.py
+++ b/beaconhinge/dispatch/request.py
@@ -92,7 +92,7 @@
 
     Attributes:
         requests: The requests by the id that the client gave.
-        reported_outcome: Returns the outcome that is reported to the policy for an attempt and its outcome.
+        reported_outcome: Maps an attempt's outcome to the one that is reported to the policy.
         running_seconds: Returns how many of the seconds between two times this process was running.
         wait_before_admission: Awaited, for a bounded time, before a new job is passed to the policy.
         keys: Registry of idempotency keys; None if none is kept.
@@ -222,9 +222,8 @@
                 self._handle(await self._steps.get())
         finally:
             overdue_timer.cancel()
-            self._finish(
-                Answer(RequestEnd.FAILED)
-            )  # takes effect only if an exception left the request without an answer
+            # This takes effect only if an exception has left the request without an answer.
+            self._finish(Answer(RequestEnd.FAILED))
             self._leave_table(key)
 
     def _submit(self, key: KeyStatus) -> None:
--- a/beaconhinge/net/attempts.py
+++ b/beaconhinge/net/attempts.py
@@ -25,7 +25,7 @@
 if TYPE_CHECKING:
     from .worker_pool import WorkerPool
 
-LATE_ANSWER_S = 1.0  # how long the answer to an attempt that has already ended is still awaited
+LATE_ANSWER_TIMEOUT_S = 1.0  # how long the answer to an attempt that has already ended is still awaited
 MAX_ENCODING_S = 0.02  # an encoding that takes longer was interrupted by a pause of the process
 MAX_ENCODINGS = 5  # the last one is sent however long it took, for machines that are always slower
 WORKER_SERVICE = "service.internal"  # value of the Host header in requests to workers
@@ -111,7 +111,7 @@
         await self.pool.exchange(host, "DELETE", f"/jobs/{request}".encode())
 
     def _on_end(self, sent: SentAttempt, outcome: AttemptOutcome) -> None:
-        """Clean up after an attempt that has ended, and report its end to the invariant monitor.
+        """Clean up after an attempt that has ended, and report its end to the send monitor.
 
         A cancelled or timed-out attempt has its connection closed, established or not, if the worker has not
         yet answered 202; after the 202 the job is withdrawn.
@@ -121,11 +121,11 @@
         self.policy_runner.monitor.attempt_ended(attempt.job.id, sent.host.id, outcome in PROVEN_UNRUN)
         abandoned = outcome in (AttemptOutcome.CANCELLED, AttemptOutcome.TIMEOUT)
         if task is not None and not sent.accepted:
-            # A result may arrive before its 202: the connection waits LATE_ANSWER_S for the 202.
+            # A result may arrive before its 202: the connection waits LATE_ANSWER_TIMEOUT_S for the 202.
             if abandoned or not attempt.may_be_written:
                 task.cancel()
             else:
-                self.timers.after(LATE_ANSWER_S, task.cancel)
+                self.timers.after(LATE_ANSWER_TIMEOUT_S, task.cancel)
         elif abandoned:
             self.metrics.spawn(self.withdraw(sent.host, attempt.job.id), "withdrawal")
 
--- a/beaconhinge/net/client_connection.py
+++ b/beaconhinge/net/client_connection.py
@@ -33,7 +33,7 @@
         self.metrics = metrics
 
     async def serve(self, client: Client) -> None:
-        """Answer the messages of a connection until it ends, then close it; raises no error."""
+        """Answer the messages of a connection until it ends or fails, then close it."""
         try:
             await self._answer_messages(client)
         except BadMessage as error:
@@ -83,9 +83,7 @@
             with contextlib.suppress(TimeoutError):
                 async with self.timers.timeout(wait_s):
                     return await connection.next()
-            if (
-                connection.silent()
-            ):  # otherwise this process was late, and bytes that arrived in time are still unread
+            if connection.silent():  # otherwise this process was late, and received bytes are still unread
                 break
         if not connection.partial:
             raise Closed
--- a/beaconhinge/net/client_table.py
+++ b/beaconhinge/net/client_table.py
@@ -86,7 +86,8 @@
     def close_one(self) -> bool:
         """Close one idle connection: one that has sent no complete message, or else the least recently used.
 
-        A connection that was accepted or used less than REQUEST_IN_TRANSIT_S ago is kept.
+        A connection that was accepted or used less than REQUEST_IN_TRANSIT_S ago is kept, as is one that
+        awaits an answer or has unread bytes.
 
         Returns:
             Whether a connection was closed.
--- a/beaconhinge/net/http1.py
+++ b/beaconhinge/net/http1.py
@@ -35,7 +35,7 @@
 
 
 class Closed(Exception):  # noqa: N818
-    """The peer ended the connection or broke it."""
+    """The peer has closed the connection, or it has failed."""
 
 
 @dataclass(slots=True)
@@ -149,9 +149,7 @@
         """Called by the parser, for headers and trailers."""
         if self._in_head:  # trailers are ignored
             headers, key = self._message.headers, name.decode("latin-1").lower()
-            text = value.decode("latin-1").strip(
-                " \t"
-            )  # surrounding blanks are not part of the value: RFC 9110, 5.5
+            text = value.decode("latin-1").strip(" \t")  # blanks around are not part of it: RFC 9110, 5.5
             headers[key] = f"{headers[key]}, {text}" if key in headers else text
 
     def on_headers_complete(self) -> None:
@@ -183,10 +181,7 @@
         """Called by the parser; interim (1xx) answers are dropped."""
         self.partial = False
         message, chunks = self._message, self._chunks
-        self._message, self._chunks = (
-            Message(),
-            [],
-        )  # drop the references: bodies took twice the memory otherwise
+        self._message, self._chunks = Message(), []  # kept references doubled the memory of bodies
         message.body = b"".join(chunks)
         message.keep_alive = self._parser.should_keep_alive()
         if self._requests:
@@ -337,7 +332,7 @@
         """Return whether nothing waits to be read or taken, not even the end of the peer's stream."""
         return not self.inbox and self._peek() is None
 
-    def closed_by_peer(self) -> bool:
+    def is_closed(self) -> bool:
         """Return whether we or the peer have closed the connection, even if its end was not read yet."""
         return not self._open or self._peek() == b""
 
--- a/beaconhinge/net/listener.py
+++ b/beaconhinge/net/listener.py
@@ -28,7 +28,7 @@
 RESERVED_FOR_CALLBACKS = 0.125  # share of the client connections that open jobs must leave free
 MAX_ACCEPTS_PER_TURN = 64  # connections accepted before other tasks of the event loop run
 ACCEPT_RETRY_S = 0.01  # delay after a failed accept
-MAX_ACCEPT_FAILURES = 64  # while the backlog is emptied at closing, where retries cannot be delayed
+MAX_ACCEPT_FAILURES = 64  # tolerated while the backlog is emptied at closing, when there is no time to wait
 
 
 class Listener:
--- a/beaconhinge/net/request_router.py
+++ b/beaconhinge/net/request_router.py
@@ -148,7 +148,7 @@
             outcome = await self.streams.answer(client.connection, job, close)
             close = close or self.state.closing_connections
             return Reply(b"" if outcome is None else answer_bytes(outcome, close), close)
-        request = self.requests.take(job, has_client_left=client.connection.closed_by_peer)
+        request = self.requests.take(job, has_client_left=client.connection.is_closed)
         answer = await _wait_for_answer(client, request)
         close = self.state.closing_connections or not message.keep_alive
         return Reply(answer_bytes(answer, close), close)
--- a/tests/dispatch/test_invariants.py
+++ b/tests/dispatch/test_invariants.py
@@ -33,9 +33,7 @@
     history.monitor.attempt_ended("r1", "a", never_ran=False)
     history.monitor.list_received(decoded_list(False, a="Terminating"), 101.0)
     history.monitor.attempt_started("r1", "a", 101.3, 3700)  # within the grace period
-    history.monitor.attempt_started(
-        "r1", "b", 102.0, 3000
-    )  # a second copy, allowed since the class is idempotent
+    history.monitor.attempt_started("r1", "b", 102.0, 3000)  # a second copy, of an idempotent class
     history.monitor.list_received(decoded_list(False, a="Ready"), 103.0)
     history.monitor.attempt_ended("r1", "a", never_ran=True)
     history.monitor.client_disconnected("r1", 104.0)
@@ -50,9 +48,7 @@
 def test_send_to_a_departed_worker_is_a_violation(departure: dict[str, Any]) -> None:
     history = History()
     history.monitor.list_received(departure, 100.0)
-    history.monitor.list_received(
-        departure, 100.3
-    )  # announced again: the grace period counts from the first announcement
+    history.monitor.list_received(departure, 100.3)  # repeated: the first announcement counts
     history.monitor.attempt_started("r1", "a", 100.5, 4500)
     assert history.violations == [InvariantRule.DRAIN]
 
--- a/tests/dispatch/test_request.py
+++ b/tests/dispatch/test_request.py
@@ -164,9 +164,8 @@
     policy = use_scripted_policy(
         monkeypatch, interface.SendAttempt(1, FIRST), interface.SendAttempt(1, FIRST)
     )
-    monkeypatch.setattr(
-        "beaconhinge.runtime.metrics.Metrics.check", lambda self, condition, name: condition
-    )  # a failed check does not raise, as under -O
+    # As under -O: a failed check does not raise.
+    monkeypatch.setattr("beaconhinge.runtime.metrics.Metrics.check", lambda self, condition, name: condition)
 
     async def scenario(harness: Harness) -> None:
         answer_task = asyncio.create_task(harness.post())
--- a/tests/dispatch/test_work_estimates.py
+++ b/tests/dispatch/test_work_estimates.py
@@ -87,9 +87,8 @@
             client.write(job_bytes(X_Request_ID=f"r{number}", X_Cost=cost))
             seen.append((await next_event(module, interface.JobArrived)).size_hint)
         assert seen[:2] == [0.25, 0.5000005]
-        assert all(
-            0.25 <= work <= 0.51 for work in seen[2:6]
-        )  # the mean in place of a missing or malformed hint
+        # The mean is used in place of a missing or malformed hint.
+        assert all(0.25 <= work <= 0.51 for work in seen[2:6])
         assert seen[6] <= 5.0  # bounded by the seconds that the client waits
         assert counted["work_hint_malformed"] == 3
         assert counted["work_hints_bounded"] == 1
--- a/tests/net/test_client_connection.py
+++ b/tests/net/test_client_connection.py
@@ -261,9 +261,7 @@
             assert response.startswith(b"HTTP/1.1 200")
             assert response.endswith(b"taken")
         else:
-            assert (
-                await read_to_end(client) == b""
-            )  # an end, no reset: the client sends the request again elsewhere
+            assert await read_to_end(client) == b""  # no reset: the client sends the request again elsewhere
             assert harness.workers[0].seen.empty()
         client.close()
         await harness.running
@@ -469,9 +467,8 @@
             "lost": AttemptOutcome.CONNECTION_LOST,
         }[callback["state"]]
         assert outcome.outcome == (callback_outcome if first == "the result" else AttemptOutcome.CANCELLED)
-        policy.on[interface.JobArrived] = [
-            interface.SendAttempt(2, FIRST)
-        ]  # the next job of that id is not affected by the first
+        # The next job with that id is not affected by the first.
+        policy.on[interface.JobArrived] = [interface.SendAttempt(2, FIRST)]
         second_answer_task = asyncio.create_task(harness.post())
         assert (await seen.get()).start_line.startswith("POST")
         await harness.callback(state="done", result="new")
@@ -573,7 +570,7 @@
 ) -> None:
     """Guards against resetting the clients in the backlog when the listener closes.
 
-    The first failure of `accept` was received for the end of the backlog.
+    The first failure of `accept` was taken for the end of the backlog.
     """
     listeners, created_listeners = list[FailingListener](), list[Listener]()
 
--- a/tests/net/test_listener.py
+++ b/tests/net/test_listener.py
@@ -290,7 +290,7 @@
 def test_last_dispatcher_serves_clients_after_sigterm(
     monkeypatch: pytest.MonkeyPatch, job_before: bool
 ) -> None:
-    """A dispatcher that hears from no other one must serve on after SIGTERM until another is heard or time is up.
+    """A dispatcher serves on after SIGTERM for a limited time, until it receives a datagram from another one.
 
     Guards against rejecting jobs in the shutdown: once a job had arrived with its full time limit, one whose limit
     was cut by the shutdown was taken for a repeat, and rejected.
@@ -313,9 +313,8 @@
             answer = await read_message(reader)
             assert (answer.body, answer.headers.get("connection")) == (name.encode(), None)
         slow_writer.write(job_bytes(X_Request_ID="r3"))
-        assert (
-            int((await harness.workers[0].seen.get()).headers["x-timeout-ms"]) < 1400
-        )  # cut by the shutdown: 5000 were requested
+        # The shutdown has reduced the requested time limit of 5000 ms.
+        assert int((await harness.workers[0].seen.get()).headers["x-timeout-ms"]) < 1400
         harness.send_peer_datagram()
         assert await reader.read() == b""  # closed, since the client can use another dispatcher
         answer = await read_message(slow_reader)  # answered before the process may be killed
