--- a/beaconhinge/cli/config.py
+++ b/beaconhinge/cli/config.py
@@ -9,13 +9,15 @@
 
 import typer
 
-app = typer.Typer(no_args_is_help=True, help="Check or show a configuration: JSON or TOML.")
-AsJson = Annotated[bool, typer.Option("--json", help="For scripts.")]
+app = typer.Typer(no_args_is_help=True, help="Check or show a configuration file, in JSON or TOML.")
+AsJson = Annotated[bool, typer.Option("--json", help="Print JSON, for scripts.")]
 
 
 @app.command()
 def check(file: Annotated[Path, typer.Argument(exists=True, dir_okay=False)], as_json: AsJson = False) -> int:
-    """Read a file as `run` would. Status 2 and one line when a key is wrong.
+    """Check a configuration file as `run` reads it.
+
+    Exit status 2 and one line of error when a key is invalid.
 
     Example: beaconhinge config check deploy/edge.toml
     """
@@ -42,19 +44,19 @@
 @app.command()
 def show(
     file: Annotated[Path | None, typer.Argument(exists=True, dir_okay=False)] = None,
-    defaults: Annotated[bool, typer.Option("--defaults", help="Every key with its default.")] = False,
+    defaults: Annotated[bool, typer.Option("--defaults", help="Print every key with its default.")] = False,
     as_json: AsJson = False,
 ) -> int:
-    """Print every key of our TOML with its value, defaults filled in.
+    """Print every key of a TOML file with its value; keys that it lacks have their defaults.
 
     Examples: beaconhinge config show --defaults; beaconhinge config show deploy/edge.toml --json
     """
     import tomli_w
 
-    from ..config.local import LocalConfig, read, tables
+    from ..config.local import LocalConfig, read, to_tables
 
     if (file is None) != defaults:
         raise typer.BadParameter("name a file, or say --defaults")
-    shown = tables(LocalConfig() if file is None else read(file))
-    sys.stdout.write(json.dumps(shown, indent=1) + "\n" if as_json else tomli_w.dumps(shown))
+    tables = to_tables(LocalConfig() if file is None else read(file))
+    sys.stdout.write(json.dumps(tables, indent=1) + "\n" if as_json else tomli_w.dumps(tables))
     return 0
--- a/beaconhinge/config/__init__.py
+++ b/beaconhinge/config/__init__.py
@@ -1,4 +1,7 @@
-"""Configuration: the platform's JSON, and our own TOML beside it, which loads its library on use (`ours`)."""
+"""Configuration: the platform's JSON (`platform`), and an optional TOML file of this program (`local`).
+
+`local` is not imported here, because it needs msgspec, which the platform's start does without.
+"""
 
 from .platform import Address, Config, ConfigError, Limits, flatten, load, parse
 
--- a/beaconhinge/config/local.py
+++ b/beaconhinge/config/local.py
@@ -1,6 +1,7 @@
-"""Our own configuration: one TOML file, a table for each subsystem, all of it optional and off by default.
+"""This program's own configuration: a TOML file with a table for each subsystem, all optional.
 
-Unknown keys are refused with the nearest known one; each error is one line that names file, key and reason.
+Subsystems are off by default. An unknown key is an error that suggests the nearest known one. Each error is
+one line that names file, key and reason.
 """
 
 from __future__ import annotations
@@ -26,31 +27,31 @@
 
 
 class PlatformOptions(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """Where the platform's JSON is. Without it the variable RELAY_CONFIG names the file, as there."""
+    """Path of the platform's JSON file; while `config` is empty, the variable RELAY_CONFIG names the file."""
 
     config: str = ""
 
 
 class LogOptions(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """Form of the log's lines. `plain` needs no library; the others are written by structlog."""
+    """Format of log lines; `plain` needs no library, `logfmt` and `json` are written by structlog."""
 
     format: Literal["plain", "logfmt", "json"] = "plain"
 
 
 class StoreOptions(Options, frozen=True, forbid_unknown_fields=True):
-    """The embedded store; off while `folder` is empty."""
+    """Options of the embedded store, which is off while `folder` is empty."""
 
     folder: str = ""
 
 
 class QuotaSnapshotOptions(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """Quota and fleet rate, kept in the store over a restart."""
+    """Snapshots of quotas and of the fleet rate, kept in the store across restarts."""
 
     interval_s: float = 0.5
     max_age_s: float = 30.0
 
     def problem(self) -> tuple[str, str] | None:
-        """The first faulty key, and why it is."""
+        """Return the first invalid key and the reason; None if all are valid."""
         for name in ("interval_s", "max_age_s"):
             if not 0 < getattr(self, name) < float("inf"):
                 return name, "must be a number of seconds, more than 0"
@@ -58,7 +59,7 @@
 
 
 class ProgressOptions(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """Answers as streams of server-sent events, for clients that ask for them."""
+    """Progress streams: answers as server-sent events, for clients that request them."""
 
     enabled: bool = False
     keep_alive_s: float = 15.0
@@ -72,16 +73,16 @@
     max_detached: int = 200
 
     def problem(self) -> tuple[str, str] | None:
-        """The first faulty key, and why it is."""
+        """Return the first invalid key and the reason; None if all are valid."""
         for name in self.__struct_fields__[1:]:
-            value, least = getattr(self, name), name in ("detached_s", "keep_outcome_s")
-            if not (0 <= value if least else 0 < value) or not value < float("inf"):
-                return name, "must be a number, 0 or more" if least else "must be a number, more than 0"
+            value, may_be_zero = getattr(self, name), name in ("detached_s", "keep_outcome_s")
+            if not (0 <= value if may_be_zero else 0 < value) or not value < float("inf"):
+                return name, "must be a number, 0 or more" if may_be_zero else "must be a number, more than 0"
         return None
 
 
 class RecoveryOptions(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """What a process does that was away: docs/operate/recovery.md."""
+    """Recovery of a process after a restart or a stall; see docs/operate/recovery.md."""
 
     enabled: bool = False
     stall_s: float = 1.0
@@ -89,7 +90,7 @@
     max_result_bytes: int = 16_777_216
 
     def problem(self) -> tuple[str, str] | None:
-        """The first faulty key, and why it is."""
+        """Return the first invalid key and the reason; None if all are valid."""
         for name in ("max_keys", "max_result_bytes"):
             if getattr(self, name) < 1:
                 return name, "must be 1 or more"
@@ -99,7 +100,7 @@
 
 
 class LeaseCall(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """A call that one dispatcher makes for all, under the lease of that name."""
+    """A periodic HTTP call that only the dispatcher that holds the lease `name` makes."""
 
     name: str
     to: str
@@ -108,7 +109,7 @@
     longest_s: float = 0.5
 
     def problem(self, span_s: float) -> str | None:
-        """Why the call cannot be made under a lease of that span, or None."""
+        """Return why the call cannot be made under a lease of this span in seconds; None if it can."""
         if not LEASE_NAME.fullmatch(self.name):
             return f"{self.name[:50]!r} is no name: letters, digits and dashes, 40 at most"
         if not (_MIN_CALL_INTERVAL_S <= self.every_s < float("inf") and 0 < self.longest_s <= span_s / 2):
@@ -124,7 +125,7 @@
 
 
 class LeaseOptions(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """Tasks for exactly one dispatcher, or a few: docs/operate/leases.md."""
+    """Leases for tasks that exactly one dispatcher, or a few, may run; see docs/operate/leases.md."""
 
     enabled: bool = False
     number: int = 1
@@ -135,7 +136,7 @@
     calls: list[LeaseCall] = []
 
     def problem(self) -> tuple[str, str] | None:
-        """The first faulty key, and why it is."""
+        """Return the first invalid key and the reason; None if all are valid."""
         if not 0 < self.number <= _MAX_NUMBER:
             return "number", "must be between 1 and 65535"
         spans_valid = _MIN_SPAN_S <= self.span_s <= _MAX_SPAN_S and 0 <= self.span_before_s <= _MAX_SPAN_S
@@ -163,7 +164,7 @@
 
 
 class LocalConfig(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """The whole file: a table for each subsystem."""
+    """The content of the TOML file, one table for each subsystem."""
 
     platform: PlatformOptions = PlatformOptions()
     log: LogOptions = LogOptions()
@@ -175,10 +176,10 @@
 
 
 def read(path: str | os.PathLike[str]) -> LocalConfig:
-    """The configuration in a file; paths in it are taken from the folder that it is in.
+    """Read a TOML file and return the configuration; paths in it are relative to the file's folder.
 
     Raises:
-        ConfigError: The file cannot be read, or a key is unknown or faulty.
+        ConfigError: The file cannot be read, or a key is unknown or invalid.
     """
     file = Path(path)
     try:
@@ -195,10 +196,10 @@
 
 
 def convert(content: Mapping[str, Any], name: str) -> LocalConfig:
-    """The configuration in decoded TOML; errors name the file `name`.
+    """Return the configuration from decoded TOML; errors name the file as `name`.
 
     Raises:
-        ConfigError: A key is unknown or faulty.
+        ConfigError: A key is unknown or invalid.
     """
     _check_known_keys(content, LocalConfig, name, "")
     try:
@@ -213,19 +214,23 @@
     return local_config
 
 
-def _check_known_keys(content: Mapping[str, Any], kind: type[msgspec.Struct], name: str, path: str) -> None:
-    hints = get_type_hints(kind)
+def _check_known_keys(content: Mapping[str, Any], struct: type[msgspec.Struct], name: str, path: str) -> None:
+    types = get_type_hints(struct)
     for key, value in content.items():
-        if key not in kind.__struct_fields__:
-            near = difflib.get_close_matches(key, kind.__struct_fields__, 1, 0.5)
-            hint = f"; did you mean {path}{near[0]}?" if near else ""
+        if key not in struct.__struct_fields__:
+            similar = difflib.get_close_matches(key, struct.__struct_fields__, 1, 0.5)
+            hint = f"; did you mean {path}{similar[0]}?" if similar else ""
             raise ConfigError(f"{name}: {path}{key}: no such key{hint}")
-        inner = hints[key]
-        if isinstance(inner, type) and issubclass(inner, msgspec.Struct) and isinstance(value, Mapping):
-            _check_known_keys(value, inner, name, f"{path}{key}.")
+        field_type = types[key]
+        if (
+            isinstance(field_type, type)
+            and issubclass(field_type, msgspec.Struct)
+            and isinstance(value, Mapping)
+        ):
+            _check_known_keys(value, field_type, name, f"{path}{key}.")
 
 
-def tables(local_config: LocalConfig) -> dict[str, dict[str, Any]]:
-    """Every key with its value, for printing."""
+def to_tables(local_config: LocalConfig) -> dict[str, dict[str, Any]]:
+    """Return every key with its value, by table, for printing."""
     values: dict[str, dict[str, Any]] = msgspec.to_builtins(local_config)
     return values
--- a/beaconhinge/config/platform.py
+++ b/beaconhinge/config/platform.py
@@ -1,4 +1,7 @@
-"""The platform's environment and JSON: checks, defaults, errors that name the faulty key."""
+"""Reads and checks the platform's configuration: a JSON file, and environment variables for keys it lacks.
+
+Missing keys get defaults; errors name the invalid key.
+"""
 
 from __future__ import annotations
 
@@ -16,38 +19,43 @@
 Address = tuple[str, int]
 MAX_PORT = 65535
 
-# What the program itself takes after a busy day, and the part of the rest that is used.
+# Memory of the program itself after a day under load, without clients' connections and bodies.
 _PROGRAM_MB = 20.0
+# Share of the remaining memory that connections and bodies may use.
 _USED_SHARE = 0.8
 _MB_BYTES = 1024 * 1024
-# A client's connection takes this at most beside the body, by measurement.
+# Most memory that a client's connection uses, apart from the request's body.
 _CONNECTION_BYTES = 32 * 1024
 
 
 class ConfigError(Error):
-    """One line that names the faulty key."""
+    """The configuration is invalid; the message is one line that names the key."""
 
 
 @dataclass(frozen=True)
 class Limits:
-    """What the platform lets this process use."""
+    """The memory, in megabytes, and the number of sockets that the platform lets this process use."""
 
     memory_mb: float = 192.0
     sockets: int = 1024
 
     @property
     def _spare_bytes(self) -> float:
-        """Bytes beside the program itself; a fifth stays free."""
+        """Bytes for clients' connections and bodies; a fifth of what the program leaves stays free."""
         return _USED_SHARE * (self.memory_mb - _PROGRAM_MB) * _MB_BYTES
 
     @property
     def max_connections(self) -> int:
-        """Connections that clients may have."""
+        """The number of connections that clients may have open; half of the spare memory is theirs."""
         return int(self._spare_bytes / 2 / _CONNECTION_BYTES)
 
     @property
     def max_body_bytes(self) -> int:
-        """Bytes of clients' bodies; each is there twice while its last piece is read, or is passed on."""
+        """Total bytes of clients' bodies that may be held at once.
+
+        A body is in memory twice while its last piece is read and while it is forwarded to a worker, so this
+        is half of the spare memory that is left beside connections.
+        """
         return int(self._spare_bytes / 2 / 2)
 
 
@@ -70,14 +78,14 @@
     peers: tuple[Address, ...] = ()
     peers_all: Address | None = None
     bootstrap_list: WorkerList | None = None
-    mgmt: Address | None = None  # where operators call
+    mgmt: Address | None = None  # where the process listens for operators' calls
 
     def needs_key(self, cls: int) -> bool:
-        """Whether requests of the class carry an idempotency key."""
+        """Return whether requests of this class must carry an idempotency key."""
         return self.settings.classes[cls].semantics == Semantics.DEDUPLICATED
 
     def changes_for_restart(self, new: Config) -> list[str]:
-        """Keys that differ in a configuration read again and count at the next start only."""
+        """Return the keys that differ in a reloaded configuration and take effect only at a restart."""
         keys = ("name", "listen", "mgmt", "peer_listen", "limits", "settings")
         names = ("class_names", "tenant_names", "zones", "kinds", "report_names")
         changed = {key for key in (*keys, *names) if getattr(self, key) != getattr(new, key)}
@@ -85,10 +93,12 @@
 
 
 def load(environment: Mapping[str, str]) -> Config:
-    """Read the configuration that RELAY_CONFIG names; other variables stand in for keys that it lacks.
+    """Read the configuration file that RELAY_CONFIG names, and return the configuration.
+
+    RELAY_NAME, RELAY_LISTEN, RELAY_DISCOVERY and RELAY_MGMT give the keys of these names that the file lacks.
 
     Raises:
-        ConfigError: The file cannot be read, or a key is missing or faulty.
+        ConfigError: The file cannot be read, or a key is missing or invalid.
     """
     path = environment.get("RELAY_CONFIG", "")
     if not path:
@@ -99,19 +109,19 @@
         raise ConfigError(f"RELAY_CONFIG: cannot read {path}: {error}") from None
     if not isinstance(content, dict):
         raise ConfigError("RELAY_CONFIG: the file must hold one JSON object")
-    given = {
+    from_environment = {
         key: environment[f"RELAY_{key.upper()}"]
         for key in ("name", "listen", "discovery", "mgmt")
         if environment.get(f"RELAY_{key.upper()}")
     }
-    return parse({**given, **content})
+    return parse({**from_environment, **content})
 
 
 def parse(content: Mapping[str, Any]) -> Config:
-    """The configuration in the platform's JSON, already decoded.
+    """Return the configuration from the platform's decoded JSON.
 
     Raises:
-        ConfigError: A key is missing or faulty; the first one is named.
+        ConfigError: A key is missing or invalid; the message names the first one.
     """
     nested = content.get("settings")
     if not isinstance(nested, dict):
@@ -157,34 +167,40 @@
     return names
 
 
-def _bootstrap_list(known: Any, zones: tuple[str, ...], kinds: tuple[str, ...]) -> WorkerList | None:
+def _bootstrap_list(content: Any, zones: tuple[str, ...], kinds: tuple[str, ...]) -> WorkerList | None:
     try:
-        return WorkerListParser(zones, kinds).parse(known) if known is not None else None
+        return WorkerListParser(zones, kinds).parse(content) if content is not None else None
     except WorkerListError as error:
         raise ConfigError(f"known: {error}") from None
 
 
 def flatten(nested: Mapping[str, Any], path: str = "") -> dict[str, str]:
-    """Nested settings as the module's path=value pairs."""
+    """Return nested settings as a flat mapping of dotted paths to texts, as `Settings.from_pairs` reads them.
+
+    A list of objects becomes `PATH.count` and `PATH.INDEX.KEY`; other lists are joined by commas.
+
+    Raises:
+        ConfigError: A list holds both objects and other values, or another list.
+    """
     pairs: dict[str, str] = {}
     for key, value in nested.items():
-        here = f"{path}{key}"
+        key_path = f"{path}{key}"
         if isinstance(value, dict):
-            pairs.update(flatten(value, here + "."))
+            pairs.update(flatten(value, key_path + "."))
         elif isinstance(value, list) and any(isinstance(item, dict) for item in value):
-            pairs[here + ".count"] = str(len(value))
+            pairs[key_path + ".count"] = str(len(value))
             for i, item in enumerate(value):
                 if not isinstance(item, dict):
-                    raise ConfigError(f"settings.{here}.{i}: must be an object like the others")
-                pairs.update(flatten(item, f"{here}.{i}."))
+                    raise ConfigError(f"settings.{key_path}.{i}: must be an object like the others")
+                pairs.update(flatten(item, f"{key_path}.{i}."))
         elif isinstance(value, list):
-            pairs[here] = ",".join(_plain(item, here) for item in value)
+            pairs[key_path] = ",".join(_format_value(item, key_path) for item in value)
         else:
-            pairs[here] = _plain(value, here)
+            pairs[key_path] = _format_value(value, key_path)
     return pairs
 
 
-def _plain(value: Any, path: str) -> str:
+def _format_value(value: Any, path: str) -> str:
     if isinstance(value, bool):
         return "true" if value else "false"
     if value is None:
@@ -216,10 +232,10 @@
 
 
 def address(text: object, key: str) -> Address:
-    """An IPv4 address with a port.
+    """Parse an IPv4 address with a port, such as 10.0.0.4:9000, and return host and port.
 
     Raises:
-        ConfigError: The text is none; `key` is named.
+        ConfigError: The text is not such an address; the message names `key`.
     """
     host, _, port = text.rpartition(":") if isinstance(text, str) else ("", "", "")
     try:
@@ -239,12 +255,12 @@
         raise ConfigError(f"seed: {value!r} is neither hex digits nor a whole number") from None
 
 
-def _limits(given: Any) -> Limits:
-    if not isinstance(given, dict):
+def _limits(content: Any) -> Limits:
+    if not isinstance(content, dict):
         raise ConfigError("limits: must be an object")
-    values = {"memory_mb": Limits.memory_mb, "sockets": Limits.sockets, **given}
-    for key, least in (("memory_mb", 32), ("sockets", 64)):
+    values = {"memory_mb": Limits.memory_mb, "sockets": Limits.sockets, **content}
+    for key, minimum in (("memory_mb", 32), ("sockets", 64)):
         value = values[key]
-        if isinstance(value, bool) or not isinstance(value, (int, float)) or not value >= least:
-            raise ConfigError(f"limits.{key}: must be a number of {least} or more")
+        if isinstance(value, bool) or not isinstance(value, (int, float)) or not value >= minimum:
+            raise ConfigError(f"limits.{key}: must be a number of {minimum} or more")
     return Limits(float(values["memory_mb"]), int(values["sockets"]))
