--- a/beaconhinge/logs/__init__.py
+++ b/beaconhinge/logs/__init__.py
@@ -1,7 +1,7 @@
-"""Structured log lines by structlog, in place of the plain ones, for installations that collect them.
+"""Structured log lines, written by structlog in place of plain ones, for installations that collect them.
 
-The platform's start does not load this: structlog takes longer to import than half of what a start may
-(`docs/design/store.md`, Groundwork).
+The platform's start does not import this package: importing structlog takes more than half of the time that
+a start may take (`docs/design/store.md`, Groundwork).
 """
 
 from .structured import writer
--- a/beaconhinge/logs/event_names.py
+++ b/beaconhinge/logs/event_names.py
@@ -1,6 +1,6 @@
-"""Events and counters whose names have changed, so that logs of old and new processes add up.
+"""Events and counters that were renamed, so that logs of old and new versions are summed under one name.
 
-`docs/oncall.md` has the same list for people.
+`docs/oncall.md` has the same list for operators.
 """
 
 from __future__ import annotations
@@ -28,9 +28,9 @@
     "module": "policy",
     "requests_after_the_end": "requests_after_shutdown",
 }
-"""Each old name with the new one."""
+"""Maps each old name to its present one."""
 
 
 def current_name(name: str) -> str:
-    """The name that an event or counter has now."""
+    """Return the present name of an event or counter; a name that was never changed stays."""
     return NEW_NAMES.get(name, name)
--- a/beaconhinge/logs/summary.py
+++ b/beaconhinge/logs/summary.py
@@ -1,4 +1,4 @@
-"""Adds up the log lines of many dispatchers: what happened when, and the sums of their counters. Pure."""
+"""Sums the log lines of many dispatchers: events by second and by dispatcher, and counters. Does no I/O."""
 
 from __future__ import annotations
 
@@ -10,37 +10,46 @@
 
 from .event_names import current_name
 
-# A collector may put its own words in front, in brackets.
-_LINE = re.compile(r"(?:\[[^\]]*\]\s+)?(\d+\.\d+) (\w+)((?: \w+=.*)?)$")
-_NUMBER = re.compile(r" (\w+)=(\d+)(?= |$)")
+# A log collector may put a prefix in brackets in front of the line.
+_PLAIN_LINE = re.compile(r"(?:\[[^\]]*\]\s+)?(\d+\.\d+) (\w+)((?: \w+=.*)?)$")
+_INTEGER_FIELD = re.compile(r" (\w+)=(\d+)(?= |$)")
 
 
 @dataclass
 class Summary:
-    """The sums of many dispatchers' logs."""
+    """The sums of many dispatchers' logs.
 
-    first: float = 0.0  # Unix time of the earliest line, seconds
-    seconds: Counter[tuple[int, str]] = field(default_factory=Counter)  # by second from there, and event
-    events: Counter[tuple[str, str]] = field(default_factory=Counter)  # by dispatcher and event
-    counters: Counter[str] = field(default_factory=Counter)  # of all processes, as each told last
-    unread: int = 0  # lines that are none of ours
+    Attributes:
+        start: Unix time of the earliest line, in seconds.
+        events_by_second: Number of log lines by whole second since `start`, and event.
+        events_by_dispatcher: Number of log lines by dispatcher and event.
+        counters: Sums over all processes of the counters that each logged last.
+        unread: Number of lines that are not a dispatcher's log lines.
+    """
+
+    start: float = 0.0
+    events_by_second: Counter[tuple[int, str]] = field(default_factory=Counter)
+    events_by_dispatcher: Counter[tuple[str, str]] = field(default_factory=Counter)
+    counters: Counter[str] = field(default_factory=Counter)
+    unread: int = 0
 
     @property
-    def names(self) -> list[str]:
-        """Events, the most frequent first."""
+    def event_names(self) -> list[str]:
+        """The names of all events, the most frequent first."""
         totals = Counter[str]()
-        for (_, event), count in self.seconds.items():
+        for (_, event), count in self.events_by_second.items():
             totals[event] += count
         return [event for event, _ in sorted(totals.items(), key=lambda item: (-item[1], item[0]))]
 
 
 @dataclass(frozen=True, slots=True)
 class LogLine:
-    """One line of a log, under the names that its event and counters have now.
+    """One line of a log, with the present names of its event and counters.
 
     Attributes:
-        time: Unix time, seconds.
-        integers: Its fields that hold whole numbers.
+        time: Unix time, in seconds.
+        event: Name of the event.
+        integers: The fields whose values are whole numbers.
     """
 
     time: float
@@ -48,18 +57,18 @@
     integers: dict[str, int]
 
 
-def read(line: str) -> LogLine | None:
-    """The content of a plain or a JSON line; None for any other."""
+def parse_line(line: str) -> LogLine | None:
+    """Parse a plain or JSON log line; return None for any other line."""
     if line.lstrip().startswith("{"):
-        return _read_json(line)
-    found = _LINE.match(line.rstrip())
-    if found is None:
+        return _parse_json_line(line)
+    match = _PLAIN_LINE.match(line.rstrip())
+    if match is None:
         return None
-    integers = {current_name(name): int(n) for name, n in _NUMBER.findall(found[3])}
-    return LogLine(float(found[1]), current_name(found[2]), integers)
+    integers = {current_name(name): int(n) for name, n in _INTEGER_FIELD.findall(match[3])}
+    return LogLine(float(match[1]), current_name(match[2]), integers)
 
 
-def _read_json(line: str) -> LogLine | None:
+def _parse_json_line(line: str) -> LogLine | None:
     try:
         content = json.loads(line)
         time, event = float(content["time"]), str(content["event"])
@@ -69,27 +78,27 @@
     return LogLine(time, current_name(event), integers)
 
 
-def add_up(logs: Iterable[tuple[str, Iterable[str]]]) -> Summary:
-    """Add up logs, each given with the name of its dispatcher.
+def sum_logs(logs: Iterable[tuple[str, Iterable[str]]]) -> Summary:
+    """Sum logs, each given as the name of its dispatcher and its lines.
 
-    A `counters` line replaces what the same process reported before; `started` begins another process.
+    A `counters` line replaces the counters that the same process logged before; `started` begins another one.
     """
-    summary, seen = Summary(), list[tuple[str, LogLine]]()
+    summary, log_lines = Summary(), list[tuple[str, LogLine]]()
     for name, lines in logs:
-        content = [read(line) for line in lines if line.strip()]
-        readable = [line for line in content if line is not None]
-        summary.unread += len(content) - len(readable)
-        seen += [(name, line) for line in readable]
-        summary.counters.update(_last_counters(readable))
-    summary.first = min((line.time for _, line in seen), default=0.0)
-    for name, line in seen:
-        summary.seconds[int(line.time - summary.first), line.event] += 1
-        summary.events[name, line.event] += 1
+        parsed = [parse_line(line) for line in lines if line.strip()]
+        valid = [line for line in parsed if line is not None]
+        summary.unread += len(parsed) - len(valid)
+        log_lines += [(name, line) for line in valid]
+        summary.counters.update(_last_counters(valid))
+    summary.start = min((line.time for _, line in log_lines), default=0.0)
+    for name, line in log_lines:
+        summary.events_by_second[int(line.time - summary.start), line.event] += 1
+        summary.events_by_dispatcher[name, line.event] += 1
     return summary
 
 
 def _last_counters(lines: Iterable[LogLine]) -> Counter[str]:
-    """The sum of the counters that each process of one log reported last."""
+    """Return the sums of the counters that each process in one log reported last."""
     total, last = Counter[str](), dict[str, int]()
     for line in lines:
         if line.event == "started":
--- a/tests/cli/test_logs_sum.py
+++ b/tests/cli/test_logs_sum.py
@@ -60,7 +60,7 @@
     "line", ["", "{", "{}", '{"time": "x", "event": 1}', "12 started", "1.5", "1.5 a=b", "[" * 99999]
 )
 def test_other_lines_are_none_of_ours(line: str) -> None:
-    assert summary.read(line) is None
+    assert summary.parse_line(line) is None
 
 
 def test_lines_of_old_and_new_processes_are_counted_under_the_new_names() -> None:
@@ -74,10 +74,14 @@
         '{"time": 2.5, "event": "quota_snapshot_restored"}',
         "3.500 counters quota_snapshot_written=3",
     ]
-    found = summary.add_up([("n0", old), ("n1", new)])
-    assert found.events["n0", "quota_snapshot_restored"] == found.events["n1", "quota_snapshot_restored"] == 1
-    assert found.counters == {"quota_snapshot_written": 5, "reloads": 1}
-    assert found.unread == 0
+    sums = summary.sum_logs([("n0", old), ("n1", new)])
+    assert (
+        sums.events_by_dispatcher["n0", "quota_snapshot_restored"]
+        == sums.events_by_dispatcher["n1", "quota_snapshot_restored"]
+        == 1
+    )
+    assert sums.counters == {"quota_snapshot_written": 5, "reloads": 1}
+    assert sums.unread == 0
 
 
 def test_no_new_name_is_an_old_one_and_each_is_in_the_oncall_page() -> None:
