--- a/beaconhinge/cli/__init__.py
+++ b/beaconhinge/cli/__init__.py
@@ -1,6 +1,7 @@
-"""The command line: one file for each group of subcommands, which imports its subsystem on use.
+"""The command line: a module for each group of subcommands, which imports its subsystem when it is run.
 
-Status 0: well; 1: could not; 2: bad usage or configuration; 3: checked and found broken.
+Exit status 0: success; 1: the command failed; 2: wrong usage or invalid configuration; 3: a check found
+damage or a broken rule.
 """
 
 from __future__ import annotations
@@ -12,12 +13,13 @@
 
 
 def main(arguments: list[str] | None = None) -> int:
-    """Run one command; its exit status. Errors are one line on standard error."""
+    """Run one command and return its exit status. Errors are one line on standard error."""
     try:
         import typer
     except ImportError:
         print(
-            "beaconhinge: the command line needs its libraries: pip install 'beaconhinge[cli]'",
+            "beaconhinge: the command line needs typer, which is not installed: "
+            "pip install 'beaconhinge[cli]'",
             file=sys.stderr,
         )
         return 2
--- a/beaconhinge/cli/app.py
+++ b/beaconhinge/cli/app.py
@@ -1,4 +1,4 @@
-"""The commands in one tree."""
+"""The root command `beaconhinge`, to which all subcommands are added."""
 
 from __future__ import annotations
 
@@ -10,8 +10,8 @@
 
 from . import config, demo, leases, logs, rehearse, soak, store
 
-# Typer carries its own copy of click in some versions, so that the class is found where typer has it.
-UsageError: Any = next(kind for kind in typer.BadParameter.__mro__ if kind.__name__ == "UsageError")
+# Some versions of typer have their own copy of click, so the class is looked up among the bases of typer's.
+UsageError: Any = next(base for base in typer.BadParameter.__mro__ if base.__name__ == "UsageError")
 
 app = typer.Typer(
     no_args_is_help=True,
@@ -33,15 +33,18 @@
     file: Annotated[
         Path,
         typer.Option(
-            "--config", help="The platform's JSON, or our TOML beside it.", exists=True, dir_okay=False
+            "--config",
+            help="The platform's JSON file, or this program's TOML file.",
+            exists=True,
+            dir_okay=False,
         ),
     ],
 ) -> int:
-    """Serve until SIGTERM.
+    """Run a dispatcher until SIGTERM.
 
     Examples: beaconhinge run --config balancer.json; beaconhinge run --config deploy/edge.toml
     """
     from ..__main__ import run as serve
 
-    name = "RELAY_CONFIG" if file.suffix == ".json" else "BEACONHINGE_CONFIG"
-    return serve({**os.environ, name: str(file)})
+    variable = "RELAY_CONFIG" if file.suffix == ".json" else "BEACONHINGE_CONFIG"
+    return serve({**os.environ, variable: str(file)})
--- a/beaconhinge/cli/demo.py
+++ b/beaconhinge/cli/demo.py
@@ -1,4 +1,4 @@
-"""`beaconhinge demo`: a dispatcher at work among stand-ins, on this machine's loopback alone."""
+"""`beaconhinge demo`: a dispatcher with stand-in discovery, workers and clients, on loopback only."""
 
 from __future__ import annotations
 
@@ -12,20 +12,19 @@
 if TYPE_CHECKING:
     from ..standin.harness import DemoFleet, Figures
 
-# Between two refreshes of the tables.
-REFRESH_S = 0.5
+REFRESH_INTERVAL_S = 0.5  # between two updates of the tables on the terminal
 
 
 def demo(
-    seconds: Annotated[float, typer.Option(min=1, max=3600, help="How long clients ask.")] = 10.0,
+    seconds: Annotated[float, typer.Option(min=1, max=3600, help="How long clients send requests.")] = 10.0,
     workers: Annotated[int, typer.Option("--boxes", min=1, max=200)] = 6,
     rate: Annotated[float, typer.Option(min=0.1, max=2000, help="Jobs a second.")] = 40.0,
     seed: Annotated[int, typer.Option(min=0, max=65535)] = 1,
-    as_json: Annotated[bool, typer.Option("--json", help="Closing figures alone.")] = False,
+    as_json: Annotated[bool, typer.Option("--json", help="Print only the final figures, as JSON.")] = False,
 ) -> int:
-    """Start a dispatcher, discovery, script boxes and clients on free loopback ports, and show what goes on.
+    """Start a dispatcher, discovery, workers and clients on free loopback ports, and show their counters.
 
-    Status 1 when a request did not get its one final answer.
+    Exit status 1 when a request did not get exactly one final answer.
 
     Examples: beaconhinge demo; beaconhinge demo --seconds 5 --json; beaconhinge demo --rate 200 --boxes 4
     """
@@ -60,7 +59,7 @@
     with Live(_render(fleet), refresh_per_second=4, transient=True) as live:
         while not requests.done():
             fleet.ask_for_counters()
-            await asyncio.wait({requests}, timeout=REFRESH_S)
+            await asyncio.wait({requests}, timeout=REFRESH_INTERVAL_S)
             live.update(_render(fleet))
 
 
--- a/beaconhinge/cli/rehearse.py
+++ b/beaconhinge/cli/rehearse.py
@@ -1,4 +1,4 @@
-"""`beaconhinge rehearse`: several real processes through a scenario of faults, on loopback alone."""
+"""`beaconhinge rehearse`: runs a scenario of faults on several dispatcher processes, on loopback only."""
 
 from __future__ import annotations
 
@@ -15,15 +15,17 @@
 def rehearse(
     scenario: Annotated[
         Path,
-        typer.Argument(help="A scenario in TOML; deploy/rehearsals has some.", exists=True, dir_okay=False),
+        typer.Argument(
+            help="A scenario in TOML; examples are in deploy/rehearsals.", exists=True, dir_okay=False
+        ),
     ],
-    seed: Annotated[int | None, typer.Option(min=0, max=65535, help="Not the scenario's.")] = None,
-    runs: Annotated[int, typer.Option(min=1, max=10_000, help="Seeds, one after the other.")] = 1,
-    as_json: Annotated[bool, typer.Option("--json", help="The verdict alone.")] = False,
+    seed: Annotated[int | None, typer.Option(min=0, max=65535, help="Replaces the scenario's.")] = None,
+    runs: Annotated[int, typer.Option(min=1, max=10_000, help="Runs, each with the next seed.")] = 1,
+    as_json: Annotated[bool, typer.Option("--json", help="Print only the verdict, as JSON.")] = False,
 ) -> int:
-    """Play a scenario, or seed after seed of it, and judge what clients, boxes and logs wrote down.
+    """Run a scenario, once or with successive seeds, and check what clients, workers and logs recorded.
 
-    Status 3 when a rule was broken, or when a fault hit nothing.
+    Exit status 3 when a rule was broken, or when a fault had no effect.
 
     Examples: beaconhinge rehearse deploy/rehearsals/stall.toml; beaconhinge rehearse power.toml --seed 7
     """
@@ -32,10 +34,10 @@
 
     first = read_scenario(scenario, seed)
     for number in range(runs):
-        one = first if not number else read_scenario(scenario, (first.seed + number) % 65536)
+        current = first if not number else read_scenario(scenario, (first.seed + number) % 65536)
         on_event = print if runs == 1 and not as_json else _ignore
-        verdict = run_until_terminated(run_scenario(one, on_event))
-        _show(verdict, as_json)
+        verdict = run_until_terminated(run_scenario(current, on_event))
+        _print_verdict(verdict, as_json)
         if not verdict.well:
             return 3
     return 0
@@ -45,7 +47,7 @@
     """Print nothing."""
 
 
-def _show(verdict: Verdict, as_json: bool) -> None:
+def _print_verdict(verdict: Verdict, as_json: bool) -> None:
     import msgspec
 
     if as_json:
@@ -63,7 +65,7 @@
         if verdict.acts:
             print(
                 f"{verdict.acts} acts under leases, of {verdict.tenures} tenures; {verdict.stale} refused "
-                "for their number"
+                "for their stale lease number"
             )
         for line in verdict.broken:
             print(f"broken: {line}")
--- a/beaconhinge/cli/soak.py
+++ b/beaconhinge/cli/soak.py
@@ -1,4 +1,4 @@
-"""`beaconhinge soak`: random faults that overlap, seed after seed, on real processes, on loopback alone."""
+"""`beaconhinge soak`: random overlapping faults, seed by seed, on dispatcher processes, on loopback only."""
 
 from __future__ import annotations
 
@@ -17,28 +17,29 @@
 
 
 def _parse_seeds(text: str) -> range:
+    """Parse one seed, or FIRST..LAST; raise BadParameter for other texts."""
     first, separator, last = text.partition("..")
     try:
         seeds = range(int(first), int(last if separator else first) + 1)
     except ValueError:
         seeds = range(0)
     if not seeds or seeds[0] < 0:
-        raise typer.BadParameter(f"{text}: a seed, or two as FIRST..LAST")
+        raise typer.BadParameter(f"{text}: expected a seed or a range FIRST..LAST of seeds, 0 or more")
     return seeds
 
 
 def soak(
-    seeds: Annotated[str, typer.Option(help="FIRST..LAST, or one seed.")] = "1..5",
-    processes: Annotated[int, typer.Option(min=2, max=MAX_PROCESSES, help="Dispatchers.")] = 12,
-    only: Annotated[str, typer.Option(help="Numbers of the faults to keep.")] = "",
+    seeds: Annotated[str, typer.Option(help="One seed, or FIRST..LAST.")] = "1..5",
+    processes: Annotated[int, typer.Option(min=2, max=MAX_PROCESSES, help="Number of dispatchers.")] = 12,
+    only: Annotated[str, typer.Option(help="Numbers of the faults to keep, such as 0,3.")] = "",
     shrink: Annotated[bool, typer.Option(help="Leave out faults while a seed still fails.")] = True,
-    as_json: Annotated[bool, typer.Option("--json", help="A line a seed, and the sum.")] = False,
+    as_json: Annotated[bool, typer.Option("--json", help="Print a JSON line per seed, and the sum.")] = False,
     logs: Annotated[Path | None, typer.Option(help="Folder for the logs of each seed.")] = None,
 ) -> int:
-    """Play seed after seed of random faults, and judge by what clients, workers and discovery recorded.
+    """Run random faults seed by seed, and check what clients, workers and discovery recorded.
 
-    Status 3 when a rule was broken, or when no fault hit anything. A failing seed is shrunk, and printed as
-    one command.
+    Exit status 3 when a rule was broken, or when no fault had any effect. A failing seed is shrunk to the
+    faults that it needs, and printed as one command that repeats it.
 
     Examples: beaconhinge soak --seeds 1..20; beaconhinge soak --seeds 7 --processes 20 --only 0,3
     """
@@ -91,7 +92,7 @@
 
 
 def _keep_faults(scenario: Scenario, only: str) -> Scenario:
-    """The scenario with the faults of these numbers alone; all of them if none is named."""
+    """Return the scenario with only the faults that `only` numbers, such as 0,3; all if it is empty."""
     import msgspec
 
     if not only:
@@ -100,16 +101,19 @@
         faults = [scenario.faults[int(number)] for number in only.split(",")]
         return msgspec.structs.replace(scenario, faults=faults)
     except (ValueError, IndexError):
-        raise typer.BadParameter(f"--only {only}: the faults are 0 to {len(scenario.faults) - 1}") from None
+        raise typer.BadParameter(
+            f"--only {only}: expected numbers of faults from 0 to {len(scenario.faults) - 1}"
+        ) from None
 
 
 def _print_shrunk(scenario: Scenario, processes: int) -> None:
+    """Shrink a failing scenario; print the command that repeats it, and the faults that remain."""
     from ..standin.rig.soak import shrink
 
     shrunk = shrink(scenario, lambda candidate: not _run_scenario(candidate).well)
     numbers = ",".join(str(scenario.faults.index(fault)) for fault in shrunk.faults)
     command = f"beaconhinge soak --seeds {scenario.seed} --processes {processes} --only {numbers}"
-    print(f"  again: {command}", flush=True)
+    print(f"  to repeat: {command}", flush=True)
     for fault in shrunk.faults:
         print(
             f"    {fault.at_s:.2f} s {fault.kind} for {fault.duration_s:.2f} s, "
--- a/beaconhinge/cli/store.py
+++ b/beaconhinge/cli/store.py
@@ -1,4 +1,4 @@
-"""`beaconhinge store`: look at a store on disk, check it, clean it, salvage it."""
+"""`beaconhinge store`: shows, verifies, compacts and repairs a store on disk, and measures the disk."""
 
 from __future__ import annotations
 
@@ -19,17 +19,17 @@
 
 app = typer.Typer(
     no_args_is_help=True,
-    help="Look at, check, clean and salvage a store. All but verify and "
-    "repair need the program that uses it to be stopped.",
+    help="Show, verify, compact and repair a store. All commands on a store but verify "
+    "need the program that uses it to be stopped.",
 )
 Folder = Annotated[Path, typer.Argument(exists=True, file_okay=False, help="The store's folder.")]
-AsJson = Annotated[bool, typer.Option("--json", help="For scripts.")]
-BROKEN = 3
+AsJson = Annotated[bool, typer.Option("--json", help="Print JSON, for scripts.")]
+DAMAGED = 3  # exit status
 
 
 @contextlib.contextmanager
-def _bar(title: str) -> Iterator[Callable[[int, int], None]]:
-    """A progress bar on a terminal, and nothing elsewhere."""
+def _progress_bar(title: str) -> Iterator[Callable[[int, int], None]]:
+    """Show a progress bar if standard error is a terminal; yield a function that takes done and total."""
     from rich.console import Console
     from rich.progress import BarColumn, DownloadColumn, Progress, TimeRemainingColumn
 
@@ -47,7 +47,7 @@
         yield lambda done, total: progress.update(task, completed=done, total=total)
 
 
-def _print(figures: dict[str, Any], as_json: bool) -> None:
+def _print_figures(figures: dict[str, Any], as_json: bool) -> None:
     if as_json:
         print(json.dumps(figures))
         return
@@ -55,20 +55,20 @@
         print(f"{name:28} {value:,}" if isinstance(value, int) else f"{name:28} {value}")
 
 
-def _listed(damage: Sequence[Damage]) -> list[dict[str, Any]]:
+def _damage_rows(damage: Sequence[Damage]) -> list[dict[str, Any]]:
     return [{"file": d.file, "offset": d.offset, "bytes": d.size, "reason": d.reason} for d in damage]
 
 
-def _print_listed(word: str, rows: list[dict[str, Any]]) -> None:
+def _print_damage_rows(label: str, rows: list[dict[str, Any]]) -> None:
     for row in rows:
-        print("{}: {file} at byte {offset}, {bytes} bytes: {reason}".format(word, **row))
+        print("{}: {file} at byte {offset}, {bytes} bytes: {reason}".format(label, **row))
 
 
 def _open(folder: Path) -> Store:
     from ..store import Store, StoreError
     from ..store.codec import MANIFEST
 
-    if not (folder / MANIFEST).exists():  # opening would make a new store there
+    if not (folder / MANIFEST).exists():  # Store.open would create a store there
         raise StoreError(f"{folder}: no store is in this folder")
     return Store.open(
         folder,
@@ -80,19 +80,21 @@
 
 @app.command()
 def stat(folder: Folder, as_json: AsJson = False) -> int:
-    """Keys, bytes and segments. Opens the store, so that a torn tail is cut off as at any start.
+    """Print the numbers of keys, bytes and segments.
+
+    This opens the store, which cuts off a torn tail, as every start does.
 
     Example: beaconhinge store stat /var/lib/beaconhinge --json
     """
     store = _open(folder)
-    _print(store.metrics(), as_json)
+    _print_figures(store.metrics(), as_json)
     store.shut()
     return 0
 
 
 @app.command()
 def verify(folder: Folder, as_json: AsJson = False) -> int:
-    """Read every byte and change nothing. Status 3 when damage is found.
+    """Read every byte of the store and report damage; nothing is changed. Exit status 3 when damage is found.
 
     Example: beaconhinge store verify /var/lib/beaconhinge
     """
@@ -102,35 +104,35 @@
     from ..store.repair import verify as check
 
     try:
-        with _bar("verifying") as progress:
-            found = check(RealDisk(folder, make=False), progress)
+        with _progress_bar("verifying") as progress:
+            result = check(RealDisk(folder, make=False), progress)
     except StoreCorrupt as error:
-        found = Verified(damage=[Damage(error.file, error.offset, 0, error.reason)])
-    damage = _listed(found.damage)
+        result = Verified(damage=[Damage(error.file, error.offset, 0, error.reason)])
+    damage = _damage_rows(result.damage)
     figures = {
-        "segments": found.segments,
-        "frames": found.frames,
-        "bytes": found.size,
-        "torn_tail_bytes": found.torn,
-        "unusable_indexes": found.indexes_unusable,
+        "segments": result.segments,
+        "frames": result.frames,
+        "bytes": result.size,
+        "torn_tail_bytes": result.torn,
+        "unusable_indexes": result.indexes_unusable,
     }
     if as_json:
         print(json.dumps({**figures, "well": not damage, "damage": damage}))
     else:
-        _print(figures, False)
-        _print_listed("damage", damage)
+        _print_figures(figures, False)
+        _print_damage_rows("damage", damage)
         print("damaged" if damage else "well")
-    return BROKEN if damage else 0
+    return DAMAGED if damage else 0
 
 
 @app.command()
 def dump(
     folder: Folder,
-    prefix: Annotated[str, typer.Option(help="Only keys that begin so.")] = "",
-    values: Annotated[bool, typer.Option(help="Values as well, in hexadecimal.")] = False,
+    prefix: Annotated[str, typer.Option(help="Print only keys that begin with this.")] = "",
+    values: Annotated[bool, typer.Option(help="Print values as well, in hexadecimal.")] = False,
     as_json: AsJson = False,
 ) -> int:
-    """Present keys in order, one a line.
+    """Print the keys in order, one per line, each with its value's size in bytes.
 
     Example: beaconhinge store dump /var/lib/beaconhinge --prefix books --values
     """
@@ -139,8 +141,8 @@
         for key, value in store.scan(os.fsencode(prefix)):
             name = key.decode("ascii", "backslashreplace")
             if as_json:
-                told = {"hex": value.hex()} if values else {}
-                print(json.dumps({"key": name, "bytes": len(value), **told}))
+                optional = {"hex": value.hex()} if values else {}
+                print(json.dumps({"key": name, "bytes": len(value), **optional}))
             else:
                 print(name, len(value), *([value.hex()] if values else []))
     finally:
@@ -150,12 +152,12 @@
 
 @app.command()
 def compact(folder: Folder, as_json: AsJson = False) -> int:
-    """Clean every segment that holds anything no longer wanted.
+    """Rewrite every segment that holds deleted or replaced values, to free disk space.
 
     Example: beaconhinge store compact /var/lib/beaconhinge
     """
 
-    async def work() -> dict[str, Any]:
+    async def compact_store() -> dict[str, Any]:
         store = _open(folder)
         before = store.engine.disk_bytes
         try:
@@ -164,17 +166,17 @@
         finally:
             await store.close()
 
-    _print(asyncio.run(work()), as_json)
+    _print_figures(asyncio.run(compact_store()), as_json)
     return 0
 
 
 @app.command()
 def repair(
     folder: Folder,
-    into: Annotated[Path, typer.Argument(help="A new folder for what is salvaged.")],
+    into: Annotated[Path, typer.Argument(help="A new or empty folder for the salvaged store.")],
     as_json: AsJson = False,
 ) -> int:
-    """Salvage every whole batch into a new folder and list what was lost. The old one stays as it is.
+    """Copy every intact batch into a new store and list what was lost. The old folder is not changed.
 
     Example: beaconhinge store repair /var/lib/beaconhinge /var/lib/beaconhinge-2
     """
@@ -183,7 +185,7 @@
     from ..store.repair import salvage
 
     if into.exists() and any(into.iterdir()):
-        raise typer.BadParameter(f"{into} is not empty")
+        raise typer.BadParameter(f"{into} is not empty: the salvaged store needs a new or empty folder")
     source = RealDisk(folder, make=False)
     try:
         source.lock()
@@ -191,34 +193,36 @@
         raise StoreLocked(f"{folder}: another process has this store open") from None
     target = RealDisk(into)
     target.lock()
-    with _bar("salvaging") as progress:
-        found = salvage(
+    with _progress_bar("salvaging") as progress:
+        result = salvage(
             source, target, Options(), lambda event, **fields: None, lambda: os.urandom(16), progress
         )
     source.unlock()
     target.unlock()
-    lost = _listed(found.lost)
+    lost = _damage_rows(result.lost)
     if as_json:
-        print(json.dumps({"batches": found.batches, "keys": found.keys, "lost": lost}))
+        print(json.dumps({"batches": result.batches, "keys": result.keys, "lost": lost}))
     else:
-        _print({"batches": found.batches, "keys": found.keys}, False)
-        _print_listed("lost", lost)
+        _print_figures({"batches": result.batches, "keys": result.keys}, False)
+        _print_damage_rows("lost", lost)
     return 0
 
 
 @app.command()
 def bench(
-    folder: Annotated[Path | None, typer.Argument(help="Where; else a temporary folder.")] = None,
+    folder: Annotated[
+        Path | None, typer.Argument(help="Folder to measure in; by default a temporary one.")
+    ] = None,
     commits: Annotated[int, typer.Option(min=1, max=1_000_000)] = 2000,
     writers: Annotated[int, typer.Option(min=1, max=1000)] = 64,
     as_json: AsJson = False,
 ) -> int:
-    """How fast this disk makes commits durable: by one writer, by many, and bare append with fdatasync.
+    """Measure durable commits per second: by one writer, by many, and by bare appends with fdatasync.
 
     Example: beaconhinge store bench /var/lib --commits 5000
     """
     from ..store.bench import measure
 
-    with _bar("measuring") as progress:
-        _print(measure(folder, commits, writers, progress), as_json)
+    with _progress_bar("measuring") as progress:
+        _print_figures(measure(folder, commits, writers, progress), as_json)
     return 0
--- a/beaconhinge/cli/terminated.py
+++ b/beaconhinge/cli/terminated.py
@@ -1,4 +1,4 @@
-"""SIGTERM ends a command that has started processes as Ctrl-C does: they are ended first."""
+"""Lets SIGTERM end a command as Ctrl-C does: the processes that it started are ended first."""
 
 from __future__ import annotations
 
@@ -11,7 +11,11 @@
 
 
 def run_until_terminated(work: Coroutine[Any, Any, Result]) -> Result:
-    """What the work comes to. Raises asyncio.CancelledError once it has cleaned up after a SIGTERM."""
+    """Run the coroutine and return its result; SIGTERM cancels it.
+
+    Raises:
+        asyncio.CancelledError: SIGTERM came, and the coroutine has cleaned up.
+    """
 
     async def terminable() -> Result:
         task = asyncio.ensure_future(work)
