--- a/benchmarks/lean.py
+++ b/benchmarks/lean.py
@@ -1,7 +1,10 @@
-"""This checkout beside another one as the platform starts them: `python benchmarks/lean.py OTHER [FILE]`.
+"""Compares this checkout with another one, both as the platform starts them.
 
-In paired rounds: seconds from the start to the line `started`, resident memory then, and CPU a request among
-the stand-ins at a fixed rate, with nothing of our own configured. Ratios are of this checkout to the other.
+    python benchmarks/lean.py OTHER [FILE]
+
+Measures in paired rounds: seconds from the start to the log line `started`, resident memory at that time,
+and CPU per request among stand-ins at a fixed rate, without this program's own TOML file. Ratios are of
+this checkout to the other.
 """
 
 from __future__ import annotations
@@ -20,36 +23,38 @@
 from beaconhinge.standin.harness import DemoFleet
 
 HERE = Path(__file__).resolve().parents[1]
-# Jobs a second, for so many seconds.
-RATE = 60.0
-SECONDS = 6.0
+RATE = 60.0  # requests per second
+SECONDS = 6.0  # for which a checkout serves in one measurement
 
 
-def resident(pid: int) -> float:
+def resident_mb(pid: int) -> float:
     """Return the resident memory of a process in megabytes."""
     return int(Path(f"/proc/{pid}/statm").read_text().split()[1]) * os.sysconf("SC_PAGE_SIZE") / 1e6
 
 
-def cpu(pid: int) -> float:
-    """Return the CPU that a process has used, in seconds."""
+def cpu_s(pid: int) -> float:
+    """Return the CPU that a process has cpu_used, in seconds."""
     user, system = Path(f"/proc/{pid}/stat").read_text().rsplit(")", 1)[1].split()[11:13]
     return (int(user) + int(system)) / os.sysconf("SC_CLK_TCK")
 
 
 async def measure(checkout: Path, seed: int, seconds: float = SECONDS) -> dict[str, float]:
-    """Start a checkout among the stand-ins; with seconds, have it serve for so long. Return the figures."""
+    """Start a checkout among stand-ins and return its figures by name, with the unit in the name.
+
+    It then serves requests for `seconds`; if that is 0, only the start is measured.
+    """
     with tempfile.TemporaryDirectory() as folder:
-        made = DemoFleet(6, RATE, seed, Path(folder))
-        made.write_configuration()
-        for server in (made.discovery.server, *(worker.server for worker in made.boxes)):
+        fleet = DemoFleet(6, RATE, seed, Path(folder))
+        fleet.write_configuration()
+        for server in (fleet.discovery.server, *(worker.server for worker in fleet.boxes)):
             server.start()
         environment = {
             "RELAY_CONFIG": f"{folder}/balancer.json",
             "PATH": os.environ["PATH"],
             "PYTHONPATH": str(checkout),
         }
-        begun = time.perf_counter()
-        made.process = await asyncio.create_subprocess_exec(
+        start_time = time.perf_counter()
+        fleet.process = await asyncio.create_subprocess_exec(
             sys.executable,
             "-O",
             "-m",
@@ -58,31 +63,34 @@
             env=environment,
             stderr=asyncio.subprocess.PIPE,
         )
-        assert made.process.stderr is not None
-        line = await made.process.stderr.readline()
+        assert fleet.process.stderr is not None
+        line = await fleet.process.stderr.readline()
         assert b" started " in line, line
-        started = time.perf_counter() - begun
-        memory, before = resident(made.process.pid), cpu(made.process.pid)
+        started = time.perf_counter() - start_time
+        memory, cpu_before = resident_mb(fleet.process.pid), cpu_s(fleet.process.pid)
         if not seconds:
-            made.process.kill()
-            await made.stop()
+            fleet.process.kill()
+            await fleet.stop()
             return {"start, s": started, "memory at the start, MB": memory}
-        await made.clients.run(seconds)
-        used, after = cpu(made.process.pid) - before, resident(made.process.pid)
-        assert made.clients.answers.total() == made.clients.asked
-        await made.stop()
+        await fleet.clients.run(seconds)
+        cpu_used, memory_after = cpu_s(fleet.process.pid) - cpu_before, resident_mb(fleet.process.pid)
+        assert fleet.clients.answers.total() == fleet.clients.asked
+        await fleet.stop()
         return {
             "start, s": started,
             "memory at the start, MB": memory,
-            "memory after, MB": after,
-            "CPU a request, ms": 1000 * used / made.clients.asked,
+            "memory after, MB": memory_after,
+            "CPU a request, ms": 1000 * cpu_used / fleet.clients.asked,
         }
 
 
 def paired(
     measure_one: Callable[[Path], dict[str, float]], other: Path, number: int
 ) -> tuple[dict[str, float], dict[str, float]]:
-    """Measure this checkout and the other, in an order that alternates: the second has warmer caches."""
+    """Measure this checkout and the other; return the figures in this order.
+
+    Which of them is measured first alternates with the round's number, as the second has warmer caches.
+    """
     if number % 2:
         second = measure_one(other)
         return measure_one(HERE), second
@@ -105,15 +113,15 @@
         paired(lambda checkout: asyncio.run(measure(checkout, 0, 0.0)), other, number)
         for number in range(4 * options.rounds)
     ]
-    for name in ("start, s", "memory at the start, MB"):  # cheap enough for more rounds
+    for name in ("start, s", "memory at the start, MB"):  # four times the rounds: a start alone is fast
         print(
             f"{name}: ratios from {min(a[name] / b[name] for a, b in starts):.3f} "
             f"to {max(a[name] / b[name] for a, b in starts):.3f}"
         )
-    for at, (a, b) in enumerate(rounds):
+    for index, (a, b) in enumerate(rounds):
         for name in ("start, s", "memory at the start, MB"):
             for side, figures in enumerate((a, b)):
-                figures[name] = median(pair[side][name] for pair in starts[4 * at : 4 * at + 4])
+                figures[name] = median(pair[side][name] for pair in starts[4 * index : 4 * index + 4])
     result: dict[str, dict[str, float]] = {}
     for name in rounds[0][0]:
         result[name] = {
--- a/benchmarks/leases.py
+++ b/benchmarks/leases.py
@@ -1,9 +1,9 @@
-"""How long it takes until a lease is held: free, given_up over, and after its holder was killed.
+"""Measures the time until a lease is held: a free one, a released one, and one whose holder was killed.
 
     python benchmarks/leases.py [--rounds 200] [--kills 10] [--write FILE]
 
-The first two are of nodes on loopback sockets in one process; the last is of real processes that act on a
-resource of its own. Figures in milliseconds. Run it on a machine that does nothing else.
+The first two are measured among nodes on loopback sockets in one process; the last among dispatcher processes
+that act on a resource in a process of its own. Figures are in milliseconds. Run it on an idle machine.
 """
 
 from __future__ import annotations
@@ -36,27 +36,28 @@
 from beaconhinge.store import Store
 
 LEASE_SPAN_S = 2.0
-# Of a wait for a change, between two looks.
-POLL_S = 0.005
+POLL_S = 0.005  # interval at which the lease acts are polled
 
 
 def _ignore(*_: object) -> None:
-    """Take no notice of an event."""
+    """Discard a log line or an event."""
 
 
 def summarize(name: str, seconds: Sequence[float]) -> dict[str, float]:
-    """Print median and 99th percentile in milliseconds, and return them."""
-    ordered = sorted(1000 * value for value in seconds)
-    last = ordered[min(len(ordered) - 1, int(0.99 * len(ordered)))]
-    figures = {"p50": statistics.median(ordered), "p99": last, "rounds": len(ordered)}
-    print(f"{name:<44} p50 {figures['p50']:8.1f}  p99 {figures['p99']:8.1f}  of {len(ordered)}", flush=True)
+    """Print median and 99th percentile in milliseconds, and return them with the number of rounds."""
+    ordered_ms = sorted(1000 * value for value in seconds)
+    p99_ms = ordered_ms[min(len(ordered_ms) - 1, int(0.99 * len(ordered_ms)))]
+    figures = {"p50": statistics.median(ordered_ms), "p99": p99_ms, "rounds": len(ordered_ms)}
+    print(
+        f"{name:<44} p50 {figures['p50']:8.1f}  p99 {figures['p99']:8.1f}  of {len(ordered_ms)}", flush=True
+    )
     return figures
 
 
-async def nodes(count: int, folder: Path | None) -> list[LeaseService]:
-    """Start so many members on loopback, with a store in a folder or without, and wait until they vote."""
+async def start_members(count: int, folder: Path | None) -> list[LeaseService]:
+    """Start `count` members on loopback and wait until they vote; their stores are in `folder`, if any."""
     addresses = [("127.0.0.1", free_port(socket.SOCK_DGRAM)) for _ in range(count)]
-    made = []
+    members = []
     for number in range(count):
         clock = Clock()
         metrics = Metrics(clock.now, writer=_ignore)
@@ -78,18 +79,18 @@
             Settings(enabled=True, span_s=LEASE_SPAN_S), config, store, peers, timers, metrics
         )
         leases.open()
-        made.append(leases)
+        members.append(leases)
     await asyncio.sleep(1.05 * LEASE_SPAN_S)
-    return made
+    return members
 
 
-async def granted(count: int, rounds: int, disk: bool) -> dict[str, dict[str, float]]:
-    """Measure the time to a free lease, and to one that its holder gives up."""
+async def measure_grants(count: int, rounds: int, disk: bool) -> dict[str, dict[str, float]]:
+    """Measure the time until a free lease is granted, and until a released one goes to the next holder."""
     with tempfile.TemporaryDirectory() as folder:
-        made = await nodes(count, Path(folder) if disk else None)
+        members = await start_members(count, Path(folder) if disk else None)
         free, given_up = [], []
         for number in range(rounds):
-            first, second = random.sample(made, 2)
+            first, second = random.sample(members, 2)
             name, began = f"lease-{number}", time.perf_counter()
             async with first.hold(name):
                 free.append(time.perf_counter() - began)
@@ -99,31 +100,31 @@
             await waiting
             given_up.append(time.perf_counter() - began)
             second.release(second.lease(name))
-        for leases in made:
+        for leases in members:
             if leases.store is not None:
                 await leases.store.close()
-    where = f"{count} members, {'with a disk' if disk else 'without'}"
+    group = f"{count} members, {'with a disk' if disk else 'without'}"
     return {
         name: summarize(name, values)
-        for name, values in ((f"free to granted, {where}", free), (f"given up to next, {where}", given_up))
+        for name, values in ((f"free to granted, {group}", free), (f"given up to next, {group}", given_up))
     }
 
 
 class KilledHolders(ScenarioRun):
-    """Kills whoever holds, again and again, and measures until somebody else acts."""
+    """Kills the holder of the lease repeatedly, and measures the time until another process acts under it."""
 
     kills = 10
 
     async def measure_waits(self) -> list[float]:
-        """Return the seconds from each kill to the next act."""
+        """Return the seconds from each kill to the next act under the lease."""
         acts, processes = self.record.lease_acts, self.topology.processes
         await self.start_stand_ins()
-        found: list[float] = []
+        waits: list[float] = []
         try:
             await asyncio.gather(*(process.start() for process in processes))
-            while len(found) < self.kills:
+            while len(waits) < self.kills:
                 count = len(acts)
-                while len(acts) < count + 10:  # noqa: ASYNC110 - the resource reports in lines of text
+                while len(acts) < count + 10:  # noqa: ASYNC110 - no event to wait for: the resource writes lines of text
                     await asyncio.sleep(POLL_S)
                 number = acts[-1].number
                 [holder] = [
@@ -134,20 +135,20 @@
                         for line in process.log_lines
                     )
                 ]
-                died = time.monotonic()
+                killed_at = time.monotonic()
                 await holder.end(signal.SIGKILL)
-                while acts[-1].number == number:  # noqa: ASYNC110 - the same
+                while acts[-1].number == number:  # noqa: ASYNC110 - as above
                     await asyncio.sleep(POLL_S)
-                found.append(acts[-1].begin - died)
+                waits.append(acts[-1].begin - killed_at)
                 await holder.start()
-                await asyncio.sleep(1.2 * LEASE_SPAN_S)  # it votes again
+                await asyncio.sleep(1.2 * LEASE_SPAN_S)  # until the restarted process votes again
         finally:
             await self.stop()
-        return found
+        return waits
 
 
-async def killed(count: int, kills: int) -> dict[str, dict[str, float]]:
-    """Measure the time from a holder's kill to the next act."""
+async def measure_kills(count: int, kills: int) -> dict[str, dict[str, float]]:
+    """Measure the time from the kill of a lease's holder to the next act under the lease."""
     with tempfile.TemporaryDirectory() as folder:
         scenario = Scenario(
             "killed",
@@ -166,13 +167,13 @@
 
 async def measure(rounds: int, kills: int) -> dict[str, dict[str, float]]:
     """Return all figures, by name."""
-    found: dict[str, dict[str, float]] = {}
+    figures: dict[str, dict[str, float]] = {}
     for count in (3, 5, 9):
         for disk in (False, True):
-            found |= await granted(count, rounds, disk)
+            figures |= await measure_grants(count, rounds, disk)
     for count in (3, 5):
-        found |= await killed(count, kills)
-    return found
+        figures |= await measure_kills(count, kills)
+    return figures
 
 
 def main() -> None:
@@ -182,9 +183,9 @@
     parser.add_argument("--kills", type=int, default=10)
     parser.add_argument("--write", type=Path)
     options = parser.parse_args()
-    found = uvloop.run(measure(options.rounds, options.kills))
+    figures = uvloop.run(measure(options.rounds, options.kills))
     if options.write:
-        options.write.write_text(json.dumps(found, indent=1))
+        options.write.write_text(json.dumps(figures, indent=1))
 
 
 if __name__ == "__main__":
--- a/benchmarks/loglines.py
+++ b/benchmarks/loglines.py
@@ -1,4 +1,4 @@
-"""What a log line costs in each form, and what its library costs at the start.
+"""Measures the time to write a log line in each format, and the time and memory to import its library.
 
 python benchmarks/loglines.py
 """
@@ -18,18 +18,19 @@
 
 LINES = 20_000
 ROUNDS = 5
-IMPORT = """
+# Prints the seconds and the megabytes of resident memory that a statement takes.
+IMPORT_SCRIPT = """
 import time
 def resident(): return int(open("/proc/self/statm").read().split()[1]) * 4096 / 1e6
-before, begun = resident(), time.perf_counter()
+before, start_time = resident(), time.perf_counter()
 {}
-print(time.perf_counter() - begun, resident() - before)
+print(time.perf_counter() - start_time, resident() - before)
 """
 
 
-def line_cost(metrics: Metrics) -> float:
-    """Return the microseconds that a line costs."""
-    begun = time.perf_counter()
+def line_cost_us(metrics: Metrics) -> float:
+    """Return the microseconds that writing one log line takes."""
+    start_time = time.perf_counter()
     for number in range(LINES):
         metrics.log(
             "worker_answer_unexpected",
@@ -40,11 +41,11 @@
             target="/render",
             why="no such script",
         )
-    return (time.perf_counter() - begun) / LINES * 1e6
+    return (time.perf_counter() - start_time) / LINES * 1e6
 
 
 def main() -> None:
-    """Print the cost of a line and of each library."""
+    """Print the cost of a line in each format, and of each import."""
 
     def structured(form: Literal["logfmt", "json"]) -> Callable[[TextIO], Metrics]:
         return lambda sink: Metrics(time.time, writer=writer(form, sink, time.time))
@@ -58,19 +59,22 @@
     with open(os.devnull, "w") as sink:
         for _ in range(ROUNDS):
             for name, make in forms.items():
-                rounds[name].append(line_cost(make(sink)))
+                rounds[name].append(line_cost_us(make(sink)))
     for name, costs in rounds.items():
         ratio = median(a / b for a, b in zip(costs, rounds["plain"], strict=True))
         print(f"{name:8} {median(costs):6.1f} us a line, {ratio:.2f} of plain")
-    for what in ("pass", "import logging", "import structlog", "import beaconhinge.__main__"):
+    for statement in ("pass", "import logging", "import structlog", "import beaconhinge.__main__"):
         runs = [
             subprocess.run(
-                [sys.executable, "-c", IMPORT.format(what)], capture_output=True, text=True, check=True
+                [sys.executable, "-c", IMPORT_SCRIPT.format(statement)],
+                capture_output=True,
+                text=True,
+                check=True,
             ).stdout.split()
             for _ in range(ROUNDS)
         ]
         print(
-            f"{what:28} {1000 * median(float(r[0]) for r in runs):7.1f} ms, "
+            f"{statement:28} {1000 * median(float(r[0]) for r in runs):7.1f} ms, "
             f"{median(float(r[1]) for r in runs):.1f} MB"
         )
 
--- a/benchmarks/module.py
+++ b/benchmarks/module.py
@@ -1,7 +1,10 @@
-"""CPU of the decision module for each event: `python benchmarks/module.py [FILE]`.
+"""Measures the CPU time that the decision module takes for each kind of event.
 
-Microseconds for a job, a notice, an outcome, a datagram and a timer, by size of group and fleet; ratios to
-the smallest size. One module is driven by itself, with as many jobs out as its part of the fleet has slots.
+    python benchmarks/module.py [FILE]
+
+Prints microseconds for a job, a notice, an outcome, a datagram and a timer, by number of dispatchers and of
+workers, with the ratios to the smallest size. One dispatcher is driven alone, with as many jobs in flight as
+its share of the fleet has slots.
 """
 
 from __future__ import annotations
@@ -19,19 +22,18 @@
 from beaconhinge.policy.interface import AttemptOutcome, NoticeKind, UpdateKind
 from beaconhinge.standin.fleet.plan import settings
 
-# Dispatchers, workers, and jobs of each measurement.
-GROUP_SIZES = (2, 10, 40, 200)
-FLEET_SIZES = (10, 60, 200, 600)
-JOBS = 1500
+GROUP_SIZES = (2, 10, 40, 200)  # dispatchers
+FLEET_SIZES = (10, 60, 200, 600)  # workers
+JOBS = 1500  # of each measurement
 KINDS = ("job", "notice", "outcome", "datagram", "timer")
 
 
 def create_dispatcher(group: int, workers: int) -> Dispatcher:
-    """Return a dispatcher that has its list of workers."""
+    """Return a started dispatcher with a list of `workers` workers, in a group of `group` dispatchers."""
     pairs = {**settings(5.0 * workers, True), "groupSize": str(group), "myNumber": "0"}
-    made = Dispatcher(interface.Settings.from_pairs(pairs), 1)
-    made.handle(1000.0, interface.Start())
-    made.handle(
+    dispatcher = Dispatcher(interface.Settings.from_pairs(pairs), 1)
+    dispatcher.handle(1000.0, interface.Start())
+    dispatcher.handle(
         1000.0,
         interface.MembershipUpdate(
             UpdateKind.BOOTSTRAP,
@@ -39,35 +41,35 @@
             [interface.MemberEntry(n * 7919 + 1, cell=n % 6, zone=n % 2) for n in range(workers)],
         ),
     )
-    return made
+    return dispatcher
 
 
 def measure(group: int, workers: int) -> dict[str, float]:
-    """Return the CPU for each event of a kind, in microseconds."""
+    """Return the mean CPU time of an event, in microseconds, by kind."""
     dispatcher, rng, now = create_dispatcher(group, workers), random.Random(1), 1000.0
-    spent_s = dict.fromkeys(KINDS, 0.0)
+    cpu_s = dict.fromkeys(KINDS, 0.0)
     counts = dict.fromkeys(KINDS, 0)
-    out: deque[interface.SendAttempt] = deque()
-    depth = max(2, 3 * workers // group)
+    in_flight: deque[interface.SendAttempt] = deque()
+    max_in_flight = max(2, 3 * workers // group)
 
     def feed(kind: str, event: interface.Event) -> None:
-        begun = time.process_time()
+        start_time = time.process_time()
         actions = dispatcher.handle(now, event)
-        spent_s[kind] += time.process_time() - begun
+        cpu_s[kind] += time.process_time() - start_time
         counts[kind] += 1
-        for sent in actions:
-            if isinstance(sent, interface.SendAttempt):
-                out.append(sent)
+        for action in actions:
+            if isinstance(action, interface.SendAttempt):
+                in_flight.append(action)
                 feed(
                     "notice",
-                    interface.ProgressNotice(sent.request, sent.worker, 0, NoticeKind.STARTED),
+                    interface.ProgressNotice(action.request, action.worker, 0, NoticeKind.STARTED),
                 )
 
     for number in range(JOBS):
         now += 0.01
         feed("job", interface.JobArrived(number, number % 2, number % 3, 20.0))
-        while len(out) > depth:
-            done = out.popleft()
+        while len(in_flight) > max_in_flight:
+            done = in_flight.popleft()
             feed(
                 "outcome",
                 interface.AttemptEnded(
@@ -80,7 +82,7 @@
         feed("datagram", interface.PeerMessage(peer, payload))
         if number % 10 == 0:
             feed("timer", interface.TimerFired(TICK_TIMER))
-    return {kind: 1e6 * spent_s[kind] / max(1, counts[kind]) for kind in KINDS}
+    return {kind: 1e6 * cpu_s[kind] / max(1, counts[kind]) for kind in KINDS}
 
 
 def main() -> None:
--- a/benchmarks/recovery.py
+++ b/benchmarks/recovery.py
@@ -1,8 +1,8 @@
-"""Keyed jobs, ejections and service through faults between real processes, recovery on and off, seed by seed.
+"""Counts repeated keyed jobs and ejections through faults of dispatcher processes, with recovery on and off.
 
     python benchmarks/recovery.py [--seeds 10] [--write FILE]
 
-Each run takes some 16 s; four run at a time. Run it on a machine that does nothing else.
+Each scenario is run with each seed. A run takes about 16 s; four run at a time. Run it on an idle machine.
 """
 
 from __future__ import annotations
@@ -24,11 +24,11 @@
 
 
 def figures(verdict: Verdict) -> dict[str, float]:
-    """Return the figures of one run."""
-    twice = sum(1 for line in verdict.broken if line.startswith("key "))
+    """Return the figures of one run, by name."""
+    ran_twice = sum(1 for line in verdict.broken if line.startswith("key "))
     return {
         "keys": verdict.keys,
-        "ran twice": twice,
+        "ran twice": ran_twice,
         "without a result": verdict.keys_unanswered,
         "healthy boxes benched": sum(verdict.benched.values()),
         "stalls": verdict.counters.get("stalls", 0),
@@ -36,11 +36,16 @@
 
 
 async def run_all(seeds: int) -> dict[str, dict[str, list[dict[str, float]]]]:
-    """Run each scenario under each seed, with recovery on and off."""
+    """Run each scenario with each seed, recovery on and off; return the figures of each run.
+
+    They are listed by the scenario's name and by "on" or "off", in the order in which the runs ended.
+    """
     limit = asyncio.Semaphore(MAX_CONCURRENT_RUNS)
-    found: dict[str, dict[str, list[dict[str, float]]]] = {name: {"off": [], "on": []} for name in SCENARIOS}
+    figures_by_scenario: dict[str, dict[str, list[dict[str, float]]]] = {
+        name: {"off": [], "on": []} for name in SCENARIOS
+    }
 
-    async def one(name: str, on: bool, seed: int) -> None:
+    async def run_one(name: str, recovery: bool, seed: int) -> None:
         scenario = Scenario(
             name,
             seed=seed,
@@ -49,16 +54,23 @@
             keyed=0.4,
             seconds=14.0,
             client_timeout_s=4.0,
-            recovery=on,
+            recovery=recovery,
             faults=SCENARIOS[name],
         )
         async with limit:
-            found[name]["on" if on else "off"].append(figures(await run_scenario(scenario)))
+            figures_by_scenario[name]["on" if recovery else "off"].append(
+                figures(await run_scenario(scenario))
+            )
 
     await asyncio.gather(
-        *(one(name, on, seed) for seed in range(1, seeds + 1) for name in SCENARIOS for on in (False, True))
+        *(
+            run_one(name, recovery, seed)
+            for seed in range(1, seeds + 1)
+            for name in SCENARIOS
+            for recovery in (False, True)
+        )
     )
-    return found
+    return figures_by_scenario
 
 
 def main() -> None:
@@ -67,18 +79,18 @@
     parser.add_argument("--seeds", type=int, default=10)
     parser.add_argument("--write", type=Path)
     options = parser.parse_args()
-    found = asyncio.run(run_all(options.seeds))
+    figures_by_scenario = asyncio.run(run_all(options.seeds))
     print(f"{'scenario':<12} {'recovery':<8} {'figure':<24} {'sum':>6} {'median':>7} {'worst':>6}")
-    for name, both in found.items():
-        for way, rows in both.items():
+    for name, by_recovery in figures_by_scenario.items():
+        for recovery, rows in by_recovery.items():
             for figure in rows[0]:
                 values = [row[figure] for row in rows]
                 print(
-                    f"{name:<12} {way:<8} {figure:<24} {sum(values):>6} {statistics.median(values):>7g} "
+                    f"{name:<12} {recovery:<8} {figure:<24} {sum(values):>6} {statistics.median(values):>7g} "
                     f"{max(values):>6}"
                 )
     if options.write:
-        options.write.write_text(json.dumps(found, indent=1))
+        options.write.write_text(json.dumps(figures_by_scenario, indent=1))
 
 
 if __name__ == "__main__":
