--- a/tests/cli/test_soak.py
+++ b/tests/cli/test_soak.py
@@ -1,4 +1,4 @@
-"""`beaconhinge soak`, its draw, its shrinking, and the shim that makes system calls fail."""
+"""`beaconhinge soak`: the drawn scenarios, their shrinking, and the shim that makes system calls fail."""
 
 from __future__ import annotations
 
@@ -35,7 +35,7 @@
 }
 
 
-def test_the_draw_is_the_same_for_a_seed_and_holds_every_kind_over_some() -> None:
+def test_draw_is_deterministic_and_seeds_cover_every_kind_of_fault() -> None:
     scenarios = [draw_soak(seed, 12) for seed in range(120)]
     assert draw_soak(7, 12) == scenarios[7]
     assert len({repr(scenario.faults) for scenario in scenarios}) == 120
@@ -58,14 +58,15 @@
     assert len(overlapping) > 100
 
 
-def test_a_failing_scenario_is_shrunk_to_the_faults_that_it_needs() -> None:
+def test_failing_scenario_is_shrunk_to_the_faults_it_needs() -> None:
     scenario = draw_soak(3, 12)
     needed = scenario.faults[2]
-    less = shrink(scenario, lambda tried: needed in tried.faults)
-    assert less.faults == [scenario.faults[0], needed]  # the drain stays
-    assert msgspec.structs.replace(less, faults=[]) == msgspec.structs.replace(scenario, faults=[])
+    shrunk = shrink(scenario, lambda candidate: needed in candidate.faults)
+    assert shrunk.faults == [scenario.faults[0], needed]  # the drain is always kept
+    assert msgspec.structs.replace(shrunk, faults=[]) == msgspec.structs.replace(scenario, faults=[])
 
 
+# Makes the system calls that the shim can make fail; errors are ignored.
 PROBE = """
 import socket, sys, time
 server = socket.create_server(("127.0.0.1", 0))
@@ -84,7 +85,7 @@
 """
 
 
-def test_the_shim_makes_each_kind_of_call_fail_and_counts_it(tmp_path: Path) -> None:
+def test_shim_makes_each_kind_of_call_fail_and_counts_it(tmp_path: Path) -> None:
     library, counts = shim.build_library(tmp_path), tmp_path / "counts"
     environment = shim.environment(
         library, counts, "accept=0.2,connect=0.2,short=0.3,step=3600,socket=0.2", 5
@@ -96,7 +97,9 @@
     assert shim.read_hits(tmp_path / "none") == {}
 
 
-def test_without_a_compiler_the_shim_says_so(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
+def test_shim_without_a_compiler_raises_a_clear_error(
+    tmp_path: Path, monkeypatch: pytest.MonkeyPatch
+) -> None:
     monkeypatch.setenv("PATH", str(tmp_path))
     with pytest.raises(shim.ShimError, match="compiler"):
         shim.build_library(tmp_path)
@@ -108,8 +111,8 @@
     assert "seed" in capsys.readouterr().err
 
 
-def test_a_soak_that_is_terminated_leaves_no_process_behind() -> None:
-    """Its dispatchers went on, and called ports that other programs had got meanwhile."""
+def test_terminated_soak_leaves_no_process_behind() -> None:
+    """Guards against dispatchers that outlive a soak: they called ports that other programs had since opened."""
     command = [
         sys.executable,
         "-c",
@@ -122,8 +125,8 @@
     ]
     with subprocess.Popen(command, stdout=subprocess.DEVNULL, stderr=subprocess.DEVNULL) as soak:
         children = Path(f"/proc/{soak.pid}/task/{soak.pid}/children")
-        until = time.monotonic() + 20.0
-        while len(started := children.read_text().split()) < 3 and time.monotonic() < until:
+        deadline = time.monotonic() + 20.0
+        while len(started := children.read_text().split()) < 3 and time.monotonic() < deadline:
             time.sleep(0.05)
         soak.terminate()
         assert soak.wait(20) != 0
@@ -131,8 +134,8 @@
     assert not [pid for pid in started if Path(f"/proc/{pid}/cmdline").exists()]
 
 
-def test_a_fixed_seed_runs_and_breaks_nothing(capsys: pytest.CaptureFixture[str]) -> None:
-    """A drain with three ways of being spoilt, a stop, a kill and a worker that hangs, and failing system calls."""
+def test_fixed_seed_breaks_no_rule(capsys: pytest.CaptureFixture[str]) -> None:
+    """A drain with three kinds of spoilt discovery answers, a stop, a kill, a hanging worker, failing calls."""
     assert main(["soak", "--seeds", "104", "--processes", "10"]) == 0
     out = capsys.readouterr().out
     assert "failed: none" in out
@@ -140,10 +143,13 @@
     assert "shim_short_write" in out
 
 
-def test_fixed_seeds_with_early_kills_and_answers_without_an_end_break_nothing(
+def test_fixed_seeds_with_early_kills_and_endless_answers_break_no_rule(
     capsys: pytest.CaptureFixture[str],
 ) -> None:
-    """Two deployments with deadlines of 0.8 s: restarts with signals in series, crowds, lists that stop or trickle."""
+    """Two deployments with deadlines of 0.8 s.
+
+    Their faults are restarts with a series of signals, crowds of clients, and lists that stop or trickle.
+    """
     failed = [seed for seed in (2035, 2285) if main(["soak", "--seeds", str(seed), "--processes", "8"])]
     out = capsys.readouterr().out
     assert not failed, out
@@ -151,5 +157,5 @@
     for kind in ("restart", "crowd", "reload", "stop", "spoil", "drain-at-read"):
         assert f"{kind} 0" not in out
         assert f" {kind} " in out
-    # No whole list has to be read within the seconds of a fault: one of the two seeds is to meet it.
+    # A dispatcher need not read a whole list during a `reads` fault, so only one of the two seeds has to.
     assert sum(int(hits) for hits in re.findall(r" reads (\d+)", out)) > 0
--- a/tests/config/test_platform.py
+++ b/tests/config/test_platform.py
@@ -1,4 +1,4 @@
-"""The platform's configuration: what is read, what is refused, and by which key."""
+"""The platform's configuration: defaults, the environment, and errors that name the invalid key."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 from beaconhinge.config import ConfigError, flatten, load, parse
 
 ROOT = Path(__file__).resolve().parents[2]
-GIVEN: dict[str, Any] = {
+VALID: dict[str, Any] = {
     "name": "n0",
     "listen": "127.0.0.1:9000",
     "discovery": "127.0.0.1:8500",
@@ -24,7 +24,7 @@
 }
 
 
-def test_nested_settings_become_the_pairs_of_the_module() -> None:
+def test_nested_settings_are_flattened_to_pairs() -> None:
     assert flatten(
         {"a": {"b": True, "c": [1, 2.5], "d": "x y,z"}, "e": [{"f": False}, {"f": None}], "g": []}
     ) == {
@@ -38,8 +38,8 @@
     }
 
 
-def test_a_good_configuration_is_read_with_defaults() -> None:
-    config = parse(GIVEN)
+def test_valid_configuration_gets_defaults() -> None:
+    config = parse(VALID)
     assert (config.listen, config.seed, config.limits.sockets) == (("127.0.0.1", 9000), 0x8C1F, 1024)
     assert (config.class_names, config.tenant_names) == (("render", "publish"), ("acme", "umbrella"))
     assert (config.needs_key(0), config.needs_key(1), config.bootstrap_list) == (False, True, None)
@@ -47,13 +47,14 @@
     assert config.settings.free_slots_field == "x0"
 
 
-def changed(path: str, value: Any) -> dict[str, Any]:
-    content: dict[str, Any] = json.loads(json.dumps(GIVEN))
-    at: Any = content
+def with_value(path: str, value: Any) -> dict[str, Any]:
+    """Return a copy of the valid configuration with another value at a dotted path."""
+    content: dict[str, Any] = json.loads(json.dumps(VALID))
+    parent: Any = content
     *parents, last = (int(step) if step.isdigit() else step for step in path.split("."))
     for step in parents:
-        at = at[step]
-    at[last] = value
+        parent = parent[step]
+    parent[last] = value
     return content
 
 
@@ -91,14 +92,14 @@
         ("settings.dcs", [["east"]]),
     ],
 )
-def test_a_bad_configuration_is_refused_by_the_name_of_its_key(key: str, value: Any) -> None:
+def test_invalid_configuration_error_names_the_key(key: str, value: Any) -> None:
     last = key.split(".")[-1] if not key.split(".")[-1].isdigit() else "requestClasses"
     with pytest.raises(ConfigError, match=last):
-        parse(changed(key, value))
+        parse(with_value(key, value))
 
 
 @pytest.mark.parametrize("content", [None, b"{", b"[]", b"\xff", b"[" * 100000])
-def test_a_configuration_that_cannot_be_read_ends_the_start_with_one_line(
+def test_unreadable_configuration_fails_the_start_with_one_line(
     tmp_path: Path, content: bytes | None
 ) -> None:
     path = tmp_path / "config.json"
@@ -116,9 +117,9 @@
     assert re.fullmatch(r"beaconhinge: RELAY_CONFIG: [^\n]+\n", done.stderr)
 
 
-def test_the_environment_stands_in_for_keys_that_the_file_lacks(tmp_path: Path) -> None:
+def test_environment_gives_keys_that_the_file_lacks(tmp_path: Path) -> None:
     path = tmp_path / "config.json"
-    path.write_text(json.dumps({key: value for key, value in GIVEN.items() if key != "listen"}))
+    path.write_text(json.dumps({key: value for key, value in VALID.items() if key != "listen"}))
     assert load({"RELAY_CONFIG": str(path), "RELAY_LISTEN": "127.0.0.1:7"}).listen == ("127.0.0.1", 7)
     with pytest.raises(ConfigError, match="RELAY_CONFIG"):
         load({})
--- a/tests/logs/test_log_forms.py
+++ b/tests/logs/test_log_forms.py
@@ -1,4 +1,4 @@
-"""Log lines in each form carry the same events and fields, and no peer's bytes make up lines of their own."""
+"""Log lines in each format have the same events and fields, and bytes from a peer cannot forge a line."""
 
 from __future__ import annotations
 
@@ -14,6 +14,7 @@
 
 
 def lines(form: Literal["logfmt", "json"], act: Callable[[Metrics], Any]) -> list[str]:
+    """Return the log lines that `act` writes in this format, at a clock that stays at 12.5 s."""
     sink = io.StringIO()
     act(Metrics(lambda: 12.5, writer=writer(form, sink, lambda: 12.5)))
     return sink.getvalue().splitlines()
@@ -37,27 +38,27 @@
 
 
 @pytest.mark.parametrize("form", ["logfmt", "json"])
-def test_values_are_bounded_and_forge_nothing(form: Literal["logfmt", "json"]) -> None:
-    evil = 'x\nevent=stopped time=1 "' + "\x00é" + "y" * 5000
-    [line] = lines(form, lambda s: s.count_and_log("client_message_malformed", why=evil))
+def test_values_are_bounded_and_cannot_forge_a_line(form: Literal["logfmt", "json"]) -> None:
+    forged = 'x\nevent=stopped time=1 "' + "\x00é" + "y" * 5000
+    [line] = lines(form, lambda s: s.count_and_log("client_message_malformed", why=forged))
     assert len(line) < 600
     assert line.isascii()
     if form == "json":
-        told = json.loads(line)
-        assert told["event"] == "client_message_malformed"
-        assert told["total"] == 1
+        fields = json.loads(line)
+        assert fields["event"] == "client_message_malformed"
+        assert fields["total"] == 1
 
 
 @pytest.mark.parametrize("form", ["logfmt", "json"])
-def test_complaints_are_limited_and_counted_in_each_form(form: Literal["logfmt", "json"]) -> None:
-    def act(metrics: Metrics) -> None:
+def test_repeated_complaints_are_rate_limited(form: Literal["logfmt", "json"]) -> None:
+    def repeat_complaint(metrics: Metrics) -> None:
         for _ in range(5):
             metrics.count_and_log("sockets_short", worker="w")
 
-    assert len(lines(form, act)) == 1
+    assert len(lines(form, repeat_complaint)) == 1
 
 
-def test_a_log_that_nobody_reads_any_more_ends_nothing() -> None:
+def test_broken_log_pipe_is_counted_and_raises_nothing() -> None:
     class Broken(io.StringIO):
         def write(self, text: str) -> int:
             raise BrokenPipeError
