--- a/beaconhinge/cli/leases.py
+++ b/beaconhinge/cli/leases.py
@@ -22,9 +22,9 @@
 Mgmt = Annotated[str, typer.Option("--mgmt", help="A dispatcher's `mgmt` address.")]
 AsJson = Annotated[bool, typer.Option("--json", help="Print JSON, for scripts.")]
 Name = Annotated[str, typer.Argument(help="Name of the lease, such as export.")]
-CALL_TIMEOUT_S = 2.0  # of a call to a dispatcher
+CALL_TIMEOUT_S = 2.0  # for each wait in a call to a dispatcher
 RENEW_INTERVAL_S = 0.25  # between calls that renew a held lease
-SLOT_WAIT_S = 0.75  # wait for one slot of a lease with several slots, before the next slot is tried
+SLOT_WAIT_S = 0.75  # after which the next slot of a lease with several slots is tried
 TERM_BEFORE_END_S = 0.5  # SIGTERM is sent to the command this long before the lease ends
 KILL_BEFORE_END_S = 0.1  # SIGKILL is sent to the command this long before the lease ends
 
@@ -37,7 +37,7 @@
     """Send an operators' call, and return the text after SUCCESS, or the lines before EOT.
 
     Raises:
-        CallFailed: The answer is FAILURE, or none came within 2 s.
+        CallFailed: The answer is FAILURE, or the dispatcher did not accept or answer the call in 2 s.
         ConfigError: `mgmt` is not an address.
     """
     host_and_port = address(mgmt, "--mgmt")
@@ -94,7 +94,9 @@
     command: Annotated[list[str], typer.Argument(help="The command to run, after --.")],
     mgmt: Mgmt,
     slots: Annotated[int, typer.Option(min=1, max=999, help="How many may hold the lease at once.")] = 1,
-    every: Annotated[float, typer.Option(min=0.0, help="Seconds between two runs; 0: run once.")] = 0.0,
+    every: Annotated[
+        float, typer.Option(min=0.0, help="Run at each multiple of this many seconds; 0: once.")
+    ] = 0.0,
 ) -> int:
     """Wait for a lease, then run a command while it is held.
 
@@ -129,14 +131,14 @@
     """Run a command under one of these leases; return its exit status, or 1 if the lease was lost."""
     name, number, end = await _wait_for_lease(names, mgmt)
     try:
-        left = str(max(0, int(1000 * (end - time.monotonic()))))
+        left_ms = str(max(0, int(1000 * (end - time.monotonic()))))
         process = await asyncio.create_subprocess_exec(
             *command,
             env={
                 **os.environ,
                 "BEACONHINGE_LEASE": name,
                 "BEACONHINGE_LEASE_NUMBER": str(number),
-                "BEACONHINGE_LEASE_LEFT_MS": left,
+                "BEACONHINGE_LEASE_LEFT_MS": left_ms,
             },
         )
         exited, lost = asyncio.create_task(process.wait()), False
--- a/beaconhinge/cli/logs.py
+++ b/beaconhinge/cli/logs.py
@@ -24,7 +24,7 @@
 ) -> int:
     """Print how often each event was logged, by second and by dispatcher, and the sums of all counters.
 
-    Each file is the log of one dispatcher, with plain or JSON lines; the file's name is taken as its name.
+    Each file is the log of one dispatcher, which is named after the file; lines may be plain or JSON.
 
     Example: beaconhinge logs sum /var/log/beaconhinge/*.log
     """
--- a/beaconhinge/cli/store.py
+++ b/beaconhinge/cli/store.py
@@ -94,7 +94,9 @@
 
 @app.command()
 def verify(folder: Folder, as_json: AsJson = False) -> int:
-    """Read every byte of the store and report damage; nothing is changed. Exit status 3 when damage is found.
+    """Read every byte and report damage; change nothing.
+
+    Exit status 3 when damage is found.
 
     Example: beaconhinge store verify /var/lib/beaconhinge
     """
@@ -132,7 +134,7 @@
     values: Annotated[bool, typer.Option(help="Print values as well, in hexadecimal.")] = False,
     as_json: AsJson = False,
 ) -> int:
-    """Print the keys in order, one per line, each with its value's size in bytes.
+    """Print the keys in order, with their values' sizes in bytes.
 
     Example: beaconhinge store dump /var/lib/beaconhinge --prefix books --values
     """
@@ -152,7 +154,9 @@
 
 @app.command()
 def compact(folder: Folder, as_json: AsJson = False) -> int:
-    """Rewrite every segment that holds deleted or replaced values, to free disk space.
+    """Rewrite every segment with deleted or replaced values.
+
+    This frees the disk space that these values take.
 
     Example: beaconhinge store compact /var/lib/beaconhinge
     """
@@ -217,7 +221,9 @@
     writers: Annotated[int, typer.Option(min=1, max=1000)] = 64,
     as_json: AsJson = False,
 ) -> int:
-    """Measure durable commits per second: by one writer, by many, and by bare appends with fdatasync.
+    """Measure how many durable commits per second a disk makes.
+
+    The figures are for one writer, for many, and for bare appends with fdatasync.
 
     Example: beaconhinge store bench /var/lib --commits 5000
     """
