--- a/tests/cli/test_cli.py
+++ b/tests/cli/test_cli.py
@@ -212,7 +212,7 @@
 
 
 def test_start_imports_no_optional_library_or_subsystem() -> None:
-    """The start that the platform makes must be short and small, so optional parts are imported on use only."""
+    """The platform's start must be fast and use little memory: optional parts are imported only on use."""
     code = (
         "import sys, beaconhinge.__main__; "
         "print(sorted({'typer', 'rich', 'structlog', 'msgspec', 'sortedcontainers', 'google_crc32c', "
--- a/tests/cli/test_soak.py
+++ b/tests/cli/test_soak.py
@@ -112,7 +112,7 @@
 
 
 def test_terminated_soak_leaves_no_process_behind() -> None:
-    """Guards against dispatchers that outlive a soak: they called ports that other programs had since opened."""
+    """Guards against dispatchers that outlive a soak: they called ports that others had opened since."""
     command = [
         sys.executable,
         "-c",
@@ -135,7 +135,7 @@
 
 
 def test_fixed_seed_breaks_no_rule(capsys: pytest.CaptureFixture[str]) -> None:
-    """A drain with three kinds of spoilt discovery answers, a stop, a kill, a hanging worker, failing calls."""
+    """A drain with three kinds of spoilt answers, a stop, a kill, a hanging worker, failing system calls."""
     assert main(["soak", "--seeds", "104", "--processes", "10"]) == 0
     out = capsys.readouterr().out
     assert "failed: none" in out
--- a/tests/golden/conftest.py
+++ b/tests/golden/conftest.py
@@ -1,4 +1,4 @@
-"""What is started with the first test and read by the last one."""
+"""Clients that are slow on purpose: started with the first golden test; the last test checks the answers."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 @pytest.fixture(scope="session")
 def slow_messages(tmp_path_factory: pytest.TempPathFactory) -> Iterator[SlowMessages]:
-    """Started by whoever asks first; `test_waits.py` reads the answers."""
+    """Clients that send incomplete messages to a process; `test_waits.py` checks the answers."""
     discovery = Discovery()
     process = Process(tmp_path_factory.mktemp("slow"), discovery.port)
     with running(process, discovery):
@@ -27,5 +27,5 @@
 
 
 @pytest.fixture(autouse=True)
-def _early(slow_messages: SlowMessages) -> None:
-    """Have them begin with the first test of this folder."""
+def _start_early(slow_messages: SlowMessages) -> None:
+    """Start the slow clients with the first test of this folder, so that the others run while they wait."""
--- a/tests/golden/golden_files.py
+++ b/tests/golden/golden_files.py
@@ -1,7 +1,7 @@
-"""Golden files: what the program answered before it was renamed, and the comparison with what it answers now.
+"""Golden files: recorded output of the program, and the comparison with its present output.
 
-`WRITE_GOLDEN=1 pytest tests/golden` writes the files in place of comparing. That is for the author of a
-deliberate change of behaviour; the tests themselves never write.
+`WRITE_GOLDEN=1 pytest tests/golden` rewrites the files first; use it only for a deliberate change of
+behaviour. Without this variable the tests never write them.
 """
 
 from __future__ import annotations
@@ -14,7 +14,7 @@
 
 
 def check_text(name: str, found: str) -> None:
-    """Compare a text with the golden file of that name, line by line."""
+    """Assert that a text equals the golden file `name`, line by line."""
     path = DATA / name
     if os.environ.get("WRITE_GOLDEN") == "1":
         path.write_bytes(found.encode())
@@ -22,7 +22,7 @@
 
 
 def check_cases(name: str, found: dict[str, object]) -> None:
-    """Compare named cases with the golden JSON file of that name. Bytes in them become lists of their lines."""
+    """Assert that named cases equal the golden JSON file `name`; bytes in them become lists of lines."""
     path = DATA / name
     readable = json.loads(json.dumps(found, default=lines_of))
     if os.environ.get("WRITE_GOLDEN") == "1":
@@ -31,6 +31,6 @@
 
 
 def lines_of(data: object) -> list[str]:
-    """Bytes as text lines which keep their ends; each byte is one character, so that none is lost."""
+    """Return bytes as text lines with their line ends; each byte becomes one character, so none is lost."""
     assert isinstance(data, bytes)
     return data.decode("latin-1").splitlines(keepends=True)
--- a/tests/golden/golden_ports.py
+++ b/tests/golden/golden_ports.py
@@ -1,4 +1,4 @@
-"""The one place in this folder that imports from the program: how tests reserve free ports."""
+"""Free ports for tests; the only module in this folder that imports from the program."""
 
 from beaconhinge.standin.ports import free_port
 
--- a/tests/golden/golden_process.py
+++ b/tests/golden/golden_process.py
@@ -1,6 +1,6 @@
-"""The program as its users have it: a process with a JSON configuration, raw sockets and bytes around it.
+"""Runs the program as its users do: a process with a JSON configuration, and raw sockets that exchange bytes.
 
-Nothing here imports the program, so nothing here changes when the program's own names do.
+Nothing here imports the program (but `golden_ports`), so renames in the program do not change these tests.
 """
 
 from __future__ import annotations
@@ -23,7 +23,7 @@
 from golden_ports import free_port
 
 ROOT = Path(__file__).resolve().parents[2]
-PATIENCE_S = 20.0  # for any one condition, on a machine that is loaded
+MAX_WAIT_S = 20.0  # for each wait; long enough for a machine under load
 HOST = "127.0.0.1"
 
 SETTINGS: dict[str, Any] = {
@@ -74,7 +74,7 @@
 
 
 def settings(**changes: Any) -> dict[str, Any]:
-    """The settings with changes; a double underscore parts the names of a path."""
+    """Return the settings with changes; a double underscore separates the names of a nested key."""
     changed = copy.deepcopy(SETTINGS)
     for path, value in changes.items():
         *tables, last = path.split("__")
@@ -85,17 +85,17 @@
     return changed
 
 
-def wait_for(condition: Callable[[], Any], what: str, seconds: float = PATIENCE_S) -> Any:
-    """The first true value of the condition."""
-    end = time.monotonic() + seconds
+def wait_for(condition: Callable[[], Any], description: str, seconds: float = MAX_WAIT_S) -> Any:
+    """Poll the condition until its value is true, and return that; fail after `seconds`."""
+    deadline = time.monotonic() + seconds
     while not (found := condition()):
-        assert time.monotonic() < end, f"waited {seconds:g} s in vain for {what}"
+        assert time.monotonic() < deadline, f"timed out after {seconds:g} s while waiting for {description}"
         time.sleep(0.01)
     return found
 
 
 def read_message(connection: socket.socket, before: bytes = b"") -> bytes:
-    """The bytes of one HTTP message whose length its head says; empty if the other side has ended."""
+    """Read one HTTP message, with the body that its Content-Length gives; empty if the peer has closed."""
     data = before
     while b"\r\n\r\n" not in data:
         part = connection.recv(65536)
@@ -106,18 +106,18 @@
     length = re.search(rb"(?i)\r\ncontent-length: *(\d+)", head)
     while length is not None and len(body) < int(length[1]):
         part = connection.recv(65536)
-        assert part, f"the connection ended within a body: {data!r}"
+        assert part, f"the connection was closed within a body: {data!r}"
         body += part
     return head + b"\r\n\r\n" + body
 
 
 def connect(port: int) -> socket.socket:
-    """A connection on loopback, with a limit on each wait."""
-    return socket.create_connection((HOST, port), timeout=PATIENCE_S)
+    """Connect to a port on loopback, with a timeout of 20 s for each operation."""
+    return socket.create_connection((HOST, port), timeout=MAX_WAIT_S)
 
 
 def read_to_end(connection: socket.socket) -> bytes:
-    """All bytes until the other side ends or breaks the connection."""
+    """Return all bytes until the peer closes or resets the connection."""
     data = b""
     with contextlib.suppress(ConnectionError):
         while part := connection.recv(65536):
@@ -126,7 +126,7 @@
 
 
 def exchange(port: int, data: bytes) -> bytes:
-    """The one answer to these bytes, on a connection of its own."""
+    """Send bytes on a new connection, and return the first answer."""
     with connect(port) as connection:
         connection.sendall(data)
         return read_message(connection)
@@ -135,7 +135,7 @@
 def request(
     path: str = "/render", body: bytes = b"work", method: str = "POST", **headers: str | None
 ) -> bytes:
-    """A request as clients write it; headers given as None are left out."""
+    """Return a client's request; underscores in header names become dashes, headers of None are left out."""
     fields: dict[str, str | None] = {
         "X_Request_ID": "r1",
         "X_Tenant_Id": "acme",
@@ -150,15 +150,15 @@
 
 
 def answer(status: int, body: bytes = b"", **headers: str) -> bytes:
-    """An answer as workers and discovery write it."""
+    """Return an answer as workers and discovery send it."""
     lines = "".join(f"{name.replace('_', '-')}: {value}\r\n" for name, value in headers.items())
     return f"HTTP/1.1 {status} X\r\nContent-Length: {len(body)}\r\n{lines}\r\n".encode() + body
 
 
 class RecordingServer:
-    """A worker, or discovery: keeps each request's bytes and answers as its script says.
+    """A worker or discovery: records the bytes of each request, and sends the answer that its script returns.
 
-    A script that gives None has the connection ended.
+    If the script returns None, the connection is closed.
     """
 
     def __init__(self, script: Callable[[bytes], bytes | None]) -> None:
@@ -186,11 +186,11 @@
                 connection.sendall(reply)
 
     def next(self) -> bytes:
-        """The next request that was received."""
-        return self.received.get(timeout=PATIENCE_S)
+        """Return the next request that was received, waiting for it."""
+        return self.received.get(timeout=MAX_WAIT_S)
 
     def close(self) -> None:
-        """End the listener and all connections."""
+        """Close the listener and all connections."""
         with contextlib.suppress(OSError):
             self._listener.shutdown(socket.SHUT_RDWR)
         self._listener.close()
@@ -200,7 +200,7 @@
 
 
 def host(name: str, port: int, **changes: Any) -> dict[str, Any]:
-    """A worker's entry in discovery's list."""
+    """Return a worker's entry in discovery's list."""
     return {
         "id": name,
         "addr": f"{HOST}:{port}",
@@ -215,12 +215,12 @@
 
 
 def host_list(version: int, servers: list[dict[str, Any]], full: bool = True) -> bytes:
-    """Discovery's answer with a list."""
+    """Return discovery's answer with a list of workers."""
     return answer(200, json.dumps({"version": version, "full": full, "servers": servers}).encode())
 
 
 class Discovery(RecordingServer):
-    """Answers with the list that it is given, and has whoever asks wait while it has none, or nothing new."""
+    """Discovery that answers with the published list; requests wait while there is none or no change."""
 
     def __init__(self, servers: list[dict[str, Any]] | None = None, version: int = 4) -> None:
         self.version = version
@@ -231,7 +231,7 @@
             self.publish(servers)
 
     def publish(self, servers: list[dict[str, Any]]) -> None:
-        """The list from now on."""
+        """Set the list that is answered from now on."""
         self._list = host_list(self.version, servers)
         self._listed.set()
 
@@ -243,7 +243,7 @@
 
 
 class Process:
-    """One process of the program, with its ports, its log and its folder for the next process."""
+    """One process of the program, with its ports, its log, and the folder shared with its successor."""
 
     def __init__(
         self,
@@ -257,9 +257,17 @@
         python: str = sys.executable,
         **changes: Any,
     ) -> None:
-        """Start it. `shared`: it is given the folder in which a process leaves word for the next one.
-
-        `wall_clock` sets what its wall clock shows at the start, Unix time.
+        """Start the process.
+
+        Args:
+            folder: For configuration and logs; created if missing.
+            discovery_port: Where discovery listens.
+            toml: Content of the program's own configuration file; none if empty.
+            shared: Whether `folder` is its TMPDIR, where it leaves the file that lets a successor take over.
+            wall_clock: Unix time, in seconds, of its clock at the start; by default the real time.
+            program: Root of the checkout that is run.
+            python: The interpreter.
+            **changes: Keys of the platform's configuration.
         """
         self.folder = folder
         self.port = int(changes.get("listen", f":{free_port()}").rpartition(":")[2])
@@ -294,16 +302,16 @@
             environment["BEACONHINGE_CONFIG"] = str(folder / f"own-{self.management_port}.toml")
         command = [python, "-m", "beaconhinge"]
         if wall_clock is not None:
-            command = [python, "-c", _AT_ANOTHER_TIME.format(wall_clock=wall_clock)]
+            command = [python, "-c", _WITH_SHIFTED_CLOCK.format(wall_clock=wall_clock)]
         with self.log_path.open("wb") as log:
             self.process = subprocess.Popen(command, cwd=program, env=environment, stderr=log, stdout=log)
 
     def log(self) -> str:
-        """What it has written to its log so far."""
+        """Return the content of the log so far."""
         return self.log_path.read_text()
 
     def logged(self, event: str) -> str:
-        """The first log line of that event; waits for it."""
+        """Wait for the first log line of an event, and return it."""
 
         def found() -> str:
             assert self.process.poll() is None, self.log()
@@ -312,13 +320,13 @@
         return str(wait_for(found, f"the log event {event} in\n{self.log()}"))
 
     def call(self, line: bytes) -> bytes:
-        """The answer to an operator's call."""
+        """Send an operators' call, and return the answer."""
         with connect(self.management_port) as connection:
             connection.sendall(line)
             return read_to_end(connection)
 
     def wait_until_ready(self) -> None:
-        """Until it says so to its operators."""
+        """Wait until the operators' call `ready` succeeds."""
 
         def ready() -> bool:
             assert self.process.poll() is None, self.log()
@@ -329,7 +337,7 @@
         wait_for(ready, "a process that is ready")
 
     def wait_until_listening(self) -> None:
-        """Until operators' calls are answered, whatever with."""
+        """Wait until operators' calls are answered, whatever the answer."""
 
         def listening() -> bool:
             assert self.process.poll() is None, self.log()
@@ -339,28 +347,28 @@
 
         wait_for(listening, "a process that answers operators")
 
-    def ask(self, data: bytes) -> bytes:
-        """The answer to a client's bytes."""
+    def exchange(self, data: bytes) -> bytes:
+        """Send a client's bytes on a new connection, and return the first answer."""
         return exchange(self.port, data)
 
-    def tell(self, request_id: str, worker: str, **content: Any) -> bytes:
-        """A worker's call-back; gives the answer to it."""
+    def send_callback(self, request_id: str, worker: str, **content: Any) -> bytes:
+        """Send a call-back of a worker, and return the answer."""
         body = json.dumps({"id": request_id, "from": worker, **content}).encode()
         head = f"POST /_jobs/news HTTP/1.1\r\nContent-Length: {len(body)}\r\n\r\n".encode()
-        return self.ask(head + body)
+        return self.exchange(head + body)
 
-    def figures(self) -> dict[str, Any]:
-        """What `show-stat` shows."""
-        shown: dict[str, Any] = json.loads(self.call(b"show-stat\n").partition(b"\n")[0])
-        return shown
+    def show_stat(self) -> dict[str, Any]:
+        """Return the figures of the operators' call `show-stat`."""
+        figures: dict[str, Any] = json.loads(self.call(b"show-stat\n").partition(b"\n")[0])
+        return figures
 
     def kill(self) -> None:
-        """End it at once, if it has not ended."""
+        """Kill the process, if it has not ended."""
         self.process.kill()
         self.process.wait()
 
 
-_AT_ANOTHER_TIME = """
+_WITH_SHIFTED_CLOCK = """
 import runpy, time
 shift = {wall_clock} - time.time()
 real = time.time
@@ -370,19 +378,19 @@
 
 
 @contextlib.contextmanager
-def running(*things: Process | RecordingServer) -> Iterator[None]:
-    """End these processes and servers when the block is left."""
+def running(*services: Process | RecordingServer) -> Iterator[None]:
+    """Kill these processes and close these servers when the block is left."""
     try:
         yield
     finally:
-        for thing in things:
-            thing.kill() if isinstance(thing, Process) else thing.close()
+        for service in services:
+            service.kill() if isinstance(service, Process) else service.close()
 
 
-def steady(data: bytes) -> bytes:
-    """Without what depends on time: the time that a job has left, and a wait that is drawn at random.
+def strip_timings(data: bytes) -> bytes:
+    """Replace the values that differ between runs: a job's remaining time, and a random Retry-After.
 
-    The draws come in one order, but how many come before depends on time.
+    The order of random draws is fixed by the seed, but how many precede this one depends on time.
     """
     data = re.sub(rb"X-Timeout-Ms: \d+", b"X-Timeout-Ms: (time left)", data)
     return re.sub(rb"Retry-After: [12]\.\d{3}\r", b"Retry-After: (1 to 2 s)\r", data)
--- a/tests/golden/test_client_answers.py
+++ b/tests/golden/test_client_answers.py
@@ -1,4 +1,4 @@
-"""Every head and body that a client can be told, byte for byte."""
+"""All answers that clients can get, with head and body, byte for byte."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
     request,
     running,
     settings,
-    steady,
+    strip_timings,
     wait_for,
 )
 
@@ -33,22 +33,22 @@
 CHUNKED = request(Content_Length=None, Transfer_Encoding="chunked", body=b"")
 
 
-def take(_message: bytes) -> bytes:
-    """A worker that takes each job, and tells nothing of it."""
+def accept_job(_message: bytes) -> bytes:
+    """Answer as a worker that accepts each job; it sends no call-back."""
     return answer(202)
 
 
 @pytest.fixture(scope="module")
 def worker() -> Iterator[RecordingServer]:
-    """The one worker."""
-    server = RecordingServer(take)
+    """The only worker; it accepts each job."""
+    server = RecordingServer(accept_job)
     with running(server):
         yield server
 
 
 @pytest.fixture(scope="module")
 def dispatcher(worker: RecordingServer, tmp_path_factory: pytest.TempPathFactory) -> Iterator[Process]:
-    """A process with that one worker, which holds two requests at most."""
+    """A process with this one worker; it holds two requests at most."""
     discovery = Discovery([host("s-0", worker.port)])
     changes = settings(policyLimits__mostHeld=2)
     process = Process(tmp_path_factory.mktemp("clients"), discovery.port, settings=changes)
@@ -58,7 +58,7 @@
 
 
 def hold_request(dispatcher: Process, worker: RecordingServer, request_id: str) -> socket.socket:
-    """A client whose request is at the worker, which keeps it."""
+    """Send a request and wait until the worker has received the job; return the client's connection."""
     client = connect(dispatcher.port)
     client.sendall(request(X_Request_ID=request_id))
     message = worker.next()
@@ -66,7 +66,7 @@
     return client
 
 
-def test_faulty_requests_are_told_the_same(dispatcher: Process) -> None:
+def test_answers_to_faulty_requests_are_unchanged(dispatcher: Process) -> None:
     many = "x" * 129
     cases = {
         "400 no request id": request(X_Request_ID=None),
@@ -127,18 +127,18 @@
             b"POST /_jobs/news HTTP/1.1\r\nConnection: close\r\nContent-Length: 2\r\n\r\n{}"
         ),
     }
-    found: dict[str, object] = {name: answers(dispatcher, data) for name, data in cases.items()}
+    found: dict[str, object] = {name: exchange_twice(dispatcher, data) for name, data in cases.items()}
     check_cases("client_faults.json", found)
 
 
-def answers(dispatcher: Process, data: bytes) -> bytes:
-    """All that comes on a connection on which these bytes are sent, to the end of it where it is ended.
+def exchange_twice(dispatcher: Process, data: bytes) -> bytes:
+    """Send bytes and then a second request on one connection, and return all bytes that are received.
 
-    Another request follows the first answer. Its own answer stands for the word that the connection was kept.
+    The answer to the second request shows that the connection was kept open; it is replaced by "(kept)".
     """
     last = b"HTTP/1.1 200 OK\r\nContent-Length: 3\r\nConnection: close\r\n\r\nup\n"
     with connect(dispatcher.port) as connection:
-        with contextlib.suppress(ConnectionError):  # some are refused before all of it is written
+        with contextlib.suppress(ConnectionError):  # some requests are refused before all is written
             connection.sendall(data)
         first = read_message(connection)
         with contextlib.suppress(ConnectionError):
@@ -147,15 +147,17 @@
     return first + (rest.removesuffix(last) + b"(kept)" if rest.endswith(last) else rest)
 
 
-def test_requests_in_work_are_told_the_same(dispatcher: Process, worker: RecordingServer) -> None:
+def test_answers_to_forwarded_requests_are_unchanged(dispatcher: Process, worker: RecordingServer) -> None:
     found: dict[str, object] = {}
     first = hold_request(dispatcher, worker, "held-1")
-    found["409"] = dispatcher.ask(request(X_Request_ID="held-1"))
+    found["409"] = dispatcher.exchange(request(X_Request_ID="held-1"))
     second = hold_request(dispatcher, worker, "held-2")
-    found["503 as many requests as may be held"] = dispatcher.ask(request(X_Request_ID="held-3"))
-    found["204 call-back"] = dispatcher.tell("held-1", "s-0", state="done", result="r\u00e9sult \u2713")
+    found["503 as many requests as may be held"] = dispatcher.exchange(request(X_Request_ID="held-3"))
+    found["204 call-back"] = dispatcher.send_callback(
+        "held-1", "s-0", state="done", result="r\u00e9sult \u2713"
+    )
     found["200"] = read_message(first)
-    assert dispatcher.tell("held-2", "s-0", state="done", result="").startswith(b"HTTP/1.1 204 ")
+    assert dispatcher.send_callback("held-2", "s-0", state="done", result="").startswith(b"HTTP/1.1 204 ")
     found["200 with nothing"] = read_message(second)
     first.sendall(
         request(
@@ -167,19 +169,19 @@
         )
     )
     worker.next()
-    dispatcher.tell("failed", "s-0", state="failed")
+    dispatcher.send_callback("failed", "s-0", state="failed")
     found["502, closed as asked"] = read_to_end(first)
     worker.script = lambda message: answer(422, b"unusable")
     second.sendall(request(X_Request_ID="unusable"))
     found["502 for a request that a worker cannot use"] = read_message(second)
     worker.next()
-    worker.script = take
+    worker.script = accept_job
     for client in (first, second):
         client.close()
     check_cases("client_answers.json", found)
 
 
-def test_a_process_without_a_list_and_one_that_is_drained_are_told_of_the_same(
+def test_answers_without_a_list_and_when_drained_are_unchanged(
     worker: RecordingServer, tmp_path: Path
 ) -> None:
     found: dict[str, object] = {}
@@ -187,54 +189,54 @@
     process = Process(tmp_path, discovery.port, toml="[progress]\nenabled = true\n")
     with running(process, discovery):
         process.wait_until_listening()
-        found["503 up without a list"] = process.ask(GET_UP)
-        found["503 without a list"] = steady(process.ask(request(X_Timeout_Ms="50")))
-        found["404 no such stream"] = process.ask(b"GET /jobs/r1 HTTP/1.1\r\n\r\n")
-        found["404 no such stream, tenant"] = process.ask(
+        found["503 up without a list"] = process.exchange(GET_UP)
+        found["503 without a list"] = strip_timings(process.exchange(request(X_Timeout_Ms="50")))
+        found["404 no such stream"] = process.exchange(b"GET /jobs/r1 HTTP/1.1\r\n\r\n")
+        found["404 no such stream, tenant"] = process.exchange(
             b"GET /jobs/r1 HTTP/1.1\r\nX-Tenant-Id: acme\r\n\r\n"
         )
         discovery.publish([host("s-0", worker.port)])
         process.wait_until_ready()
         assert process.call(b"drain\n") == b"SUCCESS drains\n"
-        found["503 up when drained"] = process.ask(GET_UP)
-        # Refused 1.9 s after the call; until then each is taken and answered.
+        found["503 up when drained"] = process.exchange(GET_UP)
+        # Requests are refused from 1.9 s after the call on; until then each is accepted and answered.
         refused = wait_for(lambda: refusal(process), "a drained process that refuses")
         found["503 when drained"] = refused
     check_cases("client_not_ready.json", found)
 
 
 def refusal(process: Process) -> bytes:
-    """The answer to a request, if it is a refusal that ends the connection."""
-    message = process.ask(request(X_Timeout_Ms="50"))
+    """Return the answer to a request if it is a refusal that closes the connection, or else nothing."""
+    message = process.exchange(request(X_Timeout_Ms="50"))
     return message if b"Connection: close" in message and b"Retry-After: 2.000" in message else b""
 
 
-def test_bodies_for_which_there_is_no_room_are_told_the_same(tmp_path: Path) -> None:
+def test_answers_without_memory_for_a_body_are_unchanged(tmp_path: Path) -> None:
     discovery = Discovery()
     process = Process(tmp_path, discovery.port, limits={"memory_mb": 32, "sockets": 1024})
     with running(process, discovery):
         process.wait_until_listening()
         part = request(Content_Length="65536", body=b"x" * 65000)
-        clients, told = [], b""
-        for _ in range(60):  # 2.5 MB is the room for bodies
+        clients, received = [], b""
+        for _ in range(60):  # bodies may take 2.5 MB
             client = connect(process.port)
             clients.append(client)
             client.sendall(part)
         for client in reversed(clients):
             client.settimeout(1.0)
             try:
-                told = read_to_end(client)
+                received = read_to_end(client)
             except TimeoutError:
                 continue
-            if told.startswith(b"HTTP/1.1 503 "):
+            if received.startswith(b"HTTP/1.1 503 "):
                 break
         for client in clients:
             client.close()
-    check_cases("client_no_room.json", {"503 no room for a body": told})
+    check_cases("client_no_room.json", {"503 no room for a body": received})
 
 
-def test_streams_are_told_the_same(tmp_path: Path) -> None:
-    worker = RecordingServer(take)
+def test_progress_stream_is_unchanged(tmp_path: Path) -> None:
+    worker = RecordingServer(accept_job)
     discovery = Discovery([host("s-0", worker.port)])
     process = Process(tmp_path, discovery.port, toml="[progress]\nenabled = true\n")
     with running(process, discovery, worker):
@@ -247,7 +249,7 @@
                 {"state": "running", "share": 0.5},
                 {"state": "done", "result": json.dumps({"lines": "a\nb"})},
             ):
-                process.tell("r1", "s-0", **content)
-            read = read_to_end(client)
-    read = re.sub(rb'"token":"[^"]+"', b'"token":"(random)"', read)
-    check_cases("client_stream.json", {"a stream from its head to its outcome": read})
+                process.send_callback("r1", "s-0", **content)
+            stream = read_to_end(client)
+    stream = re.sub(rb'"token":"[^"]+"', b'"token":"(random)"', stream)
+    check_cases("client_stream.json", {"a stream from its head to its outcome": stream})
--- a/tests/golden/test_command_line.py
+++ b/tests/golden/test_command_line.py
@@ -1,4 +1,4 @@
-"""The configuration's defaults, and what faulty configurations are told, as texts and exit statuses."""
+"""The configuration's defaults, and the messages and exit statuses for faulty configurations."""
 
 from __future__ import annotations
 
@@ -30,7 +30,10 @@
 
 
 def commands(folder: Path, lines: list[list[str]], processes: int = 1) -> list[Any]:
-    """Status, standard output and standard error of each command line, run in that folder."""
+    """Run command lines in a folder; return status, standard output and standard error of each.
+
+    They are shared out among so many processes, which run at the same time.
+    """
     environment = {**os.environ, "PYTHONPATH": str(ROOT), "TERM": "dumb", "COLUMNS": "100"}
     parts = [lines[first::processes] for first in range(processes)]
     started = [
@@ -57,7 +60,7 @@
 
 
 def minimal(**changes: Any) -> dict[str, Any]:
-    """A platform configuration; changes given as None take a key out."""
+    """Return a minimal platform configuration with changes; a change to None removes the key."""
     content = {
         "name": "n0",
         "listen": "127.0.0.1:9000",
@@ -68,8 +71,8 @@
     return {key: value for key, value in content.items() if value is not None}
 
 
-def one_class(**changes: Any) -> dict[str, Any]:
-    """Settings whose first class has these changes."""
+def with_class_changes(**changes: Any) -> dict[str, Any]:
+    """Return settings with changes to the first request class."""
     first, second = SETTINGS["requestClasses"]
     return settings(requestClasses=[{**first, **changes}, second])
 
@@ -99,8 +102,8 @@
     "known-no-list": minimal(known={"version": 1}),
     "known-version": minimal(known={"version": -1, "servers": []}),
     "known-entry-malformed-is-dropped": minimal(known={"version": 1, "servers": [{**HOST, "addr": "x"}]}),
-    "class-no-name": minimal(settings=one_class(name="")),
-    "class-name-twice": minimal(settings=one_class(name="publish")),
+    "class-no-name": minimal(settings=with_class_changes(name="")),
+    "class-name-twice": minimal(settings=with_class_changes(name="publish")),
     "tenant-no-name": minimal(settings=settings(orgs=[{"share": 1.0}])),
     "tenant-name-twice": minimal(settings=settings(orgs=[{"name": "a"}, {"name": "a"}])),
     "classes-mixed": minimal(settings=settings(requestClasses=[{"name": "a"}, 7])),
@@ -109,11 +112,11 @@
     "group-size-0": minimal(settings=settings(groupSize=0)),
     "group-size-text": minimal(settings=settings(groupSize="two")),
     "number-outside-group": minimal(settings=settings(myNumber=5)),
-    "aim-text": minimal(settings=one_class(aim="fast")),
-    "aim-negative": minimal(settings=one_class(aim=-1.0)),
-    "hard-limit-text": minimal(settings=one_class(hardLimit="long")),
-    "semantics-unknown": minimal(settings=one_class(semantics="sometimes")),
-    "group-unknown": minimal(settings=one_class(group="galaxy")),
+    "aim-text": minimal(settings=with_class_changes(aim="fast")),
+    "aim-negative": minimal(settings=with_class_changes(aim=-1.0)),
+    "hard-limit-text": minimal(settings=with_class_changes(hardLimit="long")),
+    "semantics-unknown": minimal(settings=with_class_changes(semantics="sometimes")),
+    "group-unknown": minimal(settings=with_class_changes(group="galaxy")),
     "mode-unknown": minimal(settings=settings(membershipMode="guess")),
     "cancel-text": minimal(settings=settings(policyLimits__cancel="maybe")),
     "attempts-text": minimal(settings=settings(policyLimits__maxAttempts="few")),
@@ -122,7 +125,7 @@
     "share-text": minimal(settings=settings(orgs=[{"name": "a", "share": "half"}])),
     "no-object": [1],
 }
-OWN_FILES = {
+TOML_FILES = {
     "empty": "",
     "no-toml": "[store",
     "table-unknown": "[stor]\nfolder = 'x'\n",
@@ -159,7 +162,7 @@
 }
 
 
-def test_each_default_is_the_same() -> None:
+def test_defaults_are_unchanged() -> None:
     (status, toml, errors), (json_status, as_json, _), (file_status, of_file, _) = commands(
         ROOT,
         [
@@ -174,13 +177,13 @@
     assert of_file == toml
 
 
-def test_faulty_configurations_are_told_the_same(tmp_path: Path) -> None:
+def test_messages_for_faulty_configurations_are_unchanged(tmp_path: Path) -> None:
     for name, content in PLATFORM_FILES.items():
         (tmp_path / f"{name}.json").write_text(json.dumps(content))
-    for name, text in OWN_FILES.items():
+    for name, text in TOML_FILES.items():
         (tmp_path / f"{name}.toml").write_text(text)
     (tmp_path / "torn.json").write_text('{"name": ')
-    files = [f"{name}.json" for name in (*PLATFORM_FILES, "torn")] + [f"{name}.toml" for name in OWN_FILES]
+    files = [f"{name}.json" for name in (*PLATFORM_FILES, "torn")] + [f"{name}.toml" for name in TOML_FILES]
     lines = [["config", "check", file] for file in files]
     lines += [["config", "check", "no-name.json", "--json"], ["config", "check", "well.json", "--json"]]
     lines += [
@@ -197,9 +200,9 @@
     assert (status, out, errors) == (0, "deploy/edge.toml: well\n", "")
 
 
-def test_a_faulty_start_ends_with_the_same_line(tmp_path: Path) -> None:
+def test_message_of_a_faulty_start_is_unchanged(tmp_path: Path) -> None:
     (tmp_path / "no-name.json").write_text(json.dumps(PLATFORM_FILES["no-name"]))
-    (tmp_path / "key-unknown.toml").write_text(OWN_FILES["key-unknown"])
+    (tmp_path / "key-unknown.toml").write_text(TOML_FILES["key-unknown"])
     starts = {
         "no variable": {},
         "absent file": {"RELAY_CONFIG": "absent.json"},
--- a/tests/golden/test_operator_calls.py
+++ b/tests/golden/test_operator_calls.py
@@ -25,19 +25,19 @@
 pytestmark = pytest.mark.xdist_group("processes")
 
 
-def figures(shown: bytes) -> bytes:
-    """`show-stat` without the one figure that depends on time: how many workers are silent or benched."""
-    return re.sub(rb'"hosts_down":\d+', b'"hosts_down":(depends on time)', shown)
+def strip_hosts_down(data: bytes) -> bytes:
+    """Replace the only figure of `show-stat` that depends on time: how many workers are silent or ejected."""
+    return re.sub(rb'"hosts_down":\d+', b'"hosts_down":(depends on time)', data)
 
 
-def test_operators_are_told_the_same(tmp_path: Path) -> None:
+def test_answers_to_operators_calls_are_unchanged(tmp_path: Path) -> None:
     worker = RecordingServer(lambda message: answer(202))
     discovery = Discovery()
     process = Process(tmp_path, discovery.port)
     found: dict[str, object] = {}
 
     def call(name: str, line: bytes) -> None:
-        found[name] = figures(process.call(line))
+        found[name] = strip_hosts_down(process.call(line))
 
     with running(process, discovery, worker):
         process.wait_until_listening()
@@ -73,7 +73,7 @@
         call("enable-server", b"enable-server s-0\n")
         call("enable-server twice", b"enable-server s-0\n")
         found["show-stat with none out"] = process.call(b"show-stat\n")
-        serve(process, worker)
+        send_requests(process, worker)
         call("show-stat after some requests", b"show-stat\n")
         with connect(process.port) as client:
             client.sendall(request(X_Request_ID="in-work"))
@@ -93,23 +93,23 @@
             call("ready when ending", b"ready\n")
             call("take-over when ending, wrong word", b"take-over 0123\n")
             for name in ("s-0", "s-1", "s-2"):
-                process.tell("in-work", name, state="done", result="done")
+                process.send_callback("in-work", name, state="done", result="done")
             assert read_message(client).startswith(b"HTTP/1.1 200 OK\r\n")
     check_cases("operator_calls.json", found)
 
 
-def serve(process: Process, worker: RecordingServer) -> None:
-    """One request that is served, one that fails, one that is refused."""
+def send_requests(process: Process, worker: RecordingServer) -> None:
+    """Send one request that is served, one that fails and one that is refused."""
     process.call(b"disable-server s-1\n")
     process.call(b"disable-server s-2\n")
     with connect(process.port) as client:
         client.sendall(request(X_Request_ID="served"))
         worker.next()
-        process.tell("served", "s-0", state="done", result="done")
+        process.send_callback("served", "s-0", state="done", result="done")
         read_message(client)
         client.sendall(request("/publish", X_Request_ID="failed", X_Timeout_Ms="500", Idempotency_Key="k"))
         worker.next()
-        process.tell("failed", "s-0", state="failed")
+        process.send_callback("failed", "s-0", state="failed")
         read_message(client)
         process.call(b"disable-server s-0\n")
         client.sendall(request(X_Request_ID="refused", X_Timeout_Ms="50"))
@@ -118,13 +118,13 @@
         process.call(b"enable-server " + name + b"\n")
 
 
-# So long a span that no vote is given while the test runs.
-LEASES = "[leases]\nenabled = true\nspan_s = 60.0\n[recovery]\nenabled = true\n"
+# With a span of 60 s, no member votes while the test runs.
+LEASES_TOML = "[leases]\nenabled = true\nspan_s = 60.0\n[recovery]\nenabled = true\n"
 
 
-def test_too_many_callers_are_told_the_same(tmp_path: Path) -> None:
+def test_answers_to_too_many_callers_are_unchanged(tmp_path: Path) -> None:
     discovery = Discovery()
-    process = Process(tmp_path, discovery.port, toml=LEASES)
+    process = Process(tmp_path, discovery.port, toml=LEASES_TOML)
     found: dict[str, object] = {}
     with running(process, discovery):
         process.wait_until_listening()
@@ -141,14 +141,14 @@
             b"lease-hand-over b",
         ):
             found[line.decode()] = re.sub(rb"\d+\.\d+", b"(seconds)", process.call(line + b"\n"))
-        shown = process.call(b"show-stat\n")
+        figures = process.call(b"show-stat\n")
         found["show-stat with a phase"] = re.sub(
-            rb'"phase":"(listening|asking)"', b'"phase":"(early)"', shown
+            rb'"phase":"(listening|asking)"', b'"phase":"(early)"', figures
         )
     check_cases("operator_callers.json", found)
 
 
-def test_a_process_without_a_shared_folder_is_told_the_same(tmp_path: Path) -> None:
+def test_answer_without_a_shared_folder_is_unchanged(tmp_path: Path) -> None:
     discovery = Discovery([host("s-0", 9)])
     process = Process(tmp_path, discovery.port, shared=False, settings=settings(orgs=[]))
     with running(process, discovery):
--- a/tests/golden/test_scripted_run.py
+++ b/tests/golden/test_scripted_run.py
@@ -1,7 +1,7 @@
-"""All that the process sends to discovery and to workers in scripted runs, byte for byte.
+"""All requests that the process sends to discovery and to workers in scripted runs, byte for byte.
 
-Only the time that a job has left is taken out of the bytes. Which of several like workers comes first is not
-part of a golden file: it depends on the times at which things happen.
+Only the remaining time of a job is replaced in the bytes. Which of several equal workers gets a job first is
+not in the golden files, as it depends on the timing of events.
 """
 
 from __future__ import annotations
@@ -15,7 +15,7 @@
 import pytest
 from golden_files import check_cases
 from golden_process import (
-    PATIENCE_S,
+    MAX_WAIT_S,
     Discovery,
     Process,
     RecordingServer,
@@ -27,7 +27,7 @@
     request,
     running,
     settings,
-    steady,
+    strip_timings,
     wait_for,
 )
 
@@ -35,14 +35,14 @@
 
 
 class Workers:
-    """Like workers and what they are sent, in the order in which it came.
+    """Equal workers, and the requests that they receive, in order of arrival.
 
-    There are more of them than faults, so that not all are left out for their faults.
+    There are more workers than faults in a run, so that faults never eject all of them.
     """
 
     def __init__(self, count: int = 12) -> None:
         self.received: queue.Queue[tuple[int, bytes]] = queue.Queue()
-        self.answers: list[bytes | None] = []  # to the next requests of jobs; then each is taken
+        self.answers: list[bytes | None] = []  # to the next jobs; after these, each job is accepted
         self.servers = [RecordingServer(lambda message, i=i: self._serve(i, message)) for i in range(count)]
 
     def _serve(self, number: int, message: bytes) -> bytes | None:
@@ -52,16 +52,16 @@
         return self.answers.pop(0) if self.answers else answer(202)
 
     def next(self) -> tuple[int, bytes]:
-        """The next request and which worker had it."""
-        return self.received.get(timeout=PATIENCE_S)
+        """Return the index of the worker that received the next request, and the request."""
+        return self.received.get(timeout=MAX_WAIT_S)
 
     def hosts(self, **changes: Any) -> list[dict[str, Any]]:
-        """Their entries in the list."""
+        """Return the workers' entries in discovery's list."""
         return [host(f"s-{i}", server.port, **changes) for i, server in enumerate(self.servers)]
 
 
 class Run:
-    """Jobs one after the other, each with all that was seen of it."""
+    """Runs jobs one after the other, and records the messages that belong to each."""
 
     def __init__(self, process: Process, workers: Workers) -> None:
         self.process = process
@@ -69,30 +69,30 @@
         self.found: dict[str, object] = {}
 
     def play(self, name: str, data: bytes, *steps: tuple[str, Any]) -> None:
-        """Send a request, then take these steps, and keep what came."""
+        """Send a request, take the steps, and record the messages that are received under `name`."""
         seen: list[object] = []
-        first = -1
-        at = -1
+        first = -1  # index of the worker of the first attempt
+        current = -1  # index of the worker of the last attempt
         request_id = re.search(rb"X-Request-ID: (\S+)", data)
         assert request_id is not None
         with connect(self.process.port) as client:
             client.sendall(data)
-            for what, word in steps:
-                if what == "attempt":
-                    at, message = self.workers.next()
-                    seen.append(f"to {'the first worker' if first in (-1, at) else 'another worker'}")
-                    first = at if first == -1 else first
-                    seen.append(lines(steady(message)))
-                elif what == "call-back":
-                    told = self.process.tell(request_id[1].decode(), f"s-{at}", **word)
-                    seen += [f"call-back {word} is answered", lines(told)]
-                elif what == "answer":
-                    seen += ["the client is answered", lines(steady(read_message(client)))]
-                elif what == "nobody waits":
+            for step, content in steps:
+                if step == "attempt":
+                    current, message = self.workers.next()
+                    seen.append(f"to {'the first worker' if first in (-1, current) else 'another worker'}")
+                    first = current if first == -1 else first
+                    seen.append(lines(strip_timings(message)))
+                elif step == "call-back":
+                    reply = self.process.send_callback(request_id[1].decode(), f"s-{current}", **content)
+                    seen += [f"call-back {content} is answered", lines(reply)]
+                elif step == "answer":
+                    seen += ["the client is answered", lines(strip_timings(read_message(client)))]
+                elif step == "nobody waits":
                     wait_for(
-                        lambda: self.process.figures()["inflight"] == 0, "a job that counts as abandoned"
+                        lambda: self.process.show_stat()["inflight"] == 0, "a job that counts as abandoned"
                     )
-                elif what == "leave":
+                elif step == "leave":
                     seen.append("the client leaves")
                     client.shutdown(socket.SHUT_RDWR)
         assert self.workers.received.empty()
@@ -100,7 +100,7 @@
 
 
 def lines(data: bytes) -> list[str]:
-    """Bytes as readable lines."""
+    """Return bytes as text lines with their line ends."""
     return data.decode("latin-1").splitlines(keepends=True)
 
 
@@ -108,14 +108,14 @@
 
 
 def call_back(state: str, **content: Any) -> tuple[str, Any]:
-    """A worker's word about the job that it was sent last."""
+    """Return the step in which the worker of the last attempt sends a call-back."""
     return "call-back", {"state": state, **content}
 
 
 DONE = call_back("done", result="made", load={"err_ps": 0.0, "x0": 3})
 
 
-def test_workers_are_sent_the_same(tmp_path: Path) -> None:
+def test_messages_to_workers_are_unchanged(tmp_path: Path) -> None:
     workers = Workers()
     discovery = Discovery(workers.hosts())
     process = Process(tmp_path, discovery.port, settings=settings(policyLimits__maxAttempts=3))
@@ -196,7 +196,7 @@
     check_cases("sent_to_workers.json", run.found)
 
 
-def test_jobs_that_are_given_up_are_the_same(tmp_path: Path) -> None:
+def test_messages_of_abandoned_jobs_are_unchanged(tmp_path: Path) -> None:
     workers = Workers(2)
     discovery = Discovery(workers.hosts())
     process = Process(tmp_path, discovery.port)
@@ -216,7 +216,7 @@
     check_cases("sent_when_given_up.json", run.found)
 
 
-def test_a_second_copy_and_its_withdrawal_are_the_same(tmp_path: Path) -> None:
+def test_hedged_copy_and_its_withdrawal_are_unchanged(tmp_path: Path) -> None:
     workers = Workers()
     discovery = Discovery(workers.hosts())
     first, second = settings()["requestClasses"]
@@ -225,16 +225,16 @@
     found: list[object] = []
     with running(process, discovery, *workers.servers):
         process.wait_until_ready()
-        for number in range(5):  # so that it knows how long jobs take
-            process_one(process, workers, f"f{number}")
+        for number in range(5):  # a copy is sent only once the process knows how long jobs take
+            run_job(process, workers, f"f{number}")
         with connect(process.port) as client:
             client.sendall(request(X_Request_ID="f9"))
             original, message = workers.next()
-            found += ["the job", steady(message)]
+            found += ["the job", strip_timings(message)]
             copy, message = workers.next()
-            found += ["its copy", steady(message)]
+            found += ["its copy", strip_timings(message)]
             assert copy != original
-            process.tell("f9", f"s-{copy}", state="done", result="made")
+            process.send_callback("f9", f"s-{copy}", state="done", result="made")
             found += ["the client is answered", read_message(client)]
             withdrawn, message = workers.next()
             found += ["the job is withdrawn", message]
@@ -242,17 +242,17 @@
     check_cases("sent_with_copies.json", {"a job that is copied": found})
 
 
-def process_one(process: Process, workers: Workers, request_id: str) -> None:
-    """A job that is served at once."""
+def run_job(process: Process, workers: Workers, request_id: str) -> None:
+    """Send a request and have its worker report the job as done at once."""
     with connect(process.port) as client:
         client.sendall(request(X_Request_ID=request_id))
-        at, _ = workers.next()
-        process.tell(request_id, f"s-{at}", state="done", result="made")
+        worker, _ = workers.next()
+        process.send_callback(request_id, f"s-{worker}", state="done", result="made")
         read_message(client)
 
 
 @pytest.mark.parametrize("reports", ["answers", "none"])
-def test_probes_are_the_same(reports: str, tmp_path: Path) -> None:
+def test_probes_are_unchanged(reports: str, tmp_path: Path) -> None:
     workers = Workers(2)
     discovery = Discovery(workers.hosts())
     changes = settings(
@@ -266,9 +266,9 @@
         messages: dict[bytes, None] = {}
 
         def probed() -> list[bytes]:
-            process.ask(request(X_Timeout_Ms="100"))
+            process.exchange(request(X_Timeout_Ms="100"))
             while not workers.received.empty():
-                messages[steady(workers.received.get()[1])] = None
+                messages[strip_timings(workers.received.get()[1])] = None
             return [message for message in messages if message.startswith(b"GET")]
 
         wait_for(probed, "a probe")
@@ -279,17 +279,17 @@
 
 
 @pytest.mark.parametrize("mode", ["on_request", "pushed"])
-def test_discovery_is_asked_the_same(mode: str, tmp_path: Path) -> None:
-    """Each answer calls for the next request; waits are given as such, their lengths differ from run to run.
+def test_requests_to_discovery_are_unchanged(mode: str, tmp_path: Path) -> None:
+    """Each answer is followed by the next request; the lengths of waits differ between runs and are replaced.
 
-    The list is read beside the watch as often as there is time, and has the version of the last answer then.
+    Beside the watch the whole list is read as often as time allows; it then has the last answer's version.
     """
     servers = [host("s-0", 9), host("s-1", 10)]
     replies = [
         host_list(3, servers),
         answer(503),
         host_list(4, [host("s-2", 11)], full=False),
-        host_list(2, servers),  # older than what is known: all is read beside the next watch
+        host_list(2, servers),  # older than the present list: the whole list is read beside the next watch
         host_list(5, servers, full=False),
         answer(200, b'{"version": 6, "full": false, "servers": [{"id": "s-0", "state": "Gone"}, {"id'),
         host_list(7, servers[1:]),
@@ -308,13 +308,13 @@
         4: [*servers, host("s-2", 11)],
         3: servers,
     }
-    # The number of calls with an index from which on a read has that version.
-    read_from = {9: 13, 8: 11, 7: 7, 5: 5, 4: 3, 3: 1}
+    # By version: the number of watch calls after which a read of the whole list returns it.
+    watch_calls_before = {9: 13, 8: 11, 7: 7, 5: 5, 4: 3, 3: 1}
     seen: list[object] = []
     reads: set[bytes] = set()
 
     def read_reply() -> bytes:
-        version = next(version for version, calls in read_from.items() if len(seen) >= calls)
+        version = next(version for version, calls in watch_calls_before.items() if len(seen) >= calls)
         return host_list(version, whole_lists[version])
 
     def script(message: bytes) -> bytes | None:
--- a/tests/golden/test_waits.py
+++ b/tests/golden/test_waits.py
@@ -1,4 +1,4 @@
-"""Answers that come after long waits, begun with the first test of the folder (`conftest.py`)."""
+"""Answers after long timeouts; the requests are sent with the first test of the folder (`conftest.py`)."""
 
 from __future__ import annotations
 
@@ -10,6 +10,6 @@
 pytestmark = pytest.mark.xdist_group("processes")
 
 
-def test_slow_messages_are_told_the_same(slow_messages: SlowMessages) -> None:
+def test_answers_to_slow_messages_are_unchanged(slow_messages: SlowMessages) -> None:
     wait_for(lambda: len(slow_messages.answers) == 2, "the answers to slow messages", 40.0)
     check_cases("client_slow.json", dict(sorted(slow_messages.answers.items())))
