--- a/beaconhinge/cli/demo.py
+++ b/beaconhinge/cli/demo.py
@@ -18,7 +18,7 @@
 def demo(
     seconds: Annotated[float, typer.Option(min=1, max=3600, help="How long clients send requests.")] = 10.0,
     workers: Annotated[int, typer.Option("--boxes", min=1, max=200)] = 6,
-    rate: Annotated[float, typer.Option(min=0.1, max=2000, help="Jobs a second.")] = 40.0,
+    rate: Annotated[float, typer.Option(min=0.1, max=2000, help="Jobs per second.")] = 40.0,
     seed: Annotated[int, typer.Option(min=0, max=65535)] = 1,
     as_json: Annotated[bool, typer.Option("--json", help="Print only the final figures, as JSON.")] = False,
 ) -> int:
@@ -48,12 +48,13 @@
     async with running_demo_fleet(workers, rate, seed) as fleet:
         requests = asyncio.create_task(fleet.clients.run(seconds))
         if live and sys.stdout.isatty():
-            await _show(fleet, requests)
+            await _show_tables(fleet, requests)
         await requests
         return fleet.figures(seconds, await fleet.stop())
 
 
-async def _show(fleet: DemoFleet, requests: asyncio.Task[None]) -> None:
+async def _show_tables(fleet: DemoFleet, requests: asyncio.Task[None]) -> None:
+    """Show tables of counters on the terminal until all requests have ended."""
     from rich.live import Live
 
     with Live(_render(fleet), refresh_per_second=4, transient=True) as live:
@@ -69,7 +70,7 @@
 
     counters, clients = fleet.counters, fleet.clients
     dispatcher = Table(title=f"dispatcher on 127.0.0.1:{fleet.port}")
-    for name in ("taken", "in work", "sent", "served", "refused", "failed"):
+    for name in ("requests", "in progress", "attempts", "served", "refused", "failed"):
         dispatcher.add_column(name, justify="right")
     answered = sum(n for name, n in counters.items() if name.startswith("answer_"))
     dispatcher.add_row(
@@ -85,14 +86,14 @@
             )
         )
     )
-    workers = Table(title="script boxes")
-    for name in ("box", "in work", "taken", "done", "turned away"):
+    workers = Table(title="workers")
+    for name in ("worker", "in progress", "accepted", "done", "rejected"):
         workers.add_column(name, justify="right")
     for worker in fleet.workers:
         counts = (str(worker.counters[name]) for name in ("taken", "done", "turned_away"))
         workers.add_row(worker.name, str(len(worker.jobs)), *counts)
     client_table = Table(title="clients")
-    for name in ("asked", "open", "answers"):
+    for name in ("requests", "open", "answers"):
         client_table.add_column(name, justify="right")
     client_table.add_row(
         str(clients.asked),
