--- a/beaconhinge/leases/__init__.py
+++ b/beaconhinge/leases/__init__.py
@@ -1,7 +1,7 @@
-"""Leases for tasks of the whole fleet: at most one holder, by the votes of a majority. Pure.
+"""Leases for fleet-wide tasks: a lease has at most one holder, granted by a majority of the council. Pure.
 
-`terms` says for how long and by whose votes, `votes` what a member grants, `holder` how a lease is taken,
-kept and given up, `node` is both for one process, `wire` how they talk; `net/leases.py` wires it. Times are
-seconds of one forward-only clock of this process alone; nothing here compares the clocks of two.
-`docs/design/leases.md` has the promise and the proof.
+`terms` defines spans and councils, `votes` decides what a member grants, `holder` acquires, renews and
+releases a lease, `node` combines both for one process, `wire` encodes the messages; `net/leases.py` connects
+them to sockets, timers and the disk. Times are seconds of one forward-only clock of this process alone;
+clocks of two processes are never compared. `docs/design/leases.md` has the guarantee and its proof.
 """
--- a/beaconhinge/leases/holder.py
+++ b/beaconhinge/leases/holder.py
@@ -1,4 +1,4 @@
-"""How one lease is taken, kept and given up. Pure: each call is told the time, and tells what to do."""
+"""Acquires, renews and releases one lease. Pure: each call takes the time and returns the actions to do."""
 
 from __future__ import annotations
 
@@ -11,18 +11,17 @@
 from .votes import SendMessage
 from .wire import DENY, GRANT, RELEASE, RENEW, REQUEST, LeaseMessage, milliseconds
 
-SENDS_PER_ROUND = 3  # times that a question is put to those who have not answered
-# Parts of the span from a question to the renewal, and to the next try of one.
-RENEW_AFTER_SPANS = 0.3
-RENEW_RETRY_SPANS = 0.1
-# Parts of the span, doubling, that contenders who met wait at most.
+SENDS_PER_ROUND = 3  # times that a request is sent to members that have not answered
+RENEW_AFTER_SPANS = 0.3  # spans from the request of a successful round to the next renewal
+RENEW_RETRY_SPANS = 0.1  # spans until a failed renewal is tried again, at most
+# Spans that a contender waits at most after a round without a majority; doubles from the first to the max.
 BACKOFF_FIRST_SPANS = 0.005
 BACKOFF_MAX_SPANS = 0.25
 
 
 @dataclass(frozen=True, slots=True)
 class LeaseAcquired:
-    """A tenure of the lease has begun; `number` grows from tenure to tenure."""
+    """A tenure of the lease has begun; `number` is greater than that of every earlier tenure."""
 
     lease: int
     number: int
@@ -30,9 +29,9 @@
 
 @dataclass(frozen=True, slots=True)
 class LeaseEnded:
-    """The tenure is over, and was before this was reported.
+    """The tenure is over; it ended before this action was returned.
 
-    `reason` is `ended` by its time, `given up` or `handed over`.
+    `reason` is `ended` (its time ran out), `given up` or `handed over`.
     """
 
     lease: int
@@ -45,44 +44,64 @@
 
 @dataclass(slots=True)
 class Tenure:
-    """One holding of the lease by this process, from its grant to `end`."""
+    """One period in which this process holds the lease, from its grant to `end`.
 
-    number: int  # only grows from tenure to tenure, whoever holds it
+    Attributes:
+        number: Greater than the number of every earlier tenure, whichever process had it.
+        end: Time of this process's clock at which it ends unless renewed.
+        round_id: The voting round that granted it.
+    """
+
+    number: int
     end: float
-    round_id: int  # in which it was asked for
+    round_id: int
 
-    def covers(self, now: float, longest: float, drift: float) -> bool:
-        """Whether an act that takes `longest` true seconds at most is over before the tenure is."""
-        return now + longest * (1 + drift) <= self.end
+    def covers(self, now: float, max_duration: float, drift: float) -> bool:
+        """Return whether an act that begins now is over before the tenure ends.
+
+        Args:
+            now: Time of this process's clock.
+            max_duration: The act's longest duration in seconds of true time.
+            drift: Share by which the clock may run fast.
+        """
+        return now + max_duration * (1 + drift) <= self.end
 
 
 @dataclass(slots=True)
 class VotingRound:
-    """A request to all members, and who has answered it.
+    """A request to all members and their answers.
 
     Attributes:
-        requested_at: When it was sent first.
-        denied: Members that denied it, each with the seconds for which it is not worth asking again.
+        id: Random; answers repeat it.
+        number: The tenure's number that is requested or renewed.
+        requested_at: When the request was first sent.
+        resend_at: When the request is sent again to members that have not answered.
+        granted: Members that granted it.
+        denied: Members that denied it, each with the seconds after which a new request may succeed.
     """
 
     id: int
     number: int
-    requested_at: float  # for the first time
-    question: LeaseMessage
+    requested_at: float
+    request: LeaseMessage
     resend_at: float
     granted: set[int] = field(default_factory=set)
-    denied: dict[int, float] = field(default_factory=dict)  # and for how long it is not worth asking
+    denied: dict[int, float] = field(default_factory=dict)
 
 
 @dataclass(slots=True)
 class LeaseHolder:
-    """How this process takes, keeps and gives up one lease.
+    """Acquires, renews and releases one lease for this process.
 
     Attributes:
-        random: Yields numbers from 0 to 1.
-        highest_seen: The highest number that any member has reported.
-        request_at: When the lease is requested, or renewed, next.
-        next_at: When `advance` has something to do, at the latest.
+        own_number: Number of this dispatcher.
+        lease: Key of the lease in messages.
+        random: Returns numbers from 0 to 1.
+        wanted: The lease is to be acquired and kept.
+        highest_seen: The highest tenure number that any member has reported.
+        request_at: When the lease is next requested or renewed.
+        failed_round_id: The voting round that failed last; -1 before the first.
+        back_off: Spans that a contender waits at most after the last failed round.
     """
 
     own_number: int
@@ -93,52 +112,58 @@
     wanted: bool = False
     tenure: Tenure | None = None
     voting_round: VotingRound | None = None
-    highest_seen: int = 0  # that any member has told
+    highest_seen: int = 0
     request_at: float = 0.0
-    failed_round_id: int = -1  # the round that failed last
+    failed_round_id: int = -1
     back_off: float = 0.0
 
     def want(self, now: float) -> list[Action]:
-        """Take the lease, and keep it until it is released."""
+        """Acquire the lease and renew it until `release`; return the actions due now."""
         if not self.wanted:
             self.wanted, self.request_at = True, max(self.request_at, now)
         return self.advance(now)
 
-    def release(self, now: float, stay_out: float = 0.0) -> list[Action]:
-        """Give the lease up at once; it is not requested again before `stay_out` seconds are over."""
+    def release(self, now: float, reacquire_delay: float = 0.0) -> list[Action]:
+        """Give the lease up now; return the actions to perform.
+
+        It is not requested again before `reacquire_delay` seconds are over.
+        """
         self.wanted = False
-        # Of a tenure it is when it would have been renewed; of a contender, when it is worth asking again.
-        self.request_at = now + stay_out if self.tenure is not None else max(self.request_at, now + stay_out)
+        # For a holder, `request_at` is its next renewal and no longer matters; for a contender it is the
+        # earliest time at which a request may succeed, and is kept.
+        self.request_at = (
+            now + reacquire_delay if self.tenure is not None else max(self.request_at, now + reacquire_delay)
+        )
         return self.advance(now)
 
     def adopt(self, council: Council, terms: LeaseTerms) -> None:
-        """Go on with another council.
+        """Use another council from now on.
 
-        An open request is over, the tenure stays and is renewed by the new one.
+        An open voting round is dropped. The tenure stays, and the new council renews it.
         """
         self.council, self.terms, self.voting_round = council, terms, None
 
     def advance(self, now: float) -> list[Action]:
-        """Do what is due at `now`."""
-        done = self._expire(now)
+        """Expire, renew, resend or request, as due at `now`; return the actions to perform."""
+        actions = self._expire(now)
         if not self.wanted:
-            return done + self._release_now("given up")
+            return actions + self._release_now("given up")
         if self.voting_round is not None and now >= self.voting_round.requested_at + self.terms.round_timeout:
-            done += self._round_lost(now)
+            actions += self._round_lost(now)
         elif self.voting_round is not None and now >= self.voting_round.resend_at:
             self.voting_round.resend_at += self.terms.round_timeout / SENDS_PER_ROUND
-            heard = self.voting_round.granted | self.voting_round.denied.keys()
-            done += [
-                SendMessage(member, self.voting_round.question)
-                for member in sorted(self.council.members - heard)
+            answered = self.voting_round.granted | self.voting_round.denied.keys()
+            actions += [
+                SendMessage(member, self.voting_round.request)
+                for member in sorted(self.council.members - answered)
             ]
         if self.voting_round is None and now >= self.request_at:
-            done += self._request(now)
-        return done
+            actions += self._request(now)
+        return actions
 
     def receive(self, now: float, sender: int, message: LeaseMessage) -> list[Action]:
-        """Take in the answer of a member."""
-        done = self._expire(now)
+        """Process a member's answer; return the actions to perform."""
+        actions = self._expire(now)
         if sender in self.council.members and message.kind in (GRANT, DENY):
             self.highest_seen = max(self.highest_seen, message.number)
         voting_round = self.voting_round
@@ -149,59 +174,66 @@
             or sender not in self.council.members
             or not self.wanted
         ):
-            # An answer to no question, or to an older one; but who refused may say that it is free by now.
+            # The answer belongs to no open round. But a member that denied the last failed round may report
+            # later, by a value of 0, that the lease is free: then it is requested sooner.
             free = message.kind == DENY and message.round_id == self.failed_round_id and message.value == 0
             if free and self.wanted and voting_round is None and self.tenure is None:
                 self.request_at = min(
                     self.request_at, now + BACKOFF_FIRST_SPANS * self.terms.span * self.random()
                 )
-            return done
+            return actions
         if message.kind == GRANT and message.number == voting_round.number:
             voting_round.granted.add(sender)
             voting_round.denied.pop(sender, None)
         elif message.kind == DENY and sender not in voting_round.granted:
             voting_round.denied[sender] = message.value / 1000
         if len(voting_round.granted) >= self.council.majority:
-            return done + self._round_won(now, voting_round)
+            return actions + self._round_won(now, voting_round)
         if len(voting_round.denied) > len(self.council.members) - self.council.majority:
-            done += self._round_lost(now)
-            if now >= self.request_at:  # only the number was too low
-                done += self._request(now)
-        return done
+            actions += self._round_lost(now)
+            if now >= self.request_at:  # the lease is free, only the requested number was too low
+                actions += self._request(now)
+        return actions
 
     @property
     def next_at(self) -> float:
-        """When `advance` has something to do, at the latest; infinite if never."""
-        ends = [self.tenure.end] if self.tenure is not None else []
+        """The latest time at which `advance` has to be called; infinite if it need not be."""
+        times = [self.tenure.end] if self.tenure is not None else []
         if self.wanted:
             voting_round = self.voting_round
-            ends += (
+            times += (
                 [self.request_at]
                 if voting_round is None
                 else [voting_round.resend_at, voting_round.requested_at + self.terms.round_timeout]
             )
-        return min(ends, default=math.inf)
+        return min(times, default=math.inf)
 
     def _expire(self, now: float) -> list[Action]:
-        """Before anything else: a process that was stopped finds its tenure over."""
+        """End the tenure if its time is over.
+
+        Runs before anything else in each call, since the process may have been stopped.
+        """
         if self.tenure is None or now < self.tenure.end:
             return []
         number, self.tenure = self.tenure.number, None
         if self.voting_round is not None and self.voting_round.number == number:
-            self.voting_round = None  # a tenure that is over is not renewed
+            self.voting_round = None  # a renewal ends with its tenure
             self.request_at = now
         return [LeaseEnded(self.lease, number, "ended")]
 
     def _release_now(self, why: str) -> list[Action]:
-        """Tell all members, also those that may have granted an open question."""
-        done: list[Action] = []
+        """End the tenure or the open round; return the actions to perform.
+
+        A release goes to all members, since any of them may have granted the open request.
+        """
+        actions: list[Action] = []
         if self.tenure is not None:
-            done.append(LeaseEnded(self.lease, self.tenure.number, why))
-            done += self._broadcast(self._release_message(self.tenure.round_id, 1))
+            actions.append(LeaseEnded(self.lease, self.tenure.number, why))
+            actions += self._broadcast(self._release_message(self.tenure.round_id, 1))
         elif self.voting_round is not None:
-            done += self._broadcast(self._release_message(self.voting_round.id))
+            actions += self._broadcast(self._release_message(self.voting_round.id))
         self.tenure = self.voting_round = None
-        return done
+        return actions
 
     def _release_message(self, round_: int, held: int = 0) -> LeaseMessage:
         return LeaseMessage(RELEASE, self.council.number, round_, self.lease, value=held)
@@ -213,7 +245,7 @@
         kind, number = (
             (REQUEST, self.highest_seen + 1) if self.tenure is None else (RENEW, self.tenure.number)
         )
-        question = LeaseMessage(
+        request = LeaseMessage(
             kind,
             self.council.number,
             int(self.random() * 0xFFFFFFFF),
@@ -222,9 +254,9 @@
             milliseconds(self.terms.span),
         )
         self.voting_round = VotingRound(
-            question.round_id, number, now, question, now + self.terms.round_timeout / SENDS_PER_ROUND
+            request.round_id, number, now, request, now + self.terms.round_timeout / SENDS_PER_ROUND
         )
-        return self._broadcast(question)
+        return self._broadcast(request)
 
     def _round_won(self, now: float, voting_round: VotingRound) -> list[Action]:
         self.voting_round, self.back_off = None, 0.0
@@ -235,17 +267,17 @@
         if self.tenure is not None:
             self.tenure.end = max(self.tenure.end, end)
             return []
-        if now >= end:  # granted too late to be of use
+        if now >= end:  # the majority came after the tenure's end
             self.request_at = now
             return []
         self.tenure = Tenure(voting_round.number, end, voting_round.id)
         return [LeaseAcquired(self.lease, voting_round.number)]
 
     def _round_lost(self, now: float) -> list[Action]:
-        """No majority has granted the request.
+        """End a round in which no majority granted the request.
 
-        A renewal is tried again soon. A contender gives back what it got, and waits for as long as a
-        majority will deny it, and a little by chance, so that two do not meet without end.
+        A holder retries its renewal soon. A contender releases the grants that it got, and waits until a
+        majority may grant the lease, plus a random back-off so that two contenders do not collide forever.
         """
         voting_round, self.voting_round = self.voting_round, None
         assert voting_round is not None
@@ -258,7 +290,8 @@
             and voting_round.denied
             and self.highest_seen >= voting_round.number
         ):
-            self.request_at = now  # nobody has it; the number was too low, and a higher one is known now
+            # The lease is free: the number was too low, and the answers have reported a higher one.
+            self.request_at = now
             return self._broadcast(self._release_message(voting_round.id))
         self.back_off = min(max(2 * self.back_off, BACKOFF_FIRST_SPANS), BACKOFF_MAX_SPANS)
         waits = sorted([0.0] * len(voting_round.granted) + list(voting_round.denied.values()))
--- a/beaconhinge/leases/node.py
+++ b/beaconhinge/leases/node.py
@@ -1,4 +1,4 @@
-"""One process: its votes and its leases, and the word that it has with itself. Pure."""
+"""The leases of one process: its vote as a member, its holders, and the messages between the two. Pure."""
 
 from __future__ import annotations
 
@@ -18,9 +18,12 @@
 
 @dataclass(slots=True)
 class LeaseNode:
-    """Votes and leases of one process, with the messages that it sends to itself.
+    """The votes and leases of one process; messages that it sends to itself are delivered at once.
 
     Attributes:
+        member: The votes that this process grants.
+        random: Returns numbers from 0 to 1.
+        holders: The leases that this process wants or has has_holder, by the lease's key.
         handed_over: Another process of this dispatcher has taken over; this one sends nothing any more.
     """
 
@@ -30,7 +33,7 @@
     handed_over: bool = False
 
     def want(self, now: float, lease: int) -> list[Action]:
-        """Take a lease, and keep it until it is released."""
+        """Acquire a lease and renew it until `release`; return the actions to perform."""
         if self.handed_over:
             return []
         if lease not in self.holders:
@@ -40,32 +43,36 @@
             )
         return self._route(now, self._holder(lease).want(now))
 
-    def release(self, now: float, lease: int, stay_out: float = 0.0) -> list[Action]:
-        """Give a lease up; it is not requested again before `stay_out` seconds are over."""
+    def release(self, now: float, lease: int, reacquire_delay: float = 0.0) -> list[Action]:
+        """Give a lease up, and don't request it again for `reacquire_delay` seconds; return the actions."""
         holder = self.holders.get(lease)
-        return [] if holder is None or self.handed_over else self._route(now, holder.release(now, stay_out))
+        return (
+            []
+            if holder is None or self.handed_over
+            else self._route(now, holder.release(now, reacquire_delay))
+        )
 
     def receive(self, now: float, sender: int, message: LeaseMessage) -> list[Action]:
-        """Take in a message of another member; what is over by now ends before it counts."""
+        """Process a message of another member; return the actions to perform."""
         if self.handed_over:
             return []
-        # Whatever it is that comes first after a stop: what is over has ended before it counts.
-        done = self.advance(now)
-        return done + self._route(now, self._receive(now, sender, message))
+        # The message may be the first event after a stop of the process: expired tenures end first.
+        actions = self.advance(now)
+        return actions + self._route(now, self._receive(now, sender, message))
 
-    def number_written(self, now: float, write: WriteNumber, well: bool) -> list[Action]:
-        """The number of a grant is on the disk, or (`well` is False) could not be written."""
-        return [] if self.handed_over else self._route(now, self.member.number_written(now, write, well))
+    def number_written(self, now: float, write: WriteNumber, succeeded: bool) -> list[Action]:
+        """The number of a grant is on the disk, or could not be written; return the actions to perform."""
+        return [] if self.handed_over else self._route(now, self.member.number_written(now, write, succeeded))
 
     def advance(self, now: float) -> list[Action]:
-        """Do what is due at `now`."""
+        """Do what is due at `now` for each lease; return the actions to perform."""
         if self.handed_over:
             return []
-        turns = (self._holder(lease).advance(now) for lease in self.holders)
-        return self._route(now, [action for done in turns for action in done])
+        action_lists = (self._holder(lease).advance(now) for lease in self.holders)
+        return self._route(now, [action for actions in action_lists for action in actions])
 
     def _holder(self, lease: int) -> LeaseHolder:
-        """It asks under a number above all that this process has granted itself."""
+        """Return the holder of a lease, after raising its highest number to that granted by this process."""
         holder = self.holders[lease]
         holder.highest_seen = max(
             holder.highest_seen, self.member.highest_granted.get(lease, self.member.floor)
@@ -74,11 +81,11 @@
 
     @property
     def next_at(self) -> float:
-        """When `advance` has something to do, at the latest; infinite if never."""
+        """The latest time at which `advance` has to be called; infinite if it need not be."""
         return min((held.next_at for held in self.holders.values()), default=math.inf)
 
     def adopt(self, now: float, council: Council, terms: LeaseTerms) -> list[Action]:
-        """Go on with another council."""
+        """Use another council from now on; return the actions to perform."""
         self.member.adopt(now, council, terms)
         for lease_holder in self.holders.values():
             lease_holder.adopt(council, terms)
@@ -87,20 +94,20 @@
     # ---- an upgrade ----------------------------------------------------------------------------------------
 
     def hand_over(self, now: float, busy: frozenset[int]) -> tuple[list[Action], dict[str, Any]]:
-        """Leave votes and leases to another process of this dispatcher.
+        """Hand votes and leases over to another process of this dispatcher.
 
-        From here on this process neither votes nor holds. It gives up what it holds, but for `busy` leases,
-        under which an act is under way: these end by their span.
+        From here on this process neither votes nor holds a lease. It releases the leases that it holds,
+        except `busy` ones, under which an act is in progress: these are not released, and end by their span.
 
         Returns:
-            What to do, and the state for `take_over` of the other process.
+            The actions to perform, and the state for `take_over` of the other process.
         """
-        lost: list[Action] = []
+        actions: list[Action] = []
         for lease_holder in self.holders.values():
             if lease_holder.lease not in busy:
-                lost += self._route(now, lease_holder.release(now))
+                actions += self._route(now, lease_holder.release(now))
             elif lease_holder.tenure is not None:
-                lost.append(LeaseEnded(lease_holder.lease, lease_holder.tenure.number, "handed over"))
+                actions.append(LeaseEnded(lease_holder.lease, lease_holder.tenure.number, "handed over"))
         member = self.member
         votes = [
             [lease, vote.holder, vote.number, vote.round_id, vote.until - now]
@@ -117,24 +124,27 @@
         }
         self.handed_over = True
         self.holders.clear()
-        return lost, state
+        return actions, state
 
-    def take_over(self, now: float, passed: float, state: dict[str, Any]) -> None:
-        """Go on with what the other process handed over `passed` seconds ago.
+    def take_over(self, now: float, elapsed: float, state: dict[str, Any]) -> None:
+        """Restore the state that the other process handed over `elapsed` seconds ago.
 
-        A vote whose number was being written counts from now.
+        The span of a vote whose number was being written starts now.
 
         Raises:
-            ValueError: The state is of another council, or malformed; nothing has changed then. KeyError and
-                TypeError say the same.
+            ValueError: The state belongs to another council or is malformed; this node is unchanged then.
+            KeyError: The same.
+            TypeError: The same.
         """
-        member, longest = self.member, self.member.terms.grant_span
+        member, max_left = self.member, self.member.terms.grant_span
         if state["council"] != member.council.number:
-            raise ValueError("of another step of the members")
-        lefts = [math.inf if left == math.inf else float(left) - passed for *_, left in state["votes"]]
+            raise ValueError("the handed-over state belongs to another council")
+        seconds_left = [
+            math.inf if left == math.inf else float(left) - elapsed for *_, left in state["votes"]
+        ]
         votes = {
-            int(lease): Vote(int(who), int(number), now + min(left, longest), int(round_))
-            for (lease, who, number, round_, _), left in zip(state["votes"], lefts, strict=True)
+            int(lease): Vote(int(voted_for), int(number), now + min(left, max_left), int(round_))
+            for (lease, voted_for, number, round_, _), left in zip(state["votes"], seconds_left, strict=True)
         }
         highest = {int(lease): int(number) for lease, number in state["highest"]}
         numbers = {int(number): int(council) for number, council in state["numbers"]}
@@ -144,28 +154,28 @@
             {**member.highest_granted, **highest},
             floor,
         )
-        member.council_numbers, member.council_settled_at = numbers, now + moved - passed
-        member.silent_until = now + silent - passed
+        member.council_numbers, member.council_settled_at = numbers, now + moved - elapsed
+        member.silent_until = now + silent - elapsed
 
-    # ---- the word with itself ------------------------------------------------------------------------------
+    # ---- messages, also of this process to itself ----------------------------------------------------------
 
     def _receive(self, now: float, sender: int, message: LeaseMessage) -> Iterable[Action | holder.Action]:
         if message.kind not in (GRANT, DENY):
             return self.member.receive(now, sender, message)
-        known = message.lease in self.holders
-        return self._holder(message.lease).receive(now, sender, message) if known else []
+        has_holder = message.lease in self.holders
+        return self._holder(message.lease).receive(now, sender, message) if has_holder else []
 
     def _route(self, now: float, actions: Iterable[Action | holder.Action]) -> list[Action]:
-        """What goes to others. What goes to this process itself is heard at once."""
-        done: list[Action] = []
-        waiting = list(actions)
-        while waiting:
-            action = waiting.pop(0)
+        """Return the actions for others; messages to this process itself are processed here, in order."""
+        remote_actions: list[Action] = []
+        queue = list(actions)
+        while queue:
+            action = queue.pop(0)
             if isinstance(action, SendMessage) and action.to == self.member.own_number:
-                waiting += self._receive(now, self.member.own_number, action.message)
+                queue += self._receive(now, self.member.own_number, action.message)
             else:
-                done.append(action)
-        return done
+                remote_actions.append(action)
+        return remote_actions
 
 
 def new_node(
@@ -178,7 +188,10 @@
     durable: bool = False,
     highest: dict[int, int] | None = None,
 ) -> LeaseNode:
-    """A process that has just started: whatever its last life granted is over once it speaks."""
+    """Return the node of a process that has just started.
+
+    It grants nothing for `terms.silence` seconds, until all votes of its earlier incarnation have ended.
+    """
     return LeaseNode(
         VotingMember(
             own, council, terms, now + terms.silence, floor, durable, highest_granted=dict(highest or {})
--- a/beaconhinge/leases/votes.py
+++ b/beaconhinge/leases/votes.py
@@ -1,4 +1,4 @@
-"""What a member grants. Pure: `hear` tells what to say, and what to write first."""
+"""Decides what a member grants. Pure: `receive` returns messages to send and a number to write first."""
 
 from __future__ import annotations
 
@@ -9,8 +9,9 @@
 from .terms import MAX_LEASES, Council, LeaseTerms
 from .wire import COUNCIL_CHANGE, DENY, GRANT, RELEASE, RENEW, REQUEST, LeaseMessage, milliseconds
 
-MAX_WAITING = 16  # of those who were refused a lease, that are told when it is given up
-# Part of the span until it is worth asking again for what another has only just asked for.
+MAX_WAITING = 16  # denied contenders for each lease that are notified when it is released
+# Spans after which a denied contender may try again while the vote is not renewed yet: its holder may have no
+# majority.
 UNRENEWED_RETRY_SPANS = 0.1
 
 
@@ -24,7 +25,7 @@
 
 @dataclass(frozen=True, slots=True)
 class WriteNumber:
-    """Write the number to the disk, then call `VotingMember.number_written`."""
+    """Write the number to the disk, then call `VotingMember.number_written`, which returns `then_send`."""
 
     lease: int
     number: int
@@ -39,30 +40,37 @@
     """A grant that is in force.
 
     Attributes:
+        holder: Number of the dispatcher that it was granted to.
+        number: Number of the tenure.
         until: When it ends; infinite while its number is being written.
         round_id: The request that it answers.
-        renewed: Its holder has a majority, and does not give it back in a moment.
+        renewed: The holder has renewed it, so it has a majority and will not release it as a failed round.
     """
 
     holder: int
     number: int
-    until: float  # infinite while its number is being written
-    round_id: int  # in which it was asked for
-    renewed: bool = False  # renewed: its holder has a majority, and does not give it back in a moment
+    until: float
+    round_id: int
+    renewed: bool = False
 
 
 @dataclass(slots=True)
 class VotingMember:
     """The votes of one member.
 
-    It starts silent, since an earlier incarnation of it may have voted.
+    At first it grants nothing, since votes of an earlier incarnation of it may be in force.
 
     Attributes:
+        own_number: Number of this dispatcher.
+        silent_until: No new tenure is granted before this time.
         floor: Above every number that an earlier incarnation can have granted.
-        durable: A number is written before it is granted.
-        denied: Requests that were denied, by lease and requester.
-        council_numbers: Numbers of their councils, as members last sent them.
-        council_settled_at: When the council before was seen to be over.
+        durable: Whether a number is written to the disk before it is granted.
+        votes: The grants in force, by the lease's key.
+        highest_granted: The highest number granted for each lease.
+        denied: Requests that were denied, by lease and requester; they are notified of a release.
+        council_numbers: The council number that each member last sent.
+        council_settled_at: When a majority had left the previous council; infinite until then, minus infinity
+            if there was none.
     """
 
     own_number: int
@@ -73,10 +81,9 @@
     durable: bool = False
     votes: dict[int, Vote] = field(default_factory=dict)
     highest_granted: dict[int, int] = field(default_factory=dict)
-    # By lease and asker: the question.
     denied: dict[int, dict[int, LeaseMessage]] = field(default_factory=dict)
-    council_numbers: dict[int, int] = field(default_factory=dict)  # of their councils, as members last told
-    council_settled_at: float = math.inf  # when the step before was seen to be over
+    council_numbers: dict[int, int] = field(default_factory=dict)
+    council_settled_at: float = math.inf
 
     def __post_init__(self) -> None:
         self.council_numbers[self.own_number] = self.council.number
@@ -84,7 +91,7 @@
             self.council_settled_at = -math.inf
 
     def receive(self, now: float, sender: int, message: LeaseMessage) -> list[Action]:
-        """Take in a message: what to send, and what to write first."""
+        """Process a message; return the messages to send and the number to write first."""
         if sender in self.council.members | self.council.previous_members:
             self.council_numbers[sender] = max(message.council, self.council_numbers.get(sender, 0))
             self._check_council(now)
@@ -92,16 +99,21 @@
             return self._receive_request(now, sender, message)
         if message.kind == RELEASE:
             vote = self.votes.get(message.lease)
-            # By its round: one who failed under a number may have it by now, and its word come late.
+            # Match the round, not the number: a contender may have won a number after it failed under it, and
+            # the release of the failed round may arrive late.
             if vote is not None and (vote.holder, vote.round_id) == (sender, message.round_id):
                 del self.votes[message.lease]
-                # Not of a question that failed: more would follow at once, and meet without end.
+                # Denied contenders are notified only when a tenure ends (value 1). After a failed round they
+                # would all request at once and collide again, without end.
                 waiting = self.denied.pop(message.lease, {}) if message.value else {}
                 return [
                     SendMessage(
-                        to, self._answer(DENY, asked, self.highest_granted.get(asked.lease, self.floor))
+                        to,
+                        self._answer(
+                            DENY, denied_request, self.highest_granted.get(denied_request.lease, self.floor)
+                        ),
                     )
-                    for to, asked in waiting.items()
+                    for to, denied_request in waiting.items()
                     if to != sender
                 ]
         elif message.kind == COUNCIL_CHANGE and message.round_id:
@@ -109,36 +121,39 @@
         return []
 
     def adopt(self, now: float, council: Council, terms: LeaseTerms) -> None:
-        """Go on with another council; votes stay in force, and may be renewed at once."""
+        """Use another council from now on; votes stay in force, and may be renewed at once."""
         self.council, self.terms = council, terms
         self.council_numbers[self.own_number] = council.number
         self.council_settled_at = math.inf if council.previous_members else -math.inf
         self._check_council(now)
 
     def announce_council(self) -> list[Action]:
-        """Messages to all who have to hear of the council, until the one before is over."""
-        known = self.council.members | self.council.previous_members
-        waits = self.council_settled_at == math.inf
+        """Return the council's announcement to its other members and those of the previous council.
+
+        Empty once a majority has left the previous council.
+        """
+        receivers = self.council.members | self.council.previous_members
+        unsettled = self.council_settled_at == math.inf
         return [
             SendMessage(member, LeaseMessage(COUNCIL_CHANGE, self.council.number, 1))
-            for member in sorted(known - {self.own_number})
-            if waits
+            for member in sorted(receivers - {self.own_number})
+            if unsettled
         ]
 
-    def number_written(self, now: float, write: WriteNumber, well: bool) -> list[Action]:
-        """The span of a grant begins.
+    def number_written(self, now: float, write: WriteNumber, succeeded: bool) -> list[Action]:
+        """Start the span of a vote whose number was to be written; return its grant.
 
-        What is not on the disk is not granted, and counts as granted all the same.
+        A number that could not be written is not granted, but its vote is in force all the same.
         """
         vote = self.votes.get(write.lease)
         if vote is not None and vote.number == write.number and vote.until == math.inf:
             vote.until = now + self.terms.grant_span
-            return [write.then_send] if well else []
+            return [write.then_send] if succeeded else []
         return []
 
     @property
     def voting_at(self) -> float:
-        """From when on new tenures are granted; infinite while the council before is not over."""
+        """Time from which new tenures are granted; infinite until a majority left the previous council."""
         return max(self.silent_until, self.council_settled_at + self.terms.silence)
 
     def _check_council(self, now: float) -> None:
@@ -157,32 +172,33 @@
             del self.votes[request.lease]
             vote = None
 
-        def no(left: float) -> list[Action]:
+        def deny(left: float) -> list[Action]:
             return [SendMessage(sender, self._answer(DENY, request, highest, left))]
 
         if request.council != self.council.number or request.value != milliseconds(self.terms.span):
-            return no(self.terms.span)
+            return deny(self.terms.span)
         if vote is not None:
-            # Who starts again under the same name does not have the tenure that its last life had: an act of
-            # that one may be under way.
-            same = (vote.holder, vote.number) == (sender, request.number)
-            if not same or request.kind == REQUEST and vote.round_id != request.round_id:
+            # A process that has restarted does not get the tenure of its earlier incarnation again: an act of
+            # that one may be in progress.
+            same_tenure = (vote.holder, vote.number) == (sender, request.number)
+            if not same_tenure or request.kind == REQUEST and vote.round_id != request.round_id:
                 waiting = self.denied.setdefault(request.lease, {})
                 if request.kind == REQUEST and (sender in waiting or len(waiting) < MAX_WAITING):
                     waiting[sender] = request
                 left = vote.until - now if vote.renewed else UNRENEWED_RETRY_SPANS * self.terms.span
-                return no(min(left, vote.until - now, self.terms.grant_span))
+                return deny(min(left, vote.until - now, self.terms.grant_span))
             if vote.until == math.inf:
-                return []  # asked again while its number is being written
+                return []  # the request was sent again while its number is being written
             vote.until, vote.renewed = now + self.terms.grant_span, request.kind == RENEW
             return [SendMessage(sender, self._answer(GRANT, request, request.number))]
         if now < self.voting_at:
-            return no(min(self.voting_at - now, self.terms.span))
-        # A number is granted once: a higher one came later. But who has missed some renewals, and granted
-        # nothing since, votes for the tenure again; else it would wear off.
-        known = request.lease in self.highest_granted or len(self.highest_granted) < MAX_LEASES
-        if request.number < highest or request.number == highest and request.kind == REQUEST or not known:
-            return no(0.0)
+            return deny(min(self.voting_at - now, self.terms.span))
+        # Each number is granted once, so a request needs a number above the highest. But a member whose vote
+        # ended because renewals were lost, and that has granted nothing since, accepts a renewal of that
+        # number; else the tenure would lose its votes one after another.
+        tracked = request.lease in self.highest_granted or len(self.highest_granted) < MAX_LEASES
+        if request.number < highest or request.number == highest and request.kind == REQUEST or not tracked:
+            return deny(0.0)
         self.highest_granted[request.lease] = request.number
         until = math.inf if self.durable else now + self.terms.grant_span
         self.votes[request.lease] = Vote(sender, request.number, until, request.round_id)
