--- a/beaconhinge/net/lease_calls.py
+++ b/beaconhinge/net/lease_calls.py
@@ -1,4 +1,4 @@
-"""Tasks under leases: calls that one dispatcher makes for all, and leases taken for an operator's command."""
+"""Tasks under leases: scheduled calls by one dispatcher for the fleet, and leases for operators' commands."""
 
 from __future__ import annotations
 
@@ -23,10 +23,10 @@
 from .sockets import connect
 from .upgrade import ProcessUpgrade
 
-CONNECT_TIMEOUT_S = 0.25  # seconds for a connection, which costs nothing of an act's longest time
-STALE_TENURE_STATUSES = (409, 412)  # answers of who has seen a greater number
-COMMAND_LEASE_S = 3.0  # seconds for which one call takes a lease: whoever uses it calls again
-CHECK_INTERVAL_S = 0.05  # seconds between looks whether it is still taken
+CONNECT_TIMEOUT_S = 0.25  # for the connection, which does not count towards an act's longest time
+STALE_TENURE_STATUSES = (409, 412)  # statuses of a receiver that has seen a greater tenure number
+COMMAND_LEASE_S = 3.0  # for which one operator's call keeps a lease; the command has to repeat the call
+CHECK_INTERVAL_S = 0.05  # between checks whether an operator's command still wants the lease
 
 
 def wire_leases(
@@ -40,32 +40,35 @@
     metrics: Metrics,
     inherited: dict[str, Any] | None,
 ) -> LeaseService:
-    """Build the parts of leases and connect them.
+    """Start leases, their scheduled calls and the operators' calls; return the service.
+
+    `inherited` is the state by part that another process of this dispatcher handed over in an upgrade.
 
     Raises:
-        ConfigError: Other dispatchers cannot be heard.
+        ConfigError: No `peer_listen` is configured, so that other dispatchers' votes cannot arrive.
     """
     if config.peer_listen is None and config.settings.group_size > 1:
-        raise ConfigError("leases.enabled: needs peer_listen and peers, by which dispatchers hear each other")
+        raise ConfigError("leases.enabled: needs peer_listen and peers, by which dispatchers exchange votes")
     leases = LeaseService(options, config, store, peers, timers, metrics)
     if upgrade is not None:
         upgrade.parts["leases"] = leases.hand_over_state, leases.take_back
-    operators.handlers |= CommandLeases(leases, timers, metrics).acts
+    operators.handlers |= CommandLeases(leases, timers, metrics).handlers
     leases.open((inherited or {}).get("leases"))
     ScheduledCalls(leases, timers, metrics).start(options.calls)
     return leases
 
 
 class ScheduledCalls:
-    """POST to an address at each whole multiple of `every_s` in Unix time, by whoever has the lease then."""
+    """Sends a POST at each multiple of `every_s` in Unix time while this process holds the call's lease."""
 
     def __init__(self, leases: LeaseService, timers: TimerWheel, metrics: Metrics) -> None:
         self.leases = leases
         self.timers = timers
         self.metrics = metrics
 
-    def start(self, wanted: list[LeaseCall]) -> None:
-        for call in wanted:
+    def start(self, lease_calls: list[LeaseCall]) -> None:
+        """Start one task for each call."""
+        for call in lease_calls:
             self.metrics.spawn(self._run(call), f"lease {call.name}")
 
     async def _run(self, call: LeaseCall) -> None:
@@ -75,11 +78,12 @@
                     while await self._act(call, tenure):
                         pass
             except LeaseLost:
-                pass  # told and counted; another has it, or this process was away
-            await asyncio.sleep(call.longest_s)  # who was refused, or handed it over, lets others come first
+                pass  # already logged and counted: another process has the lease, or this one was stopped
+            # After a rejected number or a hand-over, other processes get the lease first.
+            await asyncio.sleep(call.longest_s)
 
     async def _act(self, call: LeaseCall, tenure: Tenure) -> bool:
-        """Whether to go on with this tenure."""
+        """Send the next call when it is due; return whether to go on with this tenure."""
         now = self.timers.now()
         due = (math.floor(now / call.every_s) + 1) * call.every_s
         await asyncio.sleep(due - now)
@@ -94,7 +98,8 @@
                 "Content-Length": "0",
             }
             data = http1.request("POST", call.path.encode(), head)
-            # From here to the kernel nothing else runs: what comes late is told by its number.
+            # Nothing else runs between this check and the write to the socket. The receiver recognises a call
+            # that is delayed after that by its tenure's number.
             if not tenure.may_act(call.longest_s):
                 self.metrics.count("lease_acts_put_off")
                 return tenure.seconds_left > 0
@@ -102,7 +107,7 @@
                 await connection.send(data)
                 answer = await connection.next()
             tenure.act_done()
-        except (OSError, Closed, BadMessage) as error:  # a time-out is an OSError too
+        except (OSError, Closed, BadMessage) as error:  # TimeoutError is an OSError
             self.metrics.count_and_log(
                 "lease_act_failed", lease=call.name, why=f"{type(error).__name__}: {error}"
             )
@@ -118,13 +123,17 @@
 
 
 class CommandLeases:
-    """Leases that operators take by calls, for commands of theirs."""
+    """Leases that operators' commands take by management calls.
+
+    Attributes:
+        acts: The handlers of the management calls, by the call's name.
+    """
 
     def __init__(self, leases: LeaseService, timers: TimerWheel, metrics: Metrics) -> None:
         self.leases = leases
         self.timers = timers
         self.metrics = metrics
-        self.acts: dict[str, Callable[[OperatorCall], bytes | Awaitable[bytes]]] = {
+        self.handlers: dict[str, Callable[[OperatorCall], bytes | Awaitable[bytes]]] = {
             calls.LEASE_LIST: self._list,
             calls.LEASE_TAKE: self._take,
             calls.LEASE_GIVE: self._give,
@@ -148,7 +157,7 @@
         return calls.success(f"held {held.number} {max(0, int(1000 * (held.end - self.timers.now())))}")
 
     def _give(self, call: OperatorCall) -> bytes:
-        """The command has ended."""
+        """Give up the lease of a command that has ended."""
         try:
             self.leases.lease(call.argument).command_until = 0.0
         except ValueError as why:
--- a/beaconhinge/net/leases.py
+++ b/beaconhinge/net/leases.py
@@ -1,4 +1,4 @@
-"""Wires leases: datagrams, timers, numbers on the disk, the port that only one process of a name has."""
+"""Connects leases to datagrams, timers, the store, and a port that only one process of a dispatcher binds."""
 
 from __future__ import annotations
 
@@ -27,10 +27,10 @@
 from ..store import Put, Store, StoreError
 from .peers import PeerSocket
 
-LOCK_RETRY_S = 0.1  # seconds between tries for the port
-DISK_TIMEOUT_S = 1.0  # seconds after which a number that is not on the disk counts as not written
-COUNCIL_INTERVAL_S = 0.2  # seconds between words of a step to those who have not told theirs
-CONTENDERS_PER_SPAN = 25  # contenders for each span over which they spread their tries
+LOCK_RETRY_S = 0.1  # between attempts to bind the port
+DISK_TIMEOUT_S = 1.0  # after which a number that is not on the disk counts as not written
+COUNCIL_INTERVAL_S = 0.2  # between announcements of a new council, until it is settled
+CONTENDERS_PER_SPAN = 25  # many contenders spread their requests over one span for each 25 of them
 RECORD_PREFIX = b"lease/"
 _NUMBER = struct.Struct(">Q")
 
@@ -40,63 +40,77 @@
 
 
 class Tenure:
-    """One holding of a lease, from its grant to its end, as the body of `async with` sees it.
+    """One period in which this process holds a lease, as the body of `async with` gets it.
 
     Attributes:
-        number: Greater than that of every tenure before; it goes with each act.
+        number: Greater than that of every earlier tenure. Sent with each act, so that the receiver can reject
+            acts of earlier tenures.
     """
 
     def __init__(self, leases: LeaseService, lease: _LocalLease, number: int) -> None:
-        self.number = number  # greater than that of every tenure before; goes with each act
+        self.number = number
         self._leases = leases
         self._lease = lease
 
     @property
     def seconds_left(self) -> float:
-        """Seconds for which it holds without a renewal; 0 once it is over."""
+        """Seconds until the tenure ends without a renewal; 0 once it is over."""
         tenure = self._leases.current_tenure(self._lease)
         mine = tenure is not None and tenure.number == self.number
         return max(0.0, tenure.end - self._leases.timers.now()) if tenure is not None and mine else 0.0
 
-    def may_act(self, longest: float) -> bool:
-        """Whether an act of `longest` seconds at most may begin, in this very turn of the event loop.
+    def may_act(self, max_duration: float) -> bool:
+        """Return whether an act of at most `max_duration` seconds may begin, before the next `await`.
 
-        Until it is over, or `act_done` is called, the lease is not given up, whatever ends the body.
+        If so, the lease is not given up, whatever ends the body, until that time is over or `act_done` is
+        called.
         """
         tenure = self._leases.current_tenure(self._lease)
         if tenure is None or tenure.number != self.number:
             return False
         now = self._leases.timers.now()
-        if not tenure.covers(now, longest, self._leases.terms.drift):
+        if not tenure.covers(now, max_duration, self._leases.terms.drift):
             return False
-        self._lease.busy_until = now + longest
+        self._lease.busy_until = now + max_duration
         return True
 
     def act_done(self) -> None:
-        """The act has ended, and is known to have."""
+        """Report that the act has ended, so that the lease may be given up before the act's longest time."""
         self._lease.busy_until = 0.0
 
 
 class _LocalLease:
-    """What this process wants of one lease."""
+    """The state of one lease in this process.
+
+    Attributes:
+        name: The lease's name.
+        key: Its key in messages, by `terms.lease_key`.
+        body_lock: Held by the one body of `async with` that waits for the lease or has it.
+        changed: Set when a tenure begins or ends.
+        on_lost: Called when the tenure ends; cancels the body.
+        busy_until: Until then an act may be in progress; 0 if none is.
+        reacquire_delay: Seconds before the lease is requested again, once it is given up.
+        command_until: Until then an operator's command wants the lease.
+        command_task: Keeps the lease for an operator's command.
+    """
 
     def __init__(self, name: str) -> None:
         self.name = name
         self.key = terms.lease_key(name)
-        self.body_lock = asyncio.Lock()  # one body at a time
+        self.body_lock = asyncio.Lock()
         self.changed = asyncio.Event()
-        self.on_lost: Callable[[], None] | None = None  # tells the body
-        self.busy_until = 0.0  # an act may be under way
-        self.stay_out = 0.0  # seconds, once it is given up, before it is asked for again
-        self.command_until = 0.0  # by an operator's command
+        self.on_lost: Callable[[], None] | None = None
+        self.busy_until = 0.0
+        self.reacquire_delay = 0.0
+        self.command_until = 0.0
         self.command_task: asyncio.Task[None] | None = None
 
 
 class LeaseContext:
-    """`async with leases.hold(name) as tenure`: waits for the lease, without bound.
+    """The context of `async with leases.hold(name) as tenure`; waits for the lease without a time limit.
 
-    The body is cancelled when the tenure ends early, and LeaseLost raised. When the body ends, the lease is
-    given up.
+    When the tenure ends before the body, the body is cancelled and LeaseLost raised. When the body ends
+    first, the lease is given up.
     """
 
     def __init__(self, leases: LeaseService, lease: _LocalLease) -> None:
@@ -133,19 +147,24 @@
         try:
             await self._leases.wait_for_acts(self._lease)
             self._leases.release(self._lease)
-        except asyncio.CancelledError:  # once more, while an act may be under way
+        except asyncio.CancelledError:  # the wait itself was cancelled while an act may be in progress
             self._leases.release_later(self._lease)
             raise
         finally:
             self._lease.body_lock.release()
-        # A cancellation from elsewhere at the same moment goes on as what it is.
+        # A cancellation requested elsewhere at the same moment is not replaced by LeaseLost.
         cancelled_here = self._expired and self._task is not None and self._task.uncancel() == 0
         if cancelled_here and kind is asyncio.CancelledError:
             raise LeaseLost(f"lease {self._lease.name} was lost") from error
 
 
 class LeaseService:
-    """The leases of this process: datagrams, timers, numbers on the disk, and who waits for a lease."""
+    """The leases of this process: their datagrams, timers, stored numbers, and the tasks waiting for them.
+
+    Attributes:
+        node: The state machine; None until this process has locked the port of its dispatcher, and once
+            another process has taken over.
+    """
 
     def __init__(
         self,
@@ -163,8 +182,8 @@
         self.timers = timers
         self.metrics = metrics
         self.random = rng
-        self.council, self.terms = self._read(options)
-        self.node: LeaseNode | None = None  # until this process is the one of its name
+        self.council, self.terms = self._parse_options(options)
+        self.node: LeaseNode | None = None
         self._leases: dict[int, _LocalLease] = {}
         self._port_lock: socket.socket | None = None
         self._timer: Timer | None = None
@@ -172,7 +191,7 @@
         self._leaving = False
         peers.handlers[wire.DATAGRAM_TYPE] = self._receive
 
-    def _read(self, options: LeaseOptions) -> tuple[Council, LeaseTerms]:
+    def _parse_options(self, options: LeaseOptions) -> tuple[Council, LeaseTerms]:
         members = frozenset(options.members or range(self.config.settings.group_size))
         return (
             Council(options.number, members, frozenset(options.members_before)),
@@ -184,7 +203,11 @@
         )
 
     def open(self, inherited: dict[str, Any] | None = None) -> None:
-        """Begin; `inherited` is what the other process of this dispatcher has handed over."""
+        """Start taking part in leases.
+
+        Args:
+            inherited: The state that `hand_over_state` of the other process of this dispatcher returned.
+        """
         self.metrics.spawn(self._start_node(inherited), "leases")
 
     async def _start_node(self, inherited: dict[str, Any] | None) -> None:
@@ -192,9 +215,11 @@
             self.metrics.count_and_log("leases_port_taken", port=self.peers.config.peer_listen)
             await asyncio.sleep(LOCK_RETRY_S)
         now = self.timers.now()
-        floor = round(now * 1000)  # wall time, above every number of an earlier life that a folder has lost
+        # Wall time in milliseconds: above every number of an earlier incarnation, even if the store's folder
+        # was lost.
+        floor = round(now * 1000)
         numbers = {lease: max(number, floor) for lease, number in self._stored_numbers()}
-        made = node.new_node(
+        new_node = node.new_node(
             self.config.settings.own_number,
             self.council,
             self.terms,
@@ -206,15 +231,17 @@
         )
         if inherited is not None:
             try:
-                made.take_over(now, max(0.0, time.monotonic() - float(inherited["at"])), inherited["node"])
+                new_node.take_over(
+                    now, max(0.0, time.monotonic() - float(inherited["at"])), inherited["node"]
+                )
             except (KeyError, TypeError, ValueError) as error:
                 self.metrics.count_and_log("leases_not_inherited", why=f"{type(error).__name__}: {error}")
-        self.node = made
+        self.node = new_node
         self.metrics.log(
             "leases_open",
             members=len(self.council.members),
             number=self.council.number,
-            silent_for=max(0.0, made.member.silent_until - now),
+            silent_for=max(0.0, new_node.member.silent_until - now),
         )
         self._announce_council()
         for lease in self._leases.values():
@@ -222,7 +249,7 @@
                 self.want(lease)
 
     def _acquire_port(self) -> bool:
-        """Bind what the kernel gives to one process: the TCP port of the number that datagrams come to."""
+        """Bind the TCP port of the datagram address, which only one process can; return whether it did."""
         address = self.peers.config.peer_listen
         if address is None:
             return len(self.council.members) <= 1
@@ -240,28 +267,28 @@
             return
         name, number = self.config.name, self.config.settings.own_number
         try:
-            for place, data in self.store.scan(RECORD_PREFIX):
+            for key, data in self.store.scan(RECORD_PREFIX):
                 body = incarnations.read_signed_record(data, name, number)
                 if body is not None and len(body) == _NUMBER.size:
-                    yield int.from_bytes(place[len(RECORD_PREFIX) :], "big"), _NUMBER.unpack(body)[0]
-        except StoreError as error:  # wall time stands above them
+                    yield int.from_bytes(key[len(RECORD_PREFIX) :], "big"), _NUMBER.unpack(body)[0]
+        except StoreError as error:  # the floor from wall time is above all stored numbers
             self.metrics.count_and_log("leases_not_read", why=f"{type(error).__name__}: {error}")
 
-    # ---- what the parts here ask for -----------------------------------------------------------------------
+    # ---- interface for other modules of this process -------------------------------------------------------
 
     def hold(self, name: str) -> LeaseContext:
-        """A context that holds the lease.
+        """Return a context that holds the lease while its body runs.
 
         Raises:
-            ValueError: The name is not one of a lease.
+            ValueError: The name is not a valid lease name.
         """
         return LeaseContext(self, self.lease(name))
 
     def lease(self, name: str) -> _LocalLease:
-        """The record of a lease by its name.
+        """Return this process's state of a lease, which is created if need be.
 
         Raises:
-            ValueError: The name is not one of a lease.
+            ValueError: The name is not a valid lease name.
         """
         if not terms.LEASE_NAME.fullmatch(name):
             raise ValueError(f"{name[:50]}: a lease's name has letters, digits and dashes, 40 at most")
@@ -271,38 +298,38 @@
         return self._leases[key]
 
     def want(self, lease: _LocalLease) -> None:
-        """Have the node take the lease."""
+        """Have the node acquire the lease and renew it until `release`."""
         if self.node is not None and not self._leaving:
             self._perform(self.node.want(self.timers.now(), lease.key))
 
     async def wait_for_acts(self, lease: _LocalLease) -> None:
-        """Wait until no act can be under way any more.
+        """Wait until no act under the lease can be in progress.
 
-        Till then the lease is kept, and nobody else gets it. A process that ends comes by here after its
-        timers have stopped: the wait is the loop's own.
+        Until then the lease is kept, so that no other process gets it. This also runs while the process shuts
+        down, when the timer wheel has stopped, so it sleeps by the event loop's clock.
         """
-        while (busy_s := self._seconds_busy(lease)) > 0:  # noqa: ASYNC110  # time itself is waited for
+        while (busy_s := self._seconds_busy(lease)) > 0:  # noqa: ASYNC110  # no event marks the end of an act
             await asyncio.sleep(busy_s)
 
     def _seconds_busy(self, lease: _LocalLease) -> float:
-        """Return for how long an act may be under way still; 0 without a tenure."""
+        """Return the seconds for which an act may still be in progress; 0 without a tenure."""
         held = self.current_tenure(lease) is not None
         return max(0.0, lease.busy_until - self.timers.now()) if held else 0.0
 
     def release_later(self, lease: _LocalLease) -> None:
-        """Give the lease up once no act can be under way."""
+        """Give the lease up once no act can be in progress."""
         self.timers.at(lease.busy_until, lambda: self.release(lease))
 
     def release(self, lease: _LocalLease) -> None:
         """Have the node give the lease up."""
-        stay_out, lease.stay_out = lease.stay_out, 0.0
+        reacquire_delay, lease.reacquire_delay = lease.reacquire_delay, 0.0
         if self.node is not None:
-            self._perform(self.node.release(self.timers.now(), lease.key, stay_out))
+            self._perform(self.node.release(self.timers.now(), lease.key, reacquire_delay))
 
     def current_tenure(self, lease: _LocalLease) -> holder.Tenure | None:
-        """The tenure of a lease, after a look at the clock.
+        """Return the tenure of a lease; None if it is not held.
 
-        A process that was stopped may hold it no longer.
+        Expired tenures are ended first, since the process may have been stopped.
         """
         if self.node is None:
             return None
@@ -311,24 +338,24 @@
         return held.tenure if held is not None else None
 
     def hand_over(self, lease: _LocalLease) -> bool:
-        """Have another dispatcher take the lease.
+        """Give the lease up so that another dispatcher can acquire it.
 
-        The body is cancelled, and this process stays out for a span.
+        The body is cancelled, and this process does not request the lease again for one span.
 
         Returns:
             Whether the lease was held here.
         """
         if self.current_tenure(lease) is None:
             return False
-        lease.stay_out = self.terms.span
-        if lease.on_lost is not None:  # its body gives it up, once its act is over
+        lease.reacquire_delay = self.terms.span
+        if lease.on_lost is not None:  # the body's context gives the lease up once no act is in progress
             lease.on_lost()
         else:
             self.release(lease)
         return True
 
     def status_json(self) -> str:
-        """The state of all leases, as one line of JSON."""
+        """Return the state of the council and of all leases as one line of JSON."""
         now = self.timers.now()
         member = self.node.member if self.node is not None else None
         shown = {}
@@ -353,9 +380,9 @@
         )
 
     def leave(self) -> None:
-        """Give up all leases before the process ends.
+        """Give up all leases before the process ends, and acquire none any more.
 
-        One under which an act is under way ends by its span.
+        A lease under which an act is in progress is not released; it ends by its span.
         """
         self._leaving = True
         now = self.timers.now()
@@ -363,10 +390,14 @@
             if self.node is not None and now >= lease.busy_until:
                 self._perform(self.node.release(now, lease.key))
 
-    # ---- an upgrade, and steps -----------------------------------------------------------------------------
+    # ---- upgrades and council changes ----------------------------------------------------------------------
 
     def hand_over_state(self) -> dict[str, Any] | None:
-        """State for the process that replaces this one, which is out from here on."""
+        """Stop voting and holding leases; return the state for the process that replaces this one.
+
+        None if this process had not started taking part. Acts in progress go on; their leases end by their
+        span.
+        """
         if self.node is None:
             return None
         now = self.timers.now()
@@ -379,23 +410,24 @@
         return {"at": time.monotonic(), "node": state}
 
     def take_back(self) -> None:
-        """Begin anew after the new process has died.
+        """Start taking part again after the new process has died.
 
-        What it granted or held is over after a span of silence.
+        Nothing is granted for `terms.silence` seconds, until all that the new process granted or held has
+        ended.
         """
         if self.node is None:
             self.open()
 
     def reload(self, options: LeaseOptions) -> str:
-        """Go on with another council, or return why not."""
-        council, span = self._read(options)
-        if (council, span) == (self.council, self.terms):
+        """Adopt the council and terms of changed options; return why they are refused, or an empty string."""
+        council, lease_terms = self._parse_options(options)
+        if (council, lease_terms) == (self.council, self.terms):
             return ""
         if council.number <= self.council.number:
             return f"leases.number: must be over {self.council.number} where members or spans change"
-        self.council, self.terms = council, span
+        self.council, self.terms = council, lease_terms
         if self.node is not None:
-            self._perform(self.node.adopt(self.timers.now(), council, span))
+            self._perform(self.node.adopt(self.timers.now(), council, lease_terms))
             self._announce_council()
         self.metrics.log("leases_council_changed", number=council.number, members=len(council.members))
         return ""
@@ -441,7 +473,7 @@
     def _schedule(self) -> None:
         at = self.node.next_at if self.node is not None else math.inf
         if at == math.inf or self._timer is not None and self._timer_at <= at:
-            return  # an earlier timer looks again
+            return  # the earlier timer calls `_advance`, which schedules again
         if self._timer is not None:
             self._timer.cancel()
         self._timer_at = at
@@ -453,7 +485,7 @@
             self._perform(self.node.advance(self.timers.now()))
 
     async def _write_number(self, write: WriteNumber) -> None:
-        own, well = self.node, False
+        current_node, written = self.node, False
         record = incarnations.sign_record(
             self.config.name, self.config.settings.own_number, _NUMBER.pack(write.number)
         )
@@ -461,8 +493,8 @@
             async with self.timers.timeout(DISK_TIMEOUT_S):
                 if self.store is not None:
                     await self.store.commit([Put(RECORD_PREFIX + write.lease.to_bytes(8, "big"), record)])
-            well = True
+            written = True
         except (StoreError, TimeoutError) as error:
             self.metrics.count_and_log("lease_not_written", why=f"{type(error).__name__}: {error}")
-        if own is not None and own is self.node:
-            self._perform(own.number_written(self.timers.now(), write, well))
+        if current_node is not None and current_node is self.node:
+            self._perform(current_node.number_written(self.timers.now(), write, written))
