--- a/beaconhinge/recovery/__init__.py
+++ b/beaconhinge/recovery/__init__.py
@@ -1,1 +1,1 @@
-"""What a process may still believe after it was away. Pure; `net/recovery.py` wires it."""
+"""State that a process may still rely on after a restart or a stall. Pure; `net/recovery.py` connects it."""
--- a/beaconhinge/recovery/key_inquiry.py
+++ b/beaconhinge/recovery/key_inquiry.py
@@ -1,4 +1,4 @@
-"""One question about an idempotency key to all other dispatchers, and a result on its way here in parts."""
+"""One query about an idempotency key to all other dispatchers, and the assembly of a result sent in parts."""
 
 from __future__ import annotations
 
@@ -7,22 +7,27 @@
 
 from .key_messages import KeyState, ResultPart
 
-# Which answer of several counts.
-_WEIGHT = {KeyState.ABSENT: 0, KeyState.UNKNOWN: 1, KeyState.PRESENT: 2, KeyState.RESULT_CACHED: 3}
+# The answer with the greatest precedence decides.
+_PRECEDENCE = {KeyState.ABSENT: 0, KeyState.UNKNOWN: 1, KeyState.PRESENT: 2, KeyState.RESULT_CACHED: 3}
 
 
 @dataclass(slots=True)
 class KeyInquiry:
-    """A query to all other dispatchers: a key is absent only if each of them says so."""
+    """A query to all other dispatchers; a key is absent only if each of them answers so.
+
+    Attributes:
+        peers: Numbers of all other dispatchers.
+        answers: The answers received so far, by dispatcher.
+    """
 
     peers: frozenset[int]
     answers: dict[int, KeyState] = field(default_factory=dict)
 
     def record(self, number: int, state: KeyState) -> None:
-        """Take in an answer. A later one does not take back that a dispatcher had the key."""
+        """Record a dispatcher's answer; of several, the one with the greatest precedence counts."""
         if number in self.peers:
             self.answers[number] = max(
-                state, self.answers.get(number, KeyState.ABSENT), key=_WEIGHT.__getitem__
+                state, self.answers.get(number, KeyState.ABSENT), key=_PRECEDENCE.__getitem__
             )
 
     @property
@@ -32,42 +37,46 @@
 
     @property
     def decided(self) -> bool:
-        """Whether further answers cannot change the verdict, or none is missing."""
+        """Whether the key is present on some dispatcher, or all dispatchers have answered."""
         return self.verdict in (KeyState.PRESENT, KeyState.RESULT_CACHED) or not self.unanswered
 
     @property
     def verdict(self) -> KeyState:
-        """The `KeyState` that follows from the answers so far."""
-        heaviest = max(self.answers.values(), key=_WEIGHT.__getitem__, default=KeyState.ABSENT)
-        return KeyState.UNKNOWN if heaviest == KeyState.ABSENT and self.unanswered else heaviest
+        """The key's state by the answers so far; UNKNOWN while a missing answer could change ABSENT."""
+        strongest = max(self.answers.values(), key=_PRECEDENCE.__getitem__, default=KeyState.ABSENT)
+        return KeyState.UNKNOWN if strongest == KeyState.ABSENT and self.unanswered else strongest
 
     @property
     def result_holder(self) -> int:
-        """The dispatcher that has cached the result."""
+        """Number of the first dispatcher that has answered that it has cached the result.
+
+        Raises:
+            StopIteration: None has.
+        """
         return next(number for number, state in self.answers.items() if state == KeyState.RESULT_CACHED)
 
 
 @dataclass(slots=True)
 class ResultAssembly:
-    """A result that arrives in parts, which may be lost, come twice, or belong to another result."""
+    """A result that arrives in parts, which may be lost, arrive twice or belong to another result."""
 
     parts: dict[int, ResultPart] = field(default_factory=dict)
 
     def add(self, part: ResultPart) -> None:
-        """Take in a part, unless it belongs to another result than the first one did."""
+        """Add a part, unless its result differs from that of the first part."""
         first = next(iter(self.parts.values()), part)
         if (part.checksum, part.part_count) == (first.checksum, first.part_count):
             self.parts[part.part] = part
 
     @property
     def missing(self) -> list[int]:
-        """Numbers of the parts that have not come; 0 alone while none has."""
+        """Numbers of the parts that have not arrived; only 0 as long as none has."""
         parts = next((part.part_count for part in self.parts.values()), 1)
         return [number for number in range(parts) if number not in self.parts]
 
     @property
     def result(self) -> bytes | None:
-        """The result, once it is complete and its checksum right."""
+        """The result; None while a part is missing or if the checksum does not match."""
         if self.missing:
             return None
         result = b"".join(part.data for _, part in sorted(self.parts.items()))
--- a/beaconhinge/recovery/key_messages.py
+++ b/beaconhinge/recovery/key_messages.py
@@ -1,7 +1,7 @@
 """Datagrams between dispatchers about idempotency keys: typed messages and their bytes.
 
-A query asks what a dispatcher knows of a key; an answer says so; a cached result is fetched in parts. A key
-is named by a hash of class, tenant and key.
+A query asks for a dispatcher's state of a key, an answer returns it, and a cached result is fetched in parts.
+A key is identified by a hash of class, tenant and key.
 """
 
 from __future__ import annotations
@@ -13,22 +13,22 @@
 from enum import IntEnum
 from typing import TypeAlias
 
-# Bytes and number of the parts in which a result is handed to another dispatcher; larger results stay.
+# A larger result than these parts hold, 3840 bytes, is not sent to other dispatchers.
 MAX_PART_BYTES = 240
 MAX_PARTS = 16
 
 
 class KeyState(IntEnum):
-    """What a dispatcher knows of a key. The values are those of the wire."""
+    """A dispatcher's state of a key. The values are sent in datagrams."""
 
     ABSENT = 0
     PRESENT = 1
-    UNKNOWN = 2
-    RESULT_CACHED = 3  # present, and its result too
+    UNKNOWN = 2  # the dispatcher may have lost keys
+    RESULT_CACHED = 3  # present, with its result
 
 
 class MessageType(IntEnum):
-    """First byte of a datagram: type and version in one, beside those of `gossip.codec`."""
+    """First byte of a datagram: type and version in one, distinct from those of `gossip.codec`."""
 
     QUERY = 0x78
     ANSWER = 0x79
@@ -43,22 +43,26 @@
 
 
 def key_name(cls: int, tenant: int, key: str) -> int:
-    """A key's name of 64 bits; two keys with one name count for each other: a needless rejection in 2^64."""
+    """Return the 64-bit hash that identifies a key.
+
+    Two keys with the same hash are taken for one, which rejects a request needlessly; the chance is 1 in
+    2^64.
+    """
     digest = hashlib.blake2b(f"{cls}/{tenant}/{key}".encode(), digest_size=8).digest()
     return int.from_bytes(digest, "big")
 
 
 @dataclass(frozen=True, slots=True)
 class KeyQuery:
-    """Asks what a dispatcher knows of a key."""
+    """Requests a dispatcher's state of a key."""
 
-    query_id: int  # by which its answers are told from those to an older one
+    query_id: int  # repeated by the answers, to tell them from answers to an older query
     key: int
 
 
 @dataclass(frozen=True, slots=True)
 class KeyAnswer:
-    """What the sender knows of the key of a query."""
+    """The sender's state of the key of a query."""
 
     query_id: int
     state: KeyState
@@ -66,7 +70,7 @@
 
 @dataclass(frozen=True, slots=True)
 class FetchResultPart:
-    """Asks a dispatcher that has cached the result for one part of it."""
+    """Requests one part of a result from the dispatcher that has cached it."""
 
     query_id: int
     key: int
@@ -80,7 +84,7 @@
     query_id: int
     part: int
     part_count: int
-    checksum: int  # CRC-32 of the whole result, so that parts of two results are never put together
+    checksum: int  # CRC-32 of the whole result, so that parts of two results are not combined
     data: bytes
 
 
@@ -88,7 +92,7 @@
 
 
 def encode(message: Message) -> bytes:
-    """Bytes of a message."""
+    """Return the datagram of a message."""
     match message:
         case KeyQuery():
             return _QUERY.pack(MessageType.QUERY, message.query_id, message.key)
@@ -102,7 +106,7 @@
 
 
 def decode(payload: bytes) -> Message | None:
-    """The message in a datagram; None if it is foreign, truncated or of another version."""
+    """Return the message in a datagram; None if it is foreign, truncated or of another version."""
     message_type, size = payload[:1], len(payload)
     if message_type == bytes([MessageType.QUERY]) and size == _QUERY.size:
         return KeyQuery(*_QUERY.unpack(payload)[1:])
@@ -120,7 +124,7 @@
 
 
 def result_part(result: bytes, fetch: FetchResultPart) -> ResultPart | None:
-    """The part that is asked for; None if the result has no such part, or is too large to be handed over."""
+    """Return the requested part of a result; None if it has no such part or is too large to send."""
     part_count = max(1, -(-len(result) // MAX_PART_BYTES))
     if fetch.part >= part_count or part_count > MAX_PARTS:
         return None
--- a/beaconhinge/recovery/stages.py
+++ b/beaconhinge/recovery/stages.py
@@ -1,6 +1,6 @@
-"""The stages of a start, up to full service: a state machine fed with events.
+"""The stages of a start, up to normal service: a state machine that is fed with events.
 
-Times are seconds of one monotonic clock. `docs/design/recovery.md` says why the stages are as they are.
+Times are seconds of one monotonic clock. `docs/design/recovery.md` gives the reasons for the stages.
 """
 
 from __future__ import annotations
@@ -10,7 +10,7 @@
 
 READING, LISTENING, QUERYING, NORMAL = range(4)
 NAMES = ("reading", "listening", "asking", "normal")
-MOST = {LISTENING: 1.0, QUERYING: 0.5}  # seconds in each, at most
+MAX_STAGE_S = {LISTENING: 1.0, QUERYING: 0.5}
 
 
 @dataclass(frozen=True, slots=True)
@@ -20,7 +20,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PeersQueried:
-    """These dispatchers have been asked for their stage, and discovery for its list."""
+    """These dispatchers have been queried for their stage, and discovery for its list."""
 
     peers: frozenset[int]
 
@@ -32,7 +32,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PeerAnswered:
-    """Another dispatcher has said in which stage it is."""
+    """Another dispatcher has reported its stage."""
 
     number: int
     stage: int
@@ -40,14 +40,14 @@
 
 @dataclass(frozen=True, slots=True)
 class ProcessResumed:
-    """The process stood still until now; these dispatchers are asked anew."""
+    """The process has resumed after a stall; these dispatchers are queried again."""
 
     peers: frozenset[int]
 
 
 @dataclass(frozen=True, slots=True)
 class TimePassed:
-    """Time has passed."""
+    """Time has passed: a stage may have reached its limit."""
 
 
 Event: TypeAlias = ListenerOpened | PeersQueried | ListReceived | PeerAnswered | ProcessResumed | TimePassed
@@ -58,30 +58,31 @@
     """The state machine of a start.
 
     Attributes:
-        entered_at: When the present stage was entered.
-        unanswered: Dispatchers that were asked and have not answered.
-        peers_serving: Dispatchers known to be in normal service: this one has restarted alone.
+        entered_at: When the present stage was entered, or began again after a stall.
+        stage: READING, LISTENING, QUERYING or NORMAL.
+        list_received: Discovery has sent its list.
+        unanswered: Dispatchers that were queried and have not answered.
+        peers_serving: Dispatchers that reported normal service; if there are any, this one restarted alone.
     """
 
     entered_at: float
     stage: int = READING
     list_received: bool = False
-    unanswered: set[int] = field(default_factory=set)  # asked, and not heard yet
-    peers_serving: set[int] = field(
-        default_factory=set
-    )  # heard to be in `normal`: this one has restarted alone
+    unanswered: set[int] = field(default_factory=set)
+    peers_serving: set[int] = field(default_factory=set)
 
     def feed(self, now: float, event: Event) -> list[int]:
-        """Take in an event; the stages entered by it, in order."""
+        """Process an event; return the stages that it entered, in order."""
         match event:
             case ListenerOpened() if self.stage == READING:
                 return self._enter(now, LISTENING)
-            case PeersQueried() if self.stage in (LISTENING, QUERYING):  # the disk may have been slow
+            # The queries may follow only in QUERYING: LISTENING ends by its limit if the disk is slow.
+            case PeersQueried() if self.stage in (LISTENING, QUERYING):
                 self.unanswered = set(event.peers)
                 if self.stage == LISTENING:
                     return self._enter(now, QUERYING)
             case ProcessResumed() if LISTENING < self.stage < NORMAL:
-                # What was heard before may be of a fleet that has lost its power since.
+                # Answers from before the stall may be outdated: the whole fleet may have lost power since.
                 self.list_received, self.unanswered, self.peers_serving = False, set(event.peers), set()
                 self.entered_at = now
             case ListReceived():
@@ -94,12 +95,12 @@
 
     @property
     def ends_at(self) -> float:
-        """When the stage ends by its time limit alone."""
-        return self.entered_at + MOST.get(self.stage, float("inf"))
+        """Time at which the stage ends by its limit; infinite if it has none."""
+        return self.entered_at + MAX_STAGE_S.get(self.stage, float("inf"))
 
-    def _enter(self, now: float, phase: int) -> list[int]:
-        self.entered_at, self.stage = now, phase
-        return [phase, *self._advance(now)]
+    def _enter(self, now: float, stage: int) -> list[int]:
+        self.entered_at, self.stage = now, stage
+        return [stage, *self._advance(now)]
 
     def _advance(self, now: float) -> list[int]:
         over = now >= self.ends_at
--- a/beaconhinge/recovery/stall.py
+++ b/beaconhinge/recovery/stall.py
@@ -1,4 +1,4 @@
-"""Detects by the process's own clock that it stood still, and excuses workers for that time.
+"""Detects by the process's own clock that it stalled, and excuses workers for outcomes of that time.
 
 Pure: times are arguments, in seconds of one forward-only clock.
 """
@@ -10,9 +10,10 @@
 
 from ..policy.interface import AttemptOutcome
 
-MAX_STALLS = 8  # stalls remembered; an attempt that outlasts more of them is judged by the last ones
+MAX_STALLS = 8  # stalls remembered; for an attempt that outlasts more, only the last ones count
 
-# What an attempt that a stall may have ended is told as: ended by us, and whether it can have run.
+# The outcome that is reported for an attempt that a stall may have ended: the dispatcher ended it, and it may
+# have run (CANCELLED) or cannot have run (NOT_SENT).
 EXCUSED_OUTCOMES = {
     AttemptOutcome.TIMEOUT: AttemptOutcome.CANCELLED,
     AttemptOutcome.CONNECTION_LOST: AttemptOutcome.CANCELLED,
@@ -22,22 +23,27 @@
 
 @dataclass(frozen=True, slots=True)
 class Stall:
-    """Between two turns of the process that should have been `after` seconds apart at most."""
+    """A time in which the process did not run: two observations were further apart than the threshold.
+
+    Attributes:
+        began: Time of the last observation before it.
+        ended: Time of the first observation after it.
+    """
 
     began: float
     ended: float
 
     @property
     def seconds(self) -> float:
-        """How long the process stood still."""
+        """Duration of the stall in seconds."""
         return self.ended - self.began
 
 
 class StallDetector:
     """Detects stalls from the times at which the process runs.
 
-    `observe` is called by whatever wakes the process first; while it is healthy, something has to wake it
-    well within `threshold_s` seconds.
+    Everything that wakes the process calls `observe` first. While the process is healthy, something has to
+    wake it well within `threshold_s` seconds.
     """
 
     def __init__(self, threshold_s: float) -> None:
@@ -46,7 +52,7 @@
         self._last: float | None = None
 
     def observe(self, now: float) -> Stall | None:
-        """The stall that has just ended, reported once."""
+        """Record that the process runs at `now`; return the stall that has just ended, or None."""
         last, self._last = self._last, now
         if last is None or now - last <= self.threshold_s:
             return None
@@ -55,12 +61,15 @@
         return stall
 
     def excused_outcome(self, sent_at: float, outcome: AttemptOutcome) -> AttemptOutcome:
-        """The outcome to report for an attempt; what the worker itself answered stands."""
+        """Return the outcome to report for an attempt that was sent at `sent_at`.
+
+        It differs from `outcome` only if a stall ended after that, and the worker has not answered.
+        """
         if self.stalls and sent_at < self.stalls[-1].ended:
             return EXCUSED_OUTCOMES.get(outcome, outcome)
         return outcome
 
     def running_seconds(self, since: float, now: float) -> float:
-        """The part of that span in which this process ran."""
-        stood = sum(max(0.0, min(s.ended, now) - max(s.began, since)) for s in self.stalls)
-        return max(0.0, now - since - stood)
+        """Return the seconds between `since` and `now` in which this process ran."""
+        stalled = sum(max(0.0, min(s.ended, now) - max(s.began, since)) for s in self.stalls)
+        return max(0.0, now - since - stalled)
