--- a/beaconhinge/recovery/key_messages.py
+++ b/beaconhinge/recovery/key_messages.py
@@ -42,7 +42,7 @@
 _PART = struct.Struct(">BIBBI")
 
 
-def key_name(cls: int, tenant: int, key: str) -> int:
+def key_hash(cls: int, tenant: int, key: str) -> int:
     """Return the 64-bit hash that identifies a key.
 
     Two keys with the same hash are taken for one, which rejects a request needlessly; the chance is 1 in
--- a/beaconhinge/recovery/stages.py
+++ b/beaconhinge/recovery/stages.py
@@ -10,7 +10,7 @@
 
 READING, LISTENING, QUERYING, NORMAL = range(4)
 NAMES = ("reading", "listening", "asking", "normal")
-MAX_STAGE_S = {LISTENING: 1.0, QUERYING: 0.5}
+MOST = {LISTENING: 1.0, QUERYING: 0.5}  # maximum duration of a stage in seconds
 
 
 @dataclass(frozen=True, slots=True)
@@ -96,7 +96,7 @@
     @property
     def ends_at(self) -> float:
         """Time at which the stage ends by its limit; infinite if it has none."""
-        return self.entered_at + MAX_STAGE_S.get(self.stage, float("inf"))
+        return self.entered_at + MOST.get(self.stage, float("inf"))
 
     def _enter(self, now: float, stage: int) -> list[int]:
         self.entered_at, self.stage = now, stage
--- a/tests/recovery/test_keys.py
+++ b/tests/recovery/test_keys.py
@@ -346,9 +346,9 @@
         with pytest.raises(ValueError):
             key_records.decode_record(bad)
     assert (
-        key_messages.key_name(1, 0, "k")
-        != key_messages.key_name(0, 1, "k")
-        != key_messages.key_name(1, 0, "l")
+        key_messages.key_hash(1, 0, "k")
+        != key_messages.key_hash(0, 1, "k")
+        != key_messages.key_hash(1, 0, "l")
     )
 
 
