--- a/beaconhinge/net/recovery.py
+++ b/beaconhinge/net/recovery.py
@@ -1,4 +1,4 @@
-"""Wires recovery: the stall watch, of which every part is told before anything else; keys; the return."""
+"""Connects recovery: stall detection, which notifies every part first, idempotency keys, and the restart."""
 
 from __future__ import annotations
 
@@ -26,12 +26,12 @@
 from .upgrade import ProcessUpgrade
 from .worker_pool import WorkerPool
 
-SOCKETS_FIRST_S = 0.1  # seconds that timers wait after a stall, while what came meanwhile is read
-LIST_TIMEOUT_S = 0.5  # seconds that new jobs wait at most for a list asked for anew
-STALL, START = "stall", "start"  # why they wait
-REFRESH_SPREAD_S = (
-    0.002  # seconds for each dispatcher, over which they ask where all may have stood still together
-)
+SOCKETS_FIRST_S = 0.1  # for which timers are postponed after a stall, while data that waited is read
+LIST_TIMEOUT_S = 0.5  # that new jobs wait at most for a list that is read again
+STALL, START = "stall", "start"  # reasons to delay new jobs
+# Seconds for each dispatcher of the fleet: over their sum the dispatchers spread their reads of the list,
+# since all may have stalled together.
+REFRESH_SPREAD_S = 0.002
 
 
 def wire_recovery(
@@ -49,9 +49,9 @@
     upgrade: ProcessUpgrade | None,
     metrics: Metrics,
 ) -> RestartCoordinator:
-    """Build the parts of recovery and connect them, before the listener opens.
+    """Build the parts of recovery and connect them; return the restart's coordinator.
 
-    From then on jobs and datagrams come.
+    Has to run before the listener opens and jobs and datagrams arrive.
     """
     recovery = StallRecovery(options.stall_s, policy_runner, timers, requests, discovery, peers, metrics)
     coordinator = RestartCoordinator(config, store, timers, peers, metrics, recovery.delay_for_restart)
@@ -68,15 +68,15 @@
     recovery.on_resumed = coordinator.process_resumed
     discovery.updates.on_list_applied = coordinator.list_received
     operators.phase = lambda: coordinator.stage_name
-    listed = listener.ready
-    listener.ready = lambda: listed() and coordinator.serving
-    until = timers.now() + max(cls.deadline_s for cls in config.settings.classes)
+    has_list = listener.ready
+    listener.ready = lambda: has_list() and coordinator.serving
+    orphans_until = timers.now() + max(cls.deadline_s for cls in config.settings.classes)
 
-    def stays(request: str) -> bool:
-        """Somebody may come for its result, or another process of this dispatcher has it."""
+    def may_be_wanted(request: str) -> bool:
+        """Whether a client may retry for its result, or another process of this dispatcher may have it."""
         return upgrade is not None and upgrade.paired or keys is not None and keys.may_have(request)
 
-    workers.on_unowned_job = OrphanedJobs(workers, timers, metrics, until, stays).observe
+    workers.on_unowned_job = OrphanedJobs(workers, timers, metrics, orphans_until, may_be_wanted).observe
     if store is not None:
         maintenance_store = MaintenanceStore(config, store, timers, metrics)
         maintenance_store.restore(operators.set_maintenance)
@@ -85,14 +85,18 @@
 
 
 class StallRecovery:
-    """Reports stalls of the process to every part before anything else.
+    """Reports stalls of the process to every part before anything else, and delays new jobs after them.
 
-    Delays new jobs for a fresh list.
+    After a stall, new jobs wait for a list that is read again; during a start, until its stages are over.
+    Both waits are limited to LIST_TIMEOUT_S.
+
+    Attributes:
+        on_resumed: Called after each stall.
     """
 
     def __init__(
         self,
-        after: float,
+        stall_s: float,
         policy_runner: PolicyRunner,
         timers: TimerWheel,
         requests: RequestTable,
@@ -101,7 +105,7 @@
         metrics: Metrics,
         rng: Callable[[], float] = random.random,
     ) -> None:
-        self.detector = StallDetector(after)
+        self.detector = StallDetector(stall_s)
         self.policy_runner = policy_runner
         self.timers = timers
         self.requests = requests
@@ -109,18 +113,18 @@
         self.peers = peers
         self.metrics = metrics
         self.random = rng
-        self.on_resumed: Callable[[], None] = lambda: None  # hears of each stall
-        self._delay_reasons: set[str] = set()  # why new jobs wait, for LIST_WITHIN at most
-        self._settled = asyncio.Event()
-        self._settled.set()
-        self._timers_postponed_until = 0.0  # for timers
+        self.on_resumed: Callable[[], None] = lambda: None
+        self._delay_reasons: set[str] = set()  # of STALL and START; new jobs wait while there is one
+        self._delay_over = asyncio.Event()
+        self._delay_over.set()
+        self._timers_postponed_until = 0.0
         timers.postponed_for = self._timers_postponed_for
         policy_runner.check_for_stall = peers.has_just_stalled = self.check
         requests.reported_outcome = self._excuse
         requests.own_seconds = self.detector.running_seconds
 
     def check(self) -> bool:
-        """Whether the process has just gone on after a stall; all parts know it then."""
+        """Return whether the process has just resumed after a stall; all parts have been notified then."""
         stall = self.detector.observe(self.timers.now())
         if stall is not None:
             self._process_resumed(stall)
@@ -136,36 +140,41 @@
         self.on_resumed()
         if STALL not in self._delay_reasons:
             self._set_delay(STALL, True)
-            # Datagrams that waited show that others ran meanwhile; else all may wake at this moment.
-            alone = dropped > 0 or self.peers.config.settings.group_size <= 1
-            wait = 0.0 if alone else REFRESH_SPREAD_S * self.peers.config.settings.group_size * self.random()
-            self.metrics.spawn(self._refresh_list(wait), "list after a stall")
-
-    async def _refresh_list(self, wait: float) -> None:
+            # Datagrams that waited show that other dispatchers ran meanwhile. Otherwise all may resume now,
+            # and spread their reads.
+            read_at_once = dropped > 0 or self.peers.config.settings.group_size <= 1
+            delay = (
+                0.0
+                if read_at_once
+                else REFRESH_SPREAD_S * self.peers.config.settings.group_size * self.random()
+            )
+            self.metrics.spawn(self._refresh_list(delay), "list after a stall")
+
+    async def _refresh_list(self, delay: float) -> None:
         try:
-            await asyncio.sleep(wait)
+            await asyncio.sleep(delay)
             await self.discovery.refresh()
         finally:
             self._set_delay(STALL, False)
 
-    def delay_for_restart(self, wait: bool) -> None:
-        """Delay new jobs while the stages of a start last, or let them go on."""
-        self._set_delay(START, wait)
+    def delay_for_restart(self, delayed: bool) -> None:
+        """Delay new jobs while the stages of a start last, or stop delaying them for that reason."""
+        self._set_delay(START, delayed)
 
-    def _set_delay(self, why: str, wait: bool) -> None:
-        if wait:
-            self._delay_reasons.add(why)
-            self._settled.clear()
+    def _set_delay(self, reason: str, delayed: bool) -> None:
+        if delayed:
+            self._delay_reasons.add(reason)
+            self._delay_over.clear()
         else:
-            self._delay_reasons.discard(why)
+            self._delay_reasons.discard(reason)
             if not self._delay_reasons:
-                self._settled.set()
+                self._delay_over.set()
         self.requests.wait_before_admission = self._wait_for_list if self._delay_reasons else None
 
     async def _wait_for_list(self) -> None:
         try:
             async with self.timers.timeout(LIST_TIMEOUT_S):
-                await self._settled.wait()
+                await self._delay_over.wait()
         except TimeoutError:
             self.metrics.count("stall_list_late")
 
