--- a/tests/leases/conftest.py
+++ b/tests/leases/conftest.py
@@ -1,4 +1,4 @@
-"""Tests here import the explorer beside them."""
+"""Lets the tests of this folder import the helper modules beside them."""
 
 import sys
 from pathlib import Path
--- a/tests/leases/lease_defects.py
+++ b/tests/leases/lease_defects.py
@@ -1,4 +1,7 @@
-"""Deliberate mistakes in the state machines of leases, each of which the explorer has to find."""
+"""Deliberate defects in the state machines of leases; the explorer has to find each of them.
+
+A defect is a patched method, or a subclass of the explorer's world whose processes behave wrongly.
+"""
 
 from __future__ import annotations
 
@@ -18,25 +21,25 @@
 from beaconhinge.leases.wire import GRANT, RELEASE, RENEW, REQUEST, LeaseMessage
 
 
-def _span_from_the_answer(real: Callable[..., Any]) -> Callable[..., Any]:
-    def granted(self: LeaseHolder, now: float, asked: Any) -> Any:
-        asked.requested_at = now
-        return real(self, now, asked)
+def _span_from_answer(real: Callable[..., Any]) -> Callable[..., Any]:
+    def round_won(self: LeaseHolder, now: float, voting_round: Any) -> Any:
+        voting_round.requested_at = now
+        return real(self, now, voting_round)
 
-    return granted
+    return round_won
 
 
-def _old_answer_for_new(real: Callable[..., Any]) -> Callable[..., Any]:
-    def hear(self: LeaseHolder, now: float, sender: int, message: LeaseMessage) -> Any:
+def _old_answer_accepted(real: Callable[..., Any]) -> Callable[..., Any]:
+    def receive(self: LeaseHolder, now: float, sender: int, message: LeaseMessage) -> Any:
         if self.voting_round is not None and message.kind == GRANT:
             message = replace(message, round_id=self.voting_round.id, number=self.voting_round.number)
         return real(self, now, sender, message)
 
-    return hear
+    return receive
 
 
 def _ended_tenure_renewed(real: Callable[..., Any]) -> Callable[..., Any]:
-    def asked(self: VotingMember, now: float, sender: int, message: LeaseMessage) -> Any:
+    def receive_request(self: VotingMember, now: float, sender: int, message: LeaseMessage) -> Any:
         vote = self.votes.get(message.lease)
         if message.kind == RENEW and (vote is None or now >= vote.until):
             self.votes[message.lease] = Vote(
@@ -45,21 +48,21 @@
             return [SendMessage(sender, self._answer(GRANT, message, message.number))]
         return real(self, now, sender, message)
 
-    return asked
+    return receive_request
 
 
 def _ended_tenure_kept(real: Callable[..., Any]) -> Callable[..., Any]:
-    def stand_down(self: LeaseHolder, now: float) -> Any:
-        asked = self.voting_round
-        done = real(self, now)
-        self.voting_round = asked
-        return done
+    def expire(self: LeaseHolder, now: float) -> Any:
+        voting_round = self.voting_round
+        actions = real(self, now)
+        self.voting_round = voting_round
+        return actions
 
-    return stand_down
+    return expire
 
 
-def _same_name_same_tenure(real: Callable[..., Any]) -> Callable[..., Any]:
-    def asked(self: VotingMember, now: float, sender: int, message: LeaseMessage) -> Any:
+def _restart_keeps_tenure(real: Callable[..., Any]) -> Callable[..., Any]:
+    def receive_request(self: VotingMember, now: float, sender: int, message: LeaseMessage) -> Any:
         vote = self.votes.get(message.lease)
         if (
             message.kind == REQUEST
@@ -70,17 +73,17 @@
             del self.votes[message.lease]
         return real(self, now, sender, message)
 
-    return asked
+    return receive_request
 
 
 def _release_by_number(real: Callable[..., Any]) -> Callable[..., Any]:
-    def hear(self: VotingMember, now: float, sender: int, message: LeaseMessage) -> Any:
+    def receive(self: VotingMember, now: float, sender: int, message: LeaseMessage) -> Any:
         vote = self.votes.get(message.lease)
         if message.kind == RELEASE and vote is not None and vote.holder == sender:
             message = replace(message, round_id=vote.round_id)
         return real(self, now, sender, message)
 
-    return hear
+    return receive
 
 
 def _old_process_renews(real: Callable[..., Any]) -> Callable[..., Any]:
@@ -97,13 +100,20 @@
 
 
 class NoSilence(World):
+    """A process votes at once after each start."""
+
     def _start(self, process: Any, floor: int) -> None:
         super()._start(process, floor)
         process.node.member.silent_until = -1000.0
 
 
 class GrantedBeforeWritten(World):
-    """One member is cut from power again and again, another contender hears only of it, and comes only then."""
+    """Each grant is sent before its number is on the disk.
+
+    Member 2 crashes again and again, which loses the numbers that are being written. The second contender
+    begins only after a crash. Messages from process 0 to process 1 are lost, so that only member 2 can know
+    the number.
+    """
 
     weights = {"write": 0.5, "crash": 1.0, "give": 2.0, "upgrade": 0.05}
 
@@ -125,6 +135,8 @@
 
 
 class WallTime(World):
+    """Processes use wall clocks, which step by 3 seconds."""
+
     weights = {"wall": 0.3}
 
     def clock(self, process: Any) -> float:
@@ -139,7 +151,9 @@
         return True
 
 
-class Hurried(World):
+class ManyActs(World):
+    """Many acts at a resource that checks nothing."""
+
     weights = {
         "act": 8.0,
         "check": 0.1,
@@ -155,7 +169,9 @@
         self.left.acts = 60
 
 
-class LateWords(World):
+class LateReleases(World):
+    """Many releases and requests, so that releases arrive late."""
+
     weights = {"give": 1.5, "act": 0.2, "check": 0.1, "want": 4.0, "turn": 4.0}
 
     def __init__(self, **settings: Any) -> None:
@@ -163,8 +179,8 @@
         self.left.gives, self.left.wants = 8, 16
 
 
-class SomeLag(World):
-    """Two of five stay behind, and are a majority of the three that there were."""
+class TwoMembersLag(World):
+    """Processes 0 and 1 never change the council, and are a majority of its first three members."""
 
     weights = {"step": 4.0, "upgrade": 0.1}
 
@@ -172,7 +188,9 @@
         return [move for move in super().moves() if move[0] != "step" or move[1] > 1]
 
 
-class NumbersAnew(World):
+class NumbersRestart(World):
+    """A process without a disk starts with number 0 again."""
+
     def floor(self) -> int:
         return 0
 
@@ -181,7 +199,7 @@
     "the span counted from the answer": (
         "3 members, slow holder",
         World,
-        [(LeaseHolder, "_round_won", _span_from_the_answer)],
+        [(LeaseHolder, "_round_won", _span_from_answer)],
     ),
     "no silence after a start": ("3 members, 2 leases", NoSilence, []),
     "a renewal that revives an ended tenure": (
@@ -197,17 +215,17 @@
     "an old answer taken for a new one": (
         "3 members, 2 leases",
         World,
-        [(LeaseHolder, "receive", _old_answer_for_new)],
+        [(LeaseHolder, "receive", _old_answer_accepted)],
     ),
     "majorities that do not overlap": (
         "3 members, 2 leases",
         World,
         [(Council, "majority", lambda real: property(lambda self: len(self.members) // 2))],
     ),
-    "a number that starts anew": ("3 members, 2 leases", NumbersAnew, []),
+    "a number that starts anew": ("3 members, 2 leases", NumbersRestart, []),
     "an act without its time left": (
         "3 members, 2 leases",
-        Hurried,
+        ManyActs,
         [(Tenure, "covers", lambda real: lambda self, now, longest, drift: now < self.end)],
     ),
     "the old process of an upgrade that goes on": (
@@ -217,17 +235,17 @@
     ),
     "a step while the one before is in force": (
         "3 to 5 members",
-        SomeLag,
+        TwoMembersLag,
         [(Council, "is_settled", lambda real: lambda self, numbers: True)],
     ),
     "the same name taken for the same tenure": (
         "3 members, 2 leases",
         World,
-        [(VotingMember, "_receive_request", _same_name_same_tenure)],
+        [(VotingMember, "_receive_request", _restart_keeps_tenure)],
     ),
     "a release by name, come late": (
         "3 members, slow holder",
-        LateWords,
+        LateReleases,
         [(VotingMember, "receive", _release_by_number)],
     ),
 }
@@ -237,13 +255,13 @@
 def with_defect(name: str) -> Iterator[Callable[[], World]]:
     setting, kind, patches = DEFECTS[name]
     with contextlib.ExitStack() as stack:
-        for owner, attribute, made in patches:
-            stack.enter_context(patch.object(owner, attribute, made(getattr(owner, attribute))))
+        for owner, attribute, make_patch in patches:
+            stack.enter_context(patch.object(owner, attribute, make_patch(getattr(owner, attribute))))
         yield lambda: world_of(setting, kind)
 
 
 def find(name: str, walks: int, seed: int = 1, shorten: bool = False) -> tuple[int, str, list[Move]]:
-    """The walk that finds it, what broke, and a trace of it; -1 if none does."""
+    """Return the first walk that finds the defect, the violated property, and the moves; -1 if none does."""
     with with_defect(name) as make:
         for number in range(walks):
             trace, broken = walk(make(), random.Random(f"{seed}/{name}/{number}"), 160)
--- a/tests/leases/lease_explorer.py
+++ b/tests/leases/lease_explorer.py
@@ -1,9 +1,10 @@
-"""Plays the very state machines of leases through orders of messages, losses, repeats, crashes, stops and clocks.
+"""Explores the state machines of leases over orders of messages, losses, repeats, crashes, stops and clocks.
 
     python tests/leases/lease_explorer.py [--states 1000000] [--walks 20000] [--seed 1]
 
-True time goes in ticks that no process sees; each has a clock of its own rate and offset. A stop is a process that
-takes no turn. What must hold is looked at after each move, by the world and not by the processes.
+True time passes in ticks that no process sees; each process has a clock with its own rate and offset. A
+process is stopped while it gets no `turn`. After each move the world, not the processes, checks that no two
+processes hold one lease.
 """
 
 from __future__ import annotations
@@ -24,21 +25,21 @@
 from beaconhinge.leases.votes import SendMessage, WriteNumber
 from beaconhinge.leases.wire import GRANT, LeaseMessage
 
-SPAN, DRIFT = 4.0, 0.25  # ticks of true time, and a bound that a fast and a slow clock make the most of
-SLOW, FAST = 1 - DRIFT, 1 + DRIFT
+SPAN, DRIFT = 4.0, 0.25  # ticks of true time, and the drift allowed to clocks
+SLOW, FAST = 1 - DRIFT, 1 + DRIFT  # rates of clocks at the limits of the drift
 ACT = 2.0  # ticks that an act takes
-# A question stays open for the whole span: here answers may come as late as they like.
+# A request stays open for the whole span, so that answers count however late they arrive.
 TERMS = LeaseTerms(SPAN, drift=DRIFT, open_for=1.0)
-IN_FLIGHT = 10  # messages on their way; more push out the oldest, which is a loss
+IN_FLIGHT = 10  # undelivered messages that are kept; beyond it the oldest are lost
 Move = tuple[Any, ...]
 
 
 class Broken(Exception):
-    """What must hold does not."""
+    """A property that must hold is violated."""
 
 
-class Count:
-    """Stands for random numbers: each is another, so that no two rounds of a process are mistaken."""
+class DistinctNumbers:
+    """Replaces random numbers by distinct ones, so that all voting rounds of a process have distinct ids."""
 
     def __init__(self) -> None:
         self.drawn = 0
@@ -50,20 +51,32 @@
 
 @dataclass
 class Process:
+    """One process with its clock, disk and node.
+
+    Attributes:
+        rate: Seconds of its clock for each tick of true time.
+        offset: Its clock at tick 0.
+        node: The state machine; None while the process is down.
+        disk: The highest number written for each lease.
+        writes: Numbers that are being written.
+        checked: Lease and tenure number of acts that passed the check of the clock and have not begun.
+        wall: Seconds by which its wall clock has stepped.
+    """
+
     number: int
     rate: float
     offset: float
     node: LeaseNode | None = None
     disk: dict[int, int] = field(default_factory=dict)
     writes: list[WriteNumber] = field(default_factory=list)
-    checked: list[tuple[int, int]] = field(default_factory=list)  # a look at the clock, and no act yet
-    random: Count = field(default_factory=Count)
-    wall: float = 0.0  # by which its wall clock has stepped
+    checked: list[tuple[int, int]] = field(default_factory=list)
+    random: DistinctNumbers = field(default_factory=DistinctNumbers)
+    wall: float = 0.0
 
 
 @dataclass
 class Bounds:
-    """How far the exploration goes."""
+    """How many moves of each kind are left: `steps` change the council, `gives` release a lease."""
 
     ticks: int = 12
     wants: int = 4
@@ -75,10 +88,26 @@
 
 
 class World:
-    """`councils`: the first is in force, the rest are steps to come."""
+    """The processes of a fleet, their clocks, the messages between them, and the checks of what must hold.
+
+    Attributes:
+        weights: Weights of kinds of moves that differ from WEIGHTS.
+        left: Moves that may still be made.
+        copies: How often a message may be delivered.
+        councils: The first is in force, the others are later council changes.
+        at: Index in `councils` of each process's council.
+        t: True time in ticks.
+        flying: Undelivered messages: sender, receiver, message, copies left.
+        granted: Members that granted a number, by lease and number.
+        numbers: The highest number of a tenure so far, by lease.
+        fenced: The highest number that a resource which checks numbers has accepted, by lease.
+        plain: End and number of the last act at a resource that checks nothing, by lease.
+        tally: How often each kind of move was made, tenures began and stale numbers were refused.
+        gone: Processes and nodes that a new process has taken over from.
+    """
 
     node_type: type[LeaseNode] = LeaseNode
-    weights: ClassVar[dict[str, float]] = {}  # of moves, where they are not the usual ones
+    weights: ClassVar[dict[str, float]] = {}
 
     def __init__(
         self,
@@ -91,38 +120,36 @@
         copies: int = 2,
     ) -> None:
         self.left = bounds or Bounds()
-        self.copies = copies  # how often a message may come
+        self.copies = copies
         self.durable = durable
         self.leases = range(1, leases + 1)
         self.contenders = contenders
         self.councils = councils or (Council(1, frozenset(range(len(rates)))),)
-        self.at = [0] * len(rates)  # which council each process has
+        self.at = [0] * len(rates)
         self.t = 0
         self.flying: list[tuple[int, int, LeaseMessage, int]] = []
-        self.granted: dict[tuple[int, int], set[int]] = {}  # who really granted a number
-        self.numbers: dict[int, int] = {}  # the highest tenure yet, by lease
-        self.fenced: dict[int, int] = {}  # the highest number that the resource has accepted
-        self.plain: dict[
-            int, tuple[float, int]
-        ] = {}  # the last act at a resource that checks nothing: its end
+        self.granted: dict[tuple[int, int], set[int]] = {}
+        self.numbers: dict[int, int] = {}
+        self.fenced: dict[int, int] = {}
+        self.plain: dict[int, tuple[float, int]] = {}
         self.tally: Counter[str] = Counter()
-        self.gone: list[tuple[Process, LeaseNode]] = []  # processes that others have taken over
+        self.gone: list[tuple[Process, LeaseNode]] = []
         self.processes = [Process(n, rate, 100.0 * n) for n, rate in enumerate(rates)]
         for process in self.processes:
             self._start(process, 0)
             assert process.node is not None
-            process.node.member.silent_until = -1000.0  # the world begins long after the first start
+            process.node.member.silent_until = -1000.0  # exploration begins long after the first start
 
     def clock(self, process: Process) -> float:
         return process.offset + self.t * process.rate
 
     def floor(self) -> int:
-        """Above every number so far: what wall time, in milliseconds, is to numbers that grow one by one."""
+        """Return a number above all so far, as wall time in milliseconds is."""
         return 1000 * (self.t + 1) + max(self.numbers.values(), default=0)
 
     def _start(self, process: Process, floor: int) -> None:
         council = self.councils[self.at[process.number]]
-        made = node_.new_node(
+        fresh = node_.new_node(
             process.number,
             council,
             TERMS,
@@ -132,42 +159,46 @@
             self.durable,
             process.disk,
         )
-        process.node = self.node_type(made.member, made.random)
+        process.node = self.node_type(fresh.member, fresh.random)
 
     # ---- moves ---------------------------------------------------------------------------------------------
 
     def moves(self) -> list[Move]:
-        left, found = self.left, list[Move]()
+        left, possible = self.left, list[Move]()
         if left.ticks:
-            found.append(("tick",))
-        found += [("deliver", *flight[:3]) for flight in self.flying]
+            possible.append(("tick",))
+        possible += [("deliver", *flight[:3]) for flight in self.flying]
         for process in self.processes:
             n, node = process.number, process.node
             if node is None:
-                found.append(("start", n))
+                possible.append(("start", n))
                 continue
             if node.next_at <= self.clock(process):
-                found.append(("turn", n))
-            found += [("write", n, write.lease, write.number) for write in process.writes]
+                possible.append(("turn", n))
+            possible += [("write", n, write.lease, write.number) for write in process.writes]
             if left.crashes:
-                found += [("crash", n, True), ("crash", n, False)]
+                possible += [("crash", n, True), ("crash", n, False)]
             if left.upgrades:
-                found.append(("upgrade", n))
+                possible.append(("upgrade", n))
             if left.steps and self.at[n] + 1 < len(self.councils):
-                found.append(("step", n))
+                possible.append(("step", n))
             for lease in self.leases if n < self.contenders else ():
                 held = node.holders.get(lease)
                 if left.wants and (held is None or not held.wanted):
-                    found.append(("want", n, lease))
+                    possible.append(("want", n, lease))
                 if held is not None and held.tenure is not None and left.gives:
-                    found.append(("give", n, lease))
+                    possible.append(("give", n, lease))
                 if held is not None and held.tenure is not None and left.acts:
-                    found += [("act", n, lease), ("check", n, lease)]
-            found += [("begin", n, *looked) for looked in process.checked]
-        return found
+                    possible += [("act", n, lease), ("check", n, lease)]
+            possible += [("begin", n, *looked) for looked in process.checked]
+        return possible
 
     def do(self, move: Move) -> bool:
-        """False where it cannot be made. Raises Broken."""
+        """Make a move and check what must hold; return False if the move is not possible.
+
+        Raises:
+            Broken: The move violates a property.
+        """
         kind = move[0]
         process = self.processes[move[1]] if len(move) > 1 and kind != "deliver" else None
         if kind == "tick":
@@ -181,7 +212,7 @@
         elif not getattr(self, "_" + kind)(process, *move[2:]):
             return False
         self.tally[kind] += 1
-        self._look()
+        self._check_holders()
         return True
 
     def _perform(self, process: Process, actions: list[Any]) -> None:
@@ -204,7 +235,7 @@
         vote = process.node.member.votes.get(held.lease)
         votes = self.granted.get((held.lease, held.number), set())
         if vote is not None and (vote.holder, vote.number) == (process.number, held.number):
-            votes = votes | {process.number}  # its own, which no message carries
+            votes = votes | {process.number}  # its own vote, which is not sent
         council = process.node.member.council
         if len(votes & council.members) <= len(council.members) / 2:
             raise Broken("a minority granted")
@@ -219,7 +250,8 @@
                 process = self.processes[to]
                 if process.node is not None:
                     self._perform(process, process.node.receive(self.clock(process), source, flying))
-                for old, node in self.gone:  # the kernel may still bring it what is for the new one
+                # The kernel may still deliver messages for the new process to the old one.
+                for old, node in self.gone:
                     if old.number == to:
                         self._perform(old, node.receive(self.clock(old), source, flying))
                 return True
@@ -231,7 +263,7 @@
         return True
 
     def _busy(self, node: LeaseNode, lease: int) -> bool:
-        """Whether an act of its tenure is under way."""
+        """Return whether an act of the node's tenure is in progress."""
         tenure = node.holders[lease].tenure if lease in node.holders else None
         end, number = self.plain.get(lease, (0.0, 0))
         return tenure is not None and number == tenure.number and self.t < end
@@ -291,7 +323,7 @@
         return True
 
     def _guard(self, process: Process, lease: int) -> int:
-        """The number under which an act may begin, or 0. A process looks at its clock before all else."""
+        """Return the tenure number under which an act may begin, or 0; the process reads its clock first."""
         now, node = self.clock(process), process.node
         assert node is not None
         self._perform(process, node.advance(now))
@@ -306,7 +338,7 @@
         return bool(number)
 
     def _begin(self, process: Process, lease: int, number: int) -> bool:
-        """Long after the look at the clock perhaps: the resource sees to it by the number."""
+        """Begin an act any time after its check; the resource rejects it if its number is stale."""
         if (lease, number) not in process.checked:
             return False
         process.checked.remove((lease, number))
@@ -317,7 +349,7 @@
         return True
 
     def _act(self, process: Process, lease: int) -> bool:
-        """At a resource that checks nothing, without a stop between look and act."""
+        """Act at a resource that checks nothing, without a stop between the check and the act."""
         number = self._guard(process, lease)
         if not number:
             return False
@@ -328,8 +360,8 @@
         self.plain[lease] = self.t + ACT, number
         return True
 
-    def _look(self) -> None:
-        """No two hold one lease in true time, whether they run or are stopped."""
+    def _check_holders(self) -> None:
+        """Raise Broken if two processes, running or stopped, hold one lease at this tick."""
         nodes = [(p, p.node) for p in self.processes if p.node is not None] + self.gone
         for lease in self.leases:
             holding = [
@@ -368,15 +400,15 @@
     return True
 
 
-# `start` is a move and the way to make a node; the move comes by this name.
+# `_start` makes a node, so the move `start` has its own function.
 MOVES: dict[str, Callable[..., bool]] = {"start": _start_move}
 
 
-def made(world: World, move: Move) -> bool:
+def make_move(world: World, move: Move) -> bool:
     if move[0] == "start":
         done = _start_move(world, world.processes[move[1]])
         world.tally["start"] += done
-        world._look()
+        world._check_holders()
         return done
     return world.do(move)
 
@@ -399,7 +431,7 @@
 
 
 def walk(world: World, rng: random.Random, length: int) -> tuple[list[Move], str]:
-    """One day of chance; the moves, and what broke."""
+    """Make up to `length` random moves; return them and the property that the last one violated (or "")."""
     trace: list[Move] = []
     for _ in range(length):
         moves = world.moves()
@@ -409,20 +441,20 @@
         move = rng.choices(moves, [weights[m[0]] for m in moves])[0]
         trace.append(move)
         try:
-            made(world, move)
+            make_move(world, move)
         except Broken as broken:
             return trace, str(broken)
     return trace, ""
 
 
 def shortest(make: Callable[[], World], trace: list[Move], broken: str) -> list[Move]:
-    """Leave out what is not needed for the same fault."""
+    """Return the trace without moves that are not needed to violate the same property."""
 
     def breaks(moves: list[Move]) -> bool:
         world = make()
         try:
             for move in moves:
-                made(world, move)
+                make_move(world, move)
         except Broken as found:
             return str(found) == broken
         return False
@@ -440,15 +472,19 @@
     return trace
 
 
-def exhaust(make: Callable[[], World], most: int) -> tuple[int, int, Counter[str]]:
-    """All orders, those with the fewest moves first, up to so many states: states, moves deep, what happened."""
+def exhaust(make: Callable[[], World], max_states: int) -> tuple[int, int, Counter[str]]:
+    """Explore all orders of moves, those with the fewest first, until `max_states` states are found.
+
+    Returns:
+        The number of states, the longest order explored in moves, and how often each kind of move was made.
+    """
     first = make()
     seen, queue, deep, tally = {hash(first.key())}, deque([(pickle.dumps(first, -1), 0)]), 0, Counter[str]()
-    while queue and len(seen) < most:
-        form, deep = queue.popleft()
-        for move in pickle.loads(form).moves():
-            world = pickle.loads(form)
-            made(world, move)
+    while queue and len(seen) < max_states:
+        pickled, deep = queue.popleft()
+        for move in pickle.loads(pickled).moves():
+            world = pickle.loads(pickled)
+            make_move(world, move)
             key = hash(world.key())
             if key not in seen:
                 seen.add(key)
--- a/tests/leases/lease_fleet.py
+++ b/tests/leases/lease_fleet.py
@@ -1,4 +1,4 @@
-"""Many nodes on virtual time, with datagrams that take a while, get lost and are cut off."""
+"""A fleet of lease nodes in virtual time, whose datagrams are delayed, lost or cut off."""
 
 from __future__ import annotations
 
@@ -16,7 +16,16 @@
 
 @dataclass
 class Fleet:
-    """`cut` are those that hear only each other. Every node runs, and wants what it wants, all the while."""
+    """Nodes that run all the time, and the messages and timers that wait.
+
+    Attributes:
+        voters: Nodes that vote, numbered from 0.
+        loss: Share of datagrams that are lost.
+        sent: Datagrams sent, by node.
+        cut: Nodes that receive datagrams from each other only.
+        waiting: Heap of events: time, a random number as tie-breaker, kind, and what it is about.
+        wakes: When each node is to be advanced next.
+    """
 
     size: int
     voters: int
@@ -54,8 +63,8 @@
             assert not isinstance(action, WriteNumber)
             if isinstance(action, SendMessage):
                 self.sent[number] += 1
-                apart = (number in self.cut) != (action.to in self.cut)
-                if not apart and self.random.random() >= self.loss:
+                cut_off = (number in self.cut) != (action.to in self.cut)
+                if not cut_off and self.random.random() >= self.loss:
                     self.at(
                         self.now + self.random.uniform(0.0002, 0.002),
                         "hear",
@@ -66,13 +75,13 @@
             self.wakes[number] = at
             self.at(max(at, self.now), "turn", number)
 
-    def at(self, when: float, what: str, about: Any) -> None:
-        heapq.heappush(self.waiting, (when, self.random.getrandbits(40), what, about))
+    def at(self, when: float, kind: str, about: Any) -> None:
+        heapq.heappush(self.waiting, (when, self.random.getrandbits(40), kind, about))
 
     def run(self, until: float) -> None:
         while self.waiting and self.waiting[0][0] <= until:
-            self.now, _, what, about = heapq.heappop(self.waiting)
-            if what == "turn":
+            self.now, _, kind, about = heapq.heappop(self.waiting)
+            if kind == "turn":
                 self.wakes.pop(about, None)
                 if about in self.nodes:
                     self.perform(about, self.nodes[about].advance(self.now))
--- a/tests/leases/test_hold.py
+++ b/tests/leases/test_hold.py
@@ -1,4 +1,4 @@
-"""The interface for parts of the program: a tenure, its guard, its end. One member, an injected clock, no sockets."""
+"""Leases as other modules use them: tenures, `may_act` and their end. One member, fake clock, no sockets."""
 
 from __future__ import annotations
 
@@ -17,8 +17,8 @@
 from beaconhinge.runtime.timer_wheel import TimerWheel
 
 
-class Alone:
-    """A dispatcher that is its own majority."""
+class SingleMember:
+    """The leases of a dispatcher that is the only member, with a clock that tests set."""
 
     def __init__(self) -> None:
         self.now = 100.0
@@ -35,34 +35,36 @@
     async def begin(self) -> None:
         self.leases.open()
         await asyncio.sleep(0)
-        self.pass_(2.1)  # its silence
+        self.advance_clock(2.1)  # until it may vote
 
-    def pass_(self, seconds: float) -> None:
+    def advance_clock(self, seconds: float) -> None:
         self.now += seconds
         self.timers.fire_due()
 
-    def voted(self, name: str) -> bool:
+    def has_vote(self, name: str) -> bool:
         assert self.leases.node is not None
         vote = self.leases.node.member.votes.get(terms.lease_key(name))
         return vote is not None and self.now < vote.until
 
 
-def played(scenario: Callable[[Alone], Awaitable[None]]) -> Alone:
-    async def whole() -> Alone:
-        alone = Alone()
-        await alone.begin()
-        await scenario(alone)
-        return alone
+def run_alone(scenario: Callable[[SingleMember], Awaitable[None]]) -> SingleMember:
+    async def run() -> SingleMember:
+        member = SingleMember()
+        await member.begin()
+        await scenario(member)
+        return member
 
-    return asyncio.run(whole())
+    return asyncio.run(run())
 
 
-def test_an_act_may_begin_with_its_longest_time_left_and_the_lease_is_kept_till_it_is_over() -> None:
-    async def scenario(alone: Alone) -> None:
+def test_lease_is_kept_until_the_act_in_progress_is_over() -> None:
+    """Else another process could act at the same time; an act that may outlast the tenure must not begin."""
+
+    async def scenario(member: SingleMember) -> None:
         tenures = []
 
         async def body() -> None:
-            async with alone.leases.hold("export") as tenure:
+            async with member.leases.hold("export") as tenure:
                 tenures.append(tenure)
                 assert tenure.number > 100_000
                 assert 1.9 < tenure.seconds_left < 2.0
@@ -72,47 +74,51 @@
         task = asyncio.create_task(body())
         await asyncio.sleep(0)
         [tenure] = tenures
-        alone.pass_(0.4)
+        member.advance_clock(0.4)
         await asyncio.sleep(0)
-        assert alone.voted("export")
+        assert member.has_vote("export")
         assert not task.done()
-        alone.pass_(0.2)
+        member.advance_clock(0.2)
         await task
-        assert not alone.voted("export")
+        assert not member.has_vote("export")
         assert not tenure.may_act(0.1)
         assert tenure.seconds_left == 0.0
-        async with alone.leases.hold("export") as again:
+        async with member.leases.hold("export") as again:
             assert again.number > tenure.number
             assert again.may_act(0.5)
             assert not tenure.may_act(0.1)
             again.act_done()
-        assert not alone.voted("export")
+        assert not member.has_vote("export")
+
+    run_alone(scenario)
 
-    played(scenario)
 
+def test_tenure_is_over_after_a_stop_before_any_timer_runs() -> None:
+    """A process that was stopped for more than a span could otherwise act while another holds the lease."""
 
-def test_who_was_stopped_finds_its_tenure_over_before_anything_else() -> None:
-    async def scenario(alone: Alone) -> None:
+    async def scenario(member: SingleMember) -> None:
         with pytest.raises(LeaseLost):
-            async with alone.leases.hold("export") as tenure:
-                alone.now += 10.0  # no timer has run yet
+            async with member.leases.hold("export") as tenure:
+                member.now += 10.0  # no timer has run yet
                 assert not tenure.may_act(0.1)
                 assert tenure.seconds_left == 0.0
                 await asyncio.sleep(60)
-        assert "lease_lost" in alone.logged
+        assert "lease_lost" in member.logged
 
-    played(scenario)
+    run_alone(scenario)
 
 
-def test_it_is_renewed_while_it_is_held_and_one_body_waits_for_the_other() -> None:
-    async def scenario(alone: Alone) -> None:
+def test_lease_is_renewed_while_held_and_bodies_run_one_after_another() -> None:
+    """Two bodies of one process must not hold the lease at once, nor a long body lose it."""
+
+    async def scenario(member: SingleMember) -> None:
         order = []
 
         async def body(name: str) -> None:
-            async with alone.leases.hold("export") as tenure:
+            async with member.leases.hold("export") as tenure:
                 order.append(name)
                 for _ in range(40):
-                    alone.pass_(0.1)
+                    member.advance_clock(0.1)
                     await asyncio.sleep(0)
                     assert tenure.seconds_left > 0.5
                 order.append(name)
@@ -120,13 +126,15 @@
         await asyncio.gather(body("a"), body("b"))
         assert order == ["a", "a", "b", "b"]
 
-    assert played(scenario).metrics.counters["leases_held"] == 2
+    assert run_alone(scenario).metrics.counters["leases_held"] == 2
+
 
+def test_outside_cancel_is_not_lease_lost_and_bad_names_are_rejected() -> None:
+    """LeaseLost must replace only the cancellation by the lease itself, or a task could not be cancelled."""
 
-def test_a_cancel_from_elsewhere_stays_one_and_what_is_no_name_is_refused() -> None:
-    async def scenario(alone: Alone) -> None:
+    async def scenario(member: SingleMember) -> None:
         async def body() -> None:
-            async with alone.leases.hold("export"):
+            async with member.leases.hold("export"):
                 await asyncio.sleep(60)
 
         task = asyncio.create_task(body())
@@ -134,19 +142,19 @@
         task.cancel()
         with pytest.raises(asyncio.CancelledError):
             await task
-        assert not alone.voted("export")
+        assert not member.has_vote("export")
         for name in ("", "Export", "a b", "x" * 41):
             with pytest.raises(ValueError, match="name"):
-                alone.leases.hold(name)
+                member.leases.hold(name)
 
-    played(scenario)
+    run_alone(scenario)
 
 
-def test_the_wait_for_an_act_ends_though_the_timers_have_stopped() -> None:
-    """A process that ended beside load hung until SIGKILL: its call under a lease was cancelled in an act.
+def test_wait_for_an_act_ends_after_the_timers_have_stopped() -> None:
+    """A process that ended under load hung until SIGKILL when its call under a lease was cancelled in an act.
 
-    Cause: the wait for the act's end was a timer's, and none fires once the last answer is written. Shown by five
-    processes of 60 that hung, and none of 75 since the wait is the loop's own.
+    The wait for the act's end used a timer of the timer wheel, which fires none once the last answer is
+    written: 5 of 60 processes hung. With the wait on the event loop's clock none of 75 did.
     """
 
     async def run() -> None:
--- a/tests/leases/test_lease_rehearsals.py
+++ b/tests/leases/test_lease_rehearsals.py
@@ -1,4 +1,4 @@
-"""Several processes of the program act under leases on one resource, which writes down who did what when."""
+"""Several dispatcher processes act under leases on one resource, which records the times of all acts."""
 
 from __future__ import annotations
 
@@ -22,19 +22,20 @@
 
 
 def run_scenarios(*scenarios: Scenario) -> list[Verdict]:
-    async def all_of_them() -> list[Verdict]:
+    async def run_all() -> list[Verdict]:
         limit = asyncio.Semaphore(3)
 
-        async def one(scenario: Scenario) -> Verdict:
+        async def run_one(scenario: Scenario) -> Verdict:
             async with limit:
                 return await run_scenario(scenario)
 
-        return list(await asyncio.gather(*(one(scenario) for scenario in scenarios)))
+        return list(await asyncio.gather(*(run_one(scenario) for scenario in scenarios)))
 
-    return asyncio.run(all_of_them())
+    return asyncio.run(run_all())
 
 
-def test_no_two_processes_act_at_once_through_drawn_faults() -> None:
+def test_no_two_processes_act_at_once_under_random_faults() -> None:
+    """Faults are drawn by the seed; the resource must record no overlapping acts under one lease."""
     scenarios = [
         Scenario("drawn", seed=seed, processes=processes, seconds=11.0, drawn_faults=8, **QUIET)
         for processes, seed in ((3, 31), (3, 32), (3, 33), (5, 34), (5, 35), (9, 36))
@@ -54,8 +55,11 @@
     }
 
 
-def test_who_is_stopped_for_about_a_span_or_cut_off_holds_nothing_as_it_comes_back() -> None:
-    """Each process in turn, so that whoever holds is hit; a minority that is cut off stands down, jobs go on."""
+def test_stopped_or_cut_off_process_holds_no_lease_when_it_returns() -> None:
+    """Each process is stopped in turn for about a span, so that the holder is among them.
+
+    A minority that is cut off gives its leases up; jobs are served throughout.
+    """
     stops = [Fault(1.5 + 2.0 * n, "stop", length, [n]) for n, length in enumerate((0.9, 1.1, 1.8))]
     cuts = [Fault(2.0, "cut", 4.0, [0], [1, 2]), Fault(2.0, "cut", 4.0, [1, 2], [0])]
     one_way = [Fault(2.0, "cut", 2.5, [0], [1, 2]), Fault(5.0, "cut", 2.5, [1, 2], [0])]
@@ -72,7 +76,8 @@
     assert all(verdict.counters["leases_lost"] > 0 for verdict in verdicts)
 
 
-def test_all_processes_lose_power_and_the_numbers_go_on() -> None:
+def test_tenure_numbers_keep_growing_after_a_power_loss_of_all() -> None:
+    """All are killed at once and lose their folders; numbers that start anew would let stale acts pass."""
     scenario = Scenario(
         "power",
         seed=51,
@@ -88,7 +93,8 @@
     assert verdict.acts > 100
 
 
-def test_the_checker_sees_acts_that_overlap_and_numbers_that_fall() -> None:
+def test_checker_reports_overlapping_acts_and_falling_numbers() -> None:
+    """Guards the check that the other tests here rely on."""
     acts = [Act("a", 1, 0.0, 1.0), Act("a", 1, 0.5, 1.5), Act("a", 2, 1.6, 2.0), Act("b", 1, 1.0, 3.0)]
     assert lease_violations(acts) == []
     assert len(lease_violations([*acts, Act("a", 3, 1.9, 2.1)])) == 1
@@ -96,7 +102,8 @@
     assert lease_violations([*acts, Act("a", 1, 1.9, 2.1, accepted=False)]) == []
 
 
-def test_the_judge_tells_a_lease_that_is_held_late_from_one_that_nobody_holds() -> None:
+def test_judge_distinguishes_a_late_holder_from_no_holder() -> None:
+    """The message for a lease without acts gives the last act before the fault and the first one after it."""
     acts = [Act("a", 1, 9.0, 9.5), Act("a", 2, 14.5, 14.6), Act("b", 1, 8.0, 9.0), Act("c", 1, 12.0, 12.1)]
     prefix = "nobody acted under lease"
     assert list(leases_without_acts(["a", "b", "c", "d"], acts, since=10.0, until=14.0)) == [
--- a/tests/leases/test_nodes.py
+++ b/tests/leases/test_nodes.py
@@ -1,4 +1,4 @@
-"""Nodes among many others, and among foreign datagrams; the time that it takes until somebody holds. No processes."""
+"""Lease nodes in large fleets and with foreign datagrams, and the time until a lease has a holder."""
 
 from __future__ import annotations
 
@@ -26,7 +26,11 @@
 )
 
 
-def test_two_hundred_with_twenty_leases_have_one_holder_each_through_the_cut_of_a_zone() -> None:
+def test_leases_keep_one_holder_each_while_a_zone_is_cut_off() -> None:
+    """200 nodes, 9 of them voting, 20 leases: the cut-off minority must lose its leases within a span.
+
+    Nodes that want no lease send nothing, and voters send fewer than 1000 datagrams a second.
+    """
     fleet = Fleet(200, 9, 20, seed=3)
     fleet.want(range(0, 200, 3))
     fleet.run(6.0)
@@ -54,7 +58,8 @@
 
 
 @pytest.mark.parametrize("size", [3, 5, 9])
-def test_a_killed_holder_is_followed_within_a_span_and_a_half_and_losses_cost_no_tenure(size: int) -> None:
+def test_lease_outlives_killed_holders_and_lost_datagrams(size: int) -> None:
+    """A killed holder is replaced within 1.5 spans; a loss of 30 % of the datagrams ends no tenure."""
     waits = []
     for seed in range(20):
         fleet = Fleet(size, size, 1, seed=seed)
@@ -74,10 +79,11 @@
     numbers = [lossy.nodes[lossy.holders(lease)[0]].holders[lease].tenure.number for lease in range(4)]  # type: ignore[union-attr]
     lossy.run(63.0)
     again = [lossy.nodes[lossy.holders(lease)[0]].holders[lease].tenure.number for lease in range(4)]  # type: ignore[union-attr]
-    assert again == numbers  # some four hundred renewals with three tenths of the datagrams lost
+    assert again == numbers  # about 400 renewals while 30 % of the datagrams are lost
 
 
-def test_it_is_handed_over_at_once_and_who_gave_it_up_stays_out() -> None:
+def test_released_lease_goes_to_another_node_despite_a_new_request() -> None:
+    """A node that hands a lease over must not win it back before the others can request it."""
     fleet = Fleet(3, 3, 1, seed=5)
     fleet.want(range(3))
     fleet.run(3.0)
@@ -125,7 +131,8 @@
     assert wire.decode(b"\x7d\x00" + data[2:]) is None
 
 
-def test_members_change_one_at_a_time_and_a_step_waits_for_the_one_before() -> None:
+def test_new_council_grants_nothing_before_the_previous_one_is_left() -> None:
+    """Else both councils could have a majority; for the same reason members change one at a time."""
     three, four = frozenset({0, 1, 2}), frozenset({0, 1, 2, 3})
     assert Council(2, four, three).problem() is None
     assert Council(2, three, four).problem() is None
@@ -136,7 +143,7 @@
     assert made.member.voting_at == float("inf")
     made.receive(110.0, 0, LeaseMessage(wire.COUNCIL_CHANGE, 1))
     made.receive(110.0, 1, LeaseMessage(wire.COUNCIL_CHANGE, 2, 1))
-    assert made.member.voting_at == float("inf")  # one of three has left the step before
+    assert made.member.voting_at == float("inf")  # only one of three has left the previous council
     made.receive(111.0, 2, LeaseMessage(wire.COUNCIL_CHANGE, 2))
     assert made.member.voting_at == 111.0 + LeaseTerms(2.0).silence
     assert made.member.announce_council() == []
--- a/tests/leases/test_process.py
+++ b/tests/leases/test_process.py
@@ -1,4 +1,4 @@
-"""One process of the program, and its next one: upgrades, two of a name, steps, operators' calls and commands."""
+"""Leases in a dispatcher process and its successor: upgrades, duplicate names, reloads, commands."""
 
 from __future__ import annotations
 
@@ -23,8 +23,15 @@
 SPAN = 0.6
 
 
-class Led(DemoFleet):
-    """A scene whose dispatcher is the only member, calls a resource, and has a place for operators."""
+class LeaseFleet(DemoFleet):
+    """A demo fleet whose dispatcher is the only member, calls a resource, and takes operators' calls.
+
+    Attributes:
+        mgmt: Management ports of the two processes.
+        acts: The acts that the resource has recorded.
+        number: Number of the council in the configuration.
+        to: Port of the resource.
+    """
 
     def __init__(self, folder: Path) -> None:
         super().__init__(2, 5.0, 5, folder)
@@ -35,7 +42,7 @@
         self.to = 1
 
     def write(self, which: int) -> Path:
-        """The configuration of one of two processes, which differ in `mgmt` alone."""
+        """Write the configuration of one of two processes, which differ in `mgmt` alone; return its path."""
         file = self.folder / f"balancer-{which}.json"
         file.write_text(
             json.dumps(
@@ -70,17 +77,17 @@
             self.acts.append(Act(**json.loads(line)))
 
     async def process(self, which: int, tmp: Path, up: bool = True) -> tuple[Any, list[dict[str, Any]]]:
-        made = await start({"BEACONHINGE_CONFIG": str(self.write(which)), "TMPDIR": str(tmp)})
+        process = await start({"BEACONHINGE_CONFIG": str(self.write(which)), "TMPDIR": str(tmp)})
         lines: list[dict[str, Any]] = []
 
         async def read() -> None:
-            async for line in log_lines(made):
+            async for line in log_lines(process):
                 lines.append(line)
 
         self.discovery.server.spawn(read())
         if up:
-            await until_up(made, self.port, lines)
-        return made, lines
+            await until_up(process, self.port, lines)
+        return process, lines
 
     async def call(self, line: str, which: int = 0) -> str:
         reader, writer = await asyncio.open_connection("127.0.0.1", self.mgmt[which])
@@ -90,102 +97,111 @@
         return answer
 
 
-async def until(true: Callable[[], Any], seconds: float = 8.0) -> None:
+async def wait_until(condition: Callable[[], Any], seconds: float = 8.0) -> None:
     async with asyncio.timeout(seconds):
-        while not true():
+        while not condition():
             await asyncio.sleep(0.02)
 
 
-def played(folder: Path, scenario: Callable[[Led], Awaitable[None]]) -> Led:
-    async def whole() -> Led:
-        led = Led(folder)
-        await led.begin()
+def run_fleet(folder: Path, scenario: Callable[[LeaseFleet], Awaitable[None]]) -> LeaseFleet:
+    async def run() -> LeaseFleet:
+        fleet = LeaseFleet(folder)
+        await fleet.begin()
         try:
-            await scenario(led)
+            await scenario(fleet)
         finally:
-            led.resource.kill()
-            await led.resource.wait()
-            for server in (led.discovery.server, *(worker.server for worker in led.workers)):
+            fleet.resource.kill()
+            await fleet.resource.wait()
+            for server in (fleet.discovery.server, *(worker.server for worker in fleet.workers)):
                 await server.stop()
-            for worker in led.workers:
+            for worker in fleet.workers:
                 worker.close()
-        return led
+        return fleet
+
+    return asyncio.run(run())
 
-    return asyncio.run(whole())
 
+def test_upgrade_hands_the_lease_over_without_overlapping_acts(tmp_path: Path) -> None:
+    """The old process must stop acting before the new one begins; the new one must not wait for the port."""
 
-def test_in_an_upgrade_the_lease_goes_over_and_both_never_act_at_once(tmp_path: Path) -> None:
-    async def scenario(led: Led) -> None:
-        old, _ = await led.process(0, tmp_path)
-        await until(lambda: len(led.acts) > 5)
-        new, lines = await led.process(1, tmp_path)
-        await until(lambda: any(line["event"] == "lease_held" for line in lines))
-        count = len(led.acts)
-        await until(lambda: len(led.acts) > count + 5)
+    async def scenario(fleet: LeaseFleet) -> None:
+        old, _ = await fleet.process(0, tmp_path)
+        await wait_until(lambda: len(fleet.acts) > 5)
+        new, lines = await fleet.process(1, tmp_path)
+        await wait_until(lambda: any(line["event"] == "lease_held" for line in lines))
+        count = len(fleet.acts)
+        await wait_until(lambda: len(fleet.acts) > count + 5)
         assert await end(old) == 0
-        count = len(led.acts)
-        await until(lambda: len(led.acts) > count + 5)
+        count = len(fleet.acts)
+        await wait_until(lambda: len(fleet.acts) > count + 5)
         assert not any(line["event"] == "leases_port_taken" for line in lines)
         assert await end(new) == 0
 
-    led = played(tmp_path, scenario)
-    assert lease_violations(led.acts) == []
-    assert len({act.number for act in led.acts}) >= 2
+    fleet = run_fleet(tmp_path, scenario)
+    assert lease_violations(fleet.acts) == []
+    assert len({act.number for act in fleet.acts}) >= 2
+
 
+def test_second_process_of_one_name_waits_until_the_first_has_ended(tmp_path: Path) -> None:
+    """Two processes of one member could vote twice, so the second one must neither vote nor hold a lease."""
 
-def test_a_second_process_of_the_name_neither_votes_nor_holds_until_the_first_is_gone(tmp_path: Path) -> None:
-    async def scenario(led: Led) -> None:
+    async def scenario(fleet: LeaseFleet) -> None:
         (tmp_path / "a").mkdir()
         (tmp_path / "b").mkdir()
-        first, _ = await led.process(0, tmp_path / "a")
-        await until(lambda: len(led.acts) > 5)
-        second, lines = await led.process(1, tmp_path / "b", up=False)  # it finds no word of the first
-        await until(lambda: any(line["event"] == "leases_port_taken" for line in lines))
-        numbers = {act.number for act in led.acts}
-        count = len(led.acts)
-        await until(lambda: len(led.acts) > count + 10)
-        assert {act.number for act in led.acts} == numbers
+        first, _ = await fleet.process(0, tmp_path / "a")
+        await wait_until(lambda: len(fleet.acts) > 5)
+        # Another TMPDIR, so that it does not find the first process.
+        second, lines = await fleet.process(1, tmp_path / "b", up=False)
+        await wait_until(lambda: any(line["event"] == "leases_port_taken" for line in lines))
+        numbers = {act.number for act in fleet.acts}
+        count = len(fleet.acts)
+        await wait_until(lambda: len(fleet.acts) > count + 10)
+        assert {act.number for act in fleet.acts} == numbers
         assert await end(first, signal.SIGKILL) != 0
-        await until(lambda: any(line["event"] == "lease_held" for line in lines))
-        count = len(led.acts)
-        await until(lambda: len(led.acts) > count + 5)
+        await wait_until(lambda: any(line["event"] == "lease_held" for line in lines))
+        count = len(fleet.acts)
+        await wait_until(lambda: len(fleet.acts) > count + 5)
         assert await end(second) == 0
 
-    led = played(tmp_path, scenario)
-    assert lease_violations(led.acts) == []
-    assert len({act.number for act in led.acts}) == 2
+    fleet = run_fleet(tmp_path, scenario)
+    assert lease_violations(fleet.acts) == []
+    assert len({act.number for act in fleet.acts}) == 2
 
 
-def test_a_step_comes_by_sighup_and_one_without_its_number_is_refused(tmp_path: Path) -> None:
-    async def scenario(led: Led) -> None:
-        process, lines = await led.process(0, tmp_path)
-        file = led.write(0)
+def test_sighup_changes_the_council_only_with_a_new_number(tmp_path: Path) -> None:
+    """A changed span or member list under the old number would leave members with different councils."""
+
+    async def scenario(fleet: LeaseFleet) -> None:
+        process, lines = await fleet.process(0, tmp_path)
+        file = fleet.write(0)
         good = file.read_text()
         file.write_text(good.replace(f"span_s = {SPAN}", "span_s = 0.9"))
         process.send_signal(signal.SIGHUP)
-        await until(
+        await wait_until(
             lambda: any(
                 line["event"] == "reload_refused" and "leases.number" in str(line["why"]) for line in lines
             )
         )
         file.write_text(good.replace("number = 1", "number = 2"))
         process.send_signal(signal.SIGHUP)
-        await until(
+        await wait_until(
             lambda: any(line["event"] == "leases_council_changed" and line["number"] == 2 for line in lines)
         )
-        count = len(led.acts)
-        await until(lambda: len(led.acts) > count + 5)
+        count = len(fleet.acts)
+        await wait_until(lambda: len(fleet.acts) > count + 5)
         assert await end(process) == 0
 
-    assert lease_violations(played(tmp_path, scenario).acts) == []
+    assert lease_violations(run_fleet(tmp_path, scenario).acts) == []
 
 
 def test_operators_list_run_under_and_hand_over_leases(
     tmp_path: Path, capfd: pytest.CaptureFixture[str]
 ) -> None:
-    async def scenario(led: Led) -> None:
-        process, _ = await led.process(0, tmp_path)
-        mgmt = f"127.0.0.1:{led.mgmt[0]}"
+    """The commands `leases run`, `list` and `hand-over`, their exit statuses and a command's environment."""
+
+    async def scenario(fleet: LeaseFleet) -> None:
+        process, _ = await fleet.process(0, tmp_path)
+        mgmt = f"127.0.0.1:{fleet.mgmt[0]}"
 
         async def cli(*words: str) -> int:
             return await asyncio.to_thread(main, ["leases", *words])
@@ -203,11 +219,11 @@
             )
             == 7
         )
-        told = capfd.readouterr().out
-        assert "number=1" in told
-        assert "left=" in told
-        assert "left=\n" not in told
-        listed = json.loads((await led.call("lease-list")).splitlines()[0])
+        output = capfd.readouterr().out
+        assert "number=1" in output
+        assert "left=" in output
+        assert "left=\n" not in output
+        listed = json.loads((await fleet.call("lease-list")).splitlines()[0])
         assert listed["members"] == [0]
         assert listed["leases"]["export"]["held"]
         assert await cli("list", "--mgmt", mgmt) == 0
@@ -217,19 +233,19 @@
         )
         assert both == [0, 0]
         running = asyncio.create_task(cli("run", "long", "--mgmt", mgmt, "--", "sleep", "30"))
-        while '"long":{"held":true' not in await led.call("lease-list"):
+        while '"long":{"held":true' not in await fleet.call("lease-list"):
             await asyncio.sleep(0.02)
         assert await cli("hand-over", "long", "--mgmt", mgmt) == 0
         assert await cli("hand-over", "nothing", "--mgmt", mgmt) == 1
-        assert await asyncio.wait_for(running, 5) == 1  # ended before the lease was
-        assert (await led.call("lease-take Bad!")).startswith("FAILURE")
+        assert await asyncio.wait_for(running, 5) == 1  # the command was ended before its lease
+        assert (await fleet.call("lease-take Bad!")).startswith("FAILURE")
         assert await end(process) == 0
 
-    played(tmp_path, scenario)
+    run_fleet(tmp_path, scenario)
 
 
 @pytest.mark.parametrize(
-    ("table", "named"),
+    ("table", "key"),
     [
         ({"number": 0}, "leases.number"),
         ({"span_s": 0.1}, "leases.span_s"),
@@ -242,14 +258,17 @@
         ({"spam_s": 1.0}, "span_s"),
     ],
 )
-def test_a_faulty_table_is_refused_by_the_name_of_its_key(table: dict[str, Any], named: str) -> None:
-    with pytest.raises(ConfigError, match=named):
+def test_bad_lease_options_are_rejected_with_the_key_named(table: dict[str, Any], key: str) -> None:
+    """The message must name the wrong key, and for an unknown key the one that it resembles."""
+    with pytest.raises(ConfigError, match=key):
         convert({"leases": table}, "x.toml")
 
 
-def test_leases_without_a_way_to_the_others_end_the_start_with_one_line(tmp_path: Path) -> None:
-    async def scenario(led: Led) -> None:
-        file = led.write(0)
+def test_leases_without_peer_listen_end_the_start_with_one_line(tmp_path: Path) -> None:
+    """Without `peer_listen` no vote of another member can arrive: the start must fail and name the option."""
+
+    async def scenario(fleet: LeaseFleet) -> None:
+        file = fleet.write(0)
         platform = json.loads((tmp_path / "balancer-0.json").read_text())
         platform["settings"] |= {"groupSize": 3}
         del platform["peer_listen"]
@@ -259,4 +278,4 @@
         assert b"leases.enabled" in await process.stderr.read()
         assert await process.wait() == 2
 
-    played(tmp_path, scenario)
+    run_fleet(tmp_path, scenario)
