--- a/tests/recovery/test_keys.py
+++ b/tests/recovery/test_keys.py
@@ -1,4 +1,4 @@
-"""Which keys may have run, by one book and by the word of all. No processes here."""
+"""Idempotency keys: one dispatcher's registry, queries to all others, records and messages. No processes."""
 
 from __future__ import annotations
 
@@ -31,49 +31,50 @@
 WINDOW = 60.0
 
 
-def book(complete: bool = True, most: int = 100, room: int = 1000) -> KeyRegistry:
-    return KeyRegistry(WINDOW, 100.0 if complete else 100.0 + WINDOW, most, room)
-
-
-def test_a_key_is_here_from_its_taking_on_until_the_window_after_its_end() -> None:
-    made = book()
-    assert made.state(100.0, 7) == KeyState.ABSENT
-    made.begin(100.0, 7, "r1")
-    assert (
-        made.state(100.0 + 2 * WINDOW, 7) == KeyState.PRESENT
-    )  # a process that stood still has it in hand all the same
-    made.end(300.0, 7, True, None)
-    assert made.state(300.0 + WINDOW - 0.1, 7) == KeyState.PRESENT
-    assert made.state(300.0 + WINDOW, 7) == KeyState.ABSENT
-    made.begin(400.0, 8, "r2")
-    made.end(401.0, 8, False, None)  # proven never to have run
-    assert made.state(401.0, 8) == KeyState.ABSENT
-    assert len(made) == 1
-
-
-def test_what_an_earlier_life_had_is_not_known_without_its_journal() -> None:
-    blank, whole = book(complete=False), book()
-    assert (blank.state(100.0, 7), whole.state(100.0, 7)) == (KeyState.UNKNOWN, KeyState.ABSENT)
-    assert blank.state(100.0 + WINDOW, 7) == KeyState.ABSENT
-    assert whole.restore(100.0, 7, 90.0, "r1")
-    assert whole.state(149.9, 7) == KeyState.PRESENT
-    assert whole.state(150.0, 7) == KeyState.ABSENT
-    assert not whole.restore(100.0, 8, 40.0, "r2")  # too old to matter
-    assert whole.restore(100.0, 9, 5000.0, "r3")  # the clock has stepped back
-    assert whole.state(100.0 + WINDOW - 0.1, 9) == KeyState.PRESENT
-    assert whole.state(100.0 + WINDOW, 9) == KeyState.ABSENT
-
-
-def test_a_journal_tells_only_its_own_dispatcher_and_says_what_it_does_not_know() -> None:
+def new_registry(complete: bool = True, max_keys: int = 100, max_bytes: int = 1000) -> KeyRegistry:
+    return KeyRegistry(WINDOW, 100.0 if complete else 100.0 + WINDOW, max_keys, max_bytes)
+
+
+def test_key_is_present_from_its_begin_until_a_window_after_its_end() -> None:
+    """A key that is forgotten too early lets its job run twice."""
+    registry = new_registry()
+    assert registry.state(100.0, 7) == KeyState.ABSENT
+    registry.begin(100.0, 7, "r1")
+    assert registry.state(100.0 + 2 * WINDOW, 7) == KeyState.PRESENT  # in progress, also after a long stall
+    registry.end(300.0, 7, True, None)
+    assert registry.state(300.0 + WINDOW - 0.1, 7) == KeyState.PRESENT
+    assert registry.state(300.0 + WINDOW, 7) == KeyState.ABSENT
+    registry.begin(400.0, 8, "r2")
+    registry.end(401.0, 8, False, None)  # proven never to have run
+    assert registry.state(401.0, 8) == KeyState.ABSENT
+    assert len(registry) == 1
+
+
+def test_keys_of_an_earlier_incarnation_are_unknown_without_its_records() -> None:
+    """Else a job of the earlier incarnation could run again after a restart with an empty folder."""
+    uncertain, certain = new_registry(complete=False), new_registry()
+    assert (uncertain.state(100.0, 7), certain.state(100.0, 7)) == (KeyState.UNKNOWN, KeyState.ABSENT)
+    assert uncertain.state(100.0 + WINDOW, 7) == KeyState.ABSENT
+    assert certain.restore(100.0, 7, 90.0, "r1")
+    assert certain.state(149.9, 7) == KeyState.PRESENT
+    assert certain.state(150.0, 7) == KeyState.ABSENT
+    assert not certain.restore(100.0, 8, 40.0, "r2")  # expired
+    assert certain.restore(100.0, 9, 5000.0, "r3")  # the clock was set back
+    assert certain.state(100.0 + WINDOW - 0.1, 9) == KeyState.PRESENT
+    assert certain.state(100.0 + WINDOW, 9) == KeyState.ABSENT
+
+
+def test_owner_record_limits_the_uncertain_time_of_its_own_dispatcher() -> None:
+    """With a copied, damaged or missing record the keys must be uncertain for a whole window."""
     assert key_records.uncertain_until(None, "n", 1, 100.0, WINDOW) == 160.0  # an empty folder
     assert key_records.uncertain_until(key_records.encode_owner("n", 1, 0.0), "n", 1, 100.0, WINDOW) == 0.0
-    # Empty a moment ago and killed again: what the life before that had is still not known.
+    # Killed again soon after a start with an empty folder: keys from before that start are still uncertain.
     assert (
         key_records.uncertain_until(key_records.encode_owner("n", 1, 150.0), "n", 1, 100.0, WINDOW) == 150.0
     )
     assert (
         key_records.uncertain_until(key_records.encode_owner("n", 1, 1e9), "n", 1, 100.0, WINDOW) == 160.0
-    )  # the clock stepped back
+    )  # the clock was set back
     for other in (
         key_records.encode_owner("m", 1, 0.0),
         key_records.encode_owner("n", 2, 0.0),
@@ -84,66 +85,66 @@
         assert key_records.uncertain_until(other, "n", 1, 100.0, WINDOW) == 160.0
 
 
-def test_results_are_kept_for_who_comes_again_and_dropped_before_the_memory_that_it_ran() -> None:
-    made = book(room=10)
+def test_results_over_the_byte_limit_are_dropped_but_their_keys_stay() -> None:
+    """A dropped result must not make the key absent, or its job would run again."""
+    registry = new_registry(max_bytes=10)
     for key, request, result in ((1, "a", b"12345678"), (2, "b", b"123")):
-        made.begin(100.0, key, request)
-        made.end(101.0, key, True, result)
-    assert made.result(102.0, 1) == b"12345678"
-    assert made.result(102.0, 2) is None
-    assert made.state(102.0, 2) == KeyState.PRESENT
-    assert made.results_dropped == 1
-    made.restore(102.0, 3, 101.0, "c")
-    assert made.record_late_result(103.0, "c", b"x")
-    assert made.result(103.0, 3) == b"x"
-    assert not made.record_late_result(103.0, "c", b"y")
-    assert not made.record_late_result(103.0, "stranger", b"z")
-    made.expire(101.0 + 2 * WINDOW)
-    assert len(made) == 0
-    assert made.result(101.0 + 2 * WINDOW, 1) is None
-    made.begin(300.0, 4, "d")
-    made.end(301.0, 4, True, b"1234567890")  # the room is free again
-    assert made.result(302.0, 4) == b"1234567890"
-
-
-def test_a_key_that_is_taken_again_after_its_window_gives_back_the_room_of_its_result() -> None:
-    made = book(room=10)
-    for turn in range(4):  # never swept in between
+        registry.begin(100.0, key, request)
+        registry.end(101.0, key, True, result)
+    assert registry.result(102.0, 1) == b"12345678"
+    assert registry.result(102.0, 2) is None
+    assert registry.state(102.0, 2) == KeyState.PRESENT
+    assert registry.results_dropped == 1
+    registry.restore(102.0, 3, 101.0, "c")
+    assert registry.record_late_result(103.0, "c", b"x")
+    assert registry.result(103.0, 3) == b"x"
+    assert not registry.record_late_result(103.0, "c", b"y")
+    assert not registry.record_late_result(103.0, "stranger", b"z")
+    registry.expire(101.0 + 2 * WINDOW)
+    assert len(registry) == 0
+    assert registry.result(101.0 + 2 * WINDOW, 1) is None
+    registry.begin(300.0, 4, "d")
+    registry.end(301.0, 4, True, b"1234567890")  # the first result's bytes are free again
+    assert registry.result(302.0, 4) == b"1234567890"
+
+
+def test_key_that_begins_again_after_its_window_frees_its_old_result() -> None:
+    """Else the bytes of old results would count against the limit until no result is cached any more."""
+    registry = new_registry(max_bytes=10)
+    for turn in range(4):  # without `expire` in between
         at = 100.0 + 2 * WINDOW * turn
-        made.begin(at, 1, f"r{turn}")
-        assert not made.record_late_result(at, f"r{turn - 1}", b"late for the life before")
-        made.end(at, 1, True, b"12345678")
-        assert made.result(at, 1) == b"12345678"
-    made.begin(900.0, 2, "twice")
-    assert not made.record_late_result(900.0, "twice", b"12345678")
-    assert made.take_limit_counts() == (
-        0,
-        1,
-    )
-    made.expire(900.0)
-    assert made.record_late_result(900.0, "twice", b"12345678")
-    made.end(901.0, 2, True, b"87654321")  # another attempt's, counted once
-    assert made.result(901.0, 2) == b"12345678"
-    made.begin(1100.0, 3, "next")
-    made.end(1100.0, 3, True, b"1234567890")
-    made.expire(1100.0)
-    assert made.take_limit_counts() == (0, 1)
-    assert 2 not in made
-    assert 3 in made
-
-
-def test_a_full_book_says_that_it_does_not_know_what_it_forgot() -> None:
-    made = book(most=3)
+        registry.begin(at, 1, f"r{turn}")
+        assert not registry.record_late_result(at, f"r{turn - 1}", b"late for the life before")
+        registry.end(at, 1, True, b"12345678")
+        assert registry.result(at, 1) == b"12345678"
+    registry.begin(900.0, 2, "twice")
+    assert not registry.record_late_result(900.0, "twice", b"12345678")
+    assert registry.take_limit_counts() == (0, 1)
+    registry.expire(900.0)
+    assert registry.record_late_result(900.0, "twice", b"12345678")
+    registry.end(901.0, 2, True, b"87654321")  # of another attempt; the bytes are counted once
+    assert registry.result(901.0, 2) == b"12345678"
+    registry.begin(1100.0, 3, "next")
+    registry.end(1100.0, 3, True, b"1234567890")
+    registry.expire(1100.0)
+    assert registry.take_limit_counts() == (0, 1)
+    assert 2 not in registry
+    assert 3 in registry
+
+
+def test_full_registry_answers_unknown_after_it_has_forgotten_a_key() -> None:
+    """A forgotten key that counted as absent would let its job run twice."""
+    registry = new_registry(max_keys=3)
     for key in range(4):
-        made.begin(100.0, key, f"r{key}")
-        made.end(100.0, key, True, None)
-    assert made.take_limit_counts() == (1, 0)
-    assert made.take_limit_counts() == (0, 0)
-    assert len(made) == 3
-    assert made.state(101.0, 0) == KeyState.UNKNOWN
-    assert made.state(101.0, 3) == KeyState.PRESENT
-    assert made.state(101.0, 99) == KeyState.UNKNOWN
-    assert made.state(100.0 + WINDOW, 99) == KeyState.ABSENT
+        registry.begin(100.0, key, f"r{key}")
+        registry.end(100.0, key, True, None)
+    assert registry.take_limit_counts() == (1, 0)
+    assert registry.take_limit_counts() == (0, 0)
+    assert len(registry) == 3
+    assert registry.state(101.0, 0) == KeyState.UNKNOWN
+    assert registry.state(101.0, 3) == KeyState.PRESENT
+    assert registry.state(101.0, 99) == KeyState.UNKNOWN
+    assert registry.state(100.0 + WINDOW, 99) == KeyState.ABSENT
 
 
 @given(
@@ -179,7 +180,7 @@
 
 
 class Node:
-    """One dispatcher of the fleet below: its book, what is on its disk, whether it runs."""
+    """One dispatcher of `fleet_day`: its registry, the key records on its disk, and whether it runs."""
 
     def __init__(self) -> None:
         self.disk: dict[int, tuple[float, str]] = {}
@@ -190,81 +191,90 @@
     def start(self, now: float, complete: bool) -> None:
         known = key_records.encode_owner("n", 1, self.uncertain_until) if complete else None
         self.uncertain_until = key_records.uncertain_until(known, "n", 1, now, WINDOW)
-        self.book = KeyRegistry(WINDOW, self.uncertain_until, 1000, 10_000)
+        self.registry = KeyRegistry(WINDOW, self.uncertain_until, 1000, 10_000)
         for key, (at, request) in self.disk.items():
-            self.book.restore(now, key, at, request)
+            self.registry.restore(now, key, at, request)
 
 
-def fleet_day(seed: int, journal: bool, mistake: str = "") -> tuple[int, int, int, list[float]]:
-    """Five books by the rules of the page, every order of answers, losses, stops and kills that the seed draws.
-    Keys run, refusals, kills, and the seconds between two runs of one key within the window, by an observer.
+def fleet_day(seed: int, has_records: bool, mistake: str = "") -> tuple[int, int, int, list[float]]:
+    """Play five registries with answers, losses, stops and kills in an order drawn by the seed.
+
+    Returns:
+        The numbers of keys that ran, of refusals and of kills, and the seconds between two runs of one key
+        that were less than a window apart, as an observer of all nodes sees them.
     """
     rng = random.Random(seed)
     nodes, now, refused, kills = [Node() for _ in range(5)], 100.0, 0, 0
-    first = {key: rng.randrange(5) for key in range(12)}  # tries that nobody marks, each on its way to one
+    # The first attempt of each key, which is not marked as a retry, and the node that it goes to.
+    first = {key: rng.randrange(5) for key in range(12)}
     ran: dict[int, float] = {}
     too_soon: list[float] = []
-    open_: list[tuple[int, int, KeyInquiry]] = []  # node, key, its question
+    open_queries: list[tuple[int, int, KeyInquiry]] = []  # node, key, its query
     for step in range(1500):
         now += rng.expovariate(20.0)
         at, key = rng.randrange(5), rng.randrange(12)
         node = nodes[at]
         if step % 60 == 30:
             node.up = not node.up
-            if node.up and rng.random() < 0.5:  # it was killed, not stopped; its connections are gone
+            if node.up and rng.random() < 0.5:  # it was killed, not stopped, and its connections are closed
                 kills += 1
-                open_ = [held for held in open_ if held[0] != at]
+                open_queries = [held for held in open_queries if held[0] != at]
                 first = {k: n for k, n in first.items() if n != at}
-                node.start(now, journal or mistake == "no wait")
+                node.start(now, has_records or mistake == "no wait")
         elif not node.up:
             continue
         elif rng.random() < 0.4:
             repeat = first.get(key) != at or rng.random() < 0.8
             if not repeat:
                 del first[key]
-            if node.book.state(now, key) == KeyState.PRESENT:
+            if node.registry.state(now, key) == KeyState.PRESENT:
                 refused += 1
                 continue
-            ask = repeat or node.book.is_claimed(now, key) and mistake != "no claim"
-            if ask and now < node.book.uncertain_until:
+            query_others = repeat or node.registry.is_claimed(now, key) and mistake != "no claim"
+            if query_others and now < node.registry.uncertain_until:
                 refused += 1
                 continue
             if mistake != "from its send":
-                node.book.begin(now, key, f"{at}-{key}")
-            open_.append((at, key, KeyInquiry(frozenset(range(5)) - {at} if ask else frozenset())))
-        elif open_:  # one question goes on by a step: an answer comes, is lost, or the asker decides
-            index = rng.randrange(len(open_))
-            asker, key, inquiry = open_[index]
-            silent = sorted(inquiry.unanswered)
-            if not nodes[asker].up:
+                node.registry.begin(now, key, f"{at}-{key}")
+            open_queries.append(
+                (at, key, KeyInquiry(frozenset(range(5)) - {at} if query_others else frozenset()))
+            )
+        elif open_queries:  # one query advances: an answer arrives or is lost, or the querying node decides
+            index = rng.randrange(len(open_queries))
+            querying, key, inquiry = open_queries[index]
+            unanswered = sorted(inquiry.unanswered)
+            if not nodes[querying].up:
                 continue
-            if silent and rng.random() < 0.95:
-                other = rng.choice(silent)
+            if unanswered and rng.random() < 0.95:
+                other = rng.choice(unanswered)
                 if nodes[other].up and rng.random() < 0.9:
-                    inquiry.record(other, nodes[other].book.claim_for_peer(now, key))
+                    inquiry.record(other, nodes[other].registry.claim_for_peer(now, key))
                 continue
-            del open_[index]
-            heard = list(inquiry.answers.values())
-            most = (
-                mistake == "majority" and KeyState.PRESENT not in heard and heard.count(KeyState.ABSENT) >= 2
+            del open_queries[index]
+            answers = list(inquiry.answers.values())
+            has_majority = (
+                mistake == "majority"
+                and KeyState.PRESENT not in answers
+                and answers.count(KeyState.ABSENT) >= 2
             )
-            if inquiry.verdict == KeyState.ABSENT or most:
-                nodes[asker].book.begin(now, key, f"{asker}-{key}")
-                if journal:
-                    nodes[asker].disk[key] = now, f"{asker}-{key}"
+            if inquiry.verdict == KeyState.ABSENT or has_majority:
+                nodes[querying].registry.begin(now, key, f"{querying}-{key}")
+                if has_records:
+                    nodes[querying].disk[key] = now, f"{querying}-{key}"
                 if now - ran.get(key, 0.0) < WINDOW:
                     too_soon.append(now - ran[key])
                 ran[key] = now
-                nodes[asker].book.end(now, key, True, None)
+                nodes[querying].registry.end(now, key, True, None)
             else:
                 refused += 1
-                nodes[asker].book.end(now, key, False, None)
+                nodes[querying].registry.end(now, key, False, None)
     return len(ran), refused, kills, too_soon
 
 
-@pytest.mark.parametrize("journal", [True, False])
-def test_no_key_runs_twice_in_a_fleet_that_is_killed_cut_and_stopped(journal: bool) -> None:
-    days = [fleet_day(seed, journal) for seed in range(120)]
+@pytest.mark.parametrize("has_records", [True, False])
+def test_no_key_runs_twice_while_nodes_are_killed_and_stopped(has_records: bool) -> None:
+    """The whole protocol of queries, claims and records, with and without key records on the disk."""
+    days = [fleet_day(seed, has_records) for seed in range(120)]
     assert all(too_soon == [] for _, _, _, too_soon in days)
     assert all(refused > 20 for _, refused, _, _ in days)
     assert sum(keys_run for keys_run, _, _, _ in days) > 300
@@ -272,9 +282,11 @@
 
 
 @pytest.mark.parametrize("mistake", ["no wait", "no claim", "from its send", "majority"])
-def test_the_observer_finds_each_mistake(mistake: str) -> None:
-    """A start without its journal that does not wait; a no that is not remembered; a key that counts from its
-    send on; a majority in place of all.
+def test_observer_finds_each_deliberate_mistake(mistake: str) -> None:
+    """Each rule of the protocol is needed: without it some seed shows a key that runs twice.
+
+    The mistakes: a start without key records that is not uncertain for a window, a query that leaves no
+    claim, a key that is registered only when its job is sent, and a majority of answers in place of all.
     """
     assert any(fleet_day(seed, False, mistake)[3] for seed in range(120))
 
@@ -303,19 +315,21 @@
     assert forged.result is None
 
 
-def test_who_has_a_small_result_says_so_and_a_large_one_stays() -> None:
-    made = book(room=10_000)
+def test_only_results_that_fit_into_16_parts_are_offered_to_peers() -> None:
+    """A peer that fetched a larger result would never get it whole."""
+    registry = new_registry(max_bytes=10_000)
     for key, size in ((1, 16 * MAX_PART_BYTES), (2, 16 * MAX_PART_BYTES + 1)):
-        made.begin(100.0, key, f"r{key}")
-        made.end(101.0, key, True, bytes(size))
-    assert [made.claim_for_peer(102.0, key) for key in (1, 2, 3)] == [
+        registry.begin(100.0, key, f"r{key}")
+        registry.end(101.0, key, True, bytes(size))
+    assert [registry.claim_for_peer(102.0, key) for key in (1, 2, 3)] == [
         KeyState.RESULT_CACHED,
         KeyState.PRESENT,
         KeyState.ABSENT,
     ]
 
 
-def test_words_survive_the_wire_and_foreign_ones_are_none() -> None:
+def test_messages_and_records_round_trip_and_malformed_ones_are_rejected() -> None:
+    """Truncated, too long or foreign datagrams must decode to None, damaged records raise ValueError."""
     for message in (
         KeyQuery(2**32 - 1, 2**64 - 1),
         KeyAnswer(5, KeyState.PRESENT),
@@ -352,8 +366,8 @@
     )
 
 
-def test_a_key_that_is_taken_again_at_once_keeps_its_newer_record() -> None:
-    """The delete of the record before was under way, and would have come after it."""
+def test_key_that_begins_again_at_once_keeps_its_newer_record() -> None:
+    """The deletion of the old record is still pending then, and must not delete the new record."""
 
     class Disk:
         def __init__(self) -> None:
@@ -380,7 +394,7 @@
             }
         )
         config = SimpleNamespace(name="n0", settings=settings, needs_key=lambda cls: True)
-        wired = IdempotencyKeyService(
+        service = IdempotencyKeyService(
             config,
             disk,
             10,
@@ -390,9 +404,9 @@
             metrics,
         )  # type: ignore[arg-type]
         first, second = (Job(name, 0, 0, 9.0, 100.0, b"/", b"", idempotency_key="k") for name in ("a", "b"))
-        assert (await wired.register(first)).registered
-        wired.release(first, False, None)  # spawns the delete
-        assert (await wired.register(second)).registered
+        assert (await service.register(first)).registered
+        service.release(first, False, None)  # spawns the delete
+        assert (await service.register(second)).registered
         await asyncio.sleep(0)
         await asyncio.sleep(0)
         return disk.changes
--- a/tests/recovery/test_phases.py
+++ b/tests/recovery/test_phases.py
@@ -1,4 +1,4 @@
-"""A start: its phases, its lives, orphans of the life before, workers out by hand."""
+"""A start: its stages, incarnations, orphaned jobs of the previous incarnation, and disabled workers."""
 
 from __future__ import annotations
 
@@ -34,6 +34,8 @@
 )
 
 
+# Whatever events arrive, stages must follow in order, end within their limits, and QUERYING must not end
+# early without the list and all answers.
 @given(st.lists(st.tuples(st.floats(0.0, 1.0), EVENTS), max_size=40))
 def test_phases_come_as_drawn_within_their_bounds_whatever_is_heard(
     events: list[tuple[float, stages.Event]],
@@ -52,15 +54,14 @@
     assert entered == sorted(set(entered))
 
 
-def test_nobody_waits_for_others_or_discovery_beyond_the_bound_and_who_woke_asks_anew() -> None:
+def test_stages_end_by_their_limits_and_queries_restart_after_a_stall() -> None:
+    """A start must not hang on peers, discovery or a slow disk, nor rely on answers from before a stall."""
     machine = RecoveryStages(100.0)
     assert machine.feed(100.0, stages.ListenerOpened()) == [LISTENING]
     assert machine.feed(100.0, stages.PeersQueried(OTHERS)) == [QUERYING]
     assert machine.feed(100.1, stages.ListReceived()) == []
     assert machine.feed(100.1, stages.PeerAnswered(1, NORMAL)) == []
-    assert (
-        machine.feed(110.2, stages.ProcessResumed(OTHERS)) == []
-    )  # not over by the time in which it stood still
+    assert machine.feed(110.2, stages.ProcessResumed(OTHERS)) == []  # the stalled time does not end the stage
     assert (machine.list_received, machine.unanswered, machine.peers_serving) == (False, set(OTHERS), set())
     assert machine.feed(110.6, stages.TimePassed()) == []
     assert machine.feed(110.8, stages.TimePassed()) == [NORMAL]
@@ -76,20 +77,22 @@
     assert slow_disk.feed(1.5, stages.TimePassed()) == [NORMAL]
 
 
-def test_a_life_told_by_two_starts_is_stale_and_the_same_word_twice_is_not() -> None:
-    heard = PeerIncarnations()
+def test_incarnation_announced_by_two_starts_is_stale() -> None:
+    """Two starts with one incarnation share an old folder; one start that repeats its hello does not."""
+    peer_incarnations = PeerIncarnations()
     first = Hello(QUERYING, 5, 111)
-    assert not heard.observe(1, first)
-    assert not heard.observe(1, first)
-    assert not heard.observe(1, Hello(QUERYING, 6, 222))
-    assert not heard.observe(2, Hello(QUERYING, 6, 333))
-    assert heard.observe(1, Hello(QUERYING, 6, 444))
-    assert heard.observe(1, Hello(QUERYING, 2, 444))
-    assert not heard.observe(1, Hello(QUERYING, 0, 555))
-    assert not heard.observe(1, Hello(QUERYING, 7, 666))
-
-
-def test_records_count_for_their_own_dispatcher_and_words_survive_the_wire() -> None:
+    assert not peer_incarnations.observe(1, first)
+    assert not peer_incarnations.observe(1, first)
+    assert not peer_incarnations.observe(1, Hello(QUERYING, 6, 222))
+    assert not peer_incarnations.observe(2, Hello(QUERYING, 6, 333))
+    assert peer_incarnations.observe(1, Hello(QUERYING, 6, 444))
+    assert peer_incarnations.observe(1, Hello(QUERYING, 2, 444))
+    assert not peer_incarnations.observe(1, Hello(QUERYING, 0, 555))
+    assert not peer_incarnations.observe(1, Hello(QUERYING, 7, 666))
+
+
+def test_foreign_records_are_ignored_and_hellos_round_trip() -> None:
+    """A record of another dispatcher, as in a copied folder, must not set the incarnation."""
     record = incarnations.sign_record("n1", 1, incarnations.incarnation_record(7))
     assert incarnations.next_incarnation(incarnations.read_signed_record(record, "n1", 1)) == 8
     for name, number, data in (
@@ -110,7 +113,9 @@
     assert incarnations.decode(bytes(11)) is None
 
 
-def test_orphans_are_withdrawn_once_each_a_few_at_a_time_and_only_while_there_can_be_any() -> None:
+def test_orphans_are_withdrawn_once_and_a_few_at_a_time() -> None:
+    """Only until the longest deadline is over, and never a job whose key a client may retry."""
+
     async def scenario() -> tuple[list[tuple[str, int]], int]:
         now, done, most, busy = [0.0], [], 0, 0
 
@@ -148,8 +153,8 @@
     assert most == MAX_CONCURRENT_WITHDRAWALS
 
 
-class Kept(DemoFleet):
-    """A scene with operators' calls and recovery, whose dispatcher is killed and started again."""
+class RestartedFleet(DemoFleet):
+    """A demo fleet with operators' calls and recovery, whose dispatcher is killed and restarted."""
 
     def __init__(self, folder: Path) -> None:
         super().__init__(3, 20.0, 5, folder)
@@ -170,47 +175,49 @@
         writer.close()
         return answer.decode()
 
-    async def down(self) -> int:
+    async def disabled_count(self) -> int:
         answer = await self.call("show-stat")
         figures = json.loads(answer.splitlines()[0])
         assert figures["phase"] in stages.NAMES
         return int(figures["hosts_down"])
 
-    async def again(self) -> None:
+    async def kill_and_restart(self) -> None:
         self.process.send_signal(signal.SIGKILL)
         await self.process.wait()
         await self.start()
 
 
-def test_a_worker_out_by_hand_stays_out_over_a_kill_until_the_call_back(
+def test_disabled_worker_stays_disabled_after_a_kill_until_enabled(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
+    """A restart that forgot `disable-server` would send jobs to a worker in maintenance."""
     monkeypatch.setenv("TMPDIR", str(tmp_path))
 
     async def scenario() -> list[int]:
-        harness = Kept(tmp_path)
+        harness = RestartedFleet(tmp_path)
         try:
             await harness.start()
             name = harness.workers[1].name
             assert await harness.call(f"disable-server {name}") == f"SUCCESS {name} is out\n"
-            await harness.again()
-            down = [await harness.down()]
+            await harness.kill_and_restart()
+            disabled_count = [await harness.disabled_count()]
             await harness.clients.run(1.0)
             ran = [worker.runs.total() for worker in harness.workers]
             assert ran[1] == 0
             assert ran[0] > 0
             assert ran[2] > 0
             assert (await harness.call(f"enable-server {name}")).startswith("SUCCESS")
-            await harness.again()
-            down.append(await harness.down())
-            return down
+            await harness.kill_and_restart()
+            disabled_count.append(await harness.disabled_count())
+            return disabled_count
         finally:
             assert await harness.stop() == 0
 
     assert asyncio.run(scenario()) == [1, 0]
 
 
-def test_a_word_of_the_operators_is_not_confirmed_before_it_is_on_the_disk() -> None:
+def test_disable_server_is_not_confirmed_before_it_is_on_the_disk() -> None:
+    """An operator who reads SUCCESS relies on the worker staying disabled after a restart."""
     from beaconhinge.net.operator_calls import OperatorCalls
     from beaconhinge.net.restart import MaintenanceStore
     from beaconhinge.store import Put, StoreError
@@ -237,12 +244,14 @@
         config: Any = SimpleNamespace(name="n0", settings=SimpleNamespace(own_number=0))
         workers: Any = SimpleNamespace(is_listed=lambda host: True)
         disk: Any = Disk()
-        hands = MaintenanceStore(config, disk, TimerWheel(clock.now, metrics.log_exception), metrics)
+        maintenance_store = MaintenanceStore(
+            config, disk, TimerWheel(clock.now, metrics.log_exception), metrics
+        )
         operators = OperatorCalls(config, policy_runner, workers, SimpleNamespace(), SimpleNamespace())  # type: ignore[arg-type]
-        hands.restore(operators.set_maintenance)
+        maintenance_store.restore(operators.set_maintenance)
         assert operators.in_maintenance == {"s-1"}
         assert "maintenance_records_foreign" in logged
-        operators.persist_maintenance = hands.write
+        operators.persist_maintenance = maintenance_store.write
         call: Any = SimpleNamespace(name="disable-server", argument="s-3")
         assert await operators.handlers["disable-server"](call) == b"SUCCESS s-3 is out\n"  # type: ignore[misc]
         assert disk.changes == [Put(b"hand/s-3", incarnations.sign_record("n0", 0, b""))]
