--- a/tests/recovery/test_requests.py
+++ b/tests/recovery/test_requests.py
@@ -1,4 +1,4 @@
-"""What a job waits for before the module hears of it costs it that time, and no more than half of its own."""
+"""The wait for a key before the policy gets a job counts against the deadline and ends at half of its time."""
 
 from __future__ import annotations
 
@@ -15,19 +15,19 @@
 from beaconhinge.runtime.timer_wheel import TimerWheel
 
 
-class Refusing:
-    """A module that refuses each job, and keeps what it was told."""
+class RejectingPolicy:
+    """A policy that rejects each job and records its events."""
 
     def __init__(self) -> None:
-        self.heard: list[Any] = []
+        self.events: list[Any] = []
 
     def handle(self, now: float, event: interface.Event) -> list[interface.Action]:
-        self.heard.append(event)
+        self.events.append(event)
         return [interface.Reject(event.request, 0.0)] if isinstance(event, interface.JobArrived) else []
 
 
-class Slow:
-    """A book of keys that takes so long; a process that stands still meanwhile moves its clock."""
+class SlowKeys:
+    """An idempotency-key service whose `register` lasts as long as `wait`, which may set the clock forward."""
 
     def __init__(self, wait: Any) -> None:
         self.wait = wait
@@ -41,15 +41,15 @@
         self.ended.append(may_have_run)
 
 
-def taken(
+def take_job(
     wait: Any, clock: list[float], remaining: float
 ) -> tuple[list[interface.JobArrived], list[bool], str]:
     async def scenario() -> tuple[list[interface.JobArrived], list[bool], str]:
-        module, told = Refusing(), []
-        metrics = Metrics(lambda: clock[0], writer=lambda event, fields: told.append(event))
+        policy, logged = RejectingPolicy(), []
+        metrics = Metrics(lambda: clock[0], writer=lambda event, fields: logged.append(event))
         timers = TimerWheel(lambda: clock[0], metrics.log_exception)
         requests = RequestTable(
-            PolicyRunner(module, timers, metrics),
+            PolicyRunner(policy, timers, metrics),
             None,
             timers,
             metrics,
@@ -62,24 +62,24 @@
             ),
             ["publish"],
         )
-        book = requests.keys = Slow(wait)
+        keys = requests.keys = SlowKeys(wait)
         job = Job("a", 0, 0, remaining, clock[0], b"/publish", b"", idempotency_key="k")
         answer = await asyncio.wait_for(requests.take(job).answer, 5)
         await asyncio.sleep(0)
-        return [e for e in module.heard if isinstance(e, interface.JobArrived)], book.ended, answer.end
+        return [e for e in policy.events if isinstance(e, interface.JobArrived)], keys.ended, answer.end
 
     return asyncio.run(scenario())
 
 
 @pytest.mark.parametrize(("passed", "left"), [(0.4, 0.6), (0.0, 1.0), (9.0, 0.0)])
-def test_the_module_hears_how_much_time_is_left_after_the_wait(passed: float, left: float) -> None:
-    """Told the whole, it held a job past its deadline by as much as was waited before."""
+def test_policy_gets_the_time_left_after_the_wait_for_a_key(passed: float, left: float) -> None:
+    """With the time left before the wait, the policy kept a job past its deadline by the length of the wait."""
     clock = [100.0]
 
     async def wait() -> None:
         clock[0] += passed
 
-    jobs, ended, end = taken(wait, clock, 1.0)
+    jobs, ended, end = take_job(wait, clock, 1.0)
     assert len(jobs) == 1
     assert jobs[0].remaining == pytest.approx(left)
     assert not jobs[0].may_run_elsewhere
@@ -87,14 +87,15 @@
     assert end == "refused"
 
 
-def test_who_waits_for_too_long_is_refused_as_doubted() -> None:
+def test_wait_over_half_of_the_time_reports_that_the_job_may_have_run() -> None:
+    """A key that was not looked up in time proves nothing, so the policy must not treat the job as new."""
     clock = [100.0]
 
     async def wait() -> None:
-        clock[0] += 0.6  # past the half, as the wheel sees it next
+        clock[0] += 0.6  # over half of the job's time, when the timer wheel looks next
         await asyncio.Event().wait()
 
-    jobs, ended, end = taken(wait, clock, 1.0)
+    jobs, ended, end = take_job(wait, clock, 1.0)
     assert len(jobs) == 1
     assert jobs[0].may_run_elsewhere
     assert jobs[0].remaining == pytest.approx(0.4)
--- a/tests/recovery/test_stall.py
+++ b/tests/recovery/test_stall.py
@@ -1,4 +1,4 @@
-"""A process that stood still: what it notices, whom it blames, what it still believes. No processes here."""
+"""Stalls: detection, excused outcomes, postponed timers, and what policy and gossip do after one."""
 
 from __future__ import annotations
 
@@ -18,6 +18,7 @@
 SPANS = st.lists(st.floats(0.0, 30.0, allow_nan=False), min_size=1, max_size=8)
 
 
+# A stall is reported once, and exactly if two observations are more than the threshold apart.
 @given(SPANS, st.floats(0.3, 5.0))
 def test_a_stall_is_noticed_once_exactly_where_two_turns_lie_too_far_apart(
     spans: list[float], after: float
@@ -33,6 +34,8 @@
         assert watch.observe(now) is None
 
 
+# Time in which the process stalled must not count as a request's running time, and an attempt that was open
+# during a stall must not be blamed on its worker.
 @given(
     SPANS,
     st.floats(0.3, 5.0),
@@ -67,15 +70,17 @@
     assert watch.excused_outcome(turns[-1] + 1, outcome) == outcome
 
 
-def test_timers_wait_for_the_sockets_after_a_stall_and_no_new_one_shortens_that() -> None:
+def test_timers_wait_for_sockets_after_a_stall_despite_new_timers() -> None:
+    """Time-outs that fire before waiting answers are read would end attempts that were answered in time."""
+
     async def scenario() -> list[str]:
         loop, fired, failures = asyncio.get_running_loop(), [], []
         timers = TimerWheel(loop.time, lambda where, error: failures.append(where))
-        held = [0.05, 0.0]
-        timers.postponed_for = lambda: held.pop(0) if held else 0.0
+        postponements = [0.05, 0.0]
+        timers.postponed_for = lambda: postponements.pop(0) if postponements else 0.0
         done = asyncio.Event()
         timers.after(0.0, lambda: fired.append("due"))
-        timers.fire_due()  # after the stall: held
+        timers.fire_due()  # postponed, as after a stall
         assert not fired
         timers.after(0.0, lambda: (fired.append("newer"), done.set()))
         loop.call_soon(lambda: fired.append("socket"))
@@ -86,8 +91,8 @@
     assert asyncio.run(scenario()) == ["socket", "due", "newer"]
 
 
-def dispatcher(size: int) -> Dispatcher:
-    made = Dispatcher(
+def new_policy(size: int) -> Dispatcher:
+    policy = Dispatcher(
         Settings.from_pairs(
             {
                 "requestClasses.count": "1",
@@ -100,29 +105,31 @@
         ),
         seed=1,
     )
-    made.handle(100.0, interface.Start())
-    made.handle(
+    policy.handle(100.0, interface.Start())
+    policy.handle(
         100.0,
         interface.MembershipUpdate(
             UpdateKind.BOOTSTRAP, 1, [interface.MemberEntry(worker=n) for n in range(4)]
         ),
     )
-    return made
+    return policy
 
 
-def test_boxes_are_not_silent_for_the_time_in_which_nobody_listened() -> None:
-    slept, awake = dispatcher(1), dispatcher(1)
-    for module in (slept, awake):
-        module.handle(100.1, interface.JobArrived(request=1, class_index=0, tenant=0, remaining=7.5))
-        sent = next(iter(module.requests.by_id.values())).attempts[0].worker
-        module.estimates.mean_latency_s = 0.2
-        if module is slept:
-            module.handle(106.0, interface.ProcessStalled(5.8))
-        module.context.now = 106.0
-        assert module.is_silent(sent) == (module is awake)
+def test_workers_do_not_count_as_silent_for_the_time_of_a_stall() -> None:
+    """Else the dispatcher would avoid all workers with jobs in flight after its own stall."""
+    stalled, running = new_policy(1), new_policy(1)
+    for policy in (stalled, running):
+        policy.handle(100.1, interface.JobArrived(request=1, class_index=0, tenant=0, remaining=7.5))
+        sent = next(iter(policy.requests.by_id.values())).attempts[0].worker
+        policy.estimates.mean_latency_s = 0.2
+        if policy is stalled:
+            policy.handle(106.0, interface.ProcessStalled(5.8))
+        policy.context.now = 106.0
+        assert policy.is_silent(sent) == (policy is running)
 
 
-def test_a_leader_that_stood_still_listens_before_it_leads_again() -> None:
+def test_aggregator_that_stalled_listens_before_it_aggregates_again() -> None:
+    """Another node may have become the aggregator in the meantime; its aggregate must be accepted."""
     fleet = GossipNode(40, 0, 1, 0.5)
     fleet.start(100.0)
     fleet.advance(101.0)
@@ -131,12 +138,12 @@
     fleet.advance(110.0)
     assert not fleet.is_aggregator
     assert not fleet.outbox[1:]
-    board = codec.encode_aggregate(codec.AggregateMessage(2, 1, 0, [(9, 3, 0, False)]))
-    assert len(list(fleet.receive(110.1, 7, board))) == 1
+    aggregate = codec.encode_aggregate(codec.AggregateMessage(2, 1, 0, [(9, 3, 0, False)]))
+    assert len(list(fleet.receive(110.1, 7, aggregate))) == 1
     assert fleet.aggregator == 7
     assert fleet.in_flight_elsewhere(9, 0.0) == 3
 
 
-def test_an_upgrade_of_nothing_else_follows_from_a_stall() -> None:
-    """It decides nothing by itself: no send, no refusal, no call."""
-    assert dispatcher(5).handle(104.0, interface.ProcessStalled(3.0)) == []
+def test_stall_alone_causes_no_policy_action() -> None:
+    """The event ProcessStalled must not send, reject or cancel anything by itself."""
+    assert new_policy(5).handle(104.0, interface.ProcessStalled(3.0)) == []
