--- a/tests/recovery/test_clients_that_leave.py
+++ b/tests/recovery/test_clients_that_leave.py
@@ -1,4 +1,4 @@
-"""Real processes whose clients leave early, and jobs that must never run twice, with faults round them."""
+"""Real processes whose clients disconnect early and whose unsafe jobs must not run twice, under faults."""
 
 from __future__ import annotations
 
@@ -24,7 +24,8 @@
 }
 
 
-def test_nothing_begins_for_a_client_that_has_left_and_no_unsafe_job_runs_twice() -> None:
+def test_no_attempt_for_disconnected_clients_and_no_unsafe_job_twice() -> None:
+    """Stops, kills, upgrades and failing workers must not start attempts for clients that are gone."""
     faults = [
         Fault(0.5, "discovery", 1.5),
         Fault(1.0, "kill", 0.3, [0]),
@@ -41,15 +42,16 @@
     assert verdict.ends["200"] > 200
 
 
-def test_the_judge_finds_an_attempt_that_begins_after_its_client_left() -> None:
-    asked = [
+def test_judge_finds_an_attempt_that_begins_after_its_client_left() -> None:
+    """Guards the check that the test above relies on; 0.1 s after the disconnection are allowed."""
+    attempts = [
         ClientAttempt("", "render", 0, 10.0, request_id="r1", timeout_s=3.0, disconnected_at=11.0),
         ClientAttempt("", "render", 0, 10.0, request_id="r2", timeout_s=3.0),
     ]
     assert (
         attempts_after_disconnect(
-            asked, [ReceivedDeadline("r1", 11.05, 1.0), ReceivedDeadline("r2", 12.9, 0.1)], 0.1
+            attempts, [ReceivedDeadline("r1", 11.05, 1.0), ReceivedDeadline("r2", 12.9, 0.1)], 0.1
         )
         == []
     )
-    assert len(attempts_after_disconnect(asked, [ReceivedDeadline("r1", 11.2, 1.0)], 0.1)) == 1
+    assert len(attempts_after_disconnect(attempts, [ReceivedDeadline("r1", 11.2, 1.0)], 0.1)) == 1
--- a/tests/recovery/test_deadlines.py
+++ b/tests/recovery/test_deadlines.py
@@ -1,4 +1,4 @@
-"""Real processes that stand still: what they tell workers of the time that is left."""
+"""Real processes that stall: the deadlines that they send to workers."""
 
 from __future__ import annotations
 
@@ -29,10 +29,10 @@
 
 
 @pytest.mark.parametrize("recovery", [False, True])
-def test_a_request_that_came_while_the_process_stood_still_has_only_the_rest_of_its_time(
+def test_request_that_arrived_during_a_stall_has_only_its_time_left(
     recovery: bool,
 ) -> None:
-    """Its time was counted from when it was read: a worker was told of up to 1.5 s that the client did not have."""
+    """With the deadline counted from the request's read, workers got up to 1.5 s more than the client had."""
     stops = [Fault(1.0, "stop", 1.5, [0, 1]), Fault(3.2, "stop", 0.7, [2, 3])]
     verdict = asyncio.run(
         run_scenario(Scenario("stopped", seed=61, faults=stops, recovery=recovery, **SMALL))
@@ -42,19 +42,24 @@
     assert verdict.ends["200"] > 0.8 * verdict.asked > 400
 
 
-def test_the_judge_sees_a_worker_that_is_given_too_much_time() -> None:
-    asked = [ClientAttempt("", "render", 0, 10.0, request_id="r1", timeout_s=3.0)]
+def test_judge_finds_a_worker_that_is_given_too_much_time() -> None:
+    """Guards the check that the test above relies on."""
+    attempts = [ClientAttempt("", "render", 0, 10.0, request_id="r1", timeout_s=3.0)]
     assert (
         overstated_deadlines(
-            asked, [ReceivedDeadline("r1", 12.0, 1.1), ReceivedDeadline("r2", 12.0, 9.0)], DEADLINE_SLACK_S
+            attempts, [ReceivedDeadline("r1", 12.0, 1.1), ReceivedDeadline("r2", 12.0, 9.0)], DEADLINE_SLACK_S
         )
         == []
     )
-    assert len(overstated_deadlines(asked, [ReceivedDeadline("r1", 12.0, 1.3)], DEADLINE_SLACK_S)) == 1
+    assert len(overstated_deadlines(attempts, [ReceivedDeadline("r1", 12.0, 1.3)], DEADLINE_SLACK_S)) == 1
 
 
-def test_a_client_whose_time_is_up_sends_its_request_to_nobody_else() -> None:
-    """Cut off by a stopped process that was killed, it asked the next one with 1 ms left, 1.2 s after its time."""
+def test_client_whose_time_is_up_does_not_retry_elsewhere() -> None:
+    """The rig's client must not retry late, as the judge would blame the dispatcher.
+
+    Cut off when a stopped process was killed, it sent its request to the next one 1.2 s after its time was
+    up, with a deadline of 1 ms.
+    """
     answers = [http1.response(200), None, http1.response(200)]
     seen: list[str] = []
 
--- a/tests/recovery/test_requests.py
+++ b/tests/recovery/test_requests.py
@@ -1,4 +1,4 @@
-"""The wait for a key before the policy gets a job counts against the deadline and ends at half of its time."""
+"""The wait for a key before the policy gets a job counts against its deadline, and is limited to half."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
 
 
 class SlowKeys:
-    """An idempotency-key service whose `register` lasts as long as `wait`, which may set the clock forward."""
+    """An idempotency-key service whose `register` lasts as long as `wait`, which may set the clock."""
 
     def __init__(self, wait: Any) -> None:
         self.wait = wait
@@ -73,7 +73,7 @@
 
 @pytest.mark.parametrize(("passed", "left"), [(0.4, 0.6), (0.0, 1.0), (9.0, 0.0)])
 def test_policy_gets_the_time_left_after_the_wait_for_a_key(passed: float, left: float) -> None:
-    """With the time left before the wait, the policy kept a job past its deadline by the length of the wait."""
+    """With the time left before the wait, the policy kept a job past its deadline by as long as it waited."""
     clock = [100.0]
 
     async def wait() -> None:
--- a/tests/recovery/test_returns_by_old_lists.py
+++ b/tests/recovery/test_returns_by_old_lists.py
@@ -1,4 +1,4 @@
-"""Real processes that were away while workers left, and come back with the list that they knew before."""
+"""Real processes that were killed or stopped while workers left, and return with an outdated list."""
 
 from __future__ import annotations
 
@@ -9,20 +9,20 @@
 
 from beaconhinge.standin.rig import Fault, Scenario, run_scenario
 
-LEFT = Fault(0.8, "drain", 10.0, workers=2)
+DRAIN = Fault(0.8, "drain", 10.0, workers=2)
 AWAY = [1, 3, 4, 6, 8, 9, 10, 11]
 
 SCENARIOS = [
-    Scenario("started again after workers left", faults=[LEFT, Fault(1.0, "kill", 6.3, AWAY)]),
-    Scenario("stopped while workers left", faults=[LEFT, Fault(0.7, "stop", 6.9, AWAY)]),
+    Scenario("started again after workers left", faults=[DRAIN, Fault(1.0, "kill", 6.3, AWAY)]),
+    Scenario("stopped while workers left", faults=[DRAIN, Fault(0.7, "stop", 6.9, AWAY)]),
 ]
 
 
 @pytest.mark.parametrize("scenario", SCENARIOS, ids=lambda scenario: scenario.name)
-def test_a_process_that_comes_back_sends_nothing_by_a_list_that_it_has_not_confirmed(
+def test_returning_process_sends_nothing_before_its_list_is_confirmed(
     scenario: Scenario,
 ) -> None:
-    """One that started asked discovery up to 5 s later, and sent to whoever its configuration named until then."""
+    """A process called discovery up to 5 s after its start, and until then sent to the workers configured."""
     whole = msgspec.structs.replace(
         scenario,
         seed=3502,
@@ -37,8 +37,7 @@
         store=False,
     )
     verdict = asyncio.run(run_scenario(whole))
-    sent = [
-        line for line in verdict.broken if " sent to " in line
-    ]  # ejections after a stop are `test_stall`'s
+    # `test_stall.py` tests ejections after a stop.
+    sent = [line for line in verdict.broken if " sent to " in line]
     assert not sent, "\n".join(sent)
     assert min(verdict.faults.values()) >= 2
--- a/tests/recovery/test_shutdowns.py
+++ b/tests/recovery/test_shutdowns.py
@@ -1,4 +1,4 @@
-"""SIGTERM under load: what a dispatcher has taken gets its answer, with all of them ending at once too."""
+"""SIGTERM under load: each accepted request gets its answer, even if all dispatchers end at once."""
 
 from __future__ import annotations
 
@@ -19,44 +19,57 @@
     "client_timeout_s": 1.5,
     "seconds": 4.0,
 }
-ON_ITS_WAY = 0.02  # seconds before the signal, from which on a job may not have been taken yet
+IN_TRANSIT_S = 0.02  # seconds before the signal in which a request that was sent may not be accepted yet
 
 
-def ended(scenario: Scenario, folder: Path) -> tuple[Verdict, list[ClientAttempt], list[ClientAttempt]]:
-    """The verdict, what was in work as its dispatcher got the signal, and what of that had no answer."""
+def run_with_terms(
+    scenario: Scenario, folder: Path
+) -> tuple[Verdict, list[ClientAttempt], list[ClientAttempt]]:
+    """Run a scenario.
+
+    Returns:
+        The verdict, the attempts in progress when their dispatcher got SIGTERM, and those of them without an
+        answer.
+    """
     run = ScenarioRun(scenario, folder)
     verdict = asyncio.run(run.run())
     ends = [(p.number, begun) for p in run.topology.processes for begun, _ in p.down_spans]
-    taken = [
-        t
-        for t in run.clients.attempts
+    accepted = [
+        attempt
+        for attempt in run.clients.attempts
         if any(
-            t.dispatcher == number and t.sent_at < begun - ON_ITS_WAY and t.ended_at > begun
+            attempt.dispatcher == number
+            and attempt.sent_at < begun - IN_TRANSIT_S
+            and attempt.ended_at > begun
             for number, begun in ends
         )
     ]
-    return verdict, taken, [t for t in taken if t.outcome == "missing"]
+    return verdict, accepted, [attempt for attempt in accepted if attempt.outcome == "missing"]
 
 
-def test_five_that_end_at_once_lose_nothing_they_had_taken(tmp_path: Path) -> None:
-    verdict, taken, lost = ended(
+def test_five_dispatchers_that_end_at_once_lose_no_accepted_request(tmp_path: Path) -> None:
+    """No other dispatcher can take over then, so each must answer what it has accepted before it exits."""
+    verdict, accepted, unanswered = run_with_terms(
         Scenario("all at once", seed=31, faults=[Fault(1.5, "term", 0.3)], **FIVE), tmp_path
     )
     assert verdict.broken == []
     assert verdict.faults["term"] == 5
-    assert len(taken) >= 5
-    assert lost == []
-    assert sum(t.outcome == "200" for t in taken) >= 0.8 * len(taken)
+    assert len(accepted) >= 5
+    assert unanswered == []
+    assert sum(attempt.outcome == "200" for attempt in accepted) >= 0.8 * len(accepted)
     assert verdict.plain_after > 0.9
 
 
-def test_five_that_end_in_turn_lose_nothing_and_the_last_is_not_left_with_all(tmp_path: Path) -> None:
-    """Each ends while the one before it starts, and one link between two of them is cut."""
+def test_five_dispatchers_that_end_in_turn_lose_no_accepted_request(tmp_path: Path) -> None:
+    """Each ends while the one before it starts, and one link between two of them is cut.
+
+    The last one must not be left with all the load.
+    """
     turns = [Fault(1.0 + 0.4 * n, "term", 0.2, [n]) for n in range(5)]
     scenario = Scenario("in turn", seed=32, faults=[*turns, Fault(0.5, "cut", 2.5, [0], [1])], **FIVE)
-    verdict, taken, lost = ended(scenario, tmp_path)
+    verdict, accepted, unanswered = run_with_terms(scenario, tmp_path)
     assert verdict.broken == []
     assert verdict.faults["term"] == 5
-    assert len(taken) >= 5
-    assert lost == []
+    assert len(accepted) >= 5
+    assert unanswered == []
     assert verdict.plain_after > 0.9
--- a/tests/recovery/test_unended_answers.py
+++ b/tests/recovery/test_unended_answers.py
@@ -1,18 +1,11 @@
-"""Requests to a draining worker while discovery's answer was still coming.
+"""Discovery's answer reports that a worker drains, but does not end: the drain must be applied at once.
 
-Seen: six dispatchers; two requests reached a worker 0.71 and 0.82 s after its dispatcher had been written that
-the worker drains. 0.45 s are allowed.
+Failure: two requests reached a worker 0.71 and 0.82 s after discovery had written to their dispatcher that
+the worker drains; 0.45 s are allowed.
 
-How it came about: the answer that said so began and did not end. The dispatcher waited 1.0 s for another byte,
-gave the answer up, and only then read from what had come that the worker drains. Until then it sent as before.
-
-Cause: what had arrived was acted on when something else was over: the answer, its call, a time-out. The read
-state of the connection held the news, and nobody looked.
-
-What proved it: of the four dispatchers shown, one had an answer written at the time of the notification, and
-asked again 1.4 s later with the version from before: 1.0 s without a byte and a retry within 0.4 s. Both
-requests lie in between. A call given up within its answer stands in the logs of the same day, played again.
-Here each way not to end an answer, and one to end it late, shows the same.
+Cause: the dispatcher applied what it had received only when the answer had ended or its call had timed out.
+It waited 1.0 s for another byte, gave the answer up, and only then applied the drain in the part received.
+The test repeats this with each way not to end an answer, and with one way to end it late.
 """
 
 from __future__ import annotations
@@ -22,19 +15,19 @@
 from beaconhinge.standin.discovery import Spoil
 from beaconhinge.standin.rig import Fault, Scenario, run_scenario
 
-WAYS = [spoil for spoil in Spoil if spoil.writes_changes_at_once]
+UNENDED_SPOILS = [spoil for spoil in Spoil if spoil.writes_changes_at_once]
 
 
-def test_worker_whose_drain_was_written_gets_nothing_more_though_the_answer_does_not_end() -> None:
-    """Real processes, one for each way, and 25 requests a second at each."""
-    spoils = [Fault(0.8, "spoil", 4.5, [number], spoil=way) for number, way in enumerate(WAYS)]
+def test_drain_in_an_answer_that_does_not_end_is_applied_at_once() -> None:
+    """Real processes, one for each way to end an answer badly, with 25 requests a second each."""
+    spoils = [Fault(0.8, "spoil", 4.5, [number], spoil=spoil) for number, spoil in enumerate(UNENDED_SPOILS)]
     scenario = Scenario(
         "answers that do not end",
         seed=4101,
-        processes=len(WAYS),
+        processes=len(UNENDED_SPOILS),
         workers=4,
         slots=16,
-        rate=25.0 * len(WAYS),
+        rate=25.0 * len(UNENDED_SPOILS),
         keyed=0.0,
         render_s=0.05,
         seconds=6.0,
@@ -44,6 +37,6 @@
     )
     verdict = asyncio.run(run_scenario(scenario))
     assert verdict.faults["drain"] == 2
-    assert verdict.faults["spoil"] >= len(WAYS)
+    assert verdict.faults["spoil"] >= len(UNENDED_SPOILS)
     assert verdict.ends["200"] > 0.95 * verdict.asked
-    assert verdict.broken == [], [way.value for way in WAYS]
+    assert verdict.broken == [], [spoil.value for spoil in UNENDED_SPOILS]
