--- a/beaconhinge/leases/holder.py
+++ b/beaconhinge/leases/holder.py
@@ -267,7 +267,7 @@
         if self.tenure is not None:
             self.tenure.end = max(self.tenure.end, end)
             return []
-        if now >= end:  # the majority came after the tenure's end
+        if now >= end:  # the majority's grants arrived too late to use
             self.request_at = now
             return []
         self.tenure = Tenure(voting_round.number, end, voting_round.id)
--- a/beaconhinge/leases/node.py
+++ b/beaconhinge/leases/node.py
@@ -179,14 +179,14 @@
 
 
 def new_node(
-    own: int,
+    own_number: int,
     council: Council,
     terms: LeaseTerms,
     now: float,
     random: Callable[[], float],
     floor: int = 0,
     durable: bool = False,
-    highest: dict[int, int] | None = None,
+    highest_granted: dict[int, int] | None = None,
 ) -> LeaseNode:
     """Return the node of a process that has just started.
 
@@ -194,7 +194,13 @@
     """
     return LeaseNode(
         VotingMember(
-            own, council, terms, now + terms.silence, floor, durable, highest_granted=dict(highest or {})
+            own_number,
+            council,
+            terms,
+            now + terms.silence,
+            floor,
+            durable,
+            highest_granted=dict(highest_granted or {}),
         ),
         random,
     )
--- a/beaconhinge/leases/votes.py
+++ b/beaconhinge/leases/votes.py
@@ -67,7 +67,7 @@
         durable: Whether a number is written to the disk before it is granted.
         votes: The grants in force, by the lease's key.
         highest_granted: The highest number granted for each lease.
-        denied: Requests that were denied, by lease and requester; they are notified of a release.
+        denied: Requests that were denied, by lease and requester; the requesters are notified of a release.
         council_numbers: The council number that each member last sent.
         council_settled_at: When a majority had left the previous council; infinite until then, minus infinity
             if there was none.
--- a/tests/leases/lease_defects.py
+++ b/tests/leases/lease_defects.py
@@ -90,11 +90,11 @@
     def hand_over(self: LeaseNode, now: float, busy: frozenset[int]) -> Any:
         holders = dict(self.holders)
         tenures = {lease: held.tenure for lease, held in holders.items()}
-        done = real(self, now, frozenset(holders))
+        result = real(self, now, frozenset(holders))
         self.handed_over, self.holders = False, holders
         for lease, tenure in tenures.items():
             holders[lease].tenure = tenure
-        return [], done[1]
+        return [], result[1]
 
     return hand_over
 
--- a/tests/leases/test_nodes.py
+++ b/tests/leases/test_nodes.py
@@ -95,6 +95,8 @@
     assert fleet.holders(0) != [holder]
 
 
+# Random messages, except true grants, must raise nothing, give no tenure and make no vote longer than a span.
+# They come from members and others, with any council and round, while the node requests a lease.
 @given(st.lists(st.tuples(st.integers(0, 4), MESSAGES, st.floats(0.0, 1.0)), max_size=30))
 def test_foreign_messages_raise_nothing_and_make_nobody_a_holder(
     told: list[tuple[int, LeaseMessage, float]],
@@ -119,6 +121,7 @@
         assert all(vote.until <= now + LeaseTerms(2.0).grant_span for vote in made.member.votes.values())
 
 
+# Truncated, too long or foreign datagrams must decode to None, and messages round-trip in 28 bytes.
 @given(st.binary(max_size=60), MESSAGES)
 def test_what_is_no_message_is_none(noise: bytes, message: LeaseMessage) -> None:
     data = wire.encode(message)
--- a/tests/recovery/test_keys.py
+++ b/tests/recovery/test_keys.py
@@ -147,6 +147,8 @@
     assert registry.state(100.0 + WINDOW, 99) == KeyState.ABSENT
 
 
+# A key is absent only if each of the other five dispatchers answers so; one positive answer is enough for
+# present.
 @given(
     st.dictionaries(
         st.integers(0, 6),
@@ -291,6 +293,7 @@
     assert any(fleet_day(seed, False, mistake)[3] for seed in range(120))
 
 
+# Lost, repeated and mixed-up parts must give the whole first result or none, never a mixture of two.
 @given(st.binary(max_size=16 * MAX_PART_BYTES), st.randoms(use_true_random=False))
 def test_a_result_comes_whole_over_lost_repeated_and_mixed_up_parts_or_not_at_all(
     result: bytes, rng: random.Random
