--- a/beaconhinge/net/keys.py
+++ b/beaconhinge/net/keys.py
@@ -21,8 +21,8 @@
 # How often dispatchers that have not answered are queried, and the seconds between two queries or fetches.
 MAX_QUERIES, QUERY_INTERVAL_S = 3, 0.04
 MAX_FETCHES = 6  # times that the missing parts of a result are requested
-DISK_TIMEOUT_S = 1.0  # after which a record that is not on the disk counts as not written
-EXPIRY_INTERVAL_S = 1.0  # between removals of expired keys
+DISK_TIMEOUT_S = 1.0  # seconds after which a record that is not on the disk counts as not written
+EXPIRY_INTERVAL_S = 1.0  # seconds between removals of expired keys
 OWNER_KEY, RECORD_PREFIX = b"keys/owner", b"key/"
 # The counter for each verdict of a query to the other dispatchers.
 COUNTER_BY_STATE = {
@@ -124,7 +124,7 @@
         """Delete the records of keys that are not registered any more.
 
         A key that was registered again in the meantime has a newer record, which stays. If the deletion
-        fails, the records have still expired at the next start.
+        fails, the records will have expired by the next start.
         """
         unregistered = [key for key in keys if key not in self.registry]
         await self._commit([Delete(RECORD_PREFIX + key.to_bytes(8, "big")) for key in unregistered])
--- a/beaconhinge/net/lease_calls.py
+++ b/beaconhinge/net/lease_calls.py
@@ -23,10 +23,10 @@
 from .sockets import connect
 from .upgrade import ProcessUpgrade
 
-CONNECT_TIMEOUT_S = 0.25  # for the connection, which does not count towards an act's longest time
+CONNECT_TIMEOUT_S = 0.25  # seconds for the connection, which do not count towards an act's longest time
 STALE_TENURE_STATUSES = (409, 412)  # statuses of a receiver that has seen a greater tenure number
-COMMAND_LEASE_S = 3.0  # for which one operator's call keeps a lease; the command has to repeat the call
-CHECK_INTERVAL_S = 0.05  # between checks whether an operator's command still wants the lease
+COMMAND_LEASE_S = 3.0  # seconds for which an operator's call keeps a lease; the command has to repeat it
+CHECK_INTERVAL_S = 0.05  # seconds between checks whether an operator's command still wants the lease
 
 
 def wire_leases(
@@ -126,7 +126,7 @@
     """Leases that operators' commands take by management calls.
 
     Attributes:
-        acts: The handlers of the management calls, by the call's name.
+        handlers: The handlers of the management calls, by the call's name.
     """
 
     def __init__(self, leases: LeaseService, timers: TimerWheel, metrics: Metrics) -> None:
--- a/beaconhinge/net/leases.py
+++ b/beaconhinge/net/leases.py
@@ -27,10 +27,10 @@
 from ..store import Put, Store, StoreError
 from .peers import PeerSocket
 
-LOCK_RETRY_S = 0.1  # between attempts to bind the port
-DISK_TIMEOUT_S = 1.0  # after which a number that is not on the disk counts as not written
-COUNCIL_INTERVAL_S = 0.2  # between announcements of a new council, until it is settled
-CONTENDERS_PER_SPAN = 25  # many contenders spread their requests over one span for each 25 of them
+LOCK_RETRY_S = 0.1  # seconds between attempts to bind the port
+DISK_TIMEOUT_S = 1.0  # seconds after which a number that is not on the disk counts as not written
+COUNCIL_INTERVAL_S = 0.2  # seconds between announcements of a new council, until it is settled
+CONTENDERS_PER_SPAN = 25  # dispatchers for each span over which contenders spread their requests
 RECORD_PREFIX = b"lease/"
 _NUMBER = struct.Struct(">Q")
 
--- a/beaconhinge/net/recovery.py
+++ b/beaconhinge/net/recovery.py
@@ -26,8 +26,8 @@
 from .upgrade import ProcessUpgrade
 from .worker_pool import WorkerPool
 
-SOCKETS_FIRST_S = 0.1  # for which timers are postponed after a stall, while data that waited is read
-LIST_TIMEOUT_S = 0.5  # that new jobs wait at most for a list that is read again
+SOCKETS_FIRST_S = 0.1  # seconds for which timers are postponed after a stall, while data that waited is read
+LIST_TIMEOUT_S = 0.5  # seconds that new jobs wait at most for a list that is read again
 STALL, START = "stall", "start"  # reasons to delay new jobs
 # Seconds for each dispatcher of the fleet: over their sum the dispatchers spread their reads of the list,
 # since all may have stalled together.
