--- a/beaconhinge/net/keys.py
+++ b/beaconhinge/net/keys.py
@@ -236,7 +236,10 @@
         return inquiry
 
     async def _fetch(self, holder: int, key: int) -> bytes | None:
-        """Fetch a result from the dispatcher that has cached it; return None if it does not arrive whole."""
+        """Fetch a result from the dispatcher that has cached it.
+
+        Returns None if it does not arrive whole; the client is rejected then.
+        """
         assembly, part_arrived, query_id = ResultAssembly(), asyncio.Event(), random.getrandbits(32)
         self._fetches[query_id] = holder, assembly, part_arrived
         try:
