--- a/beaconhinge/leases/terms.py
+++ b/beaconhinge/leases/terms.py
@@ -95,5 +95,5 @@
         if not self.members:
             return "members: at least one is needed"
         if self.previous_members and len(self.members ^ self.previous_members) > 1:
-            return "members: differ from members_before by more than one; change them one at a time"
+            return "members: more than one differs from members_before; go there one at a time"
         return None
