--- a/tests/leases/lease_defects.py
+++ b/tests/leases/lease_defects.py
@@ -166,7 +166,7 @@
 
     def __init__(self, **settings: Any) -> None:
         super().__init__(**settings)
-        self.left.acts = 60
+        self.moves_left.acts = 60
 
 
 class LateReleases(World):
@@ -176,7 +176,7 @@
 
     def __init__(self, **settings: Any) -> None:
         super().__init__(**settings)
-        self.left.gives, self.left.wants = 8, 16
+        self.moves_left.gives, self.moves_left.wants = 8, 16
 
 
 class TwoMembersLag(World):
--- a/tests/leases/lease_explorer.py
+++ b/tests/leases/lease_explorer.py
@@ -92,18 +92,18 @@
 
     Attributes:
         weights: Weights of kinds of moves that differ from WEIGHTS.
-        left: Moves that may still be made.
+        moves_left: Moves that may still be made.
         copies: How often a message may be delivered.
         councils: The first is in force, the others are later council changes.
-        at: Index in `councils` of each process's council.
-        t: True time in ticks.
-        flying: Undelivered messages: sender, receiver, message, copies left.
-        granted: Members that granted a number, by lease and number.
+        council_index: Index in `councils` of each process's council.
+        tick: True time in ticks.
+        in_flight: Undelivered messages: sender, receiver, message, copies left.
+        granted_by: Members that granted a number, by lease and number.
         numbers: The highest number of a tenure so far, by lease.
-        fenced: The highest number that a resource which checks numbers has accepted, by lease.
-        plain: End and number of the last act at a resource that checks nothing, by lease.
+        accepted_numbers: The highest number that a resource which checks numbers has accepted, by lease.
+        last_acts: End and number of the last act at a resource that checks nothing, by lease.
         tally: How often each kind of move was made, tenures began and stale numbers were refused.
-        gone: Processes and nodes that a new process has taken over from.
+        replaced: Processes and nodes that a new process has taken over from.
     """
 
     node_type: type[LeaseNode] = LeaseNode
@@ -119,21 +119,21 @@
         contenders: int = 2,
         copies: int = 2,
     ) -> None:
-        self.left = bounds or Bounds()
+        self.moves_left = bounds or Bounds()
         self.copies = copies
         self.durable = durable
         self.leases = range(1, leases + 1)
         self.contenders = contenders
         self.councils = councils or (Council(1, frozenset(range(len(rates)))),)
-        self.at = [0] * len(rates)
-        self.t = 0
-        self.flying: list[tuple[int, int, LeaseMessage, int]] = []
-        self.granted: dict[tuple[int, int], set[int]] = {}
+        self.council_index = [0] * len(rates)
+        self.tick = 0
+        self.in_flight: list[tuple[int, int, LeaseMessage, int]] = []
+        self.granted_by: dict[tuple[int, int], set[int]] = {}
         self.numbers: dict[int, int] = {}
-        self.fenced: dict[int, int] = {}
-        self.plain: dict[int, tuple[float, int]] = {}
+        self.accepted_numbers: dict[int, int] = {}
+        self.last_acts: dict[int, tuple[float, int]] = {}
         self.tally: Counter[str] = Counter()
-        self.gone: list[tuple[Process, LeaseNode]] = []
+        self.replaced: list[tuple[Process, LeaseNode]] = []
         self.processes = [Process(n, rate, 100.0 * n) for n, rate in enumerate(rates)]
         for process in self.processes:
             self._start(process, 0)
@@ -141,14 +141,14 @@
             process.node.member.silent_until = -1000.0  # exploration begins long after the first start
 
     def clock(self, process: Process) -> float:
-        return process.offset + self.t * process.rate
+        return process.offset + self.tick * process.rate
 
     def floor(self) -> int:
         """Return a number above all so far, as wall time in milliseconds is."""
-        return 1000 * (self.t + 1) + max(self.numbers.values(), default=0)
+        return 1000 * (self.tick + 1) + max(self.numbers.values(), default=0)
 
     def _start(self, process: Process, floor: int) -> None:
-        council = self.councils[self.at[process.number]]
+        council = self.councils[self.council_index[process.number]]
         fresh = node_.new_node(
             process.number,
             council,
@@ -164,10 +164,10 @@
     # ---- moves ---------------------------------------------------------------------------------------------
 
     def moves(self) -> list[Move]:
-        left, possible = self.left, list[Move]()
+        left, possible = self.moves_left, list[Move]()
         if left.ticks:
             possible.append(("tick",))
-        possible += [("deliver", *flight[:3]) for flight in self.flying]
+        possible += [("deliver", *flight[:3]) for flight in self.in_flight]
         for process in self.processes:
             n, node = process.number, process.node
             if node is None:
@@ -180,7 +180,7 @@
                 possible += [("crash", n, True), ("crash", n, False)]
             if left.upgrades:
                 possible.append(("upgrade", n))
-            if left.steps and self.at[n] + 1 < len(self.councils):
+            if left.steps and self.council_index[n] + 1 < len(self.councils):
                 possible.append(("step", n))
             for lease in self.leases if n < self.contenders else ():
                 held = node.holders.get(lease)
@@ -202,8 +202,8 @@
         kind = move[0]
         process = self.processes[move[1]] if len(move) > 1 and kind != "deliver" else None
         if kind == "tick":
-            self.t += 1
-            self.left.ticks -= 1
+            self.tick += 1
+            self.moves_left.ticks -= 1
         elif kind == "deliver":
             if not self._deliver(*move[1:]):
                 return False
@@ -219,21 +219,21 @@
         for action in actions:
             if isinstance(action, SendMessage):
                 if action.message.kind == GRANT:
-                    self.granted.setdefault((action.message.lease, action.message.number), set()).add(
+                    self.granted_by.setdefault((action.message.lease, action.message.number), set()).add(
                         process.number
                     )
-                self.flying.append((process.number, action.to, action.message, self.copies))
+                self.in_flight.append((process.number, action.to, action.message, self.copies))
             elif isinstance(action, WriteNumber):
                 process.writes.append(action)
             elif isinstance(action, LeaseAcquired):
                 self._held(process, action)
-        del self.flying[:-IN_FLIGHT]
+        del self.in_flight[:-IN_FLIGHT]
 
     def _held(self, process: Process, held: LeaseAcquired) -> None:
         self.tally["tenures"] += 1
         assert process.node is not None
         vote = process.node.member.votes.get(held.lease)
-        votes = self.granted.get((held.lease, held.number), set())
+        votes = self.granted_by.get((held.lease, held.number), set())
         if vote is not None and (vote.holder, vote.number) == (process.number, held.number):
             votes = votes | {process.number}  # its own vote, which is not sent
         council = process.node.member.council
@@ -244,41 +244,41 @@
         self.numbers[held.lease] = held.number
 
     def _deliver(self, source: int, to: int, message: LeaseMessage) -> bool:
-        for index, (src, dst, flying, copies) in enumerate(self.flying):
+        for index, (src, dst, flying, copies) in enumerate(self.in_flight):
             if (src, dst, flying) == (source, to, message):
-                self.flying[index : index + 1] = [(src, dst, flying, copies - 1)] if copies > 1 else []
+                self.in_flight[index : index + 1] = [(src, dst, flying, copies - 1)] if copies > 1 else []
                 process = self.processes[to]
                 if process.node is not None:
                     self._perform(process, process.node.receive(self.clock(process), source, flying))
                 # The kernel may still deliver messages for the new process to the old one.
-                for old, node in self.gone:
+                for old, node in self.replaced:
                     if old.number == to:
                         self._perform(old, node.receive(self.clock(old), source, flying))
                 return True
         return False
 
     def _want(self, process: Process, lease: int) -> bool:
-        self.left.wants -= 1
+        self.moves_left.wants -= 1
         self._perform(process, process.node.want(self.clock(process), lease))  # type: ignore[union-attr]
         return True
 
     def _busy(self, node: LeaseNode, lease: int) -> bool:
         """Return whether an act of the node's tenure is in progress."""
         tenure = node.holders[lease].tenure if lease in node.holders else None
-        end, number = self.plain.get(lease, (0.0, 0))
-        return tenure is not None and number == tenure.number and self.t < end
+        end, number = self.last_acts.get(lease, (0.0, 0))
+        return tenure is not None and number == tenure.number and self.tick < end
 
     def _give(self, process: Process, lease: int) -> bool:
         assert process.node is not None
         if self._busy(process.node, lease):
             return False
-        self.left.gives -= 1
+        self.moves_left.gives -= 1
         self._perform(process, process.node.release(self.clock(process), lease))  # type: ignore[union-attr]
         return True
 
     def _turn(self, process: Process) -> bool:
         self._perform(process, process.node.advance(self.clock(process)))  # type: ignore[union-attr]
-        for old, node in self.gone:
+        for old, node in self.replaced:
             self._perform(old, node.advance(self.clock(old)))
         return True
 
@@ -292,9 +292,9 @@
         return False
 
     def _crash(self, process: Process, keeps: bool) -> bool:
-        self.left.crashes -= 1
+        self.moves_left.crashes -= 1
         process.node, process.writes, process.checked = None, [], []
-        self.gone = [(old, node) for old, node in self.gone if old.number != process.number]
+        self.replaced = [(old, node) for old, node in self.replaced if old.number != process.number]
         if not keeps:
             process.disk = {}
         return True
@@ -303,12 +303,12 @@
         self._start(process, self.floor() if not process.disk else 0)
 
     def _upgrade(self, process: Process) -> bool:
-        self.left.upgrades -= 1
+        self.moves_left.upgrades -= 1
         old, now = process.node, self.clock(process)
         assert old is not None
         lost, state = old.hand_over(now, frozenset(lease for lease in self.leases if self._busy(old, lease)))
         self._perform(process, lost)
-        self.gone.append((process, old))
+        self.replaced.append((process, old))
         process.writes = []
         self._start(process, 0)
         assert process.node is not None
@@ -316,9 +316,9 @@
         return True
 
     def _step(self, process: Process) -> bool:
-        self.left.steps -= 1
-        self.at[process.number] += 1
-        council = self.councils[self.at[process.number]]
+        self.moves_left.steps -= 1
+        self.council_index[process.number] += 1
+        council = self.councils[self.council_index[process.number]]
         self._perform(process, process.node.adopt(self.clock(process), council, TERMS))  # type: ignore[union-attr]
         return True
 
@@ -333,7 +333,7 @@
     def _check(self, process: Process, lease: int) -> bool:
         number = self._guard(process, lease)
         if number:
-            self.left.acts -= 1
+            self.moves_left.acts -= 1
             process.checked.append((lease, number))
         return bool(number)
 
@@ -342,10 +342,10 @@
         if (lease, number) not in process.checked:
             return False
         process.checked.remove((lease, number))
-        if number < self.fenced.get(lease, 0):
+        if number < self.accepted_numbers.get(lease, 0):
             self.tally["stale numbers refused"] += 1
             return True
-        self.fenced[lease] = number
+        self.accepted_numbers[lease] = number
         return True
 
     def _act(self, process: Process, lease: int) -> bool:
@@ -353,16 +353,16 @@
         number = self._guard(process, lease)
         if not number:
             return False
-        self.left.acts -= 1
-        end, before = self.plain.get(lease, (0.0, number))
-        if self.t < end and before != number:
+        self.moves_left.acts -= 1
+        end, before = self.last_acts.get(lease, (0.0, number))
+        if self.tick < end and before != number:
             raise Broken("acts of two tenures overlap")
-        self.plain[lease] = self.t + ACT, number
+        self.last_acts[lease] = self.tick + ACT, number
         return True
 
     def _check_holders(self) -> None:
         """Raise Broken if two processes, running or stopped, hold one lease at this tick."""
-        nodes = [(p, p.node) for p in self.processes if p.node is not None] + self.gone
+        nodes = [(p, p.node) for p in self.processes if p.node is not None] + self.replaced
         for lease in self.leases:
             holding = [
                 p.number
@@ -379,15 +379,15 @@
     def key(self) -> bytes:
         return pickle.dumps(
             (
-                self.t,
-                self.at,
-                sorted(self.flying, key=repr),
-                self.left,
+                self.tick,
+                self.council_index,
+                sorted(self.in_flight, key=repr),
+                self.moves_left,
                 self.numbers,
-                self.fenced,
-                self.plain,
+                self.accepted_numbers,
+                self.last_acts,
                 [(p.node, sorted(p.disk.items()), p.writes, p.checked) for p in self.processes],
-                [node for _, node in self.gone],
+                [node for _, node in self.replaced],
             ),
             -1,
         )
--- a/tests/leases/test_explore.py
+++ b/tests/leases/test_explore.py
@@ -20,8 +20,8 @@
         assert broken == "", trace
         total += world.tally
     assert total["tenures"] > 50 and total["act"] > 30 and total["begin"] > 10, total
-    happened = {"crash", "start", "upgrade"} if world_of(name).left.crashes else set()
-    happened |= {"step"} if world_of(name).left.steps else set()
+    happened = {"crash", "start", "upgrade"} if world_of(name).moves_left.crashes else set()
+    happened |= {"step"} if world_of(name).moves_left.steps else set()
     assert all(total[kind] > 50 for kind in happened | {"deliver", "tick", "turn"}), total
 
 
