--- a/beaconhinge/standin/fleet/clients.py
+++ b/beaconhinge/standin/fleet/clients.py
@@ -13,7 +13,7 @@
 from .plan import BURST_S, Plan
 
 # Seconds of one swing of the traffic, up and down.
-LOAD_PERIOD_S = 11
+LOAD_SWING_PERIOD_S = 11
 # Times the traffic, during a burst.
 BURST_FACTOR = 1.5
 # Least and greatest seconds until a client repeats a job that was refused or failed.
@@ -45,9 +45,9 @@
     def schedule(self, jobs_per_s: float) -> None:
         """Draw all jobs of the day; `jobs_per_s` is the fleet's capacity."""
         plan, rng, at = self.plan, self.random, 0.0
-        phase = rng.uniform(0, LOAD_PERIOD_S)
+        phase = rng.uniform(0, LOAD_SWING_PERIOD_S)
         while True:
-            load = 1 + plan.load_swing * math.sin(2 * math.pi * (at + phase) / LOAD_PERIOD_S)
+            load = 1 + plan.load_swing * math.sin(2 * math.pi * (at + phase) / LOAD_SWING_PERIOD_S)
             if plan.fault == "burst" and plan.fault_at_s <= at < plan.fault_at_s + BURST_S:
                 load *= BURST_FACTOR
             at += rng.expovariate(plan.load * jobs_per_s * load)
@@ -69,8 +69,8 @@
         return ClientJob(at, index, job_class, tenant, 0 if first_zone else 1, work, 2 if two_slots else 1)
 
     def _send(self, job: ClientJob) -> None:
-        job.attempts += 1
-        self.counters["tries"] += 1
+        job.submissions += 1
+        self.counters["submissions"] += 1
         admitted = [node for node in self.nodes if node.admitted] or self.nodes
         node = self.random.choice([node for node in admitted if node.zone == job.zone] or admitted)
         left_s = job.job_class.deadline_s - (self.clock.now - job.sent_at)
@@ -86,6 +86,6 @@
             job_class = job.job_class
             due = job.sent_at + job_class.latency_objective_s + job_class.stretch * job.work
             job.in_time = self.clock.now <= due
-        elif job.attempts == 1 and self.random.random() < self.plan.client_retry_chance:
+        elif job.submissions == 1 and self.random.random() < self.plan.client_retry_chance:
             wait_s = max(retry_after_s, self.random.uniform(*RETRY_DELAY_S))
             self.clock.after(wait_s, partial(self._send, job))
--- a/beaconhinge/standin/fleet/discovery.py
+++ b/beaconhinge/standin/fleet/discovery.py
@@ -30,15 +30,15 @@
         self,
         clock: Clock,
         rng: random.Random,
-        calls_a_second: float,
+        calls_per_s: float,
         on_update: Callable[[int, interface.MembershipUpdate], None],
     ) -> None:
         self.clock = clock
         self.random = rng
-        self.calls_a_second = calls_a_second
-        self.tell = on_update
+        self.calls_per_s = calls_per_s
+        self.on_update = on_update
         self.calls = self.refusals = 0
-        self.late_until = 0.0  # till then watchers are not notified
+        self.notices_held_until = 0.0  # till then watchers are not notified
         self._busy_until = 0.0
         self._version = 0
         self._changes: list[tuple[int, interface.MemberEntry]] = []
@@ -50,7 +50,7 @@
         """Make these entries a new version, and notify those that watch."""
         self._version += 1
         self._changes += [(self._version, member) for member in members]
-        late = max(0.0, self.late_until - self.clock.now)
+        late = max(0.0, self.notices_held_until - self.clock.now)
         for number in self._watchers:
             self.clock.after(late + self.random.uniform(*NOTICE_DELAY_S), partial(self._push, number))
 
@@ -62,13 +62,13 @@
         if work > MAX_BACKLOG_S:
             self.clock.after(ANSWER_S, partial(self._refuse, number, self.calls))
             return
-        self._busy_until = self.clock.now + work + 1 / self.calls_a_second
+        self._busy_until = self.clock.now + work + 1 / self.calls_per_s
         if work > MAX_WAIT_S:
             self.clock.after(MAX_WAIT_S, partial(self._refuse, number, self.calls))
         else:
             self.clock.after(work + ANSWER_S, partial(self._answer, number, known, self.calls))
 
-    def leave(self, number: int) -> None:
+    def unsubscribe(self, number: int) -> None:
         """Forget a dispatcher that has ended: no answer to it."""
         self._watchers.pop(number, None)
         self._last_call.pop(number, None)
@@ -76,7 +76,7 @@
     def _refuse(self, number: int, call: int) -> None:
         if self._last_call.get(number) == call:
             self.refusals += 1
-            self.tell(number, interface.MembershipUpdate(UpdateKind.REFUSED))
+            self.on_update(number, interface.MembershipUpdate(UpdateKind.REFUSED))
 
     def _answer(self, number: int, known: int, call: int) -> None:
         if self._last_call.get(number) == call:
@@ -90,7 +90,7 @@
     def _send_changes(self, number: int, known: int) -> None:
         self._watchers[number] = self._version
         changed = {member.worker: member for version, member in self._changes if version > known}
-        self.tell(
+        self.on_update(
             number,
             interface.MembershipUpdate(UpdateKind.CHANGES, self._version, list(changed.values())),
         )
--- a/beaconhinge/standin/fleet/entities.py
+++ b/beaconhinge/standin/fleet/entities.py
@@ -1,4 +1,4 @@
-"""What the simulated fleet keeps of its dispatchers, and of jobs and their attempts."""
+"""State of the simulated dispatchers, of the clients' jobs and of the requests for them."""
 
 from __future__ import annotations
 
@@ -12,9 +12,16 @@
 
 @dataclass(eq=False)
 class ClientJob:
-    """What a client wants, over all its attempts.
+    """A job of a client, which the client may submit more than once.
 
-    `sent_at` is when it first asks; `outcome` is served, refused or failed once it is known.
+    Attributes:
+        sent_at: Time in seconds at which the client first submits it.
+        class_index: Index of `job_class` in the site's classes.
+        zone: Number of the client's zone.
+        work: Seconds of a standard core.
+        submissions: How often the client has submitted it.
+        outcome: `served`, `refused` or `failed`; empty until known.
+        in_time: Whether it was served within its latency objective.
     """
 
     sent_at: float
@@ -24,13 +31,13 @@
     zone: int
     work: float
     slots: int = 1
-    attempts: int = 0
+    submissions: int = 0
     outcome: str = ""
     in_time: bool = False
 
     @property
     def safe_to_repeat(self) -> bool:
-        """Whether it may run twice, wherever that is."""
+        """Whether the job may run twice, on any two workers."""
         job_class = self.job_class
         return (
             job_class.semantics == Semantics.RETRYABLE
@@ -41,19 +48,21 @@
 
 @dataclass(eq=False)
 class Node:
-    """A dispatcher's machine.
+    """A machine that runs one dispatcher.
 
     Attributes:
-        number: Of the dispatcher.
-        zone: Where it stands.
-        dispatcher: The decisions of its present incarnation.
-        incarnation: How often it was started.
-        up: Whether it runs.
-        admitted: Whether the front sends clients to it; the front notices late.
-        list_version: Of its list of workers.
-        last_request_number: Given to a request.
-        requests: Those in work, by number.
-        draining_since: By worker that it knows to drain or to be gone: since when.
+        number: The dispatcher's number in the fleet.
+        zone: Number of the zone that the machine is in.
+        dispatcher: The decision module of the current incarnation.
+        incarnation: How often the dispatcher was started.
+        up: Whether the dispatcher is running.
+        admitted: Whether the front (the load balancer before the dispatchers) sends clients to it;
+            the front notices a dispatcher's end late.
+        list_version: Version of the dispatcher's list of workers.
+        last_request_number: The number that the latest request got.
+        requests: Requests that are not yet removed, by number.
+        draining_since: For each worker that the dispatcher's list shows as draining or gone, by id: the time
+            at which it was first listed so.
     """
 
     number: int
@@ -70,7 +79,7 @@
 
 @dataclass(eq=False)
 class Request:
-    """One attempt of a client, as one incarnation of one dispatcher has it."""
+    """One submission of a job by its client, held by one incarnation of one dispatcher."""
 
     job: ClientJob
     node: Node
@@ -82,16 +91,16 @@
 
     @property
     def live(self) -> bool:
-        """Whether the incarnation that took it still runs."""
+        """Whether the incarnation that received the request is still running."""
         return self.node.up and self.node.incarnation == self.incarnation
 
     @property
     def may_have_run(self) -> bool:
-        """Whether any of its attempts was started, or may be now."""
+        """Whether a worker has started any of its attempts, or may yet have done so."""
         return any(attempt.started or attempt.open for attempt in self.attempts)
 
 
-def owner_of(attempt: Attempt) -> Request:
-    """Return the request that an attempt is of."""
+def request_of(attempt: Attempt) -> Request:
+    """Return the request that an attempt belongs to."""
     assert isinstance(attempt.owner, Request)
     return attempt.owner
--- a/beaconhinge/standin/fleet/faults.py
+++ b/beaconhinge/standin/fleet/faults.py
@@ -34,7 +34,7 @@
 # Part of the dispatchers that a release kills.
 KILLED_SHARE = 0.7
 # Times the pace of each worker, while it is slow.
-SLOW_PACE = 0.6
+SLOW_SPEED_FACTOR = 0.6
 # Seconds until a change of workers is listed.
 DRAIN_LISTED_S = 0.45
 START_LISTED_S = 0.7
@@ -91,7 +91,7 @@
             "join": self._replace,
             "herd": self._release,
             "hub": self._kill_aggregators,
-            "cut": partial(self.network.cut_zones, plan.fault_at_s + ZONE_CUT_S),
+            "cut": partial(self.network.cut_gossip, plan.fault_at_s + ZONE_CUT_S),
             "split": self._split_zones,
             "mute": self._silence_some,
             "drain": self._drain_some,
@@ -105,8 +105,8 @@
                 self.clock.after(plan.fault_at_s, worker.hang)
         elif plan.fault == "slow":
             for worker in self.pool.by_id.values():
-                self.clock.after(plan.fault_at_s, partial(worker.set_pace, SLOW_PACE))
-                self.clock.after(plan.fault_at_s + BURST_S, partial(worker.set_pace, 1.0))
+                self.clock.after(plan.fault_at_s, partial(worker.set_speed_factor, SLOW_SPEED_FACTOR))
+                self.clock.after(plan.fault_at_s + BURST_S, partial(worker.set_speed_factor, 1.0))
 
     # ---- dispatchers ---------------------------------------------------------------------------------------
 
@@ -128,19 +128,19 @@
 
     # ---- cuts ----------------------------------------------------------------------------------------------
 
-    def _cut_off(self) -> None:
+    def _partition_zones(self) -> None:
         """Let the zones not hear each other, and lists come late."""
-        self.network.cut_zones(self.clock.now + SPLIT_S)
-        self.discovery.late_until = self.clock.now + LIST_DELAY_S
+        self.network.cut_gossip(self.clock.now + SPLIT_S)
+        self.discovery.notices_held_until = self.clock.now + LIST_DELAY_S
 
     def _split_zones(self) -> None:
         """No dispatcher reaches a worker of the other zone."""
-        self._cut_off()
-        self.network.split_until = self.network.cut_until
+        self._partition_zones()
+        self.network.worker_cut_until = self.network.gossip_cut_until
 
     def _silence_some(self) -> None:
         """A fifth of the workers is out of reach."""
-        self._cut_off()
+        self._partition_zones()
         for worker in self.pool.sample(int(SILENT_SHARE * len(self.pool.by_id))):
             worker.unreachable_silently = True
             self.clock.after(SPLIT_S, partial(setattr, worker, "unreachable_silently", False))
@@ -151,7 +151,7 @@
         if self.plan.site.zones == 1:
             lost = self.pool.sample(max(1, round(LOST_SHARE * len(self.pool.by_id))))
         for worker in lost:
-            worker.cut_off()
+            worker.crash()
         for wave in range(LOSS_WAVES):
             part = lost[wave::LOSS_WAVES]
             listed_after_s = LOSS_LISTED_S + LOSS_WAVE_S * wave
@@ -187,7 +187,7 @@
             worker.drain()
             self.clock.after(self.random.uniform(*DRAIN_S), partial(self._end_when_idle, worker))
         self.clock.after(DRAIN_LISTED_S, partial(self._publish, old, WorkerState.DRAINING))
-        fresh = [self.pool.create(worker.kind, worker.zone) for worker in old]
+        fresh = [self.pool.create(worker.kind_index, worker.zone) for worker in old]
         for worker in fresh:
             worker.state = WorkerState.GONE
         self.clock.after(REPLACEMENT_STARTS_S, partial(self._start_new, fresh))
--- a/beaconhinge/standin/fleet/network.py
+++ b/beaconhinge/standin/fleet/network.py
@@ -29,21 +29,23 @@
         self.plan = plan
         self.counters = counters
         # Till then the zones' dispatchers do not hear each other.
-        self.cut_until = -math.inf
+        self.gossip_cut_until = -math.inf
         # Till then no dispatcher reaches a worker of the other zone.
-        self.split_until = -math.inf
+        self.worker_cut_until = -math.inf
 
     def hop_s(self) -> float:
         """Draw the seconds that a message between a dispatcher and a worker takes."""
         return self.random.uniform(*HOP_S)
 
-    def cut_zones(self, until: float) -> None:
+    def cut_gossip(self, until: float) -> None:
         """Let dispatchers hear only those of their zone until then."""
-        self.cut_until = until
+        self.gossip_cut_until = until
 
     def are_separated(self, node: Node, worker: FakeWorker) -> bool:
         """Whether nothing passes between the two, unnoticed by both."""
-        return worker.unreachable_silently or (node.zone != worker.zone and self.clock.now < self.split_until)
+        return worker.unreachable_silently or (
+            node.zone != worker.zone and self.clock.now < self.worker_cut_until
+        )
 
     def send_datagrams(
         self, sender: Node, receivers: Iterable[Node], size: int, deliver: Callable[[Node], object]
@@ -57,7 +59,7 @@
                 continue
             self.counters["datagrams"] += 1
             if self.clock.now < self.plan.seconds:
-                self.counters["charged"] += max(MIN_CHARGED_BYTES, size)
-            cut = self.clock.now < self.cut_until and sender.zone != receiver.zone
+                self.counters["charged_bytes"] += max(MIN_CHARGED_BYTES, size)
+            cut = self.clock.now < self.gossip_cut_until and sender.zone != receiver.zone
             if not cut and self.random.random() >= self.plan.datagram_loss:
                 self.clock.after(self.random.uniform(*PEER_HOP_S), partial(deliver, receiver))
--- a/beaconhinge/standin/fleet/plan.py
+++ b/beaconhinge/standin/fleet/plan.py
@@ -87,7 +87,7 @@
     may_duplicate: bool = True
     marks_retry: bool = True
     reports_start: bool = True
-    attempts: int = 3
+    max_attempts: int = 3
     overload_multiple: float = 4.0
     overload_window_s: float = 1.5
 
@@ -132,7 +132,7 @@
     zones=1,
     report_fields=("depth", "x0"),
     marks_retry=False,
-    attempts=5,
+    max_attempts=5,
     overload_multiple=3.0,
     overload_window_s=1.0,
 )
@@ -188,7 +188,7 @@
         "requestClasses.count": str(len(site.job_classes)),
         "membershipMode": "pushed" if site.pushed_membership else "on_request",
         "clients.marksRetry": str(site.marks_retry).lower(),
-        "policyLimits.maxAttempts": str(site.attempts),
+        "policyLimits.maxAttempts": str(site.max_attempts),
         "policyLimits.retryAfter": "true",
         "policyLimits.maxRetryAfter": "2",
         "policyLimits.cancel": str(site.cancel).lower(),
--- a/beaconhinge/standin/fleet/result.py
+++ b/beaconhinge/standin/fleet/result.py
@@ -75,12 +75,12 @@
         [job for job in jobs if start <= job.sent_at < start + WINDOW_S]
         for start in range(max(1, int(fleet.plan.seconds) - WINDOW_S + 1))
     ]
-    whole, worst = _served_share(jobs), min(map(_served_share, windows))
+    whole, worst = _in_time_share(jobs), min(map(_in_time_share, windows))
     worst_class = min(served_by_class(fleet).values())
     tenants = range(max(1, len(fleet.plan.site.tenant_shares)))
-    worst_tenant = min(_served_share([job for job in jobs if job.tenant == tenant]) for tenant in tenants)
+    worst_tenant = min(_in_time_share([job for job in jobs if job.tenant == tenant]) for tenant in tenants)
     job_count = max(1, len(jobs))
-    peer = PEER_PRICE * counters["charged"] / (256 * job_count)
+    peer = PEER_PRICE * counters["charged_bytes"] / (256 * job_count)
     cross = CROSS_PRICE * counters["cross_zone"] / job_count
     served = [job for job in jobs if job.outcome == "served"]
     work_done = sum(worker.work_done for worker in fleet.workers.values())
@@ -106,19 +106,19 @@
         calls_refused=fleet.discovery.refusals,
         datagrams=counters["datagrams"],
         cold_most=max(worker.peak_cold_load for worker in fleet.workers.values()),
-        broken=len(fleet.broken),
+        broken=len(fleet.violations),
     )
 
 
 def served_by_class(fleet: SimulatedFleet) -> dict[str, float]:
     """Return the part of each class that was served in time, by name."""
     return {
-        job_class.name: _served_share([job for job in fleet.jobs if job.job_class is job_class])
+        job_class.name: _in_time_share([job for job in fleet.jobs if job.job_class is job_class])
         for job_class in fleet.plan.site.job_classes
     }
 
 
-def _served_share(jobs: list[ClientJob]) -> float:
+def _in_time_share(jobs: list[ClientJob]) -> float:
     """Return the part of the jobs' priorities that was served in time."""
     wanted = sum(job.job_class.priority for job in jobs)
     return sum(job.job_class.priority for job in jobs if job.in_time) / wanted if wanted else 1.0
--- a/beaconhinge/standin/fleet/rules.py
+++ b/beaconhinge/standin/fleet/rules.py
@@ -1,4 +1,4 @@
-"""The rules that the simulated fleet is held to, checked as dispatchers send and answer."""
+"""Checks the rules that dispatchers must keep, at each attempt, final answer and deadline in a run."""
 
 from __future__ import annotations
 
@@ -11,49 +11,52 @@
 from .plan import Site
 from .workers import FakeWorker
 
-# Seconds, as the rules have them on sockets.
-GRACE_S = 0.05
-# Seconds after a worker began to drain in which it may still be sent jobs.
+# Seconds by which a deadline, drain or deduplication window may be exceeded, as in checks of runs on sockets.
+TIMING_TOLERANCE_S = 0.05
+# Seconds for which a dispatcher may still send jobs to a worker that its list shows as draining or gone.
 DRAIN_GRACE_S = 0.4
-# Seconds before the configured end of slow start from which on a worker is not counted as cold.
+# A worker counts as cold until this many seconds before the configured end of its slow start.
 SLOW_START_END_SLACK_S = 0.1
 
 
 class RuleChecker:
-    """Collects broken rules in words; they change nothing of what goes on."""
+    """Collects descriptions of rule violations; a violation does not stop or change the run."""
 
     def __init__(self, clock: Clock, site: Site, counters: Counter[str]) -> None:
         self.clock = clock
         self.site = site
         self.counters = counters
-        self.broken: list[str] = []
-        # What cold workers were sent by those that knew of their start: when, and work, by worker and start.
+        self.violations: list[str] = []
+        # Time and work (in jobs of mean work) of each recent attempt to a cold worker by a dispatcher that
+        # knew the worker's start time, by the worker's id and start time.
         self._cold_sends: defaultdict[tuple[int, float], deque[tuple[float, float]]] = defaultdict(deque)
 
     def check_send(self, request: Request, worker: FakeWorker) -> None:
-        """Check an attempt that a dispatcher is about to send."""
+        """Check an attempt that is about to be sent against the drain, repeat, count and cold-start rules."""
         self._check_drain(request, worker)
         self._check_repeat(request, worker)
         self._check_attempts(request, worker)
         self._check_cold(request, worker)
 
     def check_final(self, request: Request, refused: bool) -> None:
-        """Check a final answer without a result."""
+        """Check a rejection (`refused`) or a failure that a dispatcher gives as its final answer."""
         if request.answered:
-            self.broken.append("a second final answer")
+            self.violations.append("a request got a second final answer")
         elif refused and not request.job.safe_to_repeat and request.may_have_run:
-            self.broken.append("a job was refused that may have run")
+            self.violations.append("a job that is unsafe to repeat and may have run was refused")
 
     def check_deadline(self, request: Request) -> None:
-        """Check a request at its deadline."""
+        """Check that a request has its final answer; called when its deadline has passed."""
         if not request.answered and request.live:
             request.answered = True
-            self.broken.append("a request without an answer at its deadline")
+            self.violations.append("a request got no answer by its deadline")
 
     def _check_drain(self, request: Request, worker: FakeWorker) -> None:
         since = request.node.draining_since.get(worker.id)
-        if since is not None and self.clock.now > since + DRAIN_GRACE_S + GRACE_S:
-            self.broken.append(f"a send to a worker known to drain for {self.clock.now - since:.2f} s")
+        if since is not None and self.clock.now > since + DRAIN_GRACE_S + TIMING_TOLERANCE_S:
+            self.violations.append(
+                f"an attempt was sent to a worker listed as draining {self.clock.now - since:.2f} s before"
+            )
 
     def _check_repeat(self, request: Request, worker: FakeWorker) -> None:
         job_class = request.job.job_class
@@ -66,26 +69,28 @@
                 "cell": first.worker.cell != worker.cell,
                 "zone": first.worker.zone != worker.zone,
             }.get(job_class.group)
-            too_late = self.clock.now > first.sent_at + job_class.deduplication_window_s + GRACE_S
+            too_late = self.clock.now > first.sent_at + job_class.deduplication_window_s + TIMING_TOLERANCE_S
             if outside_group or too_late:
-                self.broken.append("a keyed job that may have run was sent out of its group, or too late")
+                self.violations.append(
+                    "a deduplicated job that may have run was sent again outside its group or window"
+                )
         if job_class.semantics == Semantics.UNSAFE:
-            self.broken.append("a fragile job that may have run was sent again")
+            self.violations.append("an unsafe job that may have run was sent again")
 
     def _check_attempts(self, request: Request, worker: FakeWorker) -> None:
         open_attempts = [attempt for attempt in request.attempts if attempt.open]
         if not self.site.may_duplicate and open_attempts:
-            self.broken.append("two attempts out of one request")
-        if len(request.attempts) >= self.site.attempts:
-            self.broken.append("more attempts than are allowed")
+            self.violations.append("a request has two open attempts where duplicates are not allowed")
+        if len(request.attempts) >= self.site.max_attempts:
+            self.violations.append("a request has more attempts than the site allows")
         if any(attempt.worker is worker for attempt in open_attempts):
-            self.broken.append("two attempts of one request at one worker")
+            self.violations.append("a request has two open attempts at one worker")
 
     def _check_cold(self, request: Request, worker: FakeWorker) -> None:
-        """Check what all dispatchers together send to a cold worker.
+        """Check how much work all dispatchers together send to a cold worker.
 
-        Beyond the N jobs of mean work that the settings allow in the time that they name, twice the root of N
-        and 2 are chance.
+        The settings allow N jobs of mean work in each overload window. The limit is N + 2 * sqrt(N) + 2:
+        dispatchers that keep the budget may exceed it by chance.
         """
         settings, now = request.node.dispatcher.settings, self.clock.now
         knows_start = request.node.dispatcher.workers[worker.id].started_at > 0
@@ -110,8 +115,8 @@
             * worker.speed
             / mean_work
         )
-        got = sum(work for _, work in sent)
-        if got > allowed + 2 * math.sqrt(allowed) + 2:
-            self.broken.append(
-                f"a cold worker got {got:.1f} jobs of mean work where {allowed:.1f} are allowed"
+        sent_work = sum(work for _, work in sent)
+        if sent_work > allowed + 2 * math.sqrt(allowed) + 2:
+            self.violations.append(
+                f"a cold worker was sent {sent_work:.1f} jobs of mean work where {allowed:.1f} are allowed"
             )
--- a/beaconhinge/standin/fleet/worker_pool.py
+++ b/beaconhinge/standin/fleet/worker_pool.py
@@ -18,7 +18,7 @@
 FIRST_STALL_S = (0, 8)
 # Times a kind's mean speed, at least.
 MIN_SPEED_FACTOR = 0.5
-COLD_SHARE = (0.4, 0.55)
+COLD_SPEED_SHARE = (0.4, 0.55)
 CELLS_PER_ZONE = 3
 
 
@@ -64,7 +64,7 @@
             zone,
             cell,
             speed,
-            cold_share=rng.uniform(*COLD_SHARE),
+            cold_speed_share=rng.uniform(*COLD_SPEED_SHARE),
         )
         self.by_id[worker.id] = worker
         return worker
@@ -82,5 +82,5 @@
     """Return a worker as discovery lists it, in another state than its own if one is given."""
     started_at = EPOCH_S + worker.started_at if worker.started_at else 0.0
     return interface.MemberEntry(
-        worker.id, state or worker.state, worker.kind, worker.cell, worker.zone, 1.0, started_at
+        worker.id, state or worker.state, worker.kind_index, worker.cell, worker.zone, 1.0, started_at
     )
--- a/beaconhinge/standin/fleet/workers.py
+++ b/beaconhinge/standin/fleet/workers.py
@@ -1,4 +1,4 @@
-"""Workers: slots and cores, a queue, cold starts, stalls, drains, load reports that lag."""
+"""Simulated workers with slots, cores, a queue, cold starts, stalls, drains and delayed load reports."""
 
 from __future__ import annotations
 
@@ -12,27 +12,35 @@
 from .clock import Clock
 from .plan import WorkerKind
 
+# Jobs for each core that a worker queues before it rejects more.
 QUEUE_PER_CORE = 12
-# Between notices of a running job.
+# Seconds between progress notices of a running job.
 PROGRESS_INTERVAL_S = 1.0
-# After which a worker computes its progress anew at the latest: it warms up meanwhile.
+# Longest time in seconds between two computations of progress, since the speed changes during warm-up.
 MAX_STEP_S = 0.5
-# Multiple of its present capacity for so many seconds that overloads a cold worker.
+# A cold worker is overloaded by this multiple of its current capacity within this many seconds.
 OVERLOAD_MULTIPLE = 4.0
 OVERLOAD_WINDOW_S = 1.5
-# In which a worker that fails fast answers.
+# Seconds until a worker that fails fast answers with a server error.
 FAIL_FAST_S = 0.02
-# Work left, in seconds of a standard core, that counts as none.
+# A job is done when its remaining work, in seconds of a standard core, is at most this.
 WORK_EPSILON = 1e-5
 
 
 @dataclass(eq=False)
 class Attempt:
-    """One attempt at one worker. `owner` is who sent it.
+    """One attempt of a request at one worker. Work is in seconds of a standard core.
 
     Attributes:
-        expected_work: As nobody knows the true one.
-        open: Whether its sender waits for the outcome.
+        owner: The request that the attempt belongs to.
+        number: Index of the attempt in its request.
+        sent_at: Time in seconds at which the dispatcher sent it.
+        work: The work that the attempt really takes, which the dispatcher does not know.
+        expected_work: The mean work of the job's class, times its slots.
+        open: Whether the sender still waits for the outcome.
+        started: Whether the worker has started the job, or may have.
+        work_left: Remaining work of a started job.
+        slots: Slots that the job takes at the worker.
     """
 
     owner: object
@@ -49,7 +57,7 @@
 
 @dataclass
 class WorkerCallbacks:
-    """What a worker calls as a job starts, goes on, and ends."""
+    """Functions that a worker calls when a job starts, makes progress (with the share done) and ends."""
 
     started: Callable[[Attempt], object]
     progress: Callable[[Attempt, float], object]
@@ -58,24 +66,29 @@
 
 @dataclass(eq=False)
 class FakeWorker:
-    """One worker: slots, cores that they share, and a queue.
+    """One worker with slots, cores shared by the running jobs, and a queue.
 
     Attributes:
-        started_at: 0: long ago.
-        cold_for: Seconds that it takes to warm up.
-        cold_share: Of its speed, as it starts.
-        pace: Beside its own, while something that all share is short.
-        unreachable_silently: Nothing comes in and nothing goes out, though it works on.
-        hung: It takes jobs, and never starts or ends one.
-        work_done: In seconds of a standard core.
-        peak_cold_load: Work sent while cold in any window, as a part of what overloads it.
+        kind_index: Index of `worker_kind` in the site's kinds.
+        speed: Of one core, as a multiple of a standard core's.
+        reachable: Whether the machine is up; connections to it fail otherwise.
+        started_at: Time of its last start in seconds; 0 if it started long ago.
+        warm_up_s: Seconds from its start until it has its full speed.
+        cold_speed_share: Share of its full speed that it has when it starts.
+        fails_fast: Whether it answers every new job with a server error at once.
+        paused_until: Time in seconds until which it is stalled.
+        speed_factor: Multiple of its own speed, below 1 while a resource that all workers share is short.
+        unreachable_silently: Whether all its messages are lost in both directions, while it works on.
+        hung: Whether it accepts jobs but never starts or ends one.
+        work_done: Seconds of a standard core.
+        peak_cold_load: Most work sent to it while cold within one window, as a share of what overloads it.
     """
 
     clock: Clock
     random: random.Random
     callbacks: WorkerCallbacks
     id: int
-    kind: int
+    kind_index: int
     worker_kind: WorkerKind
     zone: int
     cell: int
@@ -83,11 +96,11 @@
     state: WorkerState = WorkerState.READY
     reachable: bool = True
     started_at: float = 0.0
-    cold_for: float = 0.0
-    cold_share: float = 0.45
+    warm_up_s: float = 0.0
+    cold_speed_share: float = 0.45
     fails_fast: bool = False
     paused_until: float = 0.0
-    pace: float = 1.0
+    speed_factor: float = 1.0
     unreachable_silently: bool = False
     hung: bool = False
     running: list[Attempt] = field(default_factory=list)
@@ -96,7 +109,7 @@
     peak_cold_load: float = 0.0
     _cold_sends: deque[tuple[float, float]] = field(default_factory=deque)
     _advanced_at: float = 0.0
-    _step_version: int = 0  # of its next step: earlier ones are void
+    _step_version: int = 0  # steps scheduled with an earlier version are ignored
     _reported_free_slots: float = 0.0
     _reported_queue_depth: float = 0.0
 
@@ -115,7 +128,7 @@
 
     @property
     def load(self) -> dict[str, float]:
-        """Its last load report; it lags behind."""
+        """The last published load report (free slots and queue length), which lags behind the real load."""
         return {"x0": self._reported_free_slots, "depth": self._reported_queue_depth}
 
     @property
@@ -124,23 +137,29 @@
 
     # ---- capacity ------------------------------------------------------------------------------------------
 
-    def warmth(self, at: float) -> float:
-        """Return the part of its speed that it has at a time."""
-        if at >= self.started_at + self.cold_for:
+    def speed_share(self, at: float) -> float:
+        """Return the share of its full speed that the worker has at a time; below 1 during warm-up."""
+        if at >= self.started_at + self.warm_up_s:
             return 1.0
-        return self.cold_share + (1 - self.cold_share) * max(0.0, at - self.started_at) / self.cold_for
+        return (
+            self.cold_speed_share
+            + (1 - self.cold_speed_share) * max(0.0, at - self.started_at) / self.warm_up_s
+        )
 
     def _work_rate(self, at: float) -> float:
-        """Work a second that each running job gets."""
+        """Return the work that each running job gets done per second, in seconds of a standard core."""
         return (
-            self.speed * self.pace * self.warmth(at) * min(1.0, self.worker_kind.cores / self._slots_in_use)
+            self.speed
+            * self.speed_factor
+            * self.speed_share(at)
+            * min(1.0, self.worker_kind.cores / self._slots_in_use)
         )
 
     def _advance(self) -> None:
         now = self.clock.now
-        passed = now - max(self._advanced_at, min(self.paused_until, now))
-        if self.running and passed > 0:
-            done = self._work_rate(now - passed / 2) * passed
+        elapsed_s = now - max(self._advanced_at, min(self.paused_until, now))
+        if self.running and elapsed_s > 0:
+            done = self._work_rate(now - elapsed_s / 2) * elapsed_s
             for attempt in self.running:
                 attempt.work_left -= done
             self.work_done += done * self._slots_in_use
@@ -178,12 +197,12 @@
                 self.callbacks.progress(attempt, 1 - max(attempt.work_left, 0.0) / attempt.work)
             self.clock.after(PROGRESS_INTERVAL_S, partial(self._progress, attempt))
 
-    # ---- what happens to it --------------------------------------------------------------------------------
+    # ---- jobs and faults -----------------------------------------------------------------------------------
 
     def arrive(self, attempt: Attempt) -> None:
-        """Take a job, queue it or reject it."""
+        """Queue a job that has arrived, reject it, or fail it at once if the worker fails fast."""
         if not attempt.open or not self.reachable or self.hung:
-            return  # given up, lost on the way, or taken for ever: its sender finds out by time
+            return  # cancelled, lost, or never answered: a sender that still waits detects it by a timeout
         if self.state != WorkerState.READY or len(self.queue) >= QUEUE_PER_CORE * self.worker_kind.cores:
             self.callbacks.ended(attempt, AttemptOutcome.REJECTED, self.load)
         elif self.fails_fast:
@@ -191,49 +210,51 @@
                 FAIL_FAST_S, partial(self.callbacks.ended, attempt, AttemptOutcome.SERVER_ERROR, self.load)
             )
         else:
-            if self.warmth(self.clock.now) < 1.0:
-                self._note_cold_send(attempt)
+            if self.speed_share(self.clock.now) < 1.0:
+                self._record_cold_send(attempt)
             self._advance()
             self.queue.append(attempt)
             self._start_queued()
             self._schedule_step()
 
-    def _note_cold_send(self, attempt: Attempt) -> None:
+    def _record_cold_send(self, attempt: Attempt) -> None:
         now = self.clock.now
         self._cold_sends.append((now, attempt.expected_work))
         while self._cold_sends[0][0] < now - OVERLOAD_WINDOW_S:
             self._cold_sends.popleft()
-        present = self.worker_kind.cores * self.speed * self.warmth(now)
-        part = sum(work for _, work in self._cold_sends) / (OVERLOAD_MULTIPLE * present * OVERLOAD_WINDOW_S)
-        self.peak_cold_load = max(self.peak_cold_load, part)
+        capacity = self.worker_kind.cores * self.speed * self.speed_share(now)
+        load_share = sum(work for _, work in self._cold_sends) / (
+            OVERLOAD_MULTIPLE * capacity * OVERLOAD_WINDOW_S
+        )
+        self.peak_cold_load = max(self.peak_cold_load, load_share)
 
-    def set_pace(self, pace: float) -> None:
-        """Work at so many times its own speed from now on."""
+    def set_speed_factor(self, speed_factor: float) -> None:
+        """Run at this multiple of the worker's own speed from now on."""
         self._advance()
-        self.pace = pace
+        self.speed_factor = speed_factor
         self._schedule_step()
 
     def stall(self, seconds: float) -> None:
-        """Do nothing for so many seconds."""
+        """Make no progress for this many seconds."""
         self._advance()
         self.paused_until = max(self.paused_until, self.clock.now + seconds)
         self._schedule_step()
 
     def hang(self) -> None:
-        """Lose what it has, and take jobs without starting them from now on."""
+        """Drop all running and queued jobs, and from now on accept jobs without ever starting them."""
         self._advance()
         self.hung, self.running = True, []
         self.queue.clear()
 
     def drain(self) -> None:
-        """Complete what runs, reject what is queued, take nothing new."""
+        """Complete the running jobs, reject the queued ones, and accept no new ones."""
         self.state = WorkerState.DRAINING
         waiting, self.queue = self.queue, deque()
         for attempt in waiting:
             self.callbacks.ended(attempt, AttemptOutcome.REJECTED, {"x0": 0.0})
 
-    def cut_off(self) -> None:
-        """Lose the machine: connections break, and nobody hears from it any more."""
+    def crash(self) -> None:
+        """Stop at once as a machine that fails: all connections break, and it becomes unreachable."""
         self._advance()
         self.reachable, self.state = False, WorkerState.GONE
         held, self.running, self.queue = [*self.running, *self.queue], [], deque()
@@ -241,8 +262,8 @@
         for attempt in held:
             self.callbacks.ended(attempt, AttemptOutcome.CONNECTION_LOST, None)
 
-    def start(self, cold_for: float) -> None:
-        """Be up again, or for the first time, and cold."""
+    def start(self, warm_up_s: float) -> None:
+        """Start for the first time or again, cold, with full speed after `warm_up_s` seconds."""
         self.reachable, self.state = True, WorkerState.READY
-        self.started_at, self.cold_for = self.clock.now, cold_for
+        self.started_at, self.warm_up_s = self.clock.now, warm_up_s
         self._cold_sends.clear()
--- a/beaconhinge/standin/fleet/world.py
+++ b/beaconhinge/standin/fleet/world.py
@@ -1,4 +1,4 @@
-"""The fleet at work: dispatchers among workers, clients, discovery and a network, through a day's fault."""
+"""Runs dispatchers, workers, clients, discovery and the network in virtual time, with one planned fault."""
 
 from __future__ import annotations
 
@@ -20,41 +20,42 @@
 from .clients import Clients
 from .clock import Clock
 from .discovery import Discovery
-from .entities import ClientJob, Node, Request, owner_of
+from .entities import ClientJob, Node, Request, request_of
 from .faults import FaultSchedule
 from .network import Network
 from .plan import Plan, settings
-from .rules import GRACE_S, RuleChecker
+from .rules import TIMING_TOLERANCE_S, RuleChecker
 from .worker_pool import EPOCH_S, WorkerPool, member_entry
 from .workers import Attempt, FakeWorker, WorkerCallbacks
 
-# Seconds after which a connection has failed that does not come up.
+# Seconds after which an attempt to connect to an unreachable worker fails.
 CONNECT_TIMEOUT_S = 0.25
-# Seconds in which what was asked for by the end is answered.
-AFTERWARDS_S = 12.0
-# Seconds that a worker takes to answer a probe, beside the way there and back.
+# Seconds that a run goes on after the last jobs were sent, so that they get their answers.
+OVERRUN_S = 12.0
+# Seconds that a worker takes to answer a probe, without the network delay.
 PROBE_S = 0.001
-# Seconds that a request without open attempts is kept beyond its answer.
+# Seconds that an answered request without open attempts is kept before it is removed.
 FORGET_AFTER_S = 0.01
-# Least part of its expected work that an attempt takes, and the spread of the parts.
+# An attempt's work is its job's work times a normally distributed factor: its least value, and its standard
+# deviation around 1.
 MIN_WORK_FACTOR = 0.3
 WORK_FACTOR_SPREAD = 0.15
-# Outcomes that a dispatcher finds by itself.
-FOUND_BY_SENDER = (AttemptOutcome.NO_CONNECTION, AttemptOutcome.TIMEOUT, AttemptOutcome.CANCELLED)
+# Outcomes that a dispatcher detects without a message from the worker.
+DETECTED_BY_SENDER = (AttemptOutcome.NO_CONNECTION, AttemptOutcome.TIMEOUT, AttemptOutcome.CANCELLED)
 DispatcherFactory = Callable[[interface.Settings, int], Dispatcher]
 
 
 class SimulatedFleet:
-    """Carries out what the dispatchers' decisions say, and counts; decides nothing itself."""
+    """Executes and counts the actions that the dispatchers return; makes no decision about jobs itself."""
 
     def __init__(self, plan: Plan, create_dispatcher: DispatcherFactory = Dispatcher) -> None:
-        """Set up the day, with all jobs and the fault drawn and planned; `run` plays it."""
+        """Create the fleet, draw all jobs and schedule the fault; `run` executes the plan."""
         self.plan = plan
         self.create_dispatcher = create_dispatcher
         self.random = random.Random(plan.seed)
         self.clock = Clock()
         self.counters: Counter[str] = Counter()
-        # From a send to its start.
+        # Seconds from sending an attempt to the start of its job at the worker.
         self.start_waits_s: list[float] = []
         self.rules = RuleChecker(self.clock, plan.site, self.counters)
         self.network = Network(self.clock, self.random, plan, self.counters)
@@ -87,22 +88,22 @@
 
     @property
     def workers(self) -> dict[int, FakeWorker]:
-        """All workers by number, those that are gone too."""
+        """All workers by id, including those that are gone."""
         return self.pool.by_id
 
     @property
     def jobs(self) -> list[ClientJob]:
-        """All jobs of the day, in the order of their times."""
+        """All jobs of the run, in the order in which clients first send them."""
         return self.clients.jobs
 
     @property
-    def broken(self) -> list[str]:
-        """Broken rules, in words."""
-        return self.rules.broken
+    def violations(self) -> list[str]:
+        """A description of each rule violation so far."""
+        return self.rules.violations
 
     def run(self) -> None:
-        """Play the day to its end, and until all is answered."""
-        self.clock.run(self.plan.seconds + AFTERWARDS_S)
+        """Run the plan to its end, and OVERRUN_S longer for the last answers."""
+        self.clock.run(self.plan.seconds + OVERRUN_S)
 
     # ---- dispatchers ---------------------------------------------------------------------------------------
 
@@ -126,7 +127,7 @@
 
     def _kill(self, node: Node) -> None:
         node.up = False
-        self.discovery.leave(node.number)
+        self.discovery.unsubscribe(node.number)
         node.draining_since.clear()
         requests, node.requests = list(node.requests.values()), {}
         for request in requests:
@@ -137,7 +138,7 @@
                 self.clients.finish(request.job, "failed", 0.0)
 
     def feed(self, node: Node, event: interface.Event) -> None:
-        """Hand a dispatcher an event, if it runs, and carry out its actions."""
+        """Pass an event to a dispatcher that is up, and execute the actions that it returns."""
         if not node.up:
             return
         if isinstance(event, interface.MembershipUpdate) and event.kind != UpdateKind.REFUSED:
@@ -195,8 +196,8 @@
         deadline = self.clock.now + left_s
         request = Request(job, node, node.incarnation, node.last_request_number, deadline)
         node.requests[request.number] = request
-        self.clock.after(left_s + GRACE_S, partial(self.rules.check_deadline, request))
-        flags = RETRY_FLAG if job.attempts > 1 else 0
+        self.clock.after(left_s + TIMING_TOLERANCE_S, partial(self.rules.check_deadline, request))
+        flags = RETRY_FLAG if job.submissions > 1 else 0
         arrived = interface.JobArrived(
             request.number, job.class_index, job.tenant, left_s, slots=float(job.slots), flags=flags
         )
@@ -251,31 +252,31 @@
         self._notify(attempt, NoticeKind.PROGRESS, share)
 
     def _notify(self, attempt: Attempt, kind: int, share: float) -> None:
-        request = owner_of(attempt)
+        request = request_of(attempt)
         separated = self.network.are_separated(request.node, attempt.worker)
         if attempt.open and request.live and not separated:
             notice = interface.ProgressNotice(request.number, attempt.worker.id, attempt.number, kind, share)
             self.feed(request.node, notice)
 
     def _on_ended(self, attempt: Attempt, outcome: AttemptOutcome, load: dict[str, float] | None) -> None:
-        request = owner_of(attempt)
+        request = request_of(attempt)
         if not attempt.open or not request.live:
             return
-        if outcome not in FOUND_BY_SENDER and self.network.are_separated(request.node, attempt.worker):
-            return  # lost on the way: its sender finds out by time
+        if outcome not in DETECTED_BY_SENDER and self.network.are_separated(request.node, attempt.worker):
+            return  # the message is lost: the sender detects it by a timeout
         attempt.open = False
         attempt.started = attempt.started or outcome not in PROVEN_UNRUN
         self.counters["outcome_" + outcome] += 1
         if outcome == AttemptOutcome.SERVED and not request.answered:
             request.answered = True
             self.clients.finish(request.job, "served", 0.0)
-        # The dispatcher learns of it when its present event is dealt with.
+        # The dispatcher gets this event only after all actions of its current one are executed.
         self.clock.after(0.0, partial(self._report_outcome, attempt, outcome, load))
 
     def _report_outcome(
         self, attempt: Attempt, outcome: AttemptOutcome, load: dict[str, float] | None
     ) -> None:
-        request = owner_of(attempt)
+        request = request_of(attempt)
         if request.live:
             latency_s = self.clock.now - attempt.sent_at
             ended = interface.AttemptEnded(
--- a/tests/standin/test_large_fleet.py
+++ b/tests/standin/test_large_fleet.py
@@ -22,7 +22,7 @@
 def test_the_rules_hold_at_full_size(fault: str, loss: float, served: float) -> None:
     world = SimulatedFleet(Plan(fault=fault, datagram_loss=loss, **SIZE))  # type: ignore[arg-type]
     world.clock.run(UNTIL)
-    assert world.broken == []
+    assert world.violations == []
     ended = [job.outcome for job in world.jobs if job.outcome]  # some are longer, or asked for once more
     assert ended.count("served") >= served * len(ended) > 600
     if not loss:  # each circle has its one hub again, which works
@@ -47,7 +47,7 @@
     )
     world = SimulatedFleet(plan)
     world.clock.run(12.0)
-    assert world.broken == []
+    assert world.violations == []
     last = [job for job in world.jobs if 8.0 <= job.sent_at < 11.0]
     during = [job for job in world.jobs if 3.0 <= job.sent_at < 6.0]
     assert sum(job.in_time for job in during) < 0.7 * len(during)  # the cause was felt
@@ -60,7 +60,7 @@
         Plan(fault=fault, datagram_loss=loss, dispatchers=40, workers=60, seconds=9.0, fault_at_s=1.0, seed=3)
     )
     world.run()
-    assert world.broken == []
+    assert world.violations == []
     assert result(world).refused < 0.3
 
 
@@ -96,7 +96,7 @@
     )
     world = SimulatedFleet(plan)
     world.clock.run(12.0 if dispatchers < 100 else 8.0)
-    assert world.broken == []
+    assert world.violations == []
     assert world.counters["cold_sends"] > 20  # they were used
 
 
--- a/tests/standin/test_sites.py
+++ b/tests/standin/test_sites.py
@@ -69,7 +69,7 @@
     fleet = simulated(site=SITES[site], peers=peers, fault=fault, dispatchers=6, workers=12)
     assert fault_hit_something(fleet)
     assert len(fleet.jobs) > 80
-    assert fleet.broken == []
+    assert fleet.violations == []
     assert min(served_by_class(fleet).values()) > 0.5, served_by_class(fleet)
 
 
@@ -85,7 +85,7 @@
         load=0.55,
     )
     assert fault_hit_something(fleet)
-    assert fleet.broken == []
+    assert fleet.violations == []
     assert min(served_by_class(fleet).values()) > 0.7, served_by_class(fleet)
 
 
@@ -108,7 +108,7 @@
     )
     fleet.clock.run(until)
     assert fault_hit_something(fleet)
-    assert fleet.broken == []
+    assert fleet.violations == []
     ended = [job.outcome for job in fleet.jobs if job.outcome]
     assert ended.count("served") >= 0.95 * len(ended) > 50
 
@@ -121,7 +121,7 @@
     assert sum(wait > 1.0 for wait in fleet.start_waits_s) > 0.05 * len(
         fleet.start_waits_s
     )  # many waited that long
-    assert fleet.counters["attempts"] < 1.5 * fleet.counters["tries"]
+    assert fleet.counters["attempts"] < 1.5 * fleet.counters["submissions"]
     assert min(served_by_class(fleet).values()) > 0.5, served_by_class(fleet)
 
 
@@ -153,7 +153,7 @@
         )
         for seed in range(1, 7)
     ]
-    assert [fleet.broken for fleet in fleets] == [[]] * 6
+    assert [fleet.violations for fleet in fleets] == [[]] * 6
     assert sum(fleet.counters["cold_sends"] for fleet in fleets) > 180
     days = [served_by_class(fleet) for fleet in fleets]
     assert min(sum(day[name] for day in days) / 6 for name in days[0]) > 0.78, days
