--- a/beaconhinge/standin/fleet/__init__.py
+++ b/beaconhinge/standin/fleet/__init__.py
@@ -1,7 +1,8 @@
-"""A whole fleet in virtual time: the real decision modules, unchanged, among workers, clients and discovery.
+"""Simulates a whole fleet in virtual time, with the unchanged decision modules.
 
-One clock, one seed, one result, in any process. Nothing here decides where a job goes: it carries out what
-the modules say, plays what goes wrong, and counts. Times are in seconds, work in seconds of a standard core.
+Workers, clients, discovery and the network are simulated. A plan with its seed gives the same result in
+every process. Nothing here decides where a job is sent: the simulation executes the modules' actions, injects
+one fault and counts. Times are in seconds, work is in seconds of a standard core.
 """
 
 from .plan import Plan, WorkerKind
--- a/beaconhinge/standin/fleet/clients.py
+++ b/beaconhinge/standin/fleet/clients.py
@@ -1,4 +1,4 @@
-"""Clients of the simulated fleet: when jobs come and where they go, and what clients do with an answer."""
+"""Simulated clients: they submit jobs to dispatchers, and may repeat a job that was refused or failed."""
 
 from __future__ import annotations
 
@@ -12,18 +12,18 @@
 from .entities import ClientJob, Node
 from .plan import BURST_S, Plan
 
-# Seconds of one swing of the traffic, up and down.
+# Period in seconds of the periodic change of traffic.
 LOAD_SWING_PERIOD_S = 11
-# Times the traffic, during a burst.
+# Multiple of the normal traffic during a burst.
 BURST_FACTOR = 1.5
 # Least and greatest seconds until a client repeats a job that was refused or failed.
 RETRY_DELAY_S = (0.01, 0.08)
-# Takes a job to a node, with the seconds that the client still waits.
+# Passes a job to a dispatcher, with the seconds that the client still waits.
 Submit = Callable[[ClientJob, Node, float], None]
 
 
 class Clients:
-    """All clients: each sends a job, and at most one time more."""
+    """All clients: each submits one job, and may repeat it once."""
 
     def __init__(
         self,
@@ -43,7 +43,7 @@
         self.jobs: list[ClientJob] = []
 
     def schedule(self, jobs_per_s: float) -> None:
-        """Draw all jobs of the day; `jobs_per_s` is the fleet's capacity."""
+        """Draw all jobs of the run and schedule them; `jobs_per_s` is the fleet's capacity."""
         plan, rng, at = self.plan, self.random, 0.0
         phase = rng.uniform(0, LOAD_SWING_PERIOD_S)
         while True:
@@ -80,7 +80,10 @@
             self.submit(job, node, left_s)
 
     def finish(self, job: ClientJob, outcome: str, retry_after_s: float) -> None:
-        """Give a client its final answer; it may repeat the job once, after so many seconds."""
+        """Give a client its final answer.
+
+        A client whose job was refused or failed may repeat it once, after `retry_after_s` seconds at least.
+        """
         job.outcome = outcome
         if outcome == "served":
             job_class = job.job_class
--- a/beaconhinge/standin/fleet/clock.py
+++ b/beaconhinge/standin/fleet/clock.py
@@ -1,4 +1,4 @@
-"""Virtual time: calls in the order of their times, and of their making where those are the same."""
+"""Virtual time: runs scheduled calls by their due times, and those due at the same time as scheduled."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 class Clock:
-    """Seconds of virtual time, which pass only in `run`."""
+    """Scheduler of calls. `now` is the virtual time in seconds, which advances only in `run`."""
 
     def __init__(self) -> None:
         self.now = 0.0
@@ -16,11 +16,11 @@
         self._order = count()
 
     def after(self, seconds: float, call: Callable[[], object]) -> None:
-        """Plan a call in so many seconds."""
+        """Schedule a call in this many seconds."""
         heapq.heappush(self._heap, (self.now + seconds, next(self._order), call))
 
     def run(self, until: float) -> None:
-        """Make all calls that are due by then, and those that they plan by then."""
+        """Make all calls due by this time, including those scheduled meanwhile, and advance `now` to it."""
         while self._heap and self._heap[0][0] <= until:
             self.now, _, call = heapq.heappop(self._heap)
             call()
--- a/beaconhinge/standin/fleet/faults.py
+++ b/beaconhinge/standin/fleet/faults.py
@@ -1,4 +1,4 @@
-"""The fault of a simulated day: what goes wrong, with how many workers or dispatchers, and for how long."""
+"""Injects the fault of a plan: on which share of the workers or dispatchers, when and for how long."""
 
 from __future__ import annotations
 
@@ -15,49 +15,63 @@
 from .worker_pool import WorkerPool, member_entry
 from .workers import FakeWorker
 
-# Least and greatest seconds that a worker takes to warm up.
+# Shortest and longest time in seconds that a worker takes to warm up.
 WARM_UP_S = (3.6, 8.2)
-# Least and greatest seconds from a dispatcher's end to its next start, and until the front notices the end.
+# Shortest and longest time in seconds from a dispatcher's end to its next start.
 RESTART_S = (1.7, 1.8)
+# Shortest and longest time in seconds from a dispatcher's end until the front notices it.
 FRONT_NOTICES_S = (1.0, 1.6)
-# Seconds that the zones' dispatchers do not hear each other.
+# Duration in seconds of the fault `cut`, during which datagrams between zones are lost.
 ZONE_CUT_S = 2.5
-# Seconds that a part is cut off, and that lists come late then.
+# Duration in seconds of the partition in the faults `split` and `mute`.
 SPLIT_S = 6.0
+# Seconds for which discovery holds back changes of the list in the faults `split` and `mute`.
 LIST_DELAY_S = 7.0
-# Parts of the workers that a fault meets.
-SILENT_SHARE = 0.2
+# Share of the workers that the fault `mute` isolates.
+ISOLATED_SHARE = 0.2
+# Share of the workers that the fault `drain` drains.
 DRAINED_SHARE = 0.25
+# Share of the workers that hang in the fault `hang`.
 HUNG_SHARE = 0.3
+# Share of the workers that the fault `zone` crashes at a site with one zone.
 LOST_SHARE = 0.3
+# Share of the workers that the faults `join` and `herd` replace.
 REPLACED_SHARE = 0.6
-# Part of the dispatchers that a release kills.
+# Share of the dispatchers that a release (the fault `herd`) kills.
 KILLED_SHARE = 0.7
-# Times the pace of each worker, while it is slow.
+# Multiple of its own speed at which each worker runs during the fault `slow`.
 SLOW_SPEED_FACTOR = 0.6
-# Seconds until a change of workers is listed.
+# Seconds until discovery lists workers as draining.
 DRAIN_LISTED_S = 0.45
+# Seconds until discovery lists new workers.
 START_LISTED_S = 0.7
+# Shortest and longest time in seconds until discovery lists workers that are back after a loss.
 RETURN_LISTED_S = (0.2, 0.5)
+# Seconds until discovery lists the first lost workers as gone.
 LOSS_LISTED_S = 3.0
+# Seconds until discovery lists a worker as gone that has ended after its drain.
 END_LISTED_S = 2.0
-# Least and greatest seconds until a draining worker ends, and between two looks whether it is idle.
+# Shortest and longest time in seconds for which a worker drains at least.
 DRAIN_S = (2.0, 4.0)
+# Seconds between checks after that time whether the worker is idle and may end.
 DRAIN_POLL_S = 0.5
-# Seconds from the drain of workers to the start of those that take their place.
+# Seconds from the drain of workers to the start of their replacements.
 REPLACEMENT_STARTS_S = 1.5
-# Waves of a release of workers, of a roll of dispatchers, and of a lost zone; and seconds between two.
+# Waves in which a release (the fault `herd`) replaces workers, and seconds between two.
 RELEASE_WAVES = 4
 RELEASE_WAVE_S = 2.5
+# Waves in which the fault `roll` kills dispatchers, and seconds between two.
 ROLL_WAVES = 5
 ROLL_WAVE_S = 0.5
+# Waves in which the workers that the fault `zone` crashes are listed as gone, and seconds between two.
 LOSS_WAVES = 3
 LOSS_WAVE_S = 0.4
+# Seconds between two of these waves when the workers start again.
 RETURN_WAVE_S = 0.35
 
 
 class FaultSchedule:
-    """Plans the day's fault, and carries it out as its time comes."""
+    """Schedules the plan's fault, and injects it at its time."""
 
     def __init__(
         self,
@@ -82,22 +96,22 @@
         self.start = start
 
     def schedule(self) -> None:
-        """Plan the workers that fail from the start, and the fault."""
+        """Schedule the failures of the workers that fail from the first seconds on, and the fault."""
         plan = self.plan
         for worker in self.pool.sample(plan.failing_workers):
             self.clock.after(self.random.uniform(0.5, 3), partial(setattr, worker, "fails_fast", True))
-        at_the_time: dict[str, Callable[[], object]] = {
+        injections: dict[str, Callable[[], object]] = {
             "zone": self._lose_zone,
-            "join": self._replace,
+            "join": self._replace_workers,
             "herd": self._release,
             "hub": self._kill_aggregators,
             "cut": partial(self.network.cut_gossip, plan.fault_at_s + ZONE_CUT_S),
             "split": self._split_zones,
-            "mute": self._silence_some,
-            "drain": self._drain_some,
+            "mute": self._isolate_workers,
+            "drain": self._drain_workers,
         }
-        if plan.fault in at_the_time:
-            self.clock.after(plan.fault_at_s, at_the_time[plan.fault])
+        if plan.fault in injections:
+            self.clock.after(plan.fault_at_s, injections[plan.fault])
         elif plan.fault == "roll":
             self._schedule_roll()
         elif plan.fault == "hang":
@@ -111,7 +125,7 @@
     # ---- dispatchers ---------------------------------------------------------------------------------------
 
     def _schedule_roll(self) -> None:
-        """Half of the dispatchers are killed in waves."""
+        """Schedule the kills of half of the dispatchers, in waves."""
         order = self.random.sample(self.nodes, len(self.nodes) // 2)
         for wave in range(ROLL_WAVES):
             killed = order[wave::ROLL_WAVES]
@@ -126,27 +140,30 @@
             self.clock.after(self.random.uniform(*FRONT_NOTICES_S), partial(setattr, node, "admitted", False))
             self.clock.after(self.random.uniform(*RESTART_S), partial(self.start, node))
 
-    # ---- cuts ----------------------------------------------------------------------------------------------
+    # ---- partitions and losses -----------------------------------------------------------------------------
 
     def _partition_zones(self) -> None:
-        """Let the zones not hear each other, and lists come late."""
+        """Drop datagrams between zones for SPLIT_S, and hold back changes of the list for LIST_DELAY_S."""
         self.network.cut_gossip(self.clock.now + SPLIT_S)
         self.discovery.notices_held_until = self.clock.now + LIST_DELAY_S
 
     def _split_zones(self) -> None:
-        """No dispatcher reaches a worker of the other zone."""
+        """Drop datagrams, and messages between dispatchers and workers, between zones."""
         self._partition_zones()
         self.network.worker_cut_until = self.network.gossip_cut_until
 
-    def _silence_some(self) -> None:
-        """A fifth of the workers is out of reach."""
+    def _isolate_workers(self) -> None:
+        """Drop datagrams between zones, and all messages of a fifth of the workers."""
         self._partition_zones()
-        for worker in self.pool.sample(int(SILENT_SHARE * len(self.pool.by_id))):
+        for worker in self.pool.sample(int(ISOLATED_SHARE * len(self.pool.by_id))):
             worker.unreachable_silently = True
             self.clock.after(SPLIT_S, partial(setattr, worker, "unreachable_silently", False))
 
     def _lose_zone(self) -> None:
-        """A zone is cut off, listed as gone seconds later, and comes back cold."""
+        """Crash the workers of one zone; they are listed as gone seconds later, and start again cold.
+
+        At a site with one zone, 3 in 10 of the workers are lost instead.
+        """
         lost = [worker for worker in self.pool.by_id.values() if worker.zone == 1]
         if self.plan.site.zones == 1:
             lost = self.pool.sample(max(1, round(LOST_SHARE * len(self.pool.by_id))))
@@ -156,9 +173,9 @@
             part = lost[wave::LOSS_WAVES]
             listed_after_s = LOSS_LISTED_S + LOSS_WAVE_S * wave
             self.clock.after(listed_after_s, partial(self._publish, part, WorkerState.GONE))
-            self.clock.after(self.plan.zone_lost_s + RETURN_WAVE_S * wave, partial(self._return_cold, part))
+            self.clock.after(self.plan.zone_lost_s + RETURN_WAVE_S * wave, partial(self._restart_cold, part))
 
-    def _return_cold(self, workers: list[FakeWorker]) -> None:
+    def _restart_cold(self, workers: list[FakeWorker]) -> None:
         for worker in workers:
             worker.start(self.random.uniform(*WARM_UP_S))
         self.clock.after(
@@ -167,38 +184,40 @@
 
     # ---- replacements --------------------------------------------------------------------------------------
 
-    def _replace(self) -> None:
-        """Six in ten workers are replaced within 7 s."""
+    def _replace_workers(self) -> None:
+        """Replace six in ten workers within 7 s."""
         old = self.pool.sample(int(REPLACED_SHARE * len(self.pool.by_id)))
-        self._swap(old[: len(old) // 2])
-        self.clock.after(4.5, partial(self._swap, old[len(old) // 2 :]))
+        self._replace_batch(old[: len(old) // 2])
+        self.clock.after(4.5, partial(self._replace_batch, old[len(old) // 2 :]))
 
     def _release(self) -> None:
-        """Workers are replaced in waves, and seven in ten dispatchers are killed at once and start again."""
+        """Replace workers in waves, and kill seven in ten dispatchers at once, which start again."""
         order = self.pool.sample(int(REPLACED_SHARE * len(self.pool.by_id)))
         for wave in range(RELEASE_WAVES):
-            self.clock.after(0.5 + RELEASE_WAVE_S * wave, partial(self._swap, order[wave::RELEASE_WAVES]))
+            self.clock.after(
+                0.5 + RELEASE_WAVE_S * wave, partial(self._replace_batch, order[wave::RELEASE_WAVES])
+            )
         killed = self.random.sample(self.nodes, int(KILLED_SHARE * len(self.nodes)))
         self.clock.after(3.0, partial(self._kill_all, killed))
 
-    def _swap(self, old: list[FakeWorker]) -> None:
-        """Drain some workers, and start as many new ones."""
+    def _replace_batch(self, old: list[FakeWorker]) -> None:
+        """Drain these workers, and start as many new ones of their kinds and zones."""
         for worker in old:
             worker.drain()
             self.clock.after(self.random.uniform(*DRAIN_S), partial(self._end_when_idle, worker))
         self.clock.after(DRAIN_LISTED_S, partial(self._publish, old, WorkerState.DRAINING))
-        fresh = [self.pool.create(worker.kind_index, worker.zone) for worker in old]
-        for worker in fresh:
+        replacements = [self.pool.create(worker.kind_index, worker.zone) for worker in old]
+        for worker in replacements:
             worker.state = WorkerState.GONE
-        self.clock.after(REPLACEMENT_STARTS_S, partial(self._start_new, fresh))
+        self.clock.after(REPLACEMENT_STARTS_S, partial(self._start_new, replacements))
 
     def _start_new(self, workers: list[FakeWorker]) -> None:
         for worker in workers:
             worker.start(self.random.uniform(*WARM_UP_S))
         self.clock.after(START_LISTED_S, partial(self._publish, workers, WorkerState.READY))
 
-    def _drain_some(self) -> None:
-        """Some begin to drain and stay so, and nobody takes their place."""
+    def _drain_workers(self) -> None:
+        """Drain a quarter of the workers, which stay so and are not replaced."""
         draining = self.pool.sample(max(1, round(DRAINED_SHARE * len(self.pool.by_id))))
         for worker in draining:
             worker.drain()
--- a/beaconhinge/standin/fleet/network.py
+++ b/beaconhinge/standin/fleet/network.py
@@ -1,4 +1,4 @@
-"""The network of the simulated fleet: how long messages take, what is lost, and who can't reach whom."""
+"""The simulated network: message delays, lost datagrams and network partitions."""
 
 from __future__ import annotations
 
@@ -13,36 +13,37 @@
 from .plan import Plan
 from .workers import FakeWorker
 
-# Bytes that a datagram is charged with at least, as the operators' price shows.
+# Each datagram is charged as at least this many bytes, as in the operators' price.
 MIN_CHARGED_BYTES = 16
-# Least and greatest seconds between a dispatcher and a worker, and between two dispatchers.
+# Shortest and longest delay in seconds of a message between a dispatcher and a worker.
 HOP_S = (0.0003, 0.0012)
+# Shortest and longest delay in seconds of a datagram between two dispatchers.
 PEER_HOP_S = (0.002, 0.013)
 
 
 class Network:
-    """Draws delays and losses, and knows the cuts between zones."""
+    """Draws delays and losses, and holds the partitions between zones."""
 
     def __init__(self, clock: Clock, rng: random.Random, plan: Plan, counters: Counter[str]) -> None:
         self.clock = clock
         self.random = rng
         self.plan = plan
         self.counters = counters
-        # Till then the zones' dispatchers do not hear each other.
+        # Time in seconds until which datagrams between dispatchers of different zones are lost.
         self.gossip_cut_until = -math.inf
-        # Till then no dispatcher reaches a worker of the other zone.
+        # Time in seconds until which messages between a dispatcher and a worker of another zone are lost.
         self.worker_cut_until = -math.inf
 
     def hop_s(self) -> float:
-        """Draw the seconds that a message between a dispatcher and a worker takes."""
+        """Draw the delay in seconds of a message between a dispatcher and a worker."""
         return self.random.uniform(*HOP_S)
 
     def cut_gossip(self, until: float) -> None:
-        """Let dispatchers hear only those of their zone until then."""
+        """Drop datagrams between dispatchers of different zones until this time."""
         self.gossip_cut_until = until
 
     def are_separated(self, node: Node, worker: FakeWorker) -> bool:
-        """Whether nothing passes between the two, unnoticed by both."""
+        """Whether all messages between the two are lost, without either being notified."""
         return worker.unreachable_silently or (
             node.zone != worker.zone and self.clock.now < self.worker_cut_until
         )
@@ -50,9 +51,9 @@
     def send_datagrams(
         self, sender: Node, receivers: Iterable[Node], size: int, deliver: Callable[[Node], object]
     ) -> None:
-        """Send a datagram of so many bytes to each receiver but the sender.
+        """Send a datagram of `size` bytes to each receiver but the sender itself.
 
-        `deliver` is called for each receiver that it arrives at.
+        `deliver` is called later with each receiver that the datagram reaches.
         """
         for receiver in receivers:
             if receiver is sender:
--- a/beaconhinge/standin/fleet/plan.py
+++ b/beaconhinge/standin/fleet/plan.py
@@ -1,4 +1,4 @@
-"""What a day is like, and how dispatchers are configured."""
+"""Describes a simulated run (plan, site, job classes, worker kinds), and makes its dispatchers' settings."""
 
 from __future__ import annotations
 
@@ -8,6 +8,7 @@
 
 from ...policy.interface import Semantics
 
+# Names of the faults that `FaultSchedule` and, for `burst`, `Clients` can inject; empty: none.
 FAULTS = (
     "",
     "zone",
@@ -25,13 +26,19 @@
 )
 
 
-# Seconds that a burst of traffic, or a slow-down of all workers, lasts.
+# Duration in seconds of the faults `burst` (more traffic) and `slow` (all workers slower).
 BURST_S = 5.0
 
 
 @dataclass(frozen=True)
 class WorkerKind:
-    """Workers of one machine kind: their part of the fleet, cores, jobs at once, speed of a core."""
+    """A kind of worker.
+
+    Attributes:
+        share: Share of the fleet's workers.
+        slots: How many slots jobs can take at once.
+        speed: Mean speed of a core, as a multiple of a standard core's.
+    """
 
     share: float
     cores: int
@@ -41,13 +48,18 @@
 
 @dataclass(frozen=True)
 class JobClass:
-    """One class of jobs, as clients ask for it and as dispatchers are configured with it.
+    """A class of jobs, for the clients' submissions and the dispatchers' settings.
 
     Attributes:
-        share: Of the jobs.
+        share: Share of all jobs.
         mean_work: Seconds of a standard core.
-        deduplication_window_s: In which a group drops a repeat.
-        two_slot_share: Part of its jobs that take two slots.
+        latency_objective_s: Seconds in which a job should be served, besides `stretch`.
+        stretch: Seconds that each second of a job's work adds to its latency objective.
+        deadline_s: Seconds after which the client stops waiting.
+        priority: Weight of a job in the figures of a run.
+        group: Workers that drop repeats of a job together: all, those of a zone, or those of a cell.
+        deduplication_window_s: Seconds in which a group drops repeats.
+        two_slot_share: Share of its jobs that take two slots.
         work_variation: Coefficient of variation of the work, which is lognormal; 0: a heavy tail.
     """
 
@@ -65,7 +77,7 @@
     work_variation: float = 0.0
 
     def draw(self, rng: random.Random) -> float:
-        """Draw the work of one job, in seconds of a standard core."""
+        """Return the work of one job, drawn at random, in seconds of a standard core."""
         if self.work_variation == 0.0:  # a few are much longer than most
             return self.mean_work * min(0.4 * rng.paretovariate(1.6), 12.0)
         spread = math.log(1 + self.work_variation**2)
@@ -74,7 +86,21 @@
 
 @dataclass(frozen=True)
 class Site:
-    """What does not change from day to day: a deployment. `quota_share` is of the capacity, in all."""
+    """A deployment, which several plans can share.
+
+    Attributes:
+        tenant_shares: Share of the jobs and of the quota of each tenant; empty: no tenants.
+        report_fields: Fields of the workers' load reports; empty: no reports.
+        quota_share: Quota of all tenants together, as a share of the fleet's capacity.
+        pushed_membership: Whether dispatchers are configured for a pushed list of workers.
+        cancel: Whether dispatchers may cancel attempts.
+        may_duplicate: Whether a request may have several open attempts.
+        marks_retry: Whether dispatchers are configured for clients that mark repeated requests.
+        reports_start: Whether dispatchers are configured for workers that report start and progress of jobs.
+        max_attempts: Most attempts of one request.
+        overload_multiple: A cold worker is overloaded by this multiple of its current capacity.
+        overload_window_s: Seconds over which that load is summed.
+    """
 
     job_classes: tuple[JobClass, ...]
     worker_kinds: tuple[WorkerKind, ...]
@@ -93,13 +119,14 @@
 
     @property
     def mean_work(self) -> float:
-        """Of a job, in slot-seconds of a standard core."""
+        """The mean work of a job of any class, in slot-seconds of a standard core."""
         return sum(
             job_class.share * job_class.mean_work * (1 + job_class.two_slot_share)
             for job_class in self.job_classes
         )
 
 
+# The default site: two classes of jobs, three kinds of workers, three tenants and two zones.
 SCRIPTS = Site(
     (
         JobClass("render", 0.69, 0.57, 0.25, 2.0, 7.5, 3.0),
@@ -108,7 +135,8 @@
     (WorkerKind(0.32, 4, 5, 1.3), WorkerKind(0.39, 5, 6, 0.95), WorkerKind(0.29, 5, 5, 0.7)),
     (0.54, 0.29, 0.17),
 )
-# Long jobs, some of two slots, three classes of which the shortest is asked for most, one zone, no tenants.
+# A site with long jobs, some of two slots, in three classes of which the shortest is requested most; one zone
+# and no tenants.
 LONG_JOBS = Site(
     (
         JobClass("lookup", 0.49, 0.8, 0.4, 2.5, 10.0, 2.0, work_variation=0.7),
@@ -140,21 +168,24 @@
 
 @dataclass(frozen=True)
 class Plan:
-    """One day. `load` is the part of the fleet's capacity that is asked for.
+    """One simulated run.
 
     Attributes:
-        load_swing: Of the traffic, up and down.
-        zone_skew: More traffic in the first zone, less in the other.
-        first_zone_share: Part of the workers in the zone that is never lost.
+        load: Mean traffic, as a share of the fleet's capacity.
+        seconds: Time in seconds at which clients stop submitting new jobs.
+        load_swing: Amplitude of the periodic change of traffic, as a share of its mean.
+        zone_skew: Share by which the first zone has more traffic than an even half, and the other less.
+        first_zone_share: Share of the workers in the first zone, which is never lost.
         speed_cv: Coefficient of variation of the workers' speed.
-        max_stall_s: Longest stall of a worker, which comes every 4 to 11 s.
-        failing_workers: How many fail fast from the first seconds on.
-        datagram_loss: Part of the datagrams that is lost.
-        client_retry_chance: That a client asks once more.
-        discovery_calls_per_s: That discovery answers.
+        max_stall_s: Longest stall in seconds of a worker; each worker stalls every 4 to 11 s.
+        failing_workers: How many workers fail fast from the first seconds on.
+        datagram_loss: Share of the datagrams that is lost.
+        peers: Whether dispatchers exchange datagrams.
+        client_retry_chance: Probability that a client repeats a job that was refused or failed.
+        discovery_calls_per_s: Calls that discovery can answer per second.
         fault: One of FAULTS.
-        fault_at_s: When it begins.
-        zone_lost_s: For how long a zone is lost.
+        fault_at_s: Time in seconds at which the fault begins.
+        zone_lost_s: Seconds for which a zone is lost.
     """
 
     site: Site = SCRIPTS
@@ -179,11 +210,13 @@
 
     def __post_init__(self) -> None:
         if self.fault not in FAULTS:
-            raise ValueError(f"fault: {self.fault!r} is none of {', '.join(filter(None, FAULTS))}")
+            raise ValueError(
+                f"unknown fault {self.fault!r}, expected one of {', '.join(filter(None, FAULTS))}"
+            )
 
 
 def settings(capacity: float, peers: bool, site: Site = SCRIPTS) -> dict[str, str]:
-    """Return the settings of a dispatcher as pairs; `capacity` is in jobs a second."""
+    """Return the settings of a dispatcher as key-value pairs; `capacity` is in jobs per second."""
     pairs = {
         "requestClasses.count": str(len(site.job_classes)),
         "membershipMode": "pushed" if site.pushed_membership else "on_request",
--- a/beaconhinge/standin/fleet/result.py
+++ b/beaconhinge/standin/fleet/result.py
@@ -1,4 +1,4 @@
-"""What a day came to, as the operators count it."""
+"""Computes the figures of a simulated run, as the operators compute them."""
 
 from __future__ import annotations
 
@@ -8,39 +8,42 @@
 from .entities import ClientJob
 from .world import SimulatedFleet
 
+# Length in seconds of the windows of which the worst counts.
 WINDOW_S = 10
-# From a send to its start, in seconds.
+# A wait from sending an attempt to its start is long beyond this many seconds.
 LONG_WAIT_S = 0.1
-# For a datagram of 256 bytes, for an attempt that crosses zones, and for wasted work, each for a job.
+# Price of one datagram of 256 bytes for each job.
 PEER_PRICE = 0.01
+# Price of one attempt in another zone for each job.
 CROSS_PRICE = 0.03
+# Price of wasting as much work as all jobs need.
 WASTE_PRICE = 0.04
 
 
 @dataclass(frozen=True)
 class Result:
-    """Parts of the priorities asked for, parts of the jobs asked for, and counts.
+    """Figures of a run: shares of the requested priorities, shares of the requested jobs, and counts.
 
     Attributes:
-        G: The operators' figure.
-        whole: Part of the priorities served in time.
+        G: The operators' overall score: the weighted shares served in time, less the prices.
+        whole: Share of the priorities that was served in time.
         worst: The same in the worst 10 s.
-        worst_class: The same of the worst class.
-        worst_tenant: The same of the worst tenant.
+        worst_class: The same for the worst class.
+        worst_tenant: The same for the worst tenant.
         peer: Price of the datagrams.
         cross: Price of attempts in another zone.
         waste: Price of work for jobs that were not served.
-        late: Part of the jobs served, but not in time.
-        refused: Part of the jobs.
-        failed: Part of the jobs.
-        waited: Part of the starts that came over 0.1 s after their send.
-        attempts: For each job.
-        no_connection: Attempts.
-        calls: To discovery.
-        calls_refused: Of these.
-        datagrams: Between dispatchers.
-        cold_most: Work sent to a cold worker in any window, as a part of what overloads it.
-        broken: Rules.
+        late: Share of the jobs that was served, but not in time.
+        refused: Share of the jobs that was refused.
+        failed: Share of the jobs that failed.
+        waited: Share of the started attempts that started more than 0.1 s after they were sent.
+        attempts: Mean number of attempts per job.
+        no_connection: Number of attempts that got no connection.
+        calls: Number of calls to discovery.
+        calls_refused: Number of these that were refused or failed.
+        datagrams: Number of datagrams between dispatchers.
+        cold_most: Most work sent to a cold worker within one window, as a share of what overloads it.
+        broken: Number of rule violations.
     """
 
     G: float
@@ -69,7 +72,7 @@
 
 
 def result(fleet: SimulatedFleet) -> Result:
-    """Return the figures of a day that is over."""
+    """Return the figures of a run that has ended."""
     jobs, counters = fleet.jobs, fleet.counters
     windows = [
         [job for job in jobs if start <= job.sent_at < start + WINDOW_S]
@@ -84,11 +87,11 @@
     cross = CROSS_PRICE * counters["cross_zone"] / job_count
     served = [job for job in jobs if job.outcome == "served"]
     work_done = sum(worker.work_done for worker in fleet.workers.values())
-    work_wanted = max(1e-9, sum(job.work for job in jobs))
-    waste = WASTE_PRICE * max(0.0, work_done - sum(job.work for job in served)) / work_wanted
-    figure = 0.25 * whole + 0.45 * worst + 0.2 * worst_class + 0.1 * worst_tenant - peer - cross - waste
+    work_requested = max(1e-9, sum(job.work for job in jobs))
+    waste = WASTE_PRICE * max(0.0, work_done - sum(job.work for job in served)) / work_requested
+    score = 0.25 * whole + 0.45 * worst + 0.2 * worst_class + 0.1 * worst_tenant - peer - cross - waste
     return Result(
-        figure,
+        score,
         whole,
         worst,
         worst_class,
@@ -111,7 +114,7 @@
 
 
 def served_by_class(fleet: SimulatedFleet) -> dict[str, float]:
-    """Return the part of each class that was served in time, by name."""
+    """Return the share of each class's jobs that was served in time, by the class's name."""
     return {
         job_class.name: _in_time_share([job for job in fleet.jobs if job.job_class is job_class])
         for job_class in fleet.plan.site.job_classes
@@ -119,9 +122,9 @@
 
 
 def _in_time_share(jobs: list[ClientJob]) -> float:
-    """Return the part of the jobs' priorities that was served in time."""
-    wanted = sum(job.job_class.priority for job in jobs)
-    return sum(job.job_class.priority for job in jobs if job.in_time) / wanted if wanted else 1.0
+    """Return the share of the jobs' priorities that was served in time; 1 if there are none."""
+    requested = sum(job.job_class.priority for job in jobs)
+    return sum(job.job_class.priority for job in jobs if job.in_time) / requested if requested else 1.0
 
 
 def _outcome_share(jobs: list[ClientJob], outcome: str) -> float:
--- a/beaconhinge/standin/fleet/worker_pool.py
+++ b/beaconhinge/standin/fleet/worker_pool.py
@@ -1,4 +1,4 @@
-"""All workers of the simulated fleet: how they are drawn, and how discovery lists them."""
+"""Creates the simulated workers at random, and their entries in discovery's list."""
 
 from __future__ import annotations
 
@@ -11,19 +11,22 @@
 from .plan import Plan
 from .workers import FakeWorker, WorkerCallbacks
 
-# The clock of the dispatchers does not begin at nought, and neither do times in their lists.
+# Offset in seconds of the dispatchers' clock and of the times in their lists from virtual time, so that
+# neither begins at 0.
 EPOCH_S = 1e6
-# Least and greatest seconds between two stalls of a worker, and until the first.
+# Shortest and longest time in seconds between two stalls of a worker.
 STALL_INTERVAL_S = (4, 11)
+# Shortest and longest time in seconds until a worker's first stall.
 FIRST_STALL_S = (0, 8)
-# Times a kind's mean speed, at least.
+# A worker has at least this multiple of its kind's mean speed.
 MIN_SPEED_FACTOR = 0.5
+# Least and greatest share of its full speed that a worker has when it starts cold.
 COLD_SPEED_SHARE = (0.4, 0.55)
 CELLS_PER_ZONE = 3
 
 
 class WorkerPool:
-    """Draws workers, and keeps them by number, those that are gone too."""
+    """Creates workers, and holds all of them by id, including those that are gone."""
 
     def __init__(self, clock: Clock, rng: random.Random, plan: Plan, callbacks: WorkerCallbacks) -> None:
         self.clock = clock
@@ -35,7 +38,7 @@
 
     @property
     def capacity(self) -> float:
-        """Cores of standard speed, in all."""
+        """The capacity of all workers together, in cores of standard speed."""
         return sum(worker.worker_kind.cores * worker.speed for worker in self.by_id.values())
 
     def _create_all(self) -> None:
@@ -49,9 +52,9 @@
             if plan.max_stall_s > 0:
                 self.clock.after(self.random.uniform(*FIRST_STALL_S), partial(self._stall, worker))
 
-    def create(self, kind: int, zone: int) -> FakeWorker:
-        """Draw one more worker of that kind in that zone."""
-        worker_kind, rng = self.plan.site.worker_kinds[kind], self.random
+    def create(self, kind_index: int, zone: int) -> FakeWorker:
+        """Create a worker of a kind (an index of the site's kinds) in a zone, with random speed and cell."""
+        worker_kind, rng = self.plan.site.worker_kinds[kind_index], self.random
         speed = worker_kind.speed * max(MIN_SPEED_FACTOR, rng.gauss(1, self.plan.speed_cv))
         cell = 2 * rng.randrange(CELLS_PER_ZONE) + zone
         worker = FakeWorker(
@@ -59,7 +62,7 @@
             rng,
             self.callbacks,
             rng.getrandbits(32),
-            kind,
+            kind_index,
             worker_kind,
             zone,
             cell,
@@ -74,12 +77,12 @@
         self.clock.after(self.random.uniform(*STALL_INTERVAL_S), partial(self._stall, worker))
 
     def sample(self, count: int) -> list[FakeWorker]:
-        """Draw so many different workers."""
+        """Return `count` different workers, drawn at random."""
         return self.random.sample(list(self.by_id.values()), count)
 
 
 def member_entry(worker: FakeWorker, state: WorkerState | None = None) -> interface.MemberEntry:
-    """Return a worker as discovery lists it, in another state than its own if one is given."""
+    """Return the entry of a worker in discovery's list, with the given state or its own if none is given."""
     started_at = EPOCH_S + worker.started_at if worker.started_at else 0.0
     return interface.MemberEntry(
         worker.id, state or worker.state, worker.kind_index, worker.cell, worker.zone, 1.0, started_at
--- a/beaconhinge/standin/fleet/world.py
+++ b/beaconhinge/standin/fleet/world.py
@@ -36,8 +36,8 @@
 PROBE_S = 0.001
 # Seconds that an answered request without open attempts is kept before it is removed.
 FORGET_AFTER_S = 0.01
-# An attempt's work is its job's work times a normally distributed factor: its least value, and its standard
-# deviation around 1.
+# An attempt's work is its job's work times a normally distributed factor with mean 1.
+# Least value of the factor, and its standard deviation.
 MIN_WORK_FACTOR = 0.3
 WORK_FACTOR_SPREAD = 0.15
 # Outcomes that a dispatcher detects without a message from the worker.
