--- a/tests/standin/test_own_sites.py
+++ b/tests/standin/test_own_sites.py
@@ -1,4 +1,4 @@
-"""The own deployments for trials: what each tells, by the one reader of settings."""
+"""Reads the trial deployments in deploy/sites with the parser of the dispatcher's configuration."""
 
 from __future__ import annotations
 
@@ -12,17 +12,17 @@
 from beaconhinge.policy.interface import Semantics
 
 SITES = Path(__file__).parent.parent.parent / "deploy" / "sites"
-EFFECTS = {
+SEMANTICS_BY_EFFECT = {
     "safe": Semantics.RETRYABLE,
     "keyed": Semantics.DEDUPLICATED,
     "unsafe": Semantics.UNSAFE,
 }
-FIELDS = {"queue": "depth", "x0": "x0"}  # as they are named on sockets
+REPORT_FIELD_NAMES = {"queue": "depth", "x0": "x0"}  # names in load reports sent over sockets
 
 
 def settings(site: dict[str, Any]) -> dict[str, Any]:
-    """The site's rules as a dispatcher's configuration has them; ranges stand at their stricter end."""
-    allow, fam, rules = site["allow"], site["fam"], site["rules"]
+    """Return the settings of a dispatcher at the site; of each range the stricter end."""
+    allow, family, rules = site["allow"], site["fam"], site["rules"]
     return {
         "groupSize": 3,
         "myNumber": 0,
@@ -32,16 +32,17 @@
         "membershipMode": "pushed" if site["discovery"]["mode"] == "push" else "on_request",
         "report": {
             "source": site["tier"][0]["report"]["how"],
-            "names": [FIELDS[name] for name in site["tier"][0]["report"]["fields"]],
+            "names": [REPORT_FIELD_NAMES[name] for name in site["tier"][0]["report"]["fields"]],
         },
         "familyInfo": {
-            "classStretch": [of["stretch"] for of in fam["class"]],
-            "progress": fam["progress_s"],
-            "tellsStart": fam["tells_start"],
+            "classStretch": [job_class["stretch"] for job_class in family["class"]],
+            "progress": family["progress_s"],
+            "tellsStart": family["tells_start"],
             "reportX0": "free slots",
         },
         "orgs": [
-            {"name": of["name"], "share": of["share"], "quotaRps": 0.0} for of in site.get("tenant", [])
+            {"name": tenant["name"], "share": tenant["share"], "quotaRps": 0.0}
+            for tenant in site.get("tenant", [])
         ],
         "overShareWorth": site["load"].get("over_share_worth", 1.0),
         "policyLimits": {
@@ -61,20 +62,21 @@
         },
         "requestClasses": [
             {
-                "name": of["name"],
-                "aim": of["aim_ms"] / 1000,
-                "hardLimit": of["deadline_ms"] / 1000,
-                "semantics": EFFECTS[of["effect"]],
-                "group": of.get("group", "all"),
-                "dedupWindow": of.get("window_ms", 0) / 1000,
-                "importance": of["worth"],
+                "name": job_class["name"],
+                "aim": job_class["aim_ms"] / 1000,
+                "hardLimit": job_class["deadline_ms"] / 1000,
+                "semantics": SEMANTICS_BY_EFFECT[job_class["effect"]],
+                "group": job_class.get("group", "all"),
+                "dedupWindow": job_class.get("window_ms", 0) / 1000,
+                "importance": job_class["worth"],
             }
-            for of in site["class"]
+            for job_class in site["class"]
         ],
     }
 
 
 def config(site: dict[str, Any]) -> Config:
+    """Return the parsed configuration of a dispatcher at the site."""
     return parse(
         {"name": "n0", "listen": "127.0.0.1:9000", "discovery": "127.0.0.1:8500", "settings": settings(site)}
     )
@@ -84,26 +86,28 @@
     ("name", "pushed", "zones", "classes", "tenants"),
     [("toll-pushed", True, 3, 4, 2), ("lab-asked", False, 1, 2, 0)],
 )
-def test_an_own_deployment_is_read_as_it_stands(
+def test_a_trial_deployment_is_parsed_with_all_its_settings(
     name: str, pushed: bool, zones: int, classes: int, tenants: int
 ) -> None:
+    """Guards against settings of a deployment that are lost or misread."""
     site = tomllib.loads((SITES / f"{name}.toml").read_text())
-    found = config(site)
-    told = found.settings
+    parsed = config(site)
+    parsed_settings = parsed.settings
     assert site["name"] == name
-    assert told.membership_on_request is not pushed
-    assert told.peer_messages is pushed
-    assert (len(found.zones), len(found.class_names), len(found.tenant_names)) == (zones, classes, tenants)
-    semantics = [cls.semantics for cls in told.classes]
+    assert parsed_settings.membership_on_request is not pushed
+    assert parsed_settings.peer_messages is pushed
+    assert (len(parsed.zones), len(parsed.class_names), len(parsed.tenant_names)) == (zones, classes, tenants)
+    semantics = [job_class.semantics for job_class in parsed_settings.classes]
     assert semantics.count(Semantics.UNSAFE) == semantics.count(Semantics.DEDUPLICATED) == 1
-    assert told.free_slots_field == "x0"
-    assert told.queue_field == "depth"
-    assert [cls.dedup_window_s > 0 for cls in told.classes] == [
-        cls.semantics == Semantics.DEDUPLICATED for cls in told.classes
+    assert parsed_settings.free_slots_field == "x0"
+    assert parsed_settings.queue_field == "depth"
+    assert [job_class.dedup_window_s > 0 for job_class in parsed_settings.classes] == [
+        job_class.semantics == Semantics.DEDUPLICATED for job_class in parsed_settings.classes
     ]
 
 
-def test_an_own_deployment_with_an_unknown_effect_is_refused_by_its_key() -> None:
+def test_unknown_semantics_are_rejected_with_their_key() -> None:
+    """Guards against an unknown value that is accepted, or whose error does not name its key."""
     site = tomllib.loads((SITES / "lab-asked.toml").read_text())
     given = settings(site)
     given["requestClasses"][1]["semantics"] = "unsafe"
--- a/tests/standin/test_sites.py
+++ b/tests/standin/test_sites.py
@@ -1,4 +1,4 @@
-"""Other deployments than the first, in virtual time: settings of every mode, rules kept, no class starved."""
+"""Runs deployments with settings of every mode in virtual time: rules hold, and no class starves."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 def with_semantics(site: Site, semantics: str, group: str = "all", only: int | None = None) -> Site:
-    """The site with other rights to repeat: all classes, or one."""
+    """Return the site with other semantics and group, for all classes or for the class `only`."""
     return replace(
         site,
         job_classes=tuple(
@@ -25,7 +25,7 @@
     )
 
 
-SHORT = replace(
+SHORT_DEADLINES = replace(
     SCRIPTS,
     job_classes=tuple(
         replace(job_class, deadline_s=job_class.deadline_s / 4) for job_class in SCRIPTS.job_classes
@@ -35,7 +35,7 @@
     "scripts": SCRIPTS,
     "long jobs": LONG_JOBS,
     "pushed": replace(SCRIPTS, pushed_membership=True),
-    "short deadlines": SHORT,
+    "short deadlines": SHORT_DEADLINES,
     "no reports": replace(SCRIPTS, report_fields=()),
     "long, no reports": replace(LONG_JOBS, report_fields=()),
     "no cancel": replace(SCRIPTS, cancel=False),
@@ -51,14 +51,15 @@
 }
 
 
-def simulated(**plan: object) -> SimulatedFleet:
+def run_fleet(**plan: object) -> SimulatedFleet:
+    """Run a plan to its end; the defaults are a run of 9 s at load 0.6 with the fault at 2 s."""
     fleet = SimulatedFleet(Plan(**{"seconds": 9.0, "fault_at_s": 2.0, "load": 0.6, **plan}))  # type: ignore[arg-type]
     fleet.run()
     return fleet
 
 
 def fault_hit_something(fleet: SimulatedFleet) -> bool:
-    """Whether the day's fault hit anything: a worker drained or gone, or jobs taken for ever."""
+    """Return whether the fault affected any worker: one is draining, gone or hung."""
     return any(worker.hung or worker.state != WorkerState.READY for worker in fleet.workers.values())
 
 
@@ -66,7 +67,8 @@
 @pytest.mark.parametrize("peers", [True, False])
 @pytest.mark.parametrize("site", SITES)
 def test_a_site_keeps_the_rules_and_serves_each_class(site: str, peers: bool, fault: str) -> None:
-    fleet = simulated(site=SITES[site], peers=peers, fault=fault, dispatchers=6, workers=12)
+    """Guards against rule violations and starved classes after a quarter of the workers drain or 3 in 10 hang."""
+    fleet = run_fleet(site=SITES[site], peers=peers, fault=fault, dispatchers=6, workers=12)
     assert fault_hit_something(fleet)
     assert len(fleet.jobs) > 80
     assert fleet.violations == []
@@ -75,8 +77,9 @@
 
 @pytest.mark.parametrize(("dispatchers", "workers"), [(1, 9), (5, 9), (40, 40)])
 @pytest.mark.parametrize("site", ["scripts", "long jobs"])
-def test_sizes_from_one_to_forty(site: str, dispatchers: int, workers: int) -> None:
-    fleet = simulated(
+def test_fleets_of_one_to_forty_dispatchers_keep_the_rules(site: str, dispatchers: int, workers: int) -> None:
+    """Guards against rule violations and starved classes at sizes from one dispatcher to forty."""
+    fleet = run_fleet(
         site=SITES[site],
         peers=site == "scripts",
         fault="drain",
@@ -90,10 +93,8 @@
 
 
 @pytest.mark.parametrize(("dispatchers", "workers", "until"), [(230, 500, 2.0), (1024, 1024, 1.1)])
-def test_hundreds_and_a_thousand_of_each_begin_their_day(
-    dispatchers: int, workers: int, until: float
-) -> None:
-    """Lists and groups of that size: drains are kept, and what ends by then is served."""
+def test_fleets_of_hundreds_and_a_thousand_start_up(dispatchers: int, workers: int, until: float) -> None:
+    """Guards against failures with lists and groups of that size: sends to draining workers, jobs not served."""
     fleet = SimulatedFleet(
         Plan(
             site=LONG_JOBS,
@@ -113,34 +114,43 @@
     assert ended.count("served") >= 0.95 * len(ended) > 50
 
 
-def test_a_job_that_waits_in_a_busy_fleet_is_not_copied() -> None:
-    """After a second without word of its start each job got copies, which waited too: 2.25 attempts a job."""
-    fleet = simulated(
+def test_a_job_that_waits_in_a_busy_fleet_is_not_duplicated() -> None:
+    """Guards against further attempts of jobs that wait in a queue.
+
+    Each job without a notice of its start for a second got more attempts, which waited too: 2.25 per job.
+    """
+    fleet = run_fleet(
         site=LONG_JOBS, peers=False, fault="drain", dispatchers=60, workers=60, load=0.65, seconds=20.0
     )
     assert sum(wait > 1.0 for wait in fleet.start_waits_s) > 0.05 * len(
         fleet.start_waits_s
-    )  # many waited that long
+    )  # many waited for more than 1 s
     assert fleet.counters["attempts"] < 1.5 * fleet.counters["submissions"]
     assert min(served_by_class(fleet).values()) > 0.5, served_by_class(fleet)
 
 
-def test_a_hung_worker_that_takes_jobs_is_not_given_one_after_the_other() -> None:
-    """A withdrawn job counted against nobody: the worker looked free, and got the next."""
-    fleet = simulated(fault="hang", dispatchers=6, workers=12, seconds=20.0)
+def test_a_hung_worker_is_not_sent_one_job_after_another() -> None:
+    """Guards against a hung worker that looks free and gets the next job.
+
+    A job that was cancelled there did not count against the worker.
+    """
+    fleet = run_fleet(fault="hang", dispatchers=6, workers=12, seconds=20.0)
     assert fault_hit_something(fleet)
     assert min(served_by_class(fleet).values()) > 0.86, served_by_class(fleet)
 
 
 @pytest.mark.parametrize("dispatchers", [5, 8])
-def test_a_few_dispatchers_use_cold_workers_whose_budget_is_less_than_a_job_for_each(
+def test_few_dispatchers_use_cold_workers_with_small_budgets(
     dispatchers: int,
 ) -> None:
-    """A fifth of it was no job, so that few were sent: the workers stood idle until they counted as warm. Over six days,
-    since one has too few jobs of a class to tell: of the shortest 0.74 to 0.91 are in time on a day.
+    """Guards against cold workers that stay idle because each dispatcher's part of their budget is below one job.
+
+    A fifth of the budget was less than a job, so few jobs were sent and the workers stood idle until they counted
+    as warm. The shares are means of six runs, since one has too few jobs of a class: of the shortest class 0.74 to
+    0.91 are in time in a run.
     """
     fleets = [
-        simulated(
+        run_fleet(
             site=LONG_JOBS,
             peers=False,
             fault="join",
@@ -155,5 +165,5 @@
     ]
     assert [fleet.violations for fleet in fleets] == [[]] * 6
     assert sum(fleet.counters["cold_sends"] for fleet in fleets) > 180
-    days = [served_by_class(fleet) for fleet in fleets]
-    assert min(sum(day[name] for day in days) / 6 for name in days[0]) > 0.78, days
+    shares = [served_by_class(fleet) for fleet in fleets]
+    assert min(sum(share[name] for share in shares) / 6 for name in shares[0]) > 0.78, shares
