--- a/beaconhinge/standin/fleet/clients.py
+++ b/beaconhinge/standin/fleet/clients.py
@@ -16,7 +16,7 @@
 LOAD_SWING_PERIOD_S = 11
 # Multiple of the normal traffic during a burst.
 BURST_FACTOR = 1.5
-# Least and greatest seconds until a client repeats a job that was refused or failed.
+# Shortest and longest time in seconds until a client repeats a job that was refused or failed.
 RETRY_DELAY_S = (0.01, 0.08)
 # Passes a job to a dispatcher, with the seconds that the client still waits.
 Submit = Callable[[ClientJob, Node, float], None]
--- a/beaconhinge/standin/fleet/faults.py
+++ b/beaconhinge/standin/fleet/faults.py
@@ -170,10 +170,10 @@
         for worker in lost:
             worker.crash()
         for wave in range(LOSS_WAVES):
-            part = lost[wave::LOSS_WAVES]
+            batch = lost[wave::LOSS_WAVES]
             listed_after_s = LOSS_LISTED_S + LOSS_WAVE_S * wave
-            self.clock.after(listed_after_s, partial(self._publish, part, WorkerState.GONE))
-            self.clock.after(self.plan.zone_lost_s + RETURN_WAVE_S * wave, partial(self._restart_cold, part))
+            self.clock.after(listed_after_s, partial(self._publish, batch, WorkerState.GONE))
+            self.clock.after(self.plan.zone_lost_s + RETURN_WAVE_S * wave, partial(self._restart_cold, batch))
 
     def _restart_cold(self, workers: list[FakeWorker]) -> None:
         for worker in workers:
--- a/beaconhinge/standin/fleet/network.py
+++ b/beaconhinge/standin/fleet/network.py
@@ -35,7 +35,7 @@
         self.worker_cut_until = -math.inf
 
     def hop_s(self) -> float:
-        """Draw the delay in seconds of a message between a dispatcher and a worker."""
+        """Return a random delay in seconds for a message between a dispatcher and a worker."""
         return self.random.uniform(*HOP_S)
 
     def cut_gossip(self, until: float) -> None:
--- a/beaconhinge/standin/fleet/plan.py
+++ b/beaconhinge/standin/fleet/plan.py
@@ -78,7 +78,7 @@
 
     def draw(self, rng: random.Random) -> float:
         """Return the work of one job, drawn at random, in seconds of a standard core."""
-        if self.work_variation == 0.0:  # a few are much longer than most
+        if self.work_variation == 0.0:  # a few jobs take much longer than most
             return self.mean_work * min(0.4 * rng.paretovariate(1.6), 12.0)
         spread = math.log(1 + self.work_variation**2)
         return self.mean_work * rng.lognormvariate(-spread / 2, math.sqrt(spread))
--- a/beaconhinge/standin/fleet/result.py
+++ b/beaconhinge/standin/fleet/result.py
@@ -12,11 +12,11 @@
 WINDOW_S = 10
 # A wait from sending an attempt to its start is long beyond this many seconds.
 LONG_WAIT_S = 0.1
-# Price of one datagram of 256 bytes for each job.
+# Price of sending one datagram of 256 bytes per job.
 PEER_PRICE = 0.01
-# Price of one attempt in another zone for each job.
+# Price of sending one attempt to another zone per job.
 CROSS_PRICE = 0.03
-# Price of wasting as much work as all jobs need.
+# Price of wasting as much work as all jobs together need.
 WASTE_PRICE = 0.04
 
 
--- a/beaconhinge/standin/fleet/worker_pool.py
+++ b/beaconhinge/standin/fleet/worker_pool.py
@@ -11,8 +11,8 @@
 from .plan import Plan
 from .workers import FakeWorker, WorkerCallbacks
 
-# Offset in seconds of the dispatchers' clock and of the times in their lists from virtual time, so that
-# neither begins at 0.
+# Seconds added to virtual time for the dispatchers' clock and the times in their lists, so that neither
+# begins at 0.
 EPOCH_S = 1e6
 # Shortest and longest time in seconds between two stalls of a worker.
 STALL_INTERVAL_S = (4, 11)
--- a/tests/standin/test_large_fleet.py
+++ b/tests/standin/test_large_fleet.py
@@ -29,7 +29,9 @@
     fleet = SimulatedFleet(Plan(fault=fault, datagram_loss=loss, **FULL_SIZE))  # type: ignore[arg-type]
     fleet.clock.run(RUN_UNTIL_S)
     assert fleet.violations == []
-    ended = [job.outcome for job in fleet.jobs if job.outcome]  # others still run or wait for their repeat
+    ended = [
+        job.outcome for job in fleet.jobs if job.outcome
+    ]  # the others still run; some jobs are submitted twice
     assert ended.count("served") >= min_served * len(ended) > 600
     if not loss:  # each group has exactly one aggregator again, which is up
         gossip_nodes = [node.dispatcher.gossip for node in fleet.nodes]
--- a/tests/standin/test_sites.py
+++ b/tests/standin/test_sites.py
@@ -165,5 +165,7 @@
     ]
     assert [fleet.violations for fleet in fleets] == [[]] * 6
     assert sum(fleet.counters["cold_sends"] for fleet in fleets) > 180
-    shares = [served_by_class(fleet) for fleet in fleets]
-    assert min(sum(share[name] for share in shares) / 6 for name in shares[0]) > 0.78, shares
+    shares_by_run = [served_by_class(fleet) for fleet in fleets]
+    assert min(sum(shares[name] for shares in shares_by_run) / 6 for name in shares_by_run[0]) > 0.78, (
+        shares_by_run
+    )
