--- a/beaconhinge/standin/fleet/clients.py
+++ b/beaconhinge/standin/fleet/clients.py
@@ -1,4 +1,4 @@
-"""Clients of the simulated fleet: when jobs come and where they go, and what clients do with an answer."""
+"""Simulated clients: they submit jobs to dispatchers, and may repeat a job that was refused or failed."""
 
 from __future__ import annotations
 
@@ -12,18 +12,18 @@
 from .entities import ClientJob, Node
 from .plan import BURST_S, Plan
 
-# Seconds of one swing of the traffic, up and down.
-LOAD_PERIOD_S = 11
-# Times the traffic, during a burst.
+# Period in seconds of the periodic change of traffic.
+LOAD_SWING_PERIOD_S = 11
+# Multiple of the normal traffic during a burst.
 BURST_FACTOR = 1.5
-# Least and greatest seconds until a client repeats a job that was refused or failed.
+# Shortest and longest time in seconds until a client repeats a job that was refused or failed.
 RETRY_DELAY_S = (0.01, 0.08)
-# Takes a job to a node, with the seconds that the client still waits.
+# Passes a job to a dispatcher, with the seconds that the client still waits.
 Submit = Callable[[ClientJob, Node, float], None]
 
 
 class Clients:
-    """All clients: each sends a job, and at most one time more."""
+    """All clients: each submits one job, and may repeat it once."""
 
     def __init__(
         self,
@@ -43,11 +43,11 @@
         self.jobs: list[ClientJob] = []
 
     def schedule(self, jobs_per_s: float) -> None:
-        """Draw all jobs of the day; `jobs_per_s` is the fleet's capacity."""
+        """Draw all jobs of the run and schedule them; `jobs_per_s` is the fleet's capacity."""
         plan, rng, at = self.plan, self.random, 0.0
-        phase = rng.uniform(0, LOAD_PERIOD_S)
+        phase = rng.uniform(0, LOAD_SWING_PERIOD_S)
         while True:
-            load = 1 + plan.load_swing * math.sin(2 * math.pi * (at + phase) / LOAD_PERIOD_S)
+            load = 1 + plan.load_swing * math.sin(2 * math.pi * (at + phase) / LOAD_SWING_PERIOD_S)
             if plan.fault == "burst" and plan.fault_at_s <= at < plan.fault_at_s + BURST_S:
                 load *= BURST_FACTOR
             at += rng.expovariate(plan.load * jobs_per_s * load)
@@ -69,8 +69,8 @@
         return ClientJob(at, index, job_class, tenant, 0 if first_zone else 1, work, 2 if two_slots else 1)
 
     def _send(self, job: ClientJob) -> None:
-        job.attempts += 1
-        self.counters["tries"] += 1
+        job.submissions += 1
+        self.counters["submissions"] += 1
         admitted = [node for node in self.nodes if node.admitted] or self.nodes
         node = self.random.choice([node for node in admitted if node.zone == job.zone] or admitted)
         left_s = job.job_class.deadline_s - (self.clock.now - job.sent_at)
@@ -80,12 +80,15 @@
             self.submit(job, node, left_s)
 
     def finish(self, job: ClientJob, outcome: str, retry_after_s: float) -> None:
-        """Give a client its final answer; it may repeat the job once, after so many seconds."""
+        """Give a client its final answer.
+
+        A client whose job was refused or failed may repeat it once, after `retry_after_s` seconds at least.
+        """
         job.outcome = outcome
         if outcome == "served":
             job_class = job.job_class
             due = job.sent_at + job_class.latency_objective_s + job_class.stretch * job.work
             job.in_time = self.clock.now <= due
-        elif job.attempts == 1 and self.random.random() < self.plan.client_retry_chance:
+        elif job.submissions == 1 and self.random.random() < self.plan.client_retry_chance:
             wait_s = max(retry_after_s, self.random.uniform(*RETRY_DELAY_S))
             self.clock.after(wait_s, partial(self._send, job))
