--- a/beaconhinge/standin/rig/__init__.py
+++ b/beaconhinge/standin/rig/__init__.py
@@ -1,4 +1,4 @@
-"""Several real processes of the program among stand-ins, with faults between them, as a scenario says."""
+"""Runs a scenario: several real dispatcher processes between stand-ins, with faults injected at set times."""
 
 from .runner import run_scenario
 from .scenario import Fault, Scenario, ScenarioError, read_scenario
--- a/beaconhinge/standin/rig/clients.py
+++ b/beaconhinge/standin/rig/clients.py
@@ -1,4 +1,4 @@
-"""Clients that send jobs on schedule to any dispatcher, and repeat one with a key until it has a result."""
+"""Clients that send jobs on schedule to any dispatcher, and retry a job with a key until it has a result."""
 
 from __future__ import annotations
 
@@ -15,26 +15,26 @@
 from .scenario import Scenario
 from .verdict import ClientAttempt
 
-# Seconds beyond an attempt's own time-out after which its answer counts as missing.
+# Seconds after an attempt's time-out when its answer counts as missing.
 ANSWER_GRACE_S = 2.0
-# Times the client's time-out that one attempt with a key may take, of the three times that all have together.
+# Time-out of one attempt with a key, in client time-outs. All attempts of a key together get three.
 KEYED_TIMEOUT_FACTOR = 1.5
-# Dispatchers that a request is sent to, one after the other, while it finds nobody.
+# Most dispatchers that the front tries, one after the other, while connections are refused or lost.
 MAX_SENDS = 3
-# Seconds until a client with a key comes again.
+# Seconds from an attempt with a key to its retry.
 RETRY_DELAY_S = 0.3
 
 
-# Turns of the event loop in which what has come before a time-out is read.
+# Turns of the event loop after a time-out in which an answer that has already arrived is still read.
 TURNS_TO_READ = 10
 
 
-class NobodyThereError(Exception):
-    """No dispatcher that the front knows of took the connection."""
+class NoDispatcherError(Exception):
+    """The front found no dispatcher that accepted the connection."""
 
 
 class Clients:
-    """All clients of a scenario: jobs come by a Poisson process, each at a dispatcher of its own choice."""
+    """All clients of a scenario: jobs arrive by a Poisson process, each at a randomly chosen dispatcher."""
 
     def __init__(
         self,
@@ -44,14 +44,15 @@
         reached_worker: Callable[[str], bool],
         takes_new_connections: Callable[[int], bool] = lambda _dispatcher: True,
     ) -> None:
-        """Take what the clients ask for, and whom.
+        """Set up the clients without sending anything.
 
         Args:
-            scenario: Rates, classes and time-outs, and the seed.
-            ports: Of the dispatchers, by number.
-            extra_s: Returns for how many seconds jobs come beyond the scenario's own end.
-            reached_worker: Whether a worker has had the request of that id.
-            takes_new_connections: Whether the front opens connections to the dispatcher of that number.
+            scenario: Gives rates, classes, time-outs and the seed.
+            ports: Ports of the dispatchers, by number.
+            extra_s: Returns for how many seconds after the scenario's planned end jobs are still sent.
+            reached_worker: Returns whether a worker has received the request with this id.
+            takes_new_connections: Returns whether the front opens connections to the dispatcher with this
+                number.
         """
         self.scenario = scenario
         self.extra_s = extra_s
@@ -60,12 +61,12 @@
         self.random = random.Random(scenario.seed)
         self.callers = [Caller(port) for port in ports]
         self.attempts: list[ClientAttempt] = []
-        # By key: whether one attempt had the result.
+        # By key: whether an attempt returned the result.
         self.answered: dict[str, bool] = {}
         self._open_jobs: set[asyncio.Task[None]] = set()
 
     async def run(self) -> None:
-        """Send jobs until the scenario's end, and wait for the last answers."""
+        """Send jobs until the scenario's end, wait for the last answers and close all connections."""
         loop, scenario = asyncio.get_running_loop(), self.scenario
         due = loop.time()
         end = due + scenario.seconds
@@ -107,7 +108,7 @@
         )
 
     async def _run_keyed_job(self, tenant: str, key: str, order: list[int]) -> None:
-        """Send a job with a key to one dispatcher after the other, until one has the result or time is up."""
+        """Send a job with a key to one dispatcher after another, until one returns the result or time is up."""
         self.answered[key] = False
         until, number = time.monotonic() + 3 * self.scenario.client_timeout_s, 0
         while not self.answered[key] and (left_s := until - time.monotonic()) > RETRY_DELAY_S:
@@ -126,7 +127,7 @@
             await asyncio.sleep(0.0 if self.answered[key] else RETRY_DELAY_S)
 
     async def _send_attempt(self, attempt: ClientAttempt, is_retry: bool = False) -> str:
-        """Send it, wait for the answer, and return the outcome, which is recorded too."""
+        """Send an attempt, wait for its answer, and record and return its outcome."""
         headers = {
             "Host": "service",
             "X-Request-ID": attempt.request_id,
@@ -149,8 +150,8 @@
             if disconnects:
                 attempt.outcome, attempt.disconnected_at = "left", time.monotonic()
             else:
-                attempt.missing_why = "the client waited no longer"
-        except NobodyThereError:
+                attempt.missing_why = "the client's time-out passed"
+        except NoDispatcherError:
             attempt.outcome = "nobody"
         except (OSError, Closed, BadMessage) as error:
             attempt.missing_why = f"{type(error).__name__}: {error}"
@@ -158,10 +159,11 @@
         return attempt.outcome
 
     async def _call(self, attempt: ClientAttempt, headers: dict[str, str]) -> Message:
-        """Return the answer.
+        """Send the request, and return the answer.
 
-        A request that crossed the end of a kept connection goes once more, on a new one and with the time
-        that is left; one that must not run twice only if no worker has had it.
+        Without a front, a request whose connection was closed before the answer is sent once more, on a new
+        connection and with the time that is left. A request that must not run twice is sent again only if no
+        worker has received it.
         """
         encode = partial(self._encode, attempt, headers)
         if self.scenario.front:
@@ -171,57 +173,70 @@
             return await caller.call(encode)
         except (Closed, ConnectionError):
             unsafe_repeat = attempt.job_class == "transfer" and self.reached_worker(attempt.request_id)
-            if unsafe_repeat or _left_s(attempt) <= 0:
+            if unsafe_repeat or _remaining_s(attempt) <= 0:
                 raise
             return await caller.call(encode, fresh=True)
 
     async def _call_through_front(self, attempt: ClientAttempt, encode: Callable[[], bytes]) -> Message:
-        """Return the answer of the dispatcher that was meant, or of the next one where that finds nobody.
+        """Return the answer of the chosen dispatcher, or of the next one that accepts the connection.
 
-        A connection that is open is used for as long as it is. What crossed its end goes on unless a worker
-        has had it: then it had been read, and is lost.
+        The front reuses an open connection until it is closed. A request whose kept connection was closed
+        before the answer is sent to a new connection, unless a worker has received it: then the dispatcher
+        had read the request, and it is lost.
+
+        Raises:
+            NoDispatcherError: No dispatcher accepted the connection in MAX_SENDS tries.
         """
         only_new = False
         for _ in range(MAX_SENDS):
-            attempt.dispatcher, is_kept = self._deal(attempt.dispatcher, only_new)
+            attempt.dispatcher, is_kept = self._choose_dispatcher(attempt.dispatcher, only_new)
             caller = self.callers[attempt.dispatcher]
             try:
                 return await caller.call(encode, fresh=only_new)
             except ConnectionRefusedError:
                 only_new = True
             except (Closed, ConnectionError):
-                if not is_kept or self.reached_worker(attempt.request_id) or _left_s(attempt) <= 0:
+                if not is_kept or self.reached_worker(attempt.request_id) or _remaining_s(attempt) <= 0:
                     raise
                 only_new = True
-        raise NobodyThereError
+        raise NoDispatcherError
+
+    def _choose_dispatcher(self, preferred: int, only_new: bool) -> tuple[int, bool]:
+        """Return the dispatcher that a request is sent to, and whether an idle connection to it is reused.
 
-    def _deal(self, meant: int, only_new: bool) -> tuple[int, bool]:
-        """Return the dispatcher that gets a request, and whether by a connection that is open already."""
-        if not only_new and self.callers[meant].has_idle():
-            return meant, True
+        Args:
+            preferred: The dispatcher that is tried first.
+            only_new: Whether idle connections are not to be reused.
+
+        Raises:
+            NoDispatcherError: The front opens connections to no dispatcher.
+        """
+        if not only_new and self.callers[preferred].has_idle():
+            return preferred, True
         for step in range(len(self.callers)):
-            dispatcher = (meant + step) % len(self.callers)
+            dispatcher = (preferred + step) % len(self.callers)
             if self.takes_new_connections(dispatcher):
                 return dispatcher, not only_new and self.callers[dispatcher].has_idle()
-        raise NobodyThereError
+        raise NoDispatcherError
 
     def _encode(self, attempt: ClientAttempt, headers: dict[str, str]) -> bytes:
-        timed = {**headers, "X-Timeout-Ms": str(max(1, int(1000 * _left_s(attempt))))}
-        return http1.request("POST", f"/{attempt.job_class}".encode(), timed, b"work")
+        headers_with_timeout = {**headers, "X-Timeout-Ms": str(max(1, int(1000 * _remaining_s(attempt))))}
+        return http1.request("POST", f"/{attempt.job_class}".encode(), headers_with_timeout, b"work")
 
     def _chance(self, share: float) -> bool:
-        """Whether this one is among such a share of all; nothing is drawn for none."""
+        """Return True with the probability `share`. For 0 no random number is drawn."""
         return share > 0 and self.random.random() < share
 
 
 async def wait_for_answer(call: Coroutine[Any, Any, Message], seconds: float) -> Message:
-    """Return the result of a call, for which a client waits so many seconds.
+    """Return the result of a call, or cancel the call after `seconds`.
 
-    All clients share one process. Where that stood still, an answer that came in time lies unread as the
-    time-out is due: what has come by then is read first, and nothing is waited for.
+    All clients share one process. If that process stood still, an answer that arrived in time may still be
+    unread when the time-out passes. So the event loop gets TURNS_TO_READ more turns to read what has arrived,
+    without further waiting.
 
     Raises:
-        TimeoutError: It did not come; the call is cancelled.
+        TimeoutError: No answer arrived in time; the call is cancelled.
     """
     task = asyncio.get_running_loop().create_task(call)
     try:
@@ -236,6 +251,6 @@
         await asyncio.wait({task})
 
 
-def _left_s(attempt: ClientAttempt) -> float:
-    """Seconds that its client still waits: nobody sends a request again after that."""
+def _remaining_s(attempt: ClientAttempt) -> float:
+    """Return the seconds for which the attempt's client still waits. No request is sent again after that."""
     return attempt.sent_at + attempt.timeout_s - time.monotonic()
--- a/beaconhinge/standin/rig/faults.py
+++ b/beaconhinge/standin/rig/faults.py
@@ -1,4 +1,4 @@
-"""Lets the faults of a scenario happen to the processes and stand-ins, and counts what each of them hit."""
+"""Injects the faults of a scenario into processes and stand-ins, and counts what each fault hit."""
 
 from __future__ import annotations
 
@@ -15,20 +15,20 @@
 from .scenario import Fault
 from .topology import Topology
 
-# Seconds that a fault of links lasts beyond its end while it has hit nothing.
+# Most seconds by which a link fault is extended while it has dropped nothing.
 MAX_LINK_FAULT_EXTENSION_S = 10.0
-# Seconds after a return, when jobs of the killed process are counted that workers still run.
+# Seconds from the restart of a killed process to the count of its jobs that workers still run.
 ORPHANS_COUNTED_AFTER_S = 2.0
 LINK_FAULT_POLL_S = 0.02
-# Seconds from a call to discovery for the whole list to the change that meets it. Where such a call follows a
-# watch's answer this is within the 0.2 s in which changes count as notified.
+# Seconds from a read of the whole list to a change of that list. If the read follows a watch's answer, the
+# change falls within the 0.2 s in which changes count as notified.
 CHANGE_AFTER_READ_S = 0.05
-# A job as a worker holds it: the port of its dispatcher, and the request.
+# A job as a worker identifies it: the port of its dispatcher, and the request's id.
 JobKey = tuple[int, str]
 
 
 class FaultInjector:
-    """Carries out faults at their times, several at once where they overlap."""
+    """Injects faults at their planned times, several at once where they overlap."""
 
     def __init__(self, topology: Topology, record: RunRecord) -> None:
         self.topology = topology
@@ -37,29 +37,30 @@
         self._orphan_counts: list[asyncio.Task[None]] = []
 
     def late_s(self) -> float:
-        """Return by how many seconds a fault ends later than planned: a slow machine starts processes slowly.
+        """Return the most seconds by which a fault has ended, or is overdue, after its planned end.
 
-        The scenario goes on for as much longer, so that what comes after the faults is as long as meant.
+        Faults end late because a slow machine starts processes slowly. The scenario is extended by this time,
+        so that the time after the faults is as long as planned.
         """
         now = time.monotonic() - self.record.began_at
         overdue = (now - fault.at_s - fault.duration_s for fault in self._unfinished)
         return max(0.0, self.record.faults_late_s, *overdue)
 
     async def inject(self, fault: Fault) -> None:
-        """Wait for the fault's time, and carry it out to its end."""
+        """Wait for the fault's time, inject it, and return when it has ended."""
         await asyncio.sleep(max(0.0, self.record.began_at + fault.at_s - time.monotonic()))
         numbers = self.topology.scenario.affected_dispatchers(fault)
         names = ",".join(map(str, numbers))
         self.record.log(f"{fault.kind} {names} for {fault.duration_s:g} s")
-        carry_out = {
+        injection = {
             "stop": partial(self._pause, fault, numbers),
             "kill": partial(self._restart, fault, numbers),
             "term": partial(self._restart, fault, numbers),
             "restart": partial(self._shut_down, fault, numbers),
-            "crowd": partial(self._crowd, fault, numbers),
+            "crowd": partial(self._open_idle_connections, fault, numbers),
             "cut": partial(self._drop_datagrams, fault, numbers),
             "lossy": partial(self._drop_datagrams, fault, numbers),
-            "discovery": partial(self._take_discovery_out, fault, numbers),
+            "discovery": partial(self._stop_discovery, fault, numbers),
             "mute": partial(self._mute_watches, fault, numbers),
             "drain": partial(self._drain_workers, fault),
             "spoil": partial(self._spoil_answers, fault, numbers),
@@ -68,20 +69,21 @@
             "reads": partial(self._fail_reads, fault, numbers),
             "drain-at-read": partial(self._drain_at_reads, fault, numbers),
         }[fault.kind]
-        hits = await carry_out()  # first: another of its kind may have been counted meanwhile
+        # Awaited before the addition: another fault of this kind may add its hits meanwhile.
+        hits = await injection()
         self.record.fault_hits[fault.kind] += hits
         self.record.faults_late_s = self.late_s()
         self._unfinished.remove(fault)
         self.record.log(f"{fault.kind} {names} is over")
 
     async def wait_for_orphan_counts(self) -> None:
-        """Wait until the jobs left by killed processes are counted."""
+        """Wait until the jobs that killed processes left on workers are counted."""
         await asyncio.gather(*self._orphan_counts)
 
     # ---- processes -----------------------------------------------------------------------------------------
 
     async def _pause(self, fault: Fault, numbers: list[int]) -> int:
-        """Count the processes that were stopped and go on again."""
+        """Pause processes by SIGSTOP for the fault's duration. Return how many were paused."""
         paused = [process for process in self._processes(numbers) if process.pause()]
         await asyncio.sleep(fault.duration_s)
         for process in paused:
@@ -89,9 +91,9 @@
         return len(paused)
 
     async def _restart(self, fault: Fault, numbers: list[int]) -> int:
-        """Count the processes that were ended and started again."""
+        """End processes by SIGKILL or SIGTERM and start them after the duration. Return how many."""
         ended = [process for process in self._processes(numbers) if _can_restart(process, fault)]
-        plain_jobs = self._plain_jobs_of(ended)
+        jobs_without_key = self._jobs_without_key(ended)
         signal_number = signal.SIGKILL if fault.kind == "kill" else signal.SIGTERM
         statuses = await asyncio.gather(*(process.end(signal_number) for process in ended))
         self.record.exit_statuses += statuses if fault.kind == "term" else []
@@ -100,38 +102,43 @@
             self._replace_folder(process, fault)
         await asyncio.gather(*(process.start() for process in ended))
         if fault.kind == "kill":
-            self._orphan_counts.append(asyncio.create_task(self._count_orphans(plain_jobs)))
+            self._orphan_counts.append(asyncio.create_task(self._count_orphans(jobs_without_key)))
         return len(ended)
 
     async def _shut_down(self, fault: Fault, numbers: list[int]) -> int:
-        """Count the processes that were ended as the platform ends them, and started again."""
+        """Shut processes down as the platform does and start them after the duration. Return how many."""
         ending = [process for process in self._processes(numbers) if _can_restart(process, fault)]
-        further = [signal.Signals[f"SIG{name}"] for name in fault.signals]
+        further_signals = [signal.Signals[f"SIG{name}"] for name in fault.signals]
         kill_after_s = self.topology.scenario.kill_after_s
         self.record.shutdowns += await asyncio.gather(
-            *(process.shut_down(kill_after_s, further, fault.signal_gap_s) for process in ending)
+            *(process.shut_down(kill_after_s, further_signals, fault.signal_gap_s) for process in ending)
         )
         await asyncio.sleep(fault.duration_s)
         await asyncio.gather(*(process.start() for process in ending))
         return len(ending)
 
-    async def _crowd(self, fault: Fault, numbers: list[int]) -> int:
-        """Count the idle connections that were made."""
+    async def _open_idle_connections(self, fault: Fault, numbers: list[int]) -> int:
+        """Hold idle connections to dispatchers for the fault's duration. Return how many were opened."""
         began = time.monotonic()
-        async with contextlib.AsyncExitStack() as held:
-            made = 0
+        async with contextlib.AsyncExitStack() as connections:
+            opened = 0
             for number in numbers:
                 for _ in range(fault.connections):
                     with contextlib.suppress(OSError):
-                        held.callback((await connect(("127.0.0.1", self.topology.ports[number]))).close)
-                        made += 1
+                        connections.callback(
+                            (await connect(("127.0.0.1", self.topology.ports[number]))).close
+                        )
+                        opened += 1
             await asyncio.sleep(fault.duration_s)
         for number in numbers:
             self.record.crowded_spans.setdefault(number, []).append((began, time.monotonic()))
-        return made
+        return opened
 
-    def _plain_jobs_of(self, processes: list[Process]) -> list[tuple[FakeWorker, JobKey]]:
-        """Return the jobs without a key that workers run for these processes: they count by their request."""
+    def _jobs_without_key(self, processes: list[Process]) -> list[tuple[FakeWorker, JobKey]]:
+        """Return the jobs without a key that workers run for these processes, each with its worker.
+
+        A worker counts the runs of such a job by the request's id, those of others by their key.
+        """
         ports = {process.port for process in processes}
         return [
             (worker, job)
@@ -141,6 +148,7 @@
         ]
 
     def _replace_folder(self, process: Process, fault: Fault) -> None:
+        """Give a process the folder that it starts with, as `Fault.folder` says."""
         if fault.folder == "empty":
             process.delete_folder()
         elif fault.folder == "old":
@@ -149,11 +157,12 @@
             process.restore_store(self.topology.processes[process.number - 1].folder / "store")
 
     async def _count_orphans(self, jobs: list[tuple[FakeWorker, JobKey]]) -> None:
+        """Record how many of these jobs their workers still run after ORPHANS_COUNTED_AFTER_S."""
         await asyncio.sleep(ORPHANS_COUNTED_AFTER_S)
         self.record.orphaned_jobs += sum(job in worker.jobs for worker, job in jobs)
 
     async def _reload(self, numbers: list[int]) -> int:
-        """Count the processes that got SIGHUP; the configuration is the same."""
+        """Send SIGHUP with an unchanged configuration. Return how many processes received it."""
         return sum(
             process.signal(signal.SIGHUP) for process in self._processes(numbers) if not process.starting
         )
@@ -164,9 +173,9 @@
     # ---- links ---------------------------------------------------------------------------------------------
 
     async def _drop_datagrams(self, fault: Fault, numbers: list[int]) -> int:
-        """Count the datagrams that it took.
+        """Drop datagrams for the fault's duration. Return how many were dropped.
 
-        While it has taken none, it lasts up to MAX_LINK_FAULT_EXTENSION_S beyond its end.
+        While none was dropped, the fault is extended by up to MAX_LINK_FAULT_EXTENSION_S.
         """
         links = self.topology.links
         dropped_before, directions = links.counters["dropped"], list[tuple[int, int]]()
@@ -183,7 +192,7 @@
         await asyncio.sleep(fault.duration_s)
         can_hit = directions or fault.kind == "lossy"
         until = time.monotonic() + (MAX_LINK_FAULT_EXTENSION_S if can_hit else 0.0)
-        # The relay counts in a callback of its socket, which knows nothing of faults.
+        # Polls the counter: the relay counts in a callback of its socket, which cannot signal this fault.
         while links.counters["dropped"] == dropped_before and time.monotonic() < until:  # noqa: ASYNC110
             await asyncio.sleep(LINK_FAULT_POLL_S)
         links.cuts.subtract(directions)
@@ -194,8 +203,8 @@
 
     # ---- discovery -----------------------------------------------------------------------------------------
 
-    async def _take_discovery_out(self, fault: Fault, numbers: list[int]) -> int:
-        """Count the calls that met no discovery."""
+    async def _stop_discovery(self, fault: Fault, numbers: list[int]) -> int:
+        """Make discovery unavailable for the fault's duration. Return how many calls it got meanwhile."""
         discoveries, began = [self.topology.discoveries[number] for number in numbers], time.monotonic()
         calls_before = sum(discovery.calls for discovery in discoveries)
         for discovery in discoveries:
@@ -208,7 +217,7 @@
         return sum(discovery.calls for discovery in discoveries) - calls_before
 
     async def _mute_watches(self, fault: Fault, numbers: list[int]) -> int:
-        """Count the watches that fell silent."""
+        """Silence the open watches for good. Return how many fell silent."""
         for number in numbers:
             self.record.silent_from.setdefault(number, []).append(time.monotonic())
         muted = sum(self.topology.discoveries[number].mute() for number in numbers)
@@ -216,7 +225,7 @@
         return muted
 
     async def _spoil_answers(self, fault: Fault, numbers: list[int]) -> int:
-        """Count the answers that were spoilt."""
+        """Spoil discovery's answers for the fault's duration. Return how many were spoilt."""
         discoveries, began = [self.topology.discoveries[number] for number in numbers], time.monotonic()
         spoilt_before = sum(discovery.spoilt_answers for discovery in discoveries)
         for discovery in discoveries:
@@ -224,13 +233,14 @@
         await asyncio.sleep(fault.duration_s)
         for number in numbers:
             self.topology.discoveries[number].spoil = None
-        # What is written whole counts as notified when it is written, whatever becomes of the answer.
+        # A change that is written in full counts as notified when it is written, whatever else is spoilt in
+        # the answer.
         for number in [] if fault.spoil.writes_changes_at_once else numbers:
             self.record.spoilt_spans.setdefault(number, []).append((began, time.monotonic()))
         return sum(discovery.spoilt_answers for discovery in discoveries) - spoilt_before
 
     async def _fail_reads(self, fault: Fault, numbers: list[int]) -> int:
-        """Count the calls for the whole list that met the fault."""
+        """Apply the read fault to reads of the whole list. Return how many reads met it."""
         discoveries, began = [self.topology.discoveries[number] for number in numbers], time.monotonic()
         hits_before = sum(discovery.faulty_reads for discovery in discoveries)
         for discovery in discoveries:
@@ -243,12 +253,16 @@
         return sum(discovery.faulty_reads for discovery in discoveries) - hits_before
 
     async def _drain_at_reads(self, fault: Fault, numbers: list[int]) -> int:
-        """Count the dispatchers that made such a call."""
+        """Drain workers just after each dispatcher's next read. Return how many dispatchers made a read."""
         drains = [asyncio.create_task(self._drain_at_read(fault, number)) for number in numbers]
         return sum(await asyncio.gather(*drains))
 
     async def _drain_at_read(self, fault: Fault, number: int) -> bool:
-        """Whether a dispatcher made such a call within the fault's duration."""
+        """Drain the last workers in one dispatcher's list just after it reads the whole list.
+
+        Returns:
+            Whether the dispatcher made a read within the fault's duration.
+        """
         discovery, until = self.topology.discoveries[number], time.monotonic() + fault.duration_s
         draining = self.topology.workers[-fault.workers :]
         names = [worker.name for worker in draining]
@@ -269,7 +283,10 @@
     # ---- workers -------------------------------------------------------------------------------------------
 
     async def _drain_workers(self, fault: Fault) -> int:
-        """Count the workers that began to drain. They take what still comes, so that it can be counted."""
+        """Drain the first workers for the fault's duration. Return how many.
+
+        Draining workers still accept the jobs sent to them, so that late sends can be counted.
+        """
         draining = self.topology.workers[: fault.workers]
         began = time.monotonic()
         names = [worker.name for worker in draining]
@@ -282,7 +299,10 @@
         return len(draining)
 
     async def _break_worker(self, fault: Fault) -> int:
-        """Count the jobs that met the fault. Each fault of the kind takes a worker of its own if it can."""
+        """Give one worker the fault for its duration. Return how many jobs met it.
+
+        Concurrent faults of this kind go to different workers while there is a worker without a fault.
+        """
         workers = self.topology.workers
         worker = next((worker for worker in reversed(workers) if worker.fault is None), workers[-1])
         hits_before, worker.fault = worker.fault_hits, fault.worker_fault
@@ -292,10 +312,10 @@
 
 
 def _can_restart(process: Process, fault: Fault) -> bool:
-    """Whether this fault ends and starts the process.
+    """Return whether this fault ends and restarts the process.
 
-    One that another fault is ending comes back by that one; one that is starting has not learned yet to end
-    in order.
+    A process that another fault is ending is restarted by that fault. A process that is starting has not
+    installed its signal handlers yet, and so cannot shut down in order on SIGTERM.
     """
     too_early = process.starting and fault.kind in ("term", "restart")
     return process.running and not process.ending and not too_early
--- a/beaconhinge/standin/rig/judge.py
+++ b/beaconhinge/standin/rig/judge.py
@@ -1,4 +1,4 @@
-"""The judge of a run: its rules, by what clients, workers, discovery and logs recorded."""
+"""Judges a run by its rules, from what clients, workers, discovery and logs recorded."""
 
 from __future__ import annotations
 
@@ -28,33 +28,36 @@
     wrongly_failed,
 )
 
-# Last events of a run that a verdict names where a rule was broken.
+# Most events that a verdict lists when a rule was broken: the last ones of the run.
 MAX_EVENTS = 12
-# Examples of one broken rule that a verdict names.
+# Most examples of one broken rule that a verdict lists.
 MAX_EXAMPLES = 5
-# Log lines of one process that could not be read, and that a verdict names.
+# Most unparsable log lines of one process that a verdict lists.
 MAX_UNREAD_LINES = 3
-# Seconds from the last fault to the span in which service is judged.
+# Seconds from the end of the last fault to the span in which service is judged.
 SERVICE_JUDGED_AFTER_S = 0.5
-# Seconds after the last return of a process in which the tenants' shares are judged.
+# Seconds after the last restart of a process in which the tenants' shares are judged.
 TENANT_SHARES_JUDGED_S = 5.0
-# Lease spans after the last fault, and a second, by which a lease has a holder again.
+# A lease must have a holder again within this many lease spans after the last fault ...
 LEASE_HELD_WITHIN_SPANS = 3.0
+# ... and this many seconds.
 LEASE_HELD_SLACK_S = 1.0
-# Seconds after which what a silent watch misses counts as notified.
+# Seconds after which a dispatcher counts as notified of a change that a silent watch did not report.
 SILENT_WATCH_NOTICED_S = 6.0
-# Seconds after a change in which discovery writes it to those that watch.
+# Seconds after a change within which discovery writes it to open watches.
 CHANGE_WRITTEN_S = 0.1
-# Seconds in which sends to a draining worker have to stop, with the slack of the page.
+# Seconds within which sends to a draining worker must stop, including the slack of the specification.
 DRAIN_GRACE_S = 0.45
-# Seconds that a deadline may be overstated: 0.15 of the page, and what a busy machine adds to two writes.
+# Seconds by which a deadline may be overstated: 0.15 by the specification, the rest for two writes on a busy
+# machine.
 DEADLINE_SLACK_S = 0.2
-# Seconds after a client's disconnect in which an attempt may begin: 0.1 of the page, and the same.
+# Seconds after a client's disconnect in which an attempt may begin: 0.1 by the specification, the rest for two
+# writes on a busy machine.
 DISCONNECT_GRACE_S = 0.15
 
 
 def judge(run: FinishedRun) -> Verdict:
-    """Return what a run came to, with the rules that it broke."""
+    """Return the verdict on a finished run: its figures, and the rules that it broke."""
     scenario, record = run.scenario, run.record
     for counts in run.topology.shim_counts:
         hits = shim.read_hits(counts)
@@ -66,7 +69,7 @@
         *_broken_by_shutdowns(run),
         *_broken_by_sends(run),
         *_broken_by_leases(run),
-        *_nothing_shown(run),
+        *_faults_without_hits(run),
     ]
     attempts, answered, acts = run.clients.attempts, run.clients.answered, record.lease_acts
     service = _judge_service(run)
@@ -96,7 +99,10 @@
 
 
 def _own_stalls(record: RunRecord) -> Iterator[str]:
-    """Say how often the rig itself stood still. Nothing is excused by that; it tells where to look first."""
+    """Report how often and for how long the rig's own process stood still.
+
+    A stall excuses no broken rule, but it is the first cause to look at.
+    """
     if record.own_stalls:
         longest_s = max(until - since for since, until in record.own_stalls)
         yield f"the rig itself stood still {len(record.own_stalls)} times, {longest_s:.2f} s at most"
@@ -104,44 +110,45 @@
 
 @dataclass(frozen=True, slots=True)
 class _Service:
-    """Parts of the jobs that were served, round the faults."""
+    """Shares of the jobs served before and after the faults, as parts of 1 unless said otherwise."""
 
     before_faults: float
     after_faults: float
     plain_after_faults: float  # of the jobs without a key
-    within_quota_on_return: float  # of the attempts after the last return of a process
-    over_quota_on_return: float  # what the tenant beyond its quota got then, in quotas
+    within_quota_on_return: float  # of the attempts after the last restart of a process
+    over_quota_on_return: float  # service that the tenant over its quota got then, in multiples of its quota
 
 
 def _judge_service(run: FinishedRun) -> _Service:
+    """Compute the shares of jobs that were served."""
     scenario, record, attempts = run.scenario, run.record, run.clients.attempts
     first_fault = record.began_at + min((fault.at_s for fault in scenario.faults), default=scenario.seconds)
     judged_from = _last_fault_ended(run) + SERVICE_JUDGED_AFTER_S
     end = record.began_at + scenario.seconds + record.faults_late_s
-    returned = max(
+    last_restart = max(
         (ended for process in run.topology.processes for _, ended in process.down_spans),
         default=record.began_at,
     )
-    shares_until = returned + TENANT_SHARES_JUDGED_S
+    shares_until = last_restart + TENANT_SHARES_JUDGED_S
     within_quota = [attempt for attempt in attempts if attempt.tenant == "north"]
     over_quota = [
         attempt
         for attempt in attempts
-        if attempt.tenant == "south" and returned <= attempt.sent_at < shares_until
+        if attempt.tenant == "south" and last_restart <= attempt.sent_at < shares_until
     ]
-    plain = [attempt for attempt in attempts if not attempt.key]
+    without_key = [attempt for attempt in attempts if not attempt.key]
     return _Service(
         before_faults=served_share_of_jobs(attempts, record.began_at, first_fault),
         after_faults=served_share_of_jobs(attempts, judged_from, end),
-        plain_after_faults=served_share_of_jobs(plain, judged_from, end),
-        within_quota_on_return=served_share_of_attempts(within_quota, returned, shares_until),
+        plain_after_faults=served_share_of_jobs(without_key, judged_from, end),
+        within_quota_on_return=served_share_of_attempts(within_quota, last_restart, shares_until),
         over_quota_on_return=sum(attempt.outcome == "200" for attempt in over_quota)
         / (TENANT_SHARES_JUDGED_S * scenario.quota_rps),
     )
 
 
 def _counters(run: FinishedRun) -> Counter[str]:
-    """Of all processes, over all their lives."""
+    """Return the counters of all dispatchers, summed over all their incarnations."""
     total: Counter[str] = Counter()
     for process in run.topology.processes:
         total.update(process.counters)
@@ -149,7 +156,7 @@
 
 
 def _job_runs(run: FinishedRun) -> Counter[str]:
-    """How often each job ran, by its key, or by its request where it has none."""
+    """Return how often each job ran, by its key, or by its request id if it has no key."""
     total: Counter[str] = Counter()
     for worker in run.topology.workers:
         total.update(worker.runs)
@@ -157,7 +164,7 @@
 
 
 def _ejections(run: FinishedRun) -> Counter[str]:
-    """How often a dispatcher ejected a worker, by the worker's name. All of them are well."""
+    """Return how often dispatchers ejected each worker, by the worker's name. All workers are healthy."""
     names = {str(worker_number(worker.name)): worker.name for worker in run.topology.workers}
     total: Counter[str] = Counter()
     for process in run.topology.processes:
@@ -166,25 +173,28 @@
 
 
 def _last_fault_ended(run: FinishedRun) -> float:
+    """Return when the last fault ended, by the rig's clock."""
     ends = (fault.at_s + fault.duration_s for fault in run.scenario.faults)
     return run.record.began_at + max(ends, default=0.0) + run.record.faults_late_s
 
 
 def _broken_by_requests(run: FinishedRun, runs: Counter[str]) -> Iterator[str]:
+    """Find attempts without an answer, wrong answers and jobs that ran twice."""
     attempts = run.clients.attempts
     down_spans = [process.down_spans for process in run.topology.processes]
     unanswered = missing_without_excuse(attempts, down_spans, ANSWER_GRACE_S)
-    for lost in islice((a for a in unanswered if not _shut_by_crowd(run, a)), MAX_EXAMPLES):
+    for lost in islice((a for a in unanswered if not _may_be_closed_by_crowd(run, a)), MAX_EXAMPLES):
         yield describe_missing(lost, run.record.began_at, run.topology.has_reached_worker(lost.request_id))
     yield from wrongly_failed(attempts)[:MAX_EXAMPLES]
-    once = [*run.clients.answered, *(a.request_id for a in attempts if a.job_class == "transfer")]
-    for key in keys_run_twice({key: runs[key] for key in once}):
+    run_at_most_once = [*run.clients.answered, *(a.request_id for a in attempts if a.job_class == "transfer")]
+    for key in keys_run_twice({key: runs[key] for key in run_at_most_once}):
         yield f"key {key} ran {runs[key]} times"
     if not any(attempt.outcome == "200" for attempt in attempts):
         yield "nothing was served"
 
 
 def _broken_by_processes(run: FinishedRun, counters: Counter[str], ejections: Counter[str]) -> Iterator[str]:
+    """Find wrong ejections, exit statuses, unparsable log lines and counters of internal faults."""
     if run.scenario.ejections_judged:
         for name, times in ejections.items():
             yield f"{name}, a healthy worker, was ejected {times} times"
@@ -194,44 +204,53 @@
     for process in run.topology.processes:
         unread = [line["text"] for line in process.log_lines if line["event"] == "unread"]
         for text in unread[-MAX_UNREAD_LINES:]:
-            yield f"dispatcher {process.number} said: {text}"
+            yield f"dispatcher {process.number} logged a line that is not JSON: {text}"
     for name, count in counters.items():
         if name == "task_failed" or name.startswith(("broken_", "invariant_violations_")):
             yield f"{name}: {count}"
 
 
 def _broken_by_shutdowns(run: FinishedRun) -> Iterator[str]:
+    """Find planned shutdowns with a wrong exit status or with attempts that were never answered."""
     shutdowns = run.record.shutdowns
     for shutdown in shutdowns:
         if shutdown.status and not shutdown.killed:
             yield f"dispatcher {shutdown.process} ended with status {shutdown.status} after SIGTERM"
-    lost = lost_in_shutdowns(run.clients.attempts, shutdowns, lambda attempt: _shut_by_crowd(run, attempt))
+    lost = lost_in_shutdowns(
+        run.clients.attempts, shutdowns, lambda attempt: _may_be_closed_by_crowd(run, attempt)
+    )
     yield from lost[:MAX_EXAMPLES]
 
 
-def _shut_by_crowd(run: FinishedRun, attempt: ClientAttempt) -> bool:
-    """Whether a crowd may have had its connection shut unread; what came to a worker had been read."""
+def _may_be_closed_by_crowd(run: FinishedRun, attempt: ClientAttempt) -> bool:
+    """Return whether the dispatcher may have closed the attempt's connection to make room, without reading it.
+
+    That happens while a crowd of idle clients holds connections. A request that reached a worker had been
+    read.
+    """
     spans = run.record.crowded_spans.get(attempt.dispatcher, [])
-    met = any(begun <= attempt.ended_at and attempt.sent_at <= ended for begun, ended in spans)
-    return met and not run.topology.has_reached_worker(attempt.request_id)
+    overlaps = any(begun <= attempt.ended_at and attempt.sent_at <= ended for begun, ended in spans)
+    return overlaps and not run.topology.has_reached_worker(attempt.request_id)
 
 
 def _broken_by_sends(run: FinishedRun) -> list[str]:
+    """Find sends to draining workers, with overstated deadlines, or after the client's disconnect."""
     deadlines = [deadline for worker in run.topology.workers for deadline in worker.deadlines]
     overstatements = overstated_deadlines(run.clients.attempts, deadlines, DEADLINE_SLACK_S)
-    for_nobody = attempts_after_disconnect(run.clients.attempts, deadlines, DISCONNECT_GRACE_S)
-    return [*_sent_to_draining(run), *overstatements[:MAX_EXAMPLES], *for_nobody[:MAX_EXAMPLES]]
+    after_disconnect = attempts_after_disconnect(run.clients.attempts, deadlines, DISCONNECT_GRACE_S)
+    return [*_sent_to_draining(run), *overstatements[:MAX_EXAMPLES], *after_disconnect[:MAX_EXAMPLES]]
 
 
 def _broken_by_leases(run: FinishedRun) -> Iterator[str]:
+    """Find overlapping tenures, and leases that were not held again in time after the last fault."""
     yield from lease_violations(run.record.lease_acts)
     since = _last_fault_ended(run)
     until = since + LEASE_HELD_WITHIN_SPANS * run.scenario.lease_span_s + LEASE_HELD_SLACK_S
     yield from leases_without_acts(run.lease_names, run.record.lease_acts, since, until)
 
 
-def _nothing_shown(run: FinishedRun) -> Iterator[str]:
-    """Find faults that hit nothing: such a run has shown nothing."""
+def _faults_without_hits(run: FinishedRun) -> Iterator[str]:
+    """Find faults that hit nothing. Such a run proves nothing about them, so this breaks a rule."""
     scenario = run.scenario
     if scenario.faults and not run.record.fault_hits.total():
         yield "no fault hit anything"
@@ -245,11 +264,11 @@
 
 
 def _notified_at(run: FinishedRun, number: int, changed_at: float) -> float:
-    """Return when a dispatcher counts as notified of a change of the list.
+    """Return when a dispatcher counts as notified of a change of the list, by the rig's clock.
 
-    That is at once, unless something kept the notice from it then; else 6 s after the change, whatever it
-    knew before, or after discovery is back. Where an agent has the list, what the agent has counts for a
-    process from its first moment on.
+    That is at once, unless something kept the notice from the dispatcher. Then it is 6 s after the change or
+    after discovery is back, whatever the dispatcher knew before. With pushed membership, it counts as
+    notified as soon as its agent has the change, and a process that was down from its start on.
     """
     outages = run.record.discovery_outages.get(number, [])
     down = run.topology.processes[number].down_spans
@@ -260,19 +279,20 @@
         fetched_at = max([changed_at, *(ended for start, ended in outages if start <= changed_at < ended)])
         return max([fetched_at, *(ended for start, ended in down if start <= fetched_at < ended)])
     reachable_at = changed_at
-    # What a watch could not tell whole takes the whole list, so that discovery has to give that.
+    # A change that the watch could not report in full needs a read of the whole list, which discovery must
+    # answer.
     for start, ended in sorted([*outages, *run.record.unreadable_spans.get(number, [])]):
         if start < reachable_at + SILENT_WATCH_NOTICED_S and ended > reachable_at:
             reachable_at = ended
     spans = [*outages, *down, *run.record.spoilt_spans.get(number, [])]
-    kept_away = any(start <= changed_at + CHANGE_WRITTEN_S < ended for start, ended in spans)
-    # What it learned before it ended is lost.
-    kept_away |= any(changed_at < ended for _, ended in down)
-    return reachable_at + SILENT_WATCH_NOTICED_S if kept_away else changed_at
+    missed = any(start <= changed_at + CHANGE_WRITTEN_S < ended for start, ended in spans)
+    # A process that ended after the change has lost the notice.
+    missed |= any(changed_at < ended for _, ended in down)
+    return reachable_at + SILENT_WATCH_NOTICED_S if missed else changed_at
 
 
 def _sent_to_draining(run: FinishedRun) -> list[str]:
-    """Find jobs that came to a draining worker too late, counted until the worker was put back."""
+    """Find jobs that reached a draining worker too late, but before it was set back to Ready."""
     found = []
     for process in run.topology.processes:
         for drain in run.record.drains:
