--- a/beaconhinge/standin/rig/clients.py
+++ b/beaconhinge/standin/rig/clients.py
@@ -108,7 +108,7 @@
         )
 
     async def _run_keyed_job(self, tenant: str, key: str, order: list[int]) -> None:
-        """Send a job with a key to one dispatcher after another, until one returns the result or time is up."""
+        """Send a job with a key to one dispatcher after another until one has the result or time is up."""
         self.answered[key] = False
         until, number = time.monotonic() + 3 * self.scenario.client_timeout_s, 0
         while not self.answered[key] and (left_s := until - time.monotonic()) > RETRY_DELAY_S:
--- a/beaconhinge/standin/rig/judge.py
+++ b/beaconhinge/standin/rig/judge.py
@@ -51,8 +51,8 @@
 # Seconds by which a deadline may be overstated: 0.15 by the specification, the rest for two writes on a busy
 # machine.
 DEADLINE_SLACK_S = 0.2
-# Seconds after a client's disconnect in which an attempt may begin: 0.1 by the specification, the rest for two
-# writes on a busy machine.
+# Seconds after a client's disconnect in which an attempt may begin: 0.1 by the specification, the rest for
+# two writes on a busy machine.
 DISCONNECT_GRACE_S = 0.15
 
 
@@ -223,7 +223,7 @@
 
 
 def _may_be_closed_by_crowd(run: FinishedRun, attempt: ClientAttempt) -> bool:
-    """Return whether the dispatcher may have closed the attempt's connection to make room, without reading it.
+    """Return whether the dispatcher may have closed the attempt's connection unread, to make room.
 
     That happens while a crowd of idle clients holds connections. A request that reached a worker had been
     read.
--- a/beaconhinge/standin/rig/lease_resource.py
+++ b/beaconhinge/standin/rig/lease_resource.py
@@ -1,4 +1,4 @@
-"""The resource that dispatchers act on under leases: a process that writes down who acted when."""
+"""Runs the resource that dispatchers act on under leases: a process that records who acted when."""
 
 from __future__ import annotations
 
@@ -13,15 +13,20 @@
 from .scenario import Scenario
 from .verdict import Act
 
-# Longest time that an act may take, as a part of a lease's span.
+# Longest duration of an act, as a share of the lease's span.
 LONGEST_ACT_SHARE = 0.4
 
 
 class LeaseResource:
-    """Starts the resource, and collects the acts that it reports."""
+    """Starts the resource's process, and collects the acts that it reports."""
 
     def __init__(self, scenario: Scenario, acts: list[Act]) -> None:
-        """Take the scenario, and the list that acts are appended to."""
+        """Set the resource up without starting it.
+
+        Args:
+            scenario: Gives the seed and the leases.
+            acts: List that the reported acts are appended to.
+        """
         self.scenario = scenario
         self.acts = acts
         self.lease_names = [f"export-{number}" for number in range(scenario.leases)]
@@ -29,7 +34,7 @@
         self._reader: asyncio.Task[None] | None = None
 
     async def start(self, dispatchers: Iterable[Process]) -> None:
-        """Start it, and write its address into the configuration of dispatchers that are to start."""
+        """Start the process, and add its address to the configuration of dispatchers not started yet."""
         self._process = await asyncio.create_subprocess_exec(
             sys.executable,
             "-m",
@@ -60,7 +65,7 @@
             self.acts.append(msgspec.json.decode(line, type=Act))
 
     async def stop(self) -> None:
-        """Kill it, if it was started, and wait for its end."""
+        """Kill the process, if it was started, and wait for its end."""
         if self._process is not None:
             self._process.kill()
             await self._process.wait()
--- a/beaconhinge/standin/rig/links.py
+++ b/beaconhinge/standin/rig/links.py
@@ -1,7 +1,8 @@
-"""The datagrams between dispatchers, each over a relay that loses, repeats or drops what the scenario says.
+"""Relays the datagrams between dispatchers, and loses, duplicates or drops them as the scenario says.
 
-A dispatcher knows another by its address. So the relay holds one socket for each ordered pair: at that of
-(i, j) dispatcher i reaches j and hears it, and at one more for each it reaches all.
+A dispatcher identifies another by its address. So the relay has one socket for each ordered pair: dispatcher
+i sends to j at the socket (i, j), and receives j's datagrams from it. One more socket for each dispatcher
+reaches all others.
 """
 
 from __future__ import annotations
@@ -12,19 +13,19 @@
 from collections import Counter
 
 Address = tuple[str, int]
-# Read of one datagram; more than a dispatcher may send.
+# Bytes read of one datagram; more than a dispatcher may send.
 MAX_DATAGRAM_BYTES = 2048
 
 
 class Links:
-    """The relay: a socket for each ordered pair of dispatchers, and one for each that reaches all others."""
+    """The relay: a socket for each ordered pair of dispatchers, and a broadcast socket for each of them."""
 
     def __init__(self, dispatcher_addresses: list[Address], seed: int) -> None:
         self.dispatcher_addresses = dispatcher_addresses
         self.random = random.Random(seed)
-        # By direction, sender first: how many faults cut it now.
+        # By (sender, receiver): number of faults that cut this direction now.
         self.cuts: Counter[tuple[int, int]] = Counter()
-        # By sender: the share of datagrams that is lost, and as many come twice.
+        # By sender: the share of datagrams that is lost; the same share of the others is sent twice.
         self.loss_shares: dict[int, float] = {}
         self.counters: Counter[str] = Counter()
         numbers = range(len(dispatcher_addresses))
@@ -32,7 +33,10 @@
         self._broadcast_sockets = [_open_socket() for _ in numbers]
 
     def addresses(self, number: int) -> tuple[list[str], str]:
-        """Return a dispatcher's peers: the address of each by number, and that of all at once."""
+        """Return the addresses at which a dispatcher reaches each peer, by number, and all peers at once.
+
+        The entry of the dispatcher itself is its own address.
+        """
         peers = [
             _format_address(
                 self.dispatcher_addresses[number]
@@ -56,7 +60,7 @@
     def _read(self, sock: socket.socket, sender: int, receivers: list[int]) -> None:
         try:
             payload = sock.recv(MAX_DATAGRAM_BYTES)
-        except OSError:  # nobody was there for an earlier one
+        except OSError:  # an earlier datagram on this socket was refused
             return
         for receiver in receivers:
             self._relay(sender, receiver, payload)
@@ -74,7 +78,7 @@
                 self.counters["dropped"] += 1
 
     def close(self) -> None:
-        """Relay no more, and close all sockets."""
+        """Stop relaying, and close all sockets."""
         loop = asyncio.get_running_loop()
         for sock in [*self._pair_sockets.values(), *self._broadcast_sockets]:
             loop.remove_reader(sock)
--- a/beaconhinge/standin/rig/record.py
+++ b/beaconhinge/standin/rig/record.py
@@ -1,4 +1,4 @@
-"""What is recorded of a run while it goes on, and all that the judge reads once it is over."""
+"""The record of a run, written while it goes on, and the finished run that the judge reads."""
 
 from __future__ import annotations
 
@@ -17,10 +17,13 @@
 
 @dataclass(frozen=True, slots=True)
 class Drain:
-    """A worker that drained, and from when to when. Seconds of the rig's clock.
+    """A worker's drain, with its times in seconds by the rig's clock.
 
     Attributes:
-        dispatcher: The one whose list said so; None if all of them did.
+        worker: The worker that drained.
+        began_at: When discovery's list began to give it as draining.
+        ended_at: When the list ceased to do so.
+        dispatcher: Number of the only dispatcher whose list gave it as draining; None if all lists did.
     """
 
     worker: FakeWorker
@@ -29,19 +32,19 @@
     dispatcher: int | None = None
 
     def concerns(self, dispatcher: int) -> bool:
-        """Whether a dispatcher's list said so."""
+        """Return whether the list of this dispatcher gave the worker as draining."""
         return self.dispatcher in (None, dispatcher)
 
 
 def ignore_event(_line: str) -> None:
-    """Take no notice of an event."""
+    """Ignore an event; the default for `on_event`."""
 
 
 @dataclass
 class RunRecord:
-    """Events and faults of a run, by number of the dispatcher where they meet one.
+    """Events and faults of a run. Dictionaries are keyed by the number of the dispatcher that a fault hit.
 
-    Times are seconds of the rig's clock.
+    Times are seconds by the rig's clock.
     """
 
     on_event: Callable[[str], None] = ignore_event
@@ -50,31 +53,31 @@
     fault_hits: Counter[str] = field(default_factory=Counter)
     exit_statuses: list[int] = field(default_factory=list)
     drains: list[Drain] = field(default_factory=list)
-    # When watches of a dispatcher fell silent, in their order.
+    # Times at which watches of a dispatcher fell silent, ascending.
     silent_from: dict[int, list[float]] = field(default_factory=dict)
     discovery_outages: dict[int, list[TimeSpan]] = field(default_factory=dict)
     spoilt_spans: dict[int, list[TimeSpan]] = field(default_factory=dict)
-    # When discovery gave a dispatcher no whole list, though its watch went on.
+    # Spans in which discovery answered no read of the whole list, though the watch went on.
     unreadable_spans: dict[int, list[TimeSpan]] = field(default_factory=dict)
-    # Planned ends of processes, in their order.
+    # Planned shutdowns of processes, in the order in which they were recorded.
     shutdowns: list[Shutdown] = field(default_factory=list)
-    # When idle clients held connections, by number of the dispatcher.
+    # Spans in which idle clients held connections to a dispatcher.
     crowded_spans: dict[int, list[TimeSpan]] = field(default_factory=dict)
-    # Plain jobs of a killed process that workers still ran some time after its return.
+    # Number of jobs without a key of killed processes that workers still ran 2 s after the restart.
     orphaned_jobs: int = 0
-    # Seconds by which a fault that is over ended later than planned.
+    # Most seconds by which a fault that is over ended later than planned.
     faults_late_s: float = 0.0
     lease_acts: list[Act] = field(default_factory=list)
-    # When the rig's own process stood still, and with it all clients, workers and discoveries.
+    # Spans in which the rig's own process stood still, and with it all clients, workers and discoveries.
     own_stalls: list[TimeSpan] = field(default_factory=list)
 
     def log_own_stall(self, since: float, until: float) -> None:
-        """Write down that the rig's own process stood still."""
+        """Record and log that the rig's own process stood still."""
         self.own_stalls.append((since, until))
         self.log(f"the rig itself has stood still for {until - since:.2f} s")
 
     def log(self, text: str) -> None:
-        """Write down an event with its time since the run began."""
+        """Record an event with its time since the run began, and pass it to `on_event`."""
         line = f"{time.monotonic() - self.began_at:7.2f} s  {text}"
         self.events.append(line)
         self.on_event(line)
@@ -82,7 +85,7 @@
 
 @dataclass(frozen=True, slots=True)
 class FinishedRun:
-    """A run that is over, as the judge gets it."""
+    """A run that is over, with all that the judge reads."""
 
     scenario: Scenario
     topology: Topology
--- a/beaconhinge/standin/rig/run_logs.py
+++ b/beaconhinge/standin/rig/run_logs.py
@@ -1,4 +1,4 @@
-"""The logs of a run as files, for whoever looks into a broken rule."""
+"""Writes the logs of a run to files, to find out why a rule was broken."""
 
 from __future__ import annotations
 
@@ -17,19 +17,19 @@
 def write_logs(
     topology: Topology, attempts: Sequence[ClientAttempt], record: RunRecord, folder: Path
 ) -> None:
-    """Write the lines of each dispatcher, the attempts of the clients and the faults of the run.
+    """Write the log of each dispatcher, the clients' attempts and the events of the run into `folder`.
 
-    Times in `attempts.jsonl` are seconds since the run began.
+    `sent_at` and `ended_at` in `attempts.jsonl` are seconds since the run began.
     """
     folder.mkdir(parents=True, exist_ok=True)
     for process in topology.processes:
         _write_lines(folder / f"dispatcher-{process.number}.jsonl", process.log_lines)
-    since_began = (_since(attempt, record.began_at) for attempt in attempts)
-    _write_lines(folder / "attempts.jsonl", since_began)
+    relative_attempts = (_with_relative_times(attempt, record.began_at) for attempt in attempts)
+    _write_lines(folder / "attempts.jsonl", relative_attempts)
     (folder / "events.txt").write_text("".join(line + "\n" for line in record.events))
 
 
-def _since(attempt: ClientAttempt, began_at: float) -> Mapping[str, Any]:
+def _with_relative_times(attempt: ClientAttempt, began_at: float) -> Mapping[str, Any]:
     return {
         **msgspec.structs.asdict(attempt),
         "sent_at": attempt.sent_at - began_at,
--- a/beaconhinge/standin/rig/runner.py
+++ b/beaconhinge/standin/rig/runner.py
@@ -1,4 +1,4 @@
-"""Runs a scenario: starts the processes and stand-ins, lets the faults happen, and has the run judged."""
+"""Runs a scenario: starts the processes and stand-ins, injects the faults and judges the run."""
 
 from __future__ import annotations
 
@@ -19,17 +19,18 @@
 from .topology import Topology
 from .verdict import Verdict
 
-# Seconds after the last answer, in which what a fault left behind shows.
+# Seconds from the last answer to the shutdown, in which late effects of a fault can still appear.
 SETTLE_S = 1.0
-# Seconds for which the front still opens connections to a dispatcher that has had SIGTERM.
+# Seconds after SIGTERM in which the front still opens connections to a dispatcher.
 FRONT_NOTICES_S = 0.4
-# Seconds between two looks whether the rig itself stood still, and from which a delay says so.
+# Seconds between two checks whether the rig's own process stood still.
 STALL_CHECK_S = 0.05
+# Seconds of delay of a check from which on it counts as a stall.
 OWN_STALL_S = 0.25
 
 
 class ScenarioRun:
-    """One run of a scenario: its processes, clients and faults, from start to verdict."""
+    """One run of a scenario, from the start of its processes to the verdict."""
 
     def __init__(
         self, scenario: Scenario, folder: Path, on_event: Callable[[str], None] = ignore_event
@@ -37,9 +38,10 @@
         """Set everything up without starting it.
 
         Args:
-            scenario: The scenario, with its drawn faults among the others.
+            scenario: The scenario, whose `faults` include the drawn ones.
             folder: An empty folder for the processes' configurations and stores.
-            on_event: Is called with a line of text for each fault as it begins and ends.
+            on_event: Called with a line of text when a fault begins, when it ends, and for each stall of the
+                rig.
         """
         self.scenario = scenario
         self.record = RunRecord(on_event)
@@ -55,17 +57,21 @@
         )
 
     def _takes_new_connections(self, dispatcher: int) -> bool:
-        """Whether the front sends new connections to a dispatcher."""
+        """Return whether the front opens new connections to a dispatcher."""
         process = self.topology.processes[dispatcher]
         if process.term_at is not None:
             return time.monotonic() - process.term_at < FRONT_NOTICES_S
         return process.running and not process.ending and not process.starting
 
     async def run(self) -> Verdict:
-        """Run the scenario to its end and judge it. Raises SceneError where a process does not start."""
+        """Run the scenario to its end, and return the verdict.
+
+        Raises:
+            SceneError: A process did not start.
+        """
         topology, record = self.topology, self.record
         await self.start_stand_ins()
-        watching = asyncio.create_task(self._watch_own_stalls())
+        stall_watch = asyncio.create_task(self._watch_own_stalls())
         try:
             if self.scenario.store:
                 await topology.prepare_stores()
@@ -81,14 +87,14 @@
                 *(process.end(signal.SIGTERM) for process in topology.processes)
             )
         finally:
-            watching.cancel()
+            stall_watch.cancel()
             await self.stop()
         return judge(
             FinishedRun(self.scenario, topology, self.clients, record, self.lease_resource.lease_names)
         )
 
     async def _watch_own_stalls(self) -> None:
-        """Clients, workers and discoveries share this process: where it stands still, all of them do."""
+        """Record each stall of this process, in which clients, workers and discoveries all stand still."""
         while True:
             before = time.monotonic()
             await asyncio.sleep(STALL_CHECK_S)
@@ -105,7 +111,7 @@
             server.start()
 
     async def stop(self) -> None:
-        """Kill what still runs, and close all servers and connections."""
+        """Kill all processes that still run, and close all servers and connections."""
         topology = self.topology
         for process in topology.processes:
             process.signal(signal.SIGKILL)
@@ -120,12 +126,12 @@
 async def run_scenario(
     scenario: Scenario, on_event: Callable[[str], None] = ignore_event, logs: Path | None = None
 ) -> Verdict:
-    """Run a scenario in a folder of its own, which is deleted afterwards.
+    """Run a scenario in a temporary folder, which is deleted afterwards, and return its verdict.
 
     Args:
-        scenario: The scenario.
-        on_event: Is called with a line of text for each fault as it begins and ends.
-        logs: A folder for the logs of the processes and the clients' attempts; None keeps none.
+        scenario: The scenario, without its drawn faults.
+        on_event: Called with a line of text when a fault begins, when it ends, and for each stall of the rig.
+        logs: Folder that logs of the processes and the clients' attempts are written to; None writes none.
 
     Raises:
         SceneError: A process did not start.
--- a/beaconhinge/standin/rig/verdict.py
+++ b/beaconhinge/standin/rig/verdict.py
@@ -1,4 +1,4 @@
-"""What a scenario came to, by what clients, workers and logs wrote down. Pure."""
+"""The verdict on a scenario, and the checks of what clients, workers and logs recorded. Pure."""
 
 from __future__ import annotations
 
@@ -13,17 +13,18 @@
 
 TimeSpan = tuple[float, float]
 
-# The class of the rig's jobs that may be repeated without a key.
+# The class of the rig's jobs that may be retried without a key.
 RETRYABLE_CLASS = "render"
-# The status of a job that may have run.
+# The status that reports a job as failed though it may have run.
 FAILED = "502"
 
 
 class ClientAttempt(msgspec.Struct):
-    """One attempt of a client at one dispatcher. Times are of the rig's clock.
+    """One attempt of a client at one dispatcher. Times are seconds by the rig's clock.
 
-    `outcome` is a status, `missing` or `left`; `disconnected_at` is 0 unless the client left before it.
-    `missing_why` is why there is no answer.
+    `outcome` is the answer's status, or `missing` (no answer in time), `left` (the client disconnected before
+    the answer) or `nobody` (the front found no dispatcher). `disconnected_at` is 0 unless the client
+    disconnected before the answer. `missing_why` says why there is no answer.
     """
 
     key: str
@@ -40,7 +41,10 @@
 
 
 class Act(msgspec.Struct):
-    """One act under a lease, as the resource wrote it down by its own clock."""
+    """One act under a lease, as the resource recorded it, in seconds by the resource's clock.
+
+    `number` is that of the lease's tenure. `accepted` is False if the resource refused the act.
+    """
 
     lease: str
     number: int
@@ -50,30 +54,31 @@
 
 
 class Verdict(msgspec.Struct):
-    """What a run came to; the fields are the keys of its JSON.
+    """The result of a run. The fields are the keys of its JSON, but for `ejected`, which is `benched` there.
 
     Attributes:
-        name: Of the scenario.
-        seed: Of the scenario.
-        asked: Attempts of clients.
-        ends: Attempts by outcome.
-        keys: Jobs with a key.
-        keys_unanswered: Those that no attempt brought a result of.
-        runs: Runs of jobs, on all workers.
-        ejected: Healthy workers that a dispatcher ejected: how often, by name.
-        faults: What faults hit, by kind.
-        counters: Of all dispatchers, over all their incarnations.
-        served_before: Share of the jobs served that were first sent before the first fault.
-        served_after: The same after the last fault.
-        plain_after: The same as `served_after`, of the jobs without a key, which are sent once.
-        first_share: Share of the attempts within quota served in the 5 s after the last return of a process.
-        greedy_share: What the tenant beyond its quota got then, in quotas.
-        acts: Under a lease.
-        tenures: That the acts were of.
-        stale: Acts that the resource refused for their number.
-        orphans: Plain jobs of a killed process that workers still ran some time after its return.
-        broken: Broken rules, in words. Nothing done, or a fault that hit nothing, is a break too.
-        last: The last events, where a rule was broken.
+        name: Name of the scenario.
+        seed: Seed of the scenario.
+        asked: Number of attempts that clients made.
+        ends: Number of attempts by outcome.
+        keys: Number of jobs with a key.
+        keys_unanswered: Number of those for which no attempt returned a result.
+        runs: Number of job runs on all workers.
+        ejected: How often dispatchers ejected a healthy worker, by the worker's name.
+        faults: Number of hits by kind of fault.
+        counters: Counters of all dispatchers, summed over all their incarnations.
+        served_before: Share of the jobs first sent before the first fault that were served.
+        served_after: The same share for jobs first sent after the last fault.
+        plain_after: The same as `served_after` for the jobs without a key, which are sent once.
+        first_share: Share of the attempts within quota that were served in the 5 s after the last restart of
+            a process.
+        greedy_share: Service that the tenant over its quota got in that time, in multiples of its quota.
+        acts: Number of accepted acts under leases.
+        tenures: Number of tenures that acts were made under.
+        stale: Number of acts that the resource refused for their tenure's number.
+        orphans: Jobs without a key of killed processes that workers still ran 2 s after the restart.
+        broken: Broken rules, as texts. A run that served nothing or a fault that hit nothing breaks one too.
+        last: The last events of the run, if a rule was broken.
     """
 
     name: str
@@ -100,12 +105,12 @@
 
     @property
     def well(self) -> bool:
-        """Whether no rule was broken."""
+        """True if no rule was broken."""
         return not self.broken
 
 
 def ejections_logged(lines: Iterable[Mapping[str, Any]]) -> Counter[str]:
-    """Count the ejections that a dispatcher's log reports, by number of the worker."""
+    """Count the ejections that a dispatcher's log reports, by the worker's number."""
     return Counter(
         str(line["text"]).split()[1]
         for line in lines
@@ -116,10 +121,10 @@
 def missing_without_excuse(
     attempts: Iterable[ClientAttempt], down_spans: Sequence[Sequence[TimeSpan]], grace: float
 ) -> list[ClientAttempt]:
-    """Return the attempts without one final answer whose dispatcher ran all the while.
+    """Return the attempts without a final answer whose dispatcher ran all the time.
 
-    A connection that waited in front of a process as it went on may be served late, for which it has `grace`
-    seconds.
+    A connection that waited to be accepted while a process was paused may be served late, so each down span
+    is widened by `grace` seconds at both ends.
     """
     return [
         attempt
@@ -133,30 +138,31 @@
 
 
 def describe_missing(attempt: ClientAttempt, began_at: float, reached_worker: bool) -> str:
-    """Describe an attempt without an answer: which, when it was sent, and how it ended.
+    """Return a text that names an attempt without an answer, when it was sent and how it ended.
 
     Args:
         attempt: The attempt.
-        began_at: When the run began.
-        reached_worker: Whether a worker had the request.
+        began_at: When the run began, in seconds by the rig's clock.
+        reached_worker: Whether a worker received the request.
     """
     waited_s = attempt.ended_at - attempt.sent_at
     return (
         f"no answer from dispatcher {attempt.dispatcher} to a {attempt.job_class}: "
         f"{attempt.request_id} sent at {attempt.sent_at - began_at:.2f} s, "
-        f"over after {waited_s:.2f} of {attempt.timeout_s:.2f} s ({attempt.missing_why or 'unknown'}), "
-        f"{'had' if reached_worker else 'not had'} by a worker"
+        f"ended after {waited_s:.2f} of {attempt.timeout_s:.2f} s ({attempt.missing_why or 'unknown'}), "
+        f"{'received' if reached_worker else 'not received'} by a worker"
     )
 
 
 def wrongly_failed(attempts: Iterable[ClientAttempt]) -> list[str]:
-    """Find jobs that may be repeated whatever has run of them, and whose client was told that they failed.
+    """Find retryable jobs that were answered as failed, which is wrong even if they may have run.
 
-    Their final answer without a result is a rejection; the stand-ins answer none of them with a client error.
+    The right final answer without a result is a rejection. The stand-ins answer none of these jobs with a
+    client error.
     """
     return [
         f"dispatcher {attempt.dispatcher} answered {attempt.request_id}, a {attempt.job_class} that may be "
-        f"repeated, with {attempt.outcome}"
+        f"retried, with {attempt.outcome}"
         for attempt in attempts
         if attempt.job_class == RETRYABLE_CLASS and attempt.outcome == FAILED
     ]
@@ -167,10 +173,11 @@
     shutdowns: Sequence[Shutdown],
     excuse: Callable[[ClientAttempt], bool],
 ) -> list[str]:
-    """Find attempts that a process in a planned end had taken and never answered.
+    """Find attempts that a process received during a planned shutdown and never answered.
 
-    What it takes it has to answer before SIGKILL, which comes no sooner than the longest deadline and 0.7 s
-    after SIGTERM. A process that was stopped meanwhile could not.
+    A process must answer what it accepts before SIGKILL, which is sent no sooner than the longest deadline
+    and 0.7 s after SIGTERM. Attempts at a process that was paused meanwhile are not counted, nor those that
+    `excuse` accepts.
     """
     found = []
     for shutdown in shutdowns:
@@ -185,16 +192,16 @@
             and not excuse(attempt)
         ]
         found += [
-            f"dispatcher {shutdown.process} lost a {attempt.job_class} that came "
+            f"dispatcher {shutdown.process} lost a {attempt.job_class} that was sent "
             f"{attempt.sent_at - shutdown.term_at:.2f} s after SIGTERM"
-            f"{', when SIGKILL came' if shutdown.killed else ''}"
+            f"{', and was ended by SIGKILL' if shutdown.killed else ''}"
             for attempt in lost
         ]
     return found
 
 
 def lease_violations(acts: Iterable[Act]) -> list[str]:
-    """Find acts of two tenures at one time, and numbers accepted after greater ones."""
+    """Find accepted acts of two tenures that overlap, and tenure numbers accepted after greater ones."""
     found, last = list[str](), dict[str, Act]()
     for act in sorted((act for act in acts if act.accepted), key=lambda act: act.begin):
         before = last.get(act.lease, act)
@@ -212,9 +219,10 @@
 def leases_without_acts(
     leases: Iterable[str], acts: Sequence[Act], since: float, until: float
 ) -> Iterator[str]:
-    """Find leases that nobody began an act under in a span, with the acts next to its beginning.
+    """Find leases under which no act began between `since` and `until`.
 
-    These tell a lease that has a holder late from one that has none, and from a holder that cannot act.
+    Each text gives the acts nearest to `since`. They distinguish a lease that got its holder late from a
+    lease without a holder, and from a holder that cannot act.
     """
     for lease in leases:
         of_lease = [act for act in acts if act.lease == lease]
@@ -232,16 +240,16 @@
 def overstated_deadlines(
     attempts: Iterable[ClientAttempt], deadlines: Iterable[ReceivedDeadline], slack: float
 ) -> list[str]:
-    """Find attempts that gave a worker more time than their client had left, beyond so many seconds."""
+    """Find attempts that gave a worker over `slack` seconds more than their client still waited."""
     ends = {attempt.request_id: attempt.sent_at + attempt.timeout_s for attempt in attempts}
-    over = [
-        (given.request, given.came_at + given.time_left - ends[given.request])
-        for given in deadlines
-        if given.request in ends
+    overstatements = [
+        (deadline.request, deadline.came_at + deadline.time_left - ends[deadline.request])
+        for deadline in deadlines
+        if deadline.request in ends
     ]
     return [
-        f"request {request}: a worker was given {seconds:.2f} s more than was left"
-        for request, seconds in over
+        f"request {request}: a worker's deadline was {seconds:.2f} s later than its client's"
+        for request, seconds in overstatements
         if seconds > slack
     ]
 
@@ -249,14 +257,18 @@
 def attempts_after_disconnect(
     attempts: Iterable[ClientAttempt], deadlines: Iterable[ReceivedDeadline], grace: float
 ) -> list[str]:
-    """Find attempts that came to a worker more than `grace` seconds after their client had left."""
-    left = {attempt.request_id: attempt.disconnected_at for attempt in attempts if attempt.disconnected_at}
-    late = [
-        (given.request, given.came_at - left[given.request]) for given in deadlines if given.request in left
+    """Find attempts that reached a worker more than `grace` seconds after their client's disconnect."""
+    disconnected = {
+        attempt.request_id: attempt.disconnected_at for attempt in attempts if attempt.disconnected_at
+    }
+    delays = [
+        (deadline.request, deadline.came_at - disconnected[deadline.request])
+        for deadline in deadlines
+        if deadline.request in disconnected
     ]
     return [
-        f"request {request}: an attempt began {seconds:.2f} s after its client had left"
-        for request, seconds in late
+        f"request {request}: an attempt began {seconds:.2f} s after its client's disconnect"
+        for request, seconds in delays
         if seconds > grace
     ]
 
@@ -267,21 +279,21 @@
 
 
 def served_share_of_attempts(attempts: Sequence[ClientAttempt], since: float, until: float) -> float:
-    """Return the part of the attempts sent in a span that were served."""
+    """Return the share of the attempts sent from `since` to `until` that were served; 0 if there are none."""
     within = [attempt for attempt in attempts if since <= attempt.sent_at < until]
     return sum(attempt.outcome == "200" for attempt in within) / max(1, len(within))
 
 
 def served_share_of_jobs(attempts: Sequence[ClientAttempt], since: float, until: float) -> float:
-    """Return the part of the jobs first sent in a span that one of their attempts brought back.
+    """Return the share of the jobs first sent from `since` to `until` that were served; 0 if there are none.
 
-    A job with a key comes again: counted by attempts, one that a fault lost before the span would fail in it
-    up to three times.
+    A job counts as served if any of its attempts was. A job with a key is retried: if attempts were counted,
+    a job that a fault lost before the span would fail in it up to three times.
     """
-    jobs, at = dict[object, bool](), dict[object, float]()
+    served, first_sent_at = dict[object, bool](), dict[object, float]()
     for number, attempt in enumerate(attempts):
         job = attempt.key or number
-        at.setdefault(job, attempt.sent_at)
-        jobs[job] = jobs.get(job, False) or attempt.outcome == "200"
-    within = [done for job, done in jobs.items() if since <= at[job] < until]
+        first_sent_at.setdefault(job, attempt.sent_at)
+        served[job] = served.get(job, False) or attempt.outcome == "200"
+    within = [done for job, done in served.items() if since <= first_sent_at[job] < until]
     return sum(within) / max(1, len(within))
--- a/tests/standin/test_judge.py
+++ b/tests/standin/test_judge.py
@@ -1,4 +1,4 @@
-"""When the rig's judge takes a dispatcher for notified of a change, by what the run recorded."""
+"""The rig's judge: when a dispatcher counts as notified, and what a verdict reports of a run."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 def run_with(record: RunRecord) -> Any:
-    """A run of one dispatcher that was never down."""
+    """Return a finished run with this record, of one dispatcher that was never down."""
     return SimpleNamespace(
         record=record,
         topology=SimpleNamespace(processes=[SimpleNamespace(down_spans=[])]),
@@ -24,16 +24,17 @@
 @pytest.mark.parametrize(
     ("changed_at", "notified_at"), [(1.0, 1.0), (2.2, 8.0), (5.0, 8.0), (6.5, 12.0), (13.0, 13.0)]
 )
-def test_each_time_that_a_watch_fell_silent_counts_for_what_changes_after_it(
-    changed_at: float, notified_at: float
-) -> None:
-    """The latest one alone was kept: what changed after an earlier one was taken for told at once (soak 4547)."""
+def test_each_silent_watch_delays_the_notice_of_later_changes(changed_at: float, notified_at: float) -> None:
+    """Guards against a judge that keeps only the last time at which a watch fell silent.
+
+    A change after an earlier time then counted as notified at once (soak 4547).
+    """
     record = RunRecord(silent_from={0: [2.0, 6.0]})
     assert _notified_at(run_with(record), 0, changed_at) == notified_at
 
 
-def test_a_job_that_may_be_repeated_is_never_said_to_have_failed() -> None:
-    # Guards against a 502 that no policy gave, which the program's own counter alone had shown (soak 4508).
+def test_a_retryable_job_answered_502_breaks_a_rule() -> None:
+    # Guards against a 502 that no policy decided on, which only the program's own counter showed (soak 4508).
     answers = [
         ("render", "502"),
         ("render", "503"),
@@ -45,22 +46,23 @@
         ClientAttempt("", job_class, 7, 1.0, 2.0, outcome, request_id=f"r{number}")
         for number, (job_class, outcome) in enumerate(answers)
     ]
-    assert wrongly_failed(attempts) == ["dispatcher 7 answered r0, a render that may be repeated, with 502"]
+    assert wrongly_failed(attempts) == ["dispatcher 7 answered r0, a render that may be retried, with 502"]
 
 
-def test_a_missing_answer_is_named_with_its_time_and_reason() -> None:
-    # Guards against a verdict that names a dispatcher and nothing else (soak 2013).
+def test_a_missing_answer_is_described_with_its_time_and_reason() -> None:
+    # Guards against a verdict that names only the dispatcher (soak 2013).
     attempt = ClientAttempt(
         "", "render", 7, 104.5, 107.5, "missing", request_id="r1", timeout_s=1.0, missing_why="Closed: "
     )
     assert describe_missing(attempt, 100.0, reached_worker=False) == (
-        "no answer from dispatcher 7 to a render: r1 sent at 4.50 s, over after 3.00 of 1.00 s (Closed: ), "
-        "not had by a worker"
+        "no answer from dispatcher 7 to a render: r1 sent at 4.50 s, ended after 3.00 of 1.00 s (Closed: ), "
+        "not received by a worker"
     )
 
 
-def test_a_verdict_says_how_long_the_rig_itself_stood_still() -> None:
-    # Guards against an ejection of a healthy worker that nobody can tell from one that got no processor.
+def test_a_verdict_reports_how_long_the_rig_itself_stood_still() -> None:
+    # Guards against a verdict that does not show whether a healthy worker was ejected by a fault of the
+    # dispatcher or because the rig's process, which runs the workers, got no processor time.
     record = RunRecord(began_at=100.0)
     assert list(_own_stalls(record)) == []
     record.log_own_stall(101.0, 101.5)
