--- a/beaconhinge/standin/rig/scenario.py
+++ b/beaconhinge/standin/rig/scenario.py
@@ -1,4 +1,4 @@
-"""A scenario as data: sizes, a seed, and faults with their times. Pure."""
+"""A scenario as data: sizes, rates, a seed, and faults with their times. Pure."""
 
 from __future__ import annotations
 
@@ -38,49 +38,58 @@
 MAX_PROCESSES = 40
 MAX_WORKERS = 200
 MAX_SCENARIO_S = 600.0
-# Jobs a second.
+# Jobs per second.
 MAX_RATE = 2000.0
-# From SIGTERM to SIGKILL at a planned restart: the longest deadline, or this where that is longer ...
+# At a planned restart, SIGKILL follows SIGTERM after the longest deadline, but at most after this time, ...
 MAX_AWAITED_DEADLINE_S = 3.0
-# ... and this beside it.
+# ... plus this margin.
 KILL_MARGIN_S = 0.7
-# Chance that a drawn kill hits all dispatchers.
+# Probability that a drawn kill hits all dispatchers.
 KILL_ALL_CHANCE = 0.2
 
 
 class ScenarioError(Error):
-    """A scenario that cannot be run; the text names file and key."""
+    """The scenario cannot be run; the text names the file and the key."""
 
 
 class Fault(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """One fault, with its time. The attributes carry other names in files, which stand in brackets.
+    """One fault, with its time. An attribute that has another name in files gives that name in brackets.
 
-    Kinds: `stop`: SIGSTOP, and SIGCONT after the duration. `kill`, `term`: that signal, and a start again
-    after the duration, with the same, an empty or another folder. `restart`: SIGTERM, further signals,
-    SIGKILL as early as the platform has it, and a start again after the duration. `cut`: datagrams to the
-    destinations are dropped. `lossy`: a share of all datagrams is lost, and as many come twice. `discovery`:
-    it is out. `mute`: the watches that are open fall silent for good. `drain`: the first workers drain, in
-    one version of the list. `spoil`: answers of discovery are spoilt. `reload`: SIGHUP. `workers`: the last
-    worker that has no fault yet treats its jobs as the worker fault says. `crowd`: idle clients hold as many
-    connections as they get. `reads`: calls to discovery for the whole list are treated as the read fault
-    says. `drain-at-read`: the last workers drain, at each dispatcher by itself, just after it has made such a
-    call.
+    Kinds:
+        `stop`: SIGSTOP, and SIGCONT after the duration.
+        `kill`, `term`: That signal, and a restart after the duration; after `kill` with the same folder, an
+            empty one, or another store.
+        `restart`: SIGTERM, further signals, SIGKILL as early as the platform sends it, and a restart after
+            the duration.
+        `cut`: Datagrams to the destinations are dropped.
+        `lossy`: A share of all datagrams is lost, and the same share is sent twice.
+        `discovery`: Discovery is unavailable.
+        `mute`: The open watches fall silent for good.
+        `drain`: The first workers drain, all in one version of the list.
+        `spoil`: Answers of discovery are spoilt.
+        `reload`: SIGHUP.
+        `workers`: The last worker that has no fault yet treats its jobs as the worker fault says.
+        `crowd`: Idle clients hold as many connections as they get.
+        `reads`: Reads of the whole list from discovery are treated as the read fault says.
+        `drain-at-read`: The last workers drain in the list of each dispatcher just after its next read of the
+            whole list.
 
     Attributes:
-        at_s: Seconds from the scenario's beginning.
-        kind: What happens [what].
-        duration_s: Seconds that it lasts [for_s].
-        dispatchers: Numbers of those that it meets; none: all [who].
-        destinations: For `cut`, numbers; none: all [to].
-        loss_share: For `lossy`, a part of 1 [part].
-        workers: For `drain` and `drain-at-read`, how many [boxes].
-        read_fault: For `reads`.
-        spoil: For `spoil` [how].
-        worker_fault: For `workers` [trouble].
-        signals: For `restart`, sent after SIGTERM.
-        signal_gap_s: Seconds between these.
-        connections: For `crowd`, how many at each dispatcher.
-        folder: For `kill`: `other` is a copy of another's store, `old` its own as it was before the scenario.
+        at_s: Seconds from the scenario's beginning to the fault's.
+        kind: Kind of the fault [what].
+        duration_s: Duration of the fault in seconds [for_s].
+        dispatchers: Numbers of the dispatchers that the fault hits; empty for all [who].
+        destinations: For `cut`, numbers of the receiving dispatchers; empty for all [to].
+        loss_share: For `lossy`, the share of datagrams lost, from 0 to 1 [part].
+        workers: For `drain` and `drain-at-read`, the number of workers [boxes].
+        read_fault: For `reads`, how reads are treated.
+        spoil: For `spoil`, how answers are spoilt [how].
+        worker_fault: For `workers`, how jobs are treated [trouble].
+        signals: For `restart`, the signals sent after SIGTERM.
+        signal_gap_s: Seconds from SIGTERM to the first of `signals`, and between two of them.
+        connections: For `crowd`, the number of connections tried at each dispatcher.
+        folder: For `kill`, the folder of the restarted process. `other` has a copy of another process's
+            store, `old` has its own store as it was before the scenario.
     """
 
     at_s: float
@@ -101,39 +110,43 @@
 
 
 class Scenario(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """Sizes, rates and faults of one run; times in seconds, file keys of other names in brackets.
+    """Sizes, rates and faults of one run. Keys that have another name in files are given in brackets.
 
-    Jobs of the class `render` are harmless to repeat; a `publish` has a key and may run once; a `transfer`
-    must never run twice.
+    Jobs of the class `render` may be retried; a `publish` has a key and may run once; a `transfer` must never
+    run twice.
 
     Attributes:
-        workers: How many [boxes].
-        deduplication_groups: Of workers that share what keys they have seen [racks].
-        slots: Of a worker.
-        rate: Jobs a second, over all dispatchers.
-        keyed: Share of the jobs that is `publish`.
-        unsafe: Share of those without a key that is `transfer`.
-        disconnecting: Share of those without a key whose client disconnects before the answer [leaving].
-        render_s: Mean run time; so is `publish_s`, which holds for `transfer` too.
-        client_timeout_s: That a client waits; three times that for `publish`, over several attempts
-            [patience_s].
-        seconds: In which clients send jobs.
-        quota_rps: Of a second tenant.
-        over_quota_factor: How many times its quota the second tenant asks for, in `render` [greedy].
-        pushed_membership: Whether an agent of each dispatcher has the list, and what it has counts as
-            notified [pushed].
-        store: Whether dispatchers keep one in their folder.
-        leases: How many, each with a call on a resource that writes down who acts.
-        lease_span_s: Of each lease [span_s].
-        lease_act_interval_s: Between two acts of a holder [act_s].
-        ejections_judged: Whether the ejection of a healthy worker breaks the scenario.
-        every_fault_hits: Whether a fault that hits nothing breaks the scenario.
-        front: Whether clients come through a front, which opens no connection to a dispatcher that has had
-            SIGTERM for 0.4 s or is known to be down, and sends what found nobody to another one.
-        longest_deadline_s: Of all classes; 0: as the settings have them. Clients wait no longer.
-        sockets: Limit of each dispatcher; 0: as the platform has it.
-        system_calls: How those of every second process fail, as `shim.environment` has it.
-        drawn_faults: How many more, of every kind, are drawn from the seed [drawn].
+        workers: Number of workers [boxes].
+        deduplication_groups: Number of groups of workers that share which keys they have seen [racks].
+        slots: Slots of each worker.
+        rate: Jobs per second, over all dispatchers.
+        keyed: Share of the jobs that are `publish`.
+        unsafe: Share of the jobs without a key that are `transfer`.
+        disconnecting: Share of the jobs without a key whose client disconnects before the answer [leaving].
+        render_s: Mean run time of `render` in seconds.
+        publish_s: Mean run time of `publish` and `transfer` in seconds.
+        client_timeout_s: Seconds that a client waits for a job; three times that for a `publish`, over
+            several attempts [patience_s].
+        seconds: Seconds in which clients send jobs.
+        quota_rps: Quota of a second tenant, in jobs per second.
+        over_quota_factor: Rate of the second tenant's jobs, in multiples of its quota; none is a `publish`
+            [greedy].
+        pushed_membership: Whether each dispatcher has an agent that holds the list. What the agent holds
+            counts as notified [pushed].
+        store: Whether each dispatcher has a store in its folder.
+        leases: Number of leases, each with a call on a resource that records who acts.
+        lease_span_s: Span of each lease in seconds [span_s].
+        lease_act_interval_s: Seconds between two acts of a holder [act_s].
+        ejections_judged: Whether the ejection of a healthy worker breaks a rule.
+        every_fault_hits: Whether a fault that hits nothing breaks a rule.
+        front: Whether clients connect through a front. It opens no connection to a dispatcher that is down or
+            that got SIGTERM 0.4 s ago or earlier. A request whose connection was refused or closed goes to
+            another dispatcher.
+        longest_deadline_s: Longest deadline of every class in seconds; 0 for those of the settings. Clients
+            wait no longer.
+        sockets: Limit on the sockets of each dispatcher; 0 for the platform's.
+        system_calls: How system calls of every second process fail, as `shim.environment` takes it.
+        drawn_faults: Number of further faults, of all kinds in DRAWN_KINDS, drawn from the seed [drawn].
     """
 
     name: str
@@ -179,11 +192,11 @@
         return min(longest_s, MAX_AWAITED_DEADLINE_S) + KILL_MARGIN_S
 
     def affected_dispatchers(self, fault: Fault) -> list[int]:
-        """Return the numbers of the dispatchers that a fault meets."""
+        """Return the numbers of the dispatchers that a fault hits."""
         return fault.dispatchers or list(range(self.processes))
 
     def problem(self) -> str | None:
-        """Return what is wrong with the sizes and faults, by file key; None if nothing is."""
+        """Return a text on the first invalid size or fault, with its key in files; None if all are valid."""
         bounds = {
             "processes": (1, MAX_PROCESSES),
             "boxes": (1, MAX_WORKERS),
@@ -210,52 +223,52 @@
                 return f"{key}: must be between {least} and {most}"
         for number, fault in enumerate(self.faults):
             if not (0 <= fault.at_s <= self.seconds and 0 < fault.duration_s <= MAX_SCENARIO_S):
-                return f"faults[{number}]: at_s must lie within the scenario, for_s be more than 0"
+                return f"faults[{number}]: at_s must lie within the scenario, for_s must be more than 0"
             if fault.kind in ("drain", "drain-at-read") and not 1 <= fault.workers < self.workers:
                 return f"faults[{number}]: boxes must be between 1 and {self.workers - 1}"
             if not all(0 <= n < self.processes for n in fault.dispatchers + fault.destinations):
-                return f"faults[{number}]: there are dispatchers 0 to {self.processes - 1}"
+                return f"faults[{number}]: who and to must be between 0 and {self.processes - 1}"
         return None
 
 
 def draw_faults(scenario: Scenario) -> Scenario:
-    """Return the scenario with as many more faults as it wants drawn from its seed.
+    """Return the scenario with `drawn_faults` more faults, drawn from its seed.
 
-    They begin in its first half and last at most two lease spans, so that what holds again in the end can be
-    seen.
+    A drawn fault begins in the first half of the scenario and lasts at most two lease spans, so that the
+    recovery from it can be observed before the end.
     """
     rng, lease_span = random.Random(f"{scenario.seed}/faults"), scenario.lease_span_s
-    found = list(scenario.faults)
+    faults = list(scenario.faults)
     for _ in range(scenario.drawn_faults):
         kind = rng.choice(DRAWN_KINDS)
         at = rng.uniform(0.1, 0.5) * scenario.seconds
-        who = rng.sample(range(scenario.processes), rng.randint(1, max(1, scenario.processes // 2)))
+        dispatchers = rng.sample(range(scenario.processes), rng.randint(1, max(1, scenario.processes // 2)))
         if kind in ("kill", "term"):
             hits_all = kind == "kill" and rng.random() < KILL_ALL_CHANCE
-            found.append(
+            faults.append(
                 Fault(
                     at,
                     kind,
                     rng.uniform(0.05, 0.5),
-                    [] if hits_all else who,
+                    [] if hits_all else dispatchers,
                     folder=rng.choice(("same", "empty")) if kind == "kill" else "same",
                 )
             )
         elif kind == "stop":
-            found.append(Fault(at, kind, lease_span * rng.choice((0.33, 0.9, 1.1, 2.0)), who))
+            faults.append(Fault(at, kind, lease_span * rng.choice((0.33, 0.9, 1.1, 2.0)), dispatchers))
         elif kind == "cut":
-            to = rng.sample(range(scenario.processes), rng.randint(1, scenario.processes))
-            found.append(Fault(at, kind, lease_span * rng.uniform(0.5, 2.0), who, to))
+            destinations = rng.sample(range(scenario.processes), rng.randint(1, scenario.processes))
+            faults.append(Fault(at, kind, lease_span * rng.uniform(0.5, 2.0), dispatchers, destinations))
         else:
-            found.append(Fault(at, kind, lease_span * rng.uniform(1.0, 2.0), loss_share=0.5))
-    return msgspec.structs.replace(scenario, faults=found)
+            faults.append(Fault(at, kind, lease_span * rng.uniform(1.0, 2.0), loss_share=0.5))
+    return msgspec.structs.replace(scenario, faults=faults)
 
 
 def read_scenario(path: str | os.PathLike[str], seed: int | None = None) -> Scenario:
-    """Read a scenario from a TOML file, with another seed if one is given.
+    """Read a scenario from a TOML file. A `seed` that is not None replaces the seed in the file.
 
     Raises:
-        ScenarioError: The file can't be read, or does not hold a scenario.
+        ScenarioError: The file cannot be read, or does not contain a valid scenario.
     """
     try:
         content = tomllib.loads(Path(path).read_text(encoding="utf-8"))
--- a/beaconhinge/standin/rig/shim.c
+++ b/beaconhinge/standin/rig/shim.c
@@ -1,9 +1,10 @@
-/* Makes system calls of one dispatcher fail, now and then, as Linux documents: loaded by LD_PRELOAD in scenarios.
+/* Makes some system calls of one dispatcher fail at random, with errors that Linux documents. Scenarios load it by
+ * LD_PRELOAD.
  *
- * BEACONHINGE_SHIM holds "accept=P,connect=P,short=P,step=S,socket=P": the part of the calls that fail, and the
- * seconds by which the wall clock steps to and fro. Stream sockets fail once the process listens: without a listener it
- * could not start. BEACONHINGE_SHIM_COUNTS names a file of eight 64-bit counters, one for each kind that hit, which
- * outlives the process. */
+ * BEACONHINGE_SHIM holds "accept=P,connect=P,short=P,step=S,socket=P": P is the share of the calls that fail, S the
+ * seconds by which the wall clock steps forward and back. Stream sockets fail only once the process listens: without a
+ * listener it could not start. BEACONHINGE_SHIM_COUNTS names a file of eight 64-bit counters, one for each kind of
+ * failure in the order of `enum kind`; the file remains after the process ends. */
 #define _GNU_SOURCE
 #include <dlfcn.h>
 #include <errno.h>
@@ -23,7 +24,7 @@
 static int listening;
 static uint64_t spare[8], *counts = spare, state = 88172645463325252ull;
 
-static double chance(void) { /* xorshift64: the same draws in every run of one seed */
+static double chance(void) { /* xorshift64: the same numbers in every run with the same seed */
     state ^= state << 13;
     state ^= state >> 7;
     state ^= state << 17;
@@ -119,7 +120,7 @@
     static __typeof__(&clock_gettime) real;
     if (!real) real = REAL(clock_gettime);
     int result = real(clock, now);
-    if (clock == CLOCK_REALTIME && part[STEP] > 0 && (now->tv_sec & 2)) { /* there for 2 s, and back for 2 s */
+    if (clock == CLOCK_REALTIME && part[STEP] > 0 && (now->tv_sec & 2)) { /* steps forward for 2 s, then back for 2 s */
         now->tv_sec += (time_t)part[STEP];
         __atomic_fetch_add(&counts[STEP], 1, __ATOMIC_RELAXED);
     }
--- a/beaconhinge/standin/rig/shim.py
+++ b/beaconhinge/standin/rig/shim.py
@@ -1,4 +1,4 @@
-"""Builds `shim.c`, which makes system calls of a dispatcher fail, and reads what it counted."""
+"""Builds `shim.c`, which makes system calls of a dispatcher fail, and reads its counters."""
 
 from __future__ import annotations
 
@@ -11,20 +11,20 @@
 from ...errors import Error
 
 SOURCE = Path(__file__).with_name("shim.c")
-# In the order of its counters.
+# In the order of the counters in the file that `shim.c` writes.
 COUNTER_NAMES = ("accept", "connect", "short_read", "short_write", "clock_step", "socket")
 COUNTERS = struct.Struct("=8Q")
 
 
 class ShimError(Error):
-    """The shim could not be built: no C compiler, or it found fault."""
+    """The shim could not be built: there is no C compiler, or it reported an error."""
 
 
 def build_library(folder: Path) -> Path:
     """Build the shared library in a folder, and return its path.
 
     Raises:
-        ShimError: There is no compiler, or it found fault.
+        ShimError: There is no C compiler, or it reported an error.
     """
     compiler = shutil.which("cc")
     if compiler is None:
@@ -38,9 +38,14 @@
 
 
 def environment(library: Path, counts: Path, failing: str, seed: int) -> dict[str, str]:
-    """Return the variables for a process whose calls fail as `failing` says.
-
-    An example of it: "accept=0.02,connect=0.02,short=0.2,step=3600,socket=0.02".
+    """Return the environment variables for a process whose system calls fail as `failing` says.
+
+    Args:
+        library: The shim's shared library.
+        counts: File that the shim counts its hits in.
+        failing: Share of the calls of each kind that fail, and the seconds by which the wall clock steps:
+            "accept=0.02,connect=0.02,short=0.2,step=3600,socket=0.02", for example.
+        seed: Seed of the shim's random numbers.
     """
     return {
         "LD_PRELOAD": str(library),
@@ -51,7 +56,7 @@
 
 
 def read_hits(counts: Path) -> Counter[str]:
-    """Return how often each kind hit, by the file that the shim counts in; nothing if there is none."""
+    """Return how often each kind of failure hit, from the shim's file `counts`; empty if there is no file."""
     if not counts.exists():
         return Counter()
     return Counter(dict(zip(COUNTER_NAMES, COUNTERS.unpack(counts.read_bytes()), strict=False)))
--- a/beaconhinge/standin/rig/soak.py
+++ b/beaconhinge/standin/rig/soak.py
@@ -1,6 +1,6 @@
-"""Scenarios of random faults that overlap in time, from a seed; and the least of one that still fails.
+"""Draws scenarios of random overlapping faults from a seed, and shrinks a failing one to fewer faults.
 
-Pure, but for the run that is passed in.
+Pure, but for the function passed in that runs a scenario.
 """
 
 from __future__ import annotations
@@ -15,11 +15,13 @@
 from .scenario import Fault, FaultKind, Scenario, SeriesSignal
 
 SCENARIO_S = 17.0
-# When faults begin, in seconds: so that what holds 6 s later can still be seen.
+# Faults begin between these two times, in seconds, so that there is time to check what must hold again 6 s
+# later.
 FIRST_FAULT_AT_S = 0.6
 LAST_FAULT_AT_S = 7.5
+# Which system calls fail, as `shim.environment` takes it.
 SYSTEM_CALLS = "accept=0.02,connect=0.01,short=0.2,step=3600,socket=0.01"
-# Kinds that are drawn; one that stands here twice is drawn twice as often.
+# Kinds that are drawn, each as often as it is listed here.
 FAULT_KINDS: tuple[FaultKind, ...] = (
     "stop",
     "stop",
@@ -38,34 +40,39 @@
     "workers",
     "workers",
 )
-# Longest deadlines of a deployment, in seconds: SIGKILL comes 0.7 s after the longest.
+# Longest deadlines that a deployment may have, in seconds. SIGKILL is sent 0.7 s after the longest deadline.
 LONGEST_DEADLINES_S = (0.8, 1.5, 3.0)
-# Of dispatchers that meet a crowd, which holds more connections than they have room for.
+# Limit on the sockets of dispatchers in scenarios with a crowd. The crowd opens more connections than that.
 CROWDED_SOCKETS = 96
 CROWD_CONNECTIONS = 120
-# Signals sent after SIGTERM, while a process ends.
-SERIES: tuple[SeriesSignal, ...] = ("HUP", "TERM", "HUP", "USR1")
-# Seconds from a fault within which another begins that is to meet it.
-MEETING_DISTANCE_S = 0.3
-# Chances that a scenario, or a fault, is of a kind.
+# Signals that may be sent after SIGTERM, while a process ends.
+SIGNALS_AFTER_TERM: tuple[SeriesSignal, ...] = ("HUP", "TERM", "HUP", "USR1")
+# Most seconds between the beginnings of two faults that are drawn to coincide.
+COINCIDENCE_S = 0.3
+# Probabilities: that the list is pushed, that there is a crowd, that recovery is enabled ...
 PUSHED_CHANCE = 0.25
 CROWD_CHANCE = 0.25
 RECOVERY_CHANCE = 0.3
-MEETING_CHANCE = 0.5
+# ... and that a fault coincides with an earlier one.
+COINCIDENCE_CHANCE = 0.5
 
 
 def draw_soak(seed: int, processes: int) -> Scenario:
-    """Draw a drain that stays, and faults of most kinds round it.
+    """Draw a scenario with a long drain of workers and with random faults before, during and after its start.
 
-    Half of the processes have failing system calls.
+    System calls fail in half of the processes.
     """
     rng = random.Random(f"{seed}/soak")
     drain = Fault(rng.uniform(1.0, 3.0), "drain", SCENARIO_S - 4.0, workers=rng.randint(1, 3))
     faults = [drain]
-    pushed = rng.random() < PUSHED_CHANCE  # an agent at hand answers at once: its answers are not spoilt
+    pushed = rng.random() < PUSHED_CHANCE  # a local agent answers at once: its answers are not spoilt
     for _ in range(rng.randint(5, 9)):
-        meeting_at = rng.choice(faults).at_s + rng.uniform(-MEETING_DISTANCE_S, MEETING_DISTANCE_S)
-        at = meeting_at if rng.random() < MEETING_CHANCE else rng.uniform(FIRST_FAULT_AT_S, LAST_FAULT_AT_S)
+        coinciding_at = rng.choice(faults).at_s + rng.uniform(-COINCIDENCE_S, COINCIDENCE_S)
+        at = (
+            coinciding_at
+            if rng.random() < COINCIDENCE_CHANCE
+            else rng.uniform(FIRST_FAULT_AT_S, LAST_FAULT_AT_S)
+        )
         faults.append(
             _draw_fault(rng, min(max(at, FIRST_FAULT_AT_S), LAST_FAULT_AT_S), processes, drain.workers)
         )
@@ -73,11 +80,11 @@
     crowded = rng.random() < CROWD_CHANCE
     if crowded:
         at = rng.uniform(FIRST_FAULT_AT_S, LAST_FAULT_AT_S)
-        who = rng.sample(range(processes), max(1, processes // 3))
-        faults.append(Fault(at, "crowd", rng.uniform(1.0, 4.0), who, connections=CROWD_CONNECTIONS))
+        dispatchers = rng.sample(range(processes), max(1, processes // 3))
+        faults.append(Fault(at, "crowd", rng.uniform(1.0, 4.0), dispatchers, connections=CROWD_CONNECTIONS))
     faults += _draw_read_faults(seed, processes, pushed)
     longest_s = rng.choice(LONGEST_DEADLINES_S)
-    recovery = rng.random() < RECOVERY_CHANCE  # without it nobody knows a key that another dispatcher has
+    recovery = rng.random() < RECOVERY_CHANCE  # without it no dispatcher knows the keys of another one
     return Scenario(
         f"soak of {processes}",
         seed=seed,
@@ -91,7 +98,7 @@
         disconnecting=0.1,
         render_s=0.1,
         publish_s=0.3,
-        # A client with a key waits one and a half times as long.
+        # An attempt with a key waits for 1.5 times the client's time-out.
         client_timeout_s=longest_s / 1.5 if recovery else longest_s,
         front=True,
         longest_deadline_s=longest_s,
@@ -108,17 +115,18 @@
 
 
 def _draw_read_faults(seed: int, processes: int, pushed: bool) -> list[Fault]:
-    """Draw how a crowded discovery treats calls for the whole list, and a drain that meets such a call.
+    """Draw faults of reads of the whole list from an overloaded discovery, and a drain just after a read.
 
-    They have draws of their own: so the other faults of a seed stay as they were. An agent is never crowded.
+    They have a random generator of their own, so that the other faults of a seed stay the same. A local agent
+    is never overloaded, so with pushed membership there are no faults of reads.
     """
     rng = random.Random(f"{seed}/soak/reads")
     faults = list[Fault]()
     for _ in range(0 if pushed else rng.randint(1, 3)):
         at = rng.uniform(FIRST_FAULT_AT_S, LAST_FAULT_AT_S)
-        who = rng.sample(range(processes), rng.randint(1, max(1, processes // 2)))
+        dispatchers = rng.sample(range(processes), rng.randint(1, max(1, processes // 2)))
         fault = rng.choice(list(ReadFault))
-        faults.append(Fault(at, "reads", rng.uniform(1.0, 6.0), who, read_fault=fault))
+        faults.append(Fault(at, "reads", rng.uniform(1.0, 6.0), dispatchers, read_fault=fault))
     at = rng.uniform(FIRST_FAULT_AT_S, LAST_FAULT_AT_S)
     faults.append(Fault(at, "drain-at-read", SCENARIO_S - LAST_FAULT_AT_S - 2.0))
     return faults
@@ -133,7 +141,7 @@
         case "kill":
             fault = Fault(at, kind, rng.choice((0.1, 1.0, 6.5)), dispatchers)
         case "restart":
-            signals = rng.sample(SERIES, rng.randint(0, len(SERIES)))
+            signals = rng.sample(SIGNALS_AFTER_TERM, rng.randint(0, len(SIGNALS_AFTER_TERM)))
             gap_s = rng.uniform(0.0, 0.6)
             fault = Fault(at, kind, rng.uniform(0.05, 0.5), dispatchers, signals=signals, signal_gap_s=gap_s)
         case "reload":
@@ -158,13 +166,14 @@
 
 
 def shrink(scenario: Scenario, fails: Callable[[Scenario], bool]) -> Scenario:
-    """Leave out one fault after the other, as long as the scenario still fails.
+    """Return the scenario without the faults that it does not need to fail, tried one after the other.
 
-    The drain stays: without it no worker leaves.
+    The drain stays: without it no worker leaves the list. `fails` runs a scenario and returns whether it
+    failed.
     """
     for fault in [fault for fault in scenario.faults if fault.kind != "drain"]:
         others = [other for other in scenario.faults if other is not fault]
-        less = msgspec.structs.replace(scenario, faults=others)
-        if fails(less):
-            scenario = less
+        candidate = msgspec.structs.replace(scenario, faults=others)
+        if fails(candidate):
+            scenario = candidate
     return scenario
--- a/beaconhinge/standin/rig/topology.py
+++ b/beaconhinge/standin/rig/topology.py
@@ -21,17 +21,17 @@
 from .scenario import Scenario
 
 UNSAFE_CLASS = {"name": "transfer", "aim": 2.0, "hardLimit": 7.5, "semantics": "fragile"}
-# Of a dispatcher whose sockets are limited.
+# Memory limit of a dispatcher whose sockets are limited.
 MEMORY_MB = 192
-# Seconds in which a deduplication group drops a repeat.
+# Seconds after a job in which a deduplication group drops duplicates of it.
 DEDUPLICATION_WINDOW_S = 40.0
 
 
 class Topology:
-    """Everything that a run starts, wired to each other.
+    """The processes and stand-ins of a run, configured to reach each other.
 
-    Each dispatcher reaches a worker at an address of its own, and has a discovery server of its own: so a
-    fault can meet one of them alone, and a worker knows who sent a job.
+    Each worker has one address for each dispatcher, and each dispatcher has a discovery server of its own. So
+    a fault can hit a single dispatcher, and a worker knows which dispatcher sent a job.
     """
 
     def __init__(self, scenario: Scenario, folder: Path) -> None:
@@ -97,7 +97,7 @@
         )
 
     def _platform_config(self, number: int) -> dict[str, object]:
-        peers, everyone = self.links.addresses(number)
+        peers, all_peers = self.links.addresses(number)
         host, port = self._peer_addresses[number]
         return {
             "name": f"n{number}",
@@ -108,7 +108,7 @@
             "known": self.discoveries[number].whole(),
             "peer_listen": f"{host}:{port}",
             "peers": peers,
-            "peers_all": everyone,
+            "peers_all": all_peers,
             **self._limits(),
         }
 
@@ -127,7 +127,7 @@
             classes = [*classes, UNSAFE_CLASS]
             family = {**family, "classKind": [-1] * 3, "classStretch": [2.0] * 3}
         if self.scenario.longest_deadline_s:
-            classes = [{**one, "hardLimit": self.scenario.longest_deadline_s} for one in classes]
+            classes = [{**job_class, "hardLimit": self.scenario.longest_deadline_s} for job_class in classes]
         return {
             **SETTINGS,
             "requestClasses": classes,
@@ -150,7 +150,7 @@
         )
 
     def _environment(self, number: int) -> dict[str, str]:
-        """Every second process has system calls that fail, where the scenario wants that."""
+        """Return the environment of a process: with the shim in every second one, if the scenario has one."""
         if not self.scenario.system_calls or number % 2:
             return {}
         if self._shim_library is None:
@@ -164,18 +164,18 @@
         )
 
     def has_reached_worker(self, request_id: str) -> bool:
-        """Whether a worker has had the request of that id."""
+        """Return whether a worker has received the request with this id."""
         return any(deadline.request == request_id for worker in self.workers for deadline in worker.deadlines)
 
     def servers(self) -> list[Server]:
-        """All servers of the stand-ins: those of discovery first."""
+        """Return all servers of the stand-ins, those of discovery first."""
         return [
             *(discovery.server for discovery in self.discoveries),
             *(server for worker in self.workers for server in worker.servers),
         ]
 
     async def prepare_stores(self) -> None:
-        """Give each process the folder of one that has run for long: its journal of keys is complete."""
+        """Give each process a store like that of a long-running one, with a complete journal of keys."""
         await asyncio.gather(*(self._prepare_store(process) for process in self.processes))
 
     async def _prepare_store(self, process: Process) -> None:
