--- a/beaconhinge/standin/__init__.py
+++ b/beaconhinge/standin/__init__.py
@@ -1,1 +1,1 @@
-"""Stand-ins for what is outside: disks, script workers, discovery, clients. For tests, demo, rehearsals."""
+"""Stand-ins for disks, workers, discovery and clients, used by tests, the demo and rehearsals."""
--- a/beaconhinge/standin/clients.py
+++ b/beaconhinge/standin/clients.py
@@ -1,4 +1,4 @@
-"""Clients that ask on schedule, whatever the answers do, and count one final answer for each request."""
+"""Clients that send requests on schedule, whatever the answers are, and count each request's final answer."""
 
 from __future__ import annotations
 
@@ -12,13 +12,20 @@
 from ..net.http1 import BadMessage, Closed
 from .http import Caller
 
-# Seconds beyond a request's own time-out after which its answer counts as missing.
+# Seconds after a request's own time-out when its answer counts as missing.
 ANSWER_GRACE_S = 2.0
 
 
 @dataclass(frozen=True)
 class Kind:
-    """A class of requests: its part of the arrivals and how long a client waits."""
+    """A class of requests.
+
+    Attributes:
+        name: Name of the request class.
+        part: Weight of the class among the arrivals.
+        timeout_ms: Milliseconds that a client waits for the answer.
+        keyed: Whether each request has an idempotency key.
+    """
 
     name: str
     part: float
@@ -27,7 +34,7 @@
 
 
 class Clients:
-    """Clients of one dispatcher, whose requests come by a Poisson process."""
+    """Clients of one dispatcher, whose requests arrive by a Poisson process."""
 
     def __init__(
         self,
@@ -44,18 +51,18 @@
         self.random = random.Random(seed)
         self.asked = 0
         self.answers: Counter[str] = Counter()  # final answers by status; `missing` for none
-        self.by_class: Counter[tuple[str, str]] = Counter()
+        self.by_class: Counter[tuple[str, str]] = Counter()  # the same by class and status
         self.waits: list[float] = []  # seconds to each answer 200
         self._open: set[asyncio.Task[None]] = set()
 
     async def run(self, seconds: float) -> None:
-        """Ask for so many seconds, then wait for what is open still."""
+        """Send requests for `seconds`, then wait for the open ones and close all connections."""
         loop = asyncio.get_running_loop()
         end = due = loop.time()
         end += seconds
         while (due := due + self.random.expovariate(self.rate)) < end:
             await asyncio.sleep(max(0.0, due - loop.time()))
-            task = asyncio.create_task(self._ask())
+            task = asyncio.create_task(self._send_request())
             self._open.add(task)
             task.add_done_callback(self._open.discard)
         if self._open:
@@ -64,33 +71,33 @@
 
     @property
     def open(self) -> int:
-        """Requests without an answer yet."""
+        """Number of requests without an answer yet."""
         return len(self._open)
 
-    async def _ask(self) -> None:
+    async def _send_request(self) -> None:
         self.asked += 1
         kind = self.random.choices(self.kinds, [k.part for k in self.kinds])[0]
         tenant = self.random.choices([t for t, _ in self.tenants], [part for _, part in self.tenants])[0]
-        number = f"{self.random.getrandbits(64):016x}"
-        head = {
+        request_id = f"{self.random.getrandbits(64):016x}"
+        headers = {
             "Host": "service",
-            "X-Request-ID": number,
+            "X-Request-ID": request_id,
             "X-Tenant-Id": tenant,
             "X-Timeout-Ms": str(kind.timeout_ms),
             "Content-Length": "4",
         }
         if kind.keyed:
-            head["Idempotency-Key"] = number * 2
-        begun = asyncio.get_running_loop().time()
+            headers["Idempotency-Key"] = request_id * 2
+        sent_at = asyncio.get_running_loop().time()
         status = "missing"
         try:
             async with asyncio.timeout(kind.timeout_ms / 1000 + ANSWER_GRACE_S):
-                data = http1.request("POST", f"/{kind.name}".encode(), head, b"work")
-                message = await self.caller.ask(data)
+                data = http1.request("POST", f"/{kind.name}".encode(), headers, b"work")
+                message = await self.caller.call_with_retry(data)
             status = str(message.status)
         except (OSError, Closed, BadMessage):  # a time-out is an OSError too
             pass
         self.answers[status] += 1
         self.by_class[kind.name, status] += 1
         if status == "200":
-            self.waits.append(asyncio.get_running_loop().time() - begun)
+            self.waits.append(asyncio.get_running_loop().time() - sent_at)
--- a/beaconhinge/standin/committer.py
+++ b/beaconhinge/standin/committer.py
@@ -1,9 +1,9 @@
-"""A process that commits without end and prints what was acknowledged, to be killed.
+"""A process that commits until it is killed, and prints what was acknowledged.
 
     python -m beaconhinge.standin.committer FOLDER START
 
-Each batch holds two keys of one number, so that half a batch shows; every tenth deletes an earlier one. A
-line is written only after its commit has returned.
+Each batch puts the two keys of one number, so that a half-written batch can be detected. After every tenth
+number, a batch deletes an earlier one. A line is written only after its commit has returned.
 """
 
 from __future__ import annotations
@@ -24,7 +24,7 @@
 
 
 async def run(folder: str, start: int) -> None:
-    """Commit from a number on, with several writers, until killed."""
+    """Commit the numbers from `start` on, with several writers, until killed."""
     store = Store.open(folder, OPTIONS)
     os.write(1, b"open\n")
     numbers = iter(range(start, 10**9))
@@ -35,9 +35,9 @@
             await store.commit([Put(first, b"%d" % number * 20), Put(second, b"%d" % number * 20)])
             os.write(1, b"put %d\n" % number)
             if number % 10 == 0:
-                gone = number - 100
-                await store.commit([Delete(key) for key in keys(gone)])
-                os.write(1, b"gone %d\n" % gone)
+                deleted = number - 100
+                await store.commit([Delete(key) for key in keys(deleted)])
+                os.write(1, b"gone %d\n" % deleted)
 
     await asyncio.gather(*(write() for _ in range(WRITERS)))
 
--- a/beaconhinge/standin/discovery.py
+++ b/beaconhinge/standin/discovery.py
@@ -1,4 +1,4 @@
-"""Discovery: the list of workers, whole or as a watch that waits for changes; its answers can be spoilt."""
+"""A stand-in for discovery: serves the list of workers, whole or by watch, with answers spoilt on demand."""
 
 from __future__ import annotations
 
@@ -13,36 +13,37 @@
 from ..net.http1 import Message
 from .http import Paced, Server
 
-# From the first byte of an answer to its last while answers are slow.
+# Seconds from the first byte of a slow answer to its last.
 SLOW_ANSWER_S = 2.0
-# From the changed entries, which are written at once, to the last of the entries that follow.
+# Seconds from the changed entries, which are written at once, to the last of the unchanged ones.
 TRICKLE_S = 2.4
+# Spaces by which JSON is indented in answers that stop within an entry.
 INDENT = 2
-# From a call for the whole list to its answer, while discovery is crowded.
+# Seconds from a read of the whole list to its answer, while discovery is overloaded.
 SLOW_READ_S = 0.65
 
 
 class ReadFault(enum.Enum):
-    """How a crowded discovery treats calls for the whole list. Calls with an index are answered at once."""
+    """How an overloaded discovery treats reads of the whole list. Calls with an index are not delayed."""
 
-    LATE = "late"  # answered SLOW_READ_S after they came, with the list as it is then
-    STALE = "stale"  # the same, with the list as it was when they came
+    LATE = "late"  # answered SLOW_READ_S after its arrival, with the list as it is then
+    STALE = "stale"  # answered SLOW_READ_S after its arrival, with the list as it was at its arrival
     SILENT = "silent"  # never answered
     REFUSED = "refused"  # answered 503 at once
-    RESET = "reset"  # the connection ends
+    RESET = "reset"  # the connection is closed without an answer
 
     @property
     def answers(self) -> bool:
-        """Whether the whole list comes in the end."""
+        """Whether a read is answered with the whole list in the end."""
         return self in (ReadFault.LATE, ReadFault.STALE)
 
 
 class WatchEnd(enum.Enum):
     """How a watch ended."""
 
-    ANSWERED = enum.auto()  # there is news, or its time is over
-    SILENT = enum.auto()
-    REPLACED = enum.auto()  # by a further call with an index
+    ANSWERED = enum.auto()  # the list has changed, or the watch's waiting time is over
+    SILENT = enum.auto()  # the watch was muted, and is never answered
+    REPLACED = enum.auto()  # a further call with an index has replaced the watch
 
 
 class Spoil(enum.Enum):
@@ -51,23 +52,25 @@
     All but SLOW_BODY and ID_AND_STATE leave answers of the whole list as they are.
     """
 
-    NO_ENTRIES = "no-entries"  # changes: the new version, and none of the entries
-    MISSING_ENTRY = "missing-entry"  # changes: the last of the entries is left out
-    OLD_CONTENT = "old-content"  # in place of changes: all entries as they were, under the new version
-    ID_AND_STATE = "id-and-state"  # entries that ever changed carry nothing else, whole lists too
+    NO_ENTRIES = "no-entries"  # answers with changes have the new version, but no entries
+    MISSING_ENTRY = "missing-entry"  # answers with changes omit the last changed entry
+    OLD_CONTENT = (
+        "old-content"  # answers with changes have all entries before the change, and the new version
+    )
+    ID_AND_STATE = "id-and-state"  # entries that ever changed have only id and state, in whole lists too
     SLOW_BODY = "slow-body"  # every answer takes SLOW_ANSWER_S from its first byte to its last
-    CUT_BODY = "cut-body"  # changes: the connection ends in the middle of the entries
-    # Changes whose entries are all written at once, though the answer does not end, or ends late:
-    NO_LENGTH = "no-length"  # no length is given, and the connection stays open
-    LENGTH_TOO_LONG = "length-too-long"  # by one byte, which never comes
-    NO_LAST_CHUNK = "no-last-chunk"  # one chunk with all of it, and nothing after it
-    MISSING_BRACE = "missing-brace"  # the last one never comes
-    STOPS_IN_ENTRY = "stops-in-entry"  # an entry without a change follows, indented, and stops in its middle
-    TRICKLE = "trickle"  # the entries without a change follow in TRICKLE_S, and the answer ends well
+    CUT_BODY = "cut-body"  # answers with changes end with a closed connection in the middle of the entries
+    # In the following, all changed entries are written at once, but the answer never ends or ends late:
+    NO_LENGTH = "no-length"  # the answer states no length, and the connection stays open
+    LENGTH_TOO_LONG = "length-too-long"  # the stated length is too long by one byte, which is never sent
+    NO_LAST_CHUNK = "no-last-chunk"  # the answer is one chunk, without the last chunk of length 0
+    MISSING_BRACE = "missing-brace"  # the last closing brace is never sent
+    STOPS_IN_ENTRY = "stops-in-entry"  # an unchanged entry follows, and the answer stops in its middle
+    TRICKLE = "trickle"  # the unchanged entries follow within TRICKLE_S, and the answer is complete
 
     @property
     def writes_changes_at_once(self) -> bool:
-        """Whether changed entries are written whole as soon as they are asked for."""
+        """Whether all changed entries are written completely as soon as the call is answered."""
         return self in _CHANGES_AT_ONCE
 
 
@@ -84,60 +87,64 @@
 
 
 class Discovery:
-    """The list of workers at one address; `spoil` says how answers are spoilt now, if they are.
+    """Serves a list of workers at one address. `spoil` says how answers are spoilt now; None if they are not.
 
-    It keeps one watch: a further call with an index ends the one that is open with 503.
+    There is one open watch at most: a further call with an index ends the open watch with 503.
     """
 
     def __init__(self, servers: list[dict[str, object]]) -> None:
         self.servers = {str(entry["id"]): entry for entry in servers}
         self.version = 1
         self.server = Server(self._answer)
-        self.is_out = False  # it takes calls, and closes their connections without an answer
-        self.open_watches = 0  # watches that are open
+        self.is_down = False  # whether connections are closed without an answer once a call is read
+        self.open_watches = 0
         self.spoil: Spoil | None = None
         self.spoilt_answers = 0
         self.read_fault: ReadFault | None = None
-        self.faulty_reads = 0
-        self.read_came = asyncio.Event()  # set by each call for the whole list
+        self.faulty_reads = 0  # reads that met a read fault
+        self.read_received = asyncio.Event()  # set by each read of the whole list
         self._mute_event = asyncio.Event()
         self._replaced_event = asyncio.Event()
         self.calls = 0
-        self._changed: dict[str, int] = {}  # the version in which an entry last changed
-        self._before = copy.deepcopy(self.servers)  # the entries as they were before the last change
+        self._changed: dict[str, int] = {}  # the version in which an entry last changed, by its id
+        self._before = copy.deepcopy(self.servers)  # the entries before the last change
         self._changed_event = asyncio.Event()
 
     def change(self, names: str | Sequence[str], **fields: object) -> None:
-        """Change one or more entries in one new version, and notify those who watch."""
+        """Set fields of one or more entries in one new version of the list, and answer the open watches."""
         self.version += 1
         self._before = copy.deepcopy(self.servers)
         for name in [names] if isinstance(names, str) else names:
             self.servers[name] = {**self.servers[name], **fields}
             self._changed[name] = self.version
-        self._wake()
+        self._wake_watches()
 
-    def whole(self) -> dict[str, object]:
-        """Return the whole list, as an answer has it."""
+    def whole_list(self) -> dict[str, object]:
+        """Return the whole list, in the form of an answer's content."""
         return {"version": self.version, "full": True, "servers": list(self.servers.values())}
 
-    def _wake(self) -> None:
-        """All open watches have their answer."""
+    def _wake_watches(self) -> None:
+        """Let all open watches be answered."""
         self._changed_event.set()
         self._changed_event = asyncio.Event()
 
-    def take_out(self) -> None:
-        """Be out from now on: open watches end."""
-        self.is_out = True
-        self._wake()
+    def take_down(self) -> None:
+        """Be unavailable from now on; the connections of open watches are closed."""
+        self.is_down = True
+        self._wake_watches()
 
     def mute(self) -> int:
-        """Let all open watches fall silent, as if their connections led nowhere; return how many."""
+        """Never answer the open watches, as if their connections led nowhere. Return their number."""
         self._mute_event.set()
         self._mute_event = asyncio.Event()
         return self.open_watches
 
     async def _wait(self, seconds: float) -> WatchEnd:
-        """Until there is news, or so long, or another call takes the watch's place."""
+        """Wait for a change of the list, at most `seconds`, or until the watch is muted or replaced.
+
+        Returns:
+            How the watch ended.
+        """
         events = (self._changed_event, self._mute_event, self._replaced_event)
         waits = [asyncio.ensure_future(event.wait()) for event in events]
         self.open_watches += 1
@@ -153,7 +160,7 @@
 
     async def _answer(self, message: Message) -> bytes | Paced | None:
         self.calls += 1
-        if self.is_out:
+        if self.is_down:
             return None
         path, _, query = message.target.decode("latin-1").partition("?")
         if path != "/discovery/hosts":
@@ -165,7 +172,7 @@
             self._replaced_event.set()
             self._replaced_event = asyncio.Event()
         if since is None:
-            self.read_came.set()
+            self.read_received.set()
             if self.read_fault is not None:
                 return await self._answer_faulty_read(self.read_fault)
         elif wait_s and since >= self.version:
@@ -173,15 +180,15 @@
             if end is WatchEnd.REPLACED:
                 return http1.response(503)
             if end is WatchEnd.SILENT:
-                await asyncio.Event().wait()  # nothing more comes on this connection
-        if self.is_out:
+                await asyncio.Event().wait()  # forever: nothing more is sent on this connection
+        if self.is_down:
             return None
         return self._answer_by_list(since)
 
     def _answer_by_list(self, since: int | None) -> bytes | Paced:
-        """The changes after a version, or the whole list."""
+        """Return an answer with the changes after version `since`, or with the whole list if it is None."""
         if since is None:
-            return self._encode(self.whole(), changes=False)
+            return self._encode(self.whole_list(), changes=False)
         changed = [self.servers[name] for name, version in self._changed.items() if version > since]
         return self._encode({"version": self.version, "full": False, "servers": changed}, bool(changed))
 
@@ -198,13 +205,16 @@
         return stale if fault is ReadFault.STALE else self._answer_by_list(None)
 
     def _encode(self, content: dict[str, object], changes: bool) -> bytes | Paced:
-        """The answer's bytes, spoilt where spoilt answers are ordered and it holds `changes`."""
+        """Return the answer with this content, spoilt if `spoil` applies to it.
+
+        `changes` says whether the content is a non-empty list of changes.
+        """
         spoil = self.spoil
         if spoil is None or not changes and spoil not in (Spoil.SLOW_BODY, Spoil.ID_AND_STATE):
             return http1.response(200, json.dumps(content).encode())
         self.spoilt_answers += 1
         if spoil.writes_changes_at_once:
-            return self._unended(spoil, content)
+            return self._late_or_endless_answer(spoil, content)
         answer = http1.response(200, json.dumps(self._spoilt_content(spoil, content)).encode())
         if spoil is Spoil.SLOW_BODY:
             return Paced(answer, SLOW_ANSWER_S)
@@ -212,8 +222,8 @@
             return Paced(answer[: -len(answer) // 4], 0.0, cut=True)
         return answer
 
-    def _unended(self, spoil: Spoil, content: dict[str, object]) -> Paced:
-        """An answer with all changes written at once, and no end, or a late one."""
+    def _late_or_endless_answer(self, spoil: Spoil, content: dict[str, object]) -> Paced:
+        """Return an answer whose changes are all written at once, and which never ends or ends late."""
         body = json.dumps(content).encode()
         if spoil is Spoil.NO_LENGTH:
             return Paced(b"", 0.0, at_once=_head() + body)
@@ -229,7 +239,7 @@
         others = [entry for name, entry in self.servers.items() if name not in changed]
         indent = INDENT if spoil is Spoil.STOPS_IN_ENTRY else None
         body = json.dumps({**content, "servers": servers + others}, indent=indent).encode()
-        # The separator and brace before the first of the others stay unwritten for now.
+        # Only up to the last changed entry: the separator and brace before the first unchanged entry wait.
         at_once = body.index(json.dumps(others[0]["id"]).encode()) if others else len(body)
         at_once = body.rindex(b"}", 0, at_once) + 1
         if spoil is Spoil.TRICKLE:
@@ -258,9 +268,9 @@
 
 
 def _head(length: int | None = None) -> bytes:
-    """The head of an answer of this length; of one without a stated length if it is None."""
-    stated = b"" if length is None else b"Content-Length: %d\r\n" % length
-    return b"HTTP/1.1 200 OK\r\n" + stated + b"\r\n"
+    """Return the head of an answer with a body of this many bytes; without a stated length if it is None."""
+    length_header = b"" if length is None else b"Content-Length: %d\r\n" % length
+    return b"HTTP/1.1 200 OK\r\n" + length_header + b"\r\n"
 
 
 def _chunked_head() -> bytes:
--- a/beaconhinge/standin/disk.py
+++ b/beaconhinge/standin/disk.py
@@ -1,9 +1,9 @@
-"""A disk in memory that keeps only what was synced: it cuts, tears, loses, fills up and flips bits on demand.
+"""A simulated disk in memory, with power cuts, torn and lost writes, a full disk and flipped bits on demand.
 
-It separates what was written from what was synced. At a cut any part of the rest is left: each unsynced write
-whole, torn at a byte, or not at all, in any order; names that were created, renamed or removed with or
-without effect. One seed replays a run. The model is the harshest that POSIX allows short of lying about a
-sync; `flip` and `fail` do that.
+It separates what was written from what was synced. After a power cut only synced data is sure to be there. Of
+the rest, each write survives completely, torn at a byte, or not at all, in any order; each creation, renaming
+or removal of a name survives or not. A seed reproduces a run. The model is the harshest that POSIX allows,
+except that a sync never falsely reports success; `flip` and `failing` simulate disks that break POSIX.
 """
 
 from __future__ import annotations
@@ -15,14 +15,15 @@
 from dataclasses import dataclass, field
 from typing import TypeAlias
 
-# Size of a block that is lost from the middle of a write: small, as the tests' writes are.
+# Size in bytes of a block that is lost from the middle of a write; small, because the tests write little.
 HOLE_BYTES = 16
-# Draws from which on a change survives a cut.
+# Smallest drawn number at which a change of names survives a power cut, and an incomplete write has a hole
+# instead of a torn end.
 KEEP_FROM = 0.5
 
 
 class Cut(BaseException):
-    """The power is gone. No code of the store may catch it, nor run on after it."""
+    """The power was cut. No code of the store may catch it, nor go on after it."""
 
 
 @dataclass(slots=True)
@@ -64,7 +65,8 @@
 _NameChange: TypeAlias = _Link | _Unlink | _Rename
 
 
-def _do(content: bytearray, op: _Write | _Truncate) -> None:
+def _apply(content: bytearray, op: _Write | _Truncate) -> None:
+    """Apply an operation to a file's content."""
     if isinstance(op, _Truncate):
         del content[op.size :]
         content.extend(bytes(op.size - len(content)))
@@ -73,7 +75,8 @@
     content[op.offset : op.offset + len(op.data)] = op.data
 
 
-def _do_name(names: dict[str, _Inode], change: _NameChange) -> None:
+def _apply_name_change(names: dict[str, _Inode], change: _NameChange) -> None:
+    """Apply a change of names to a folder."""
     if isinstance(change, _Link):
         names[change.name] = change.inode
     elif isinstance(change, _Unlink):
@@ -83,16 +86,16 @@
         names[change.new] = change.inode
 
 
-# An int: a write that stops after so many bytes.
+# A fault of an operation: the error that it raises, or the number of bytes after which a write stops.
 Fault: TypeAlias = "OSError | int"
 
 
-def _no_fault(_what: str, _name: str, _size: int) -> Fault | None:
+def _no_fault(_operation: str, _name: str, _size: int) -> Fault | None:
     return None
 
 
 class SimFile:
-    """An open file of the disk in memory."""
+    """An open file of the simulated disk."""
 
     def __init__(self, disk: SimDisk, name: str, inode: _Inode) -> None:
         self._disk = disk
@@ -100,46 +103,47 @@
         self._inode = inode
 
     def write(self, data: bytes | memoryview, offset: int) -> int:
-        """Write at an offset; return how many bytes, which a fault may make fewer.
+        """Write at an offset in bytes; return the number of bytes written, which a fault may make smaller.
 
         Raises:
-            Cut: The power went.
-            OSError: A fault.
+            Cut: The power was cut.
+            OSError: A simulated fault.
         """
         data = bytes(data)
         fault = self._disk.step("write", self._name, len(data))
         if fault is not None:
             data = data[:fault]
-        self._put(_Write(offset, data))
+        self._record(_Write(offset, data))
         self._disk.used += len(data)
         if fault is not None and self._disk.cutting:
             raise Cut
         return len(data)
 
     def read(self, offset: int, size: int) -> bytes:
-        """Read up to so many bytes; raise OSError if the file is unreadable."""
+        """Return up to `size` bytes from an offset; raise OSError if the file is unreadable."""
         if self._name in self._disk.unreadable:
             raise OSError(errno.EIO, "unreadable")
         return bytes(self._inode.current[offset : offset + size])
 
     def size(self) -> int:
-        """Return the size in bytes."""
+        """Return the file's size in bytes."""
         return len(self._inode.current)
 
     def truncate(self, size: int) -> None:
-        """Set the size; a hole reads as zeros."""
+        """Set the file's size in bytes; a hole reads as zeros."""
         self._disk.step("truncate", self._name)
         self._disk.used -= len(self._inode.current) - size
-        self._put(_Truncate(size))
+        self._record(_Truncate(size))
 
     def sync(self) -> None:
-        """Make what was written so far durable."""
+        """Make all writes to the file so far durable."""
         self._disk.step("sync", self._name)
         self._inode.synced = bytearray(self._inode.current)
         self._inode.pending.clear()
 
-    def _put(self, op: _Write | _Truncate) -> None:
-        _do(self._inode.current, op)
+    def _record(self, op: _Write | _Truncate) -> None:
+        """Apply an operation, and keep it as pending until the next sync."""
+        _apply(self._inode.current, op)
         self._inode.pending.append(op)
 
     def close(self) -> None:
@@ -148,37 +152,46 @@
 
 
 class SimDisk:
-    """One folder.
+    """One folder on a simulated disk.
 
-    `cut_at` is the operation before which the power goes, and for a write, `cut_byte` the byte of it.
+    The power is cut before the operation with the number `cut_at`, or, if that is a write, after its first
+    `cut_byte` bytes; never if `cut_at` is None.
     """
 
     def __init__(self, cut_at: int | None = None, cut_byte: int = 0) -> None:
         self.cut_at = cut_at
         self.cut_byte = cut_byte
         self.cutting = False
-        self.steps = 0
-        self.log: list[tuple[str, str, int]] = []  # of operations: what, file, bytes
+        self.steps = 0  # number of operations so far that change the disk
+        self.log: list[tuple[str, str, int]] = []  # these operations: kind, file, bytes
         self.faults: Callable[[str, str, int], Fault | None] = _no_fault
         self.unreadable: set[str] = set()
-        self.used = 0
+        self.used = 0  # bytes
         self._names: dict[str, _Inode] = {}
         self._synced: dict[str, _Inode] = {}
-        self._changes: list[_NameChange] = []
+        self._changes: list[_NameChange] = []  # since the names were last synced
         self._locked = False
 
-    def step(self, what: str, name: str, size: int = 0) -> int | None:
-        """Count an operation that changes the disk; return the bytes that a write stops after, if it does."""
+    def step(self, operation: str, name: str, size: int = 0) -> int | None:
+        """Record an operation that changes the disk, and apply the cut or fault that is due.
+
+        Returns:
+            The number of bytes after which a write stops; None if the operation is not cut short.
+
+        Raises:
+            Cut: The power is cut.
+            OSError: A simulated fault.
+        """
         if self.cutting:
             raise Cut
         number, self.steps = self.steps, self.steps + 1
-        self.log.append((what, name, size))
+        self.log.append((operation, name, size))
         if number == self.cut_at:
             self.cutting = True
-            if what != "write":
+            if operation != "write":
                 raise Cut
             return self.cut_byte
-        fault = self.faults(what, name, size)
+        fault = self.faults(operation, name, size)
         if isinstance(fault, OSError):
             raise fault
         return fault
@@ -186,7 +199,7 @@
     # ---- the interface of beaconhinge.store.disk.Disk ------------------------------------------------------
 
     def lock(self) -> None:
-        """Lock the folder; raise BlockingIOError if it is."""
+        """Lock the folder; raise BlockingIOError if it is locked already."""
         if self._locked:
             raise BlockingIOError
         self._locked = True
@@ -200,7 +213,7 @@
         return sorted(self._names)
 
     def create(self, name: str) -> SimFile:
-        """Create a file and open it; raise FileExistsError if there is one."""
+        """Create a file and return it open; raise FileExistsError if the name exists."""
         self.step("create", name)
         if name in self._names:
             raise FileExistsError(name)
@@ -209,18 +222,18 @@
         return SimFile(self, name, inode)
 
     def open(self, name: str, write: bool = False) -> SimFile:  # noqa: ARG002 - the interface has it
-        """Open a file; raise FileNotFoundError if there is none."""
+        """Return an open file; raise FileNotFoundError if the name does not exist."""
         if name not in self._names:
             raise FileNotFoundError(name)
         return SimFile(self, name, self._names[name])
 
     def rename(self, old: str, new: str) -> None:
-        """Rename a file; the other one of that name goes."""
+        """Rename a file; a file that has the new name is removed."""
         self.step("rename", new)
         self._change(_Rename(old, new, self._names[old]))
 
     def remove(self, name: str) -> None:
-        """Remove a file; raise FileNotFoundError if there is none."""
+        """Remove a file; raise FileNotFoundError if the name does not exist."""
         self.step("remove", name)
         if name not in self._names:
             raise FileNotFoundError(name)
@@ -234,49 +247,54 @@
         self._changes.clear()
 
     def _change(self, change: _NameChange) -> None:
-        _do_name(self._names, change)
+        _apply_name_change(self._names, change)
         self._changes.append(change)
 
     # ---- cuts and damage -----------------------------------------------------------------------------------
 
     def after_cut(self, keep: Callable[[], float]) -> SimDisk:
-        """Return what is found at the next start.
+        """Return the disk as it is found at the next start after a power cut.
 
-        `keep` draws a number for each thing that was not synced: it is lost below 1/3, complete above 2/3,
-        and a write is torn or has a hole in between.
+        `keep` draws a number from 0 to 1 for each unsynced operation. A write or truncation is lost below 1/3
+        and complete from 2/3 on; in between, a write is torn below KEEP_FROM and has a hole from there on. A
+        change of names is lost below KEEP_FROM.
         """
         survivor = SimDisk()
         copies: dict[_Inode, _Inode] = {}
         names = dict(self._synced)
         for change in self._changes:
             if keep() >= KEEP_FROM:
-                _do_name(names, change)
+                _apply_name_change(names, change)
         for name, inode in names.items():
             if inode not in copies:
-                copies[inode] = self._survivor(inode, keep)
+                copies[inode] = self._surviving_inode(inode, keep)
             survivor._names[name] = copies[inode]
         survivor._synced = dict(survivor._names)
         return survivor
 
     @staticmethod
-    def _survivor(inode: _Inode, keep: Callable[[], float]) -> _Inode:
+    def _surviving_inode(inode: _Inode, keep: Callable[[], float]) -> _Inode:
+        """Return the file that a power cut leaves; `keep` as in `after_cut`."""
         content = bytearray(inode.synced)
         for op in inode.pending:
             drawn = keep()
             if drawn < 1 / 3:
                 continue
             if isinstance(op, _Write) and drawn < 2 / 3:
-                # Its blocks reach the disk in any order: it stops short, or a block in its middle is lost.
+                # The blocks of a write reach the disk in any order: its end or a block in its middle is lost.
                 part = int((drawn * 6 - 2) % 1 * (len(op.data) + 1))
-                _do(content, _Write(op.offset, op.data[:part] if drawn < KEEP_FROM else op.data))
+                _apply(content, _Write(op.offset, op.data[:part] if drawn < KEEP_FROM else op.data))
                 if drawn >= KEEP_FROM:
-                    _do(content, _Write(op.offset + part, bytes(min(HOLE_BYTES, len(op.data) - part))))
+                    _apply(content, _Write(op.offset + part, bytes(min(HOLE_BYTES, len(op.data) - part))))
                 continue
-            _do(content, op)
+            _apply(content, op)
         return _Inode(bytearray(content), content)
 
     def killed(self) -> SimDisk:
-        """Return what is found after the process alone has died: everything, synced or not as before."""
+        """Return the disk as it is found after only the process has died.
+
+        All writes are there; those that were not synced before are not synced yet.
+        """
         survivor = SimDisk()
         copies: dict[_Inode, _Inode] = {}
         for inode in [
@@ -299,7 +317,7 @@
         return survivor
 
     def torn(self, name: str, byte: int) -> SimDisk:
-        """Return `killed`, with the last write to a file stopped after so many bytes."""
+        """Return the disk as `killed` does, but with the last write to a file stopped after `byte` bytes."""
         survivor = self.killed()
         inode = survivor._names[name]
         last = inode.pending[-1]
@@ -307,15 +325,15 @@
         last = inode.pending[-1] = _Write(last.offset, last.data[:byte])
         inode.current = bytearray(inode.synced)
         for op in inode.pending:
-            _do(inode.current, op)
+            _apply(inode.current, op)
         return survivor
 
     def content(self, name: str) -> bytes:
-        """Return what a reader sees of a file."""
+        """Return a file's content as a reader sees it, synced or not."""
         return bytes(self._names[name].current)
 
     def put(self, name: str, content: bytes) -> None:
-        """Place a file, durable, as if somebody had copied it in."""
+        """Create or replace a file durably, as if somebody had copied it into the folder."""
         self._names[name] = self._synced[name] = _Inode(bytearray(content), bytearray(content))
 
     def drop(self, name: str) -> None:
@@ -323,22 +341,25 @@
         del self._names[name], self._synced[name]
 
     def flip(self, name: str, offset: int, bit: int) -> None:
-        """Change one bit for good."""
+        """Flip one bit of a file, durably."""
         inode = self._names[name]
         for content in (inode.current, inode.synced):
             content[offset] ^= 1 << bit
 
     def fresh(self) -> SimDisk:
-        """Return the same files, all of them durable, on a disk without a past."""
+        """Return a new disk with the same files, all of them durable, and without log, cuts or faults."""
         return self.killed().after_cut(lambda: 1.0)
 
 
 def full(after_bytes: int, disk: SimDisk) -> Callable[[str, str, int], Fault | None]:
-    """Faults of a disk that holds so many more bytes: a write stops at the edge, the next one gets ENOSPC."""
+    """Return the faults of a disk that is full after `after_bytes` more bytes.
+
+    The write that reaches the limit stops there, and the next one gets ENOSPC.
+    """
     limit = disk.used + after_bytes
 
-    def fault(what: str, _name: str, size: int) -> Fault | None:
-        if what != "write" or disk.used + size <= limit:
+    def fault(operation: str, _name: str, size: int) -> Fault | None:
+        if operation != "write" or disk.used + size <= limit:
             return None
         return limit - disk.used or OSError(errno.ENOSPC, os.strerror(errno.ENOSPC))
 
@@ -346,11 +367,18 @@
 
 
 def failing(what: str, code: int, times: int = 1, name: str = "") -> Callable[[str, str, int], Fault | None]:
-    """Faults that let the first operations of a kind (on files whose names end so) fail with an errno."""
+    """Return faults by which the first `times` operations of a kind fail.
+
+    Args:
+        what: Kind of the operations.
+        code: The errno that they fail with.
+        times: Number of operations that fail.
+        name: Suffix of the names of the files that are affected.
+    """
     remaining = [times]
 
-    def fault(done: str, file: str, _size: int) -> Fault | None:
-        if done != what or not file.endswith(name) or not remaining[0]:
+    def fault(operation: str, file: str, _size: int) -> Fault | None:
+        if operation != what or not file.endswith(name) or not remaining[0]:
             return None
         remaining[0] -= 1
         return OSError(code, os.strerror(code))
@@ -359,14 +387,18 @@
 
 
 def draws(kind: str | int) -> Callable[[], float]:
-    """How a cut treats what was not synced: "all" is kept, "none" is, or as a seed decides."""
+    """Return the draws that `SimDisk.after_cut` takes.
+
+    With "all" every unsynced operation survives a power cut, with "none" no such operation does. With an int,
+    random draws with that seed decide.
+    """
     if isinstance(kind, str):
         return {"all": lambda: 1.0, "none": lambda: 0.0}[kind]
     return random.Random(kind).random
 
 
 def cuts(log: Sequence[tuple[str, str, int]]) -> Iterator[tuple[int, int]]:
-    """Every place at which a recorded run can be cut: before each operation, and at every byte of a write."""
-    for number, (what, _, size) in enumerate(log):
-        for byte in range(size + 1) if what == "write" else (0,):
+    """Yield every `cut_at` and `cut_byte` of a recorded run: each operation, and each byte of a write."""
+    for number, (operation, _, size) in enumerate(log):
+        for byte in range(size + 1) if operation == "write" else (0,):
             yield number, byte
--- a/beaconhinge/standin/harness.py
+++ b/beaconhinge/standin/harness.py
@@ -1,4 +1,4 @@
-"""A dispatcher as a process among stand-in discovery, workers and clients on free loopback ports."""
+"""Runs a dispatcher process with stand-in discovery, workers and clients on free loopback ports."""
 
 from __future__ import annotations
 
@@ -54,19 +54,34 @@
         "mostHeld": 2000,
     },
 }
-# That a dispatcher may take to be up, and to end.
+# Most seconds that a dispatcher may take until it is up.
 START_TIMEOUT_S = 10.0
+# Most seconds that it may take from the signal to its end.
 END_TIMEOUT_S = 10.0
 HTTP_OK = 200
 UP_POLL_S = 0.02
 
 
 class SceneError(Error):
-    """The dispatcher did not start, or did not end as it should."""
+    """The dispatcher ended while it started, or was not up in time."""
 
 
 class Figures(msgspec.Struct):
-    """What a run came to. `missing`: requests that never got their one final answer."""
+    """The figures of a run; the fields are the keys of its JSON.
+
+    Attributes:
+        seconds: Seconds in which clients sent requests.
+        asked: Number of requests sent.
+        served: Number of requests answered 200.
+        refused: Number of requests answered 503.
+        failed: Number of requests answered 502.
+        missing: Number of requests that never got a final answer.
+        other: Number of requests answered with any other status.
+        median_ms: Median time to an answer 200, in milliseconds.
+        p99_ms: 99th percentile of the time to an answer 200, in milliseconds.
+        jobs_run: Number of job runs on all workers.
+        exit_status: The dispatcher's exit status.
+    """
 
     seconds: float
     asked: int
@@ -82,12 +97,15 @@
 
     @property
     def well(self) -> bool:
-        """Each request got one final answer, and the dispatcher ended in order."""
+        """Whether requests were sent, all got 200, 502 or 503, and the dispatcher ended with status 0."""
         return not self.missing and not self.other and self.exit_status == 0 and self.asked > 0
 
 
 async def start(environment: Mapping[str, str], *options: str) -> asyncio.subprocess.Process:
-    """A dispatcher as a process; its log comes on standard error."""
+    """Start a dispatcher with these variables and interpreter options; return its process.
+
+    Its log can be read from the process's `stderr`.
+    """
     return await asyncio.create_subprocess_exec(
         sys.executable,
         *options,
@@ -101,10 +119,15 @@
 async def until_up(
     process: asyncio.subprocess.Process, port: int, lines: Sequence[Mapping[str, Any]]
 ) -> None:
-    """Wait until the dispatcher is up; `lines` are its log so far.
+    """Wait until the dispatcher is up.
+
+    Args:
+        process: The dispatcher.
+        port: Port that the dispatcher listens on.
+        lines: The dispatcher's log, to which lines are added meanwhile; the error quotes the last one.
 
     Raises:
-        SceneError: It ended, or is not up in time.
+        SceneError: The dispatcher ended, or is not up in time.
     """
     caller, request = Caller(port), http1.request("GET", b"/up", {"Host": "x"})
     try:
@@ -134,7 +157,7 @@
 
 
 async def log_lines(process: asyncio.subprocess.Process) -> AsyncIterator[dict[str, Any]]:
-    """What a dispatcher whose log is JSON tells on its standard error; other lines as an event `unread`."""
+    """Yield the log lines of a dispatcher that logs JSON, any other line as an event `unread`."""
     assert process.stderr is not None
     async for line in process.stderr:
         try:
@@ -144,7 +167,7 @@
 
 
 class DemoFleet:
-    """A dispatcher as a process, and the stand-ins around it."""
+    """A dispatcher process, with the stand-ins that it works with."""
 
     def __init__(self, worker_count: int, rate: float, seed: int, folder: Path) -> None:
         self.port = free_port()
@@ -154,24 +177,24 @@
         entries = [worker.entry("ab"[i % 2], "plain", i % 3) for i, worker in enumerate(self.workers)]
         self.discovery = Discovery(entries)
         self.clients = Clients(self.port, KINDS, TENANTS, rate, seed)
-        self.counters: dict[str, int] = {}  # of the dispatcher, as last logged
-        self.lines: list[Mapping[str, Any]] = []  # its log
+        self.counters: dict[str, int] = {}  # the dispatcher's counters, as last logged
+        self.lines: list[Mapping[str, Any]] = []  # the dispatcher's log
         self.process: asyncio.subprocess.Process
 
     def platform(self, **more: object) -> dict[str, object]:
-        """Return the platform's configuration of the dispatcher."""
+        """Return the platform's configuration of the dispatcher, with `more` keys added or replaced."""
         return {
             "name": "demo",
             "listen": f"127.0.0.1:{self.port}",
             "seed": 1,
             "settings": SETTINGS,
             "discovery": self.discovery.server.address,
-            "known": self.discovery.whole(),
+            "known": self.discovery.whole_list(),
             **more,
         }
 
     def write_configuration(self) -> Path:
-        """Write both configurations; return the path of the local one."""
+        """Write the platform's and the local configuration; return the path of the local one."""
         (self.folder / "balancer.json").write_text(json.dumps(self.platform()))
         local_config = self.folder / "edge.toml"
         local_config.write_text(
@@ -180,7 +203,11 @@
         return local_config
 
     async def start(self) -> None:
-        """Start the stand-ins and the dispatcher; raise SceneError if it is not up in time."""
+        """Start the stand-ins and the dispatcher, and wait until the dispatcher is up.
+
+        Raises:
+            SceneError: The dispatcher ended, or is not up in time.
+        """
         for server in (self.discovery.server, *(worker.server for worker in self.workers)):
             server.start()
         self.process = await start({"BEACONHINGE_CONFIG": str(self.write_configuration())})
@@ -194,12 +221,12 @@
                 self.counters = {name: n for name, n in line.items() if isinstance(n, int)}
 
     def ask_for_counters(self) -> None:
-        """Have the dispatcher log its counters now."""
+        """Request by SIGUSR1 that the dispatcher log its counters now."""
         if self.process.returncode is None:
             self.process.send_signal(signal.SIGUSR1)
 
     async def stop(self) -> int:
-        """End the dispatcher in order, and all the rest; return its exit status."""
+        """End the dispatcher by SIGTERM and stop all stand-ins; return the dispatcher's exit status."""
         status = await end(self.process)
         for server in (self.discovery.server, *(worker.server for worker in self.workers)):
             await server.stop()
@@ -208,17 +235,22 @@
         return status
 
     def figures(self, seconds: float, exit_status: int) -> Figures:
-        """Return what the run came to."""
+        """Return the figures of the run.
+
+        Args:
+            seconds: Seconds in which clients sent requests.
+            exit_status: The dispatcher's exit status.
+        """
         answers, waits = self.clients.answers, sorted(self.clients.waits) or [0.0]
-        known = {name: answers[name] for name in ("200", "503", "502", "missing")}
+        expected = {name: answers[name] for name in ("200", "503", "502", "missing")}
         return Figures(
             seconds,
             self.clients.asked,
-            known["200"],
-            known["503"],
-            known["502"],
-            known["missing"],
-            answers.total() - sum(known.values()),
+            expected["200"],
+            expected["503"],
+            expected["502"],
+            expected["missing"],
+            answers.total() - sum(expected.values()),
             1000 * waits[len(waits) // 2],
             1000 * waits[int(0.99 * len(waits))],
             sum(worker.runs.total() for worker in self.workers),
@@ -228,12 +260,12 @@
 
 @contextlib.asynccontextmanager
 async def running_demo_fleet(worker_count: int, rate: float, seed: int) -> AsyncIterator[DemoFleet]:
-    """Run a fleet that is up, in a folder that is deleted afterwards."""
+    """Start a fleet in a temporary folder, yield it when it is up, and stop it afterwards."""
     with tempfile.TemporaryDirectory(prefix="beaconhinge-") as folder:
-        made = DemoFleet(worker_count, rate, seed, Path(folder))
+        fleet = DemoFleet(worker_count, rate, seed, Path(folder))
         try:
-            await made.start()
-            yield made
+            await fleet.start()
+            yield fleet
         finally:
-            if hasattr(made, "process"):
-                await made.stop()
+            if hasattr(fleet, "process"):
+                await fleet.stop()
--- a/beaconhinge/standin/http.py
+++ b/beaconhinge/standin/http.py
@@ -1,4 +1,4 @@
-"""Servers and calls for the stand-ins, on the dispatcher's own codec of messages."""
+"""HTTP server and client for the stand-ins, built on the dispatcher's own codec of messages."""
 
 from __future__ import annotations
 
@@ -11,16 +11,19 @@
 from ..net.http1 import BadMessage, Closed, Connection, Message
 from ..net.sockets import connect
 
-# In which a paced answer is written.
+# Number of pieces in which a paced answer is written.
 PIECES = 20
 
 
 @dataclass(frozen=True, slots=True)
 class Paced:
-    """An answer whose `data` takes so many seconds from its first byte to its last.
+    """An answer that is written slowly.
 
-    `at_once` is written before it. With `cut` the connection ends after it; without, an answer that is not
-    whole is followed by silence.
+    Attributes:
+        data: Bytes written in PIECES pieces.
+        seconds: Seconds from the first piece of `data` to the last.
+        cut: Whether the connection is closed after `data`. If not, silence follows an incomplete answer.
+        at_once: Bytes written before `data`, all at once.
     """
 
     data: bytes
@@ -33,7 +36,7 @@
 
 
 class Server:
-    """Answers each message by a script; None from it ends the connection without a word."""
+    """Answers each message by a callback, or closes the connection if the callback returns None."""
 
     def __init__(self, answer: Answer) -> None:
         self.answer = answer
@@ -47,15 +50,15 @@
 
     @property
     def address(self) -> str:
-        """Host and port, as lists of workers have them."""
+        """Host and port, in the form that lists of workers use."""
         return f"127.0.0.1:{self.port}"
 
     def start(self) -> None:
-        """Accept connections from now on."""
+        """Begin to accept connections."""
         self.spawn(self._accept())
 
     def spawn(self, work: Awaitable[None]) -> asyncio.Task[None]:
-        """Run a task that ends with the server."""
+        """Run a task that is cancelled when the server stops, and return it."""
         task = asyncio.ensure_future(work)
         assert isinstance(task, asyncio.Task)
         self.tasks.add(task)
@@ -88,7 +91,7 @@
             connection.close()
 
     async def stop(self) -> None:
-        """Accept no more, and cancel all tasks."""
+        """Close the listening socket, and cancel all tasks."""
         self._listener.close()
         for task in list(self.tasks):
             task.cancel()
@@ -96,6 +99,7 @@
 
 
 async def _send_paced(connection: Connection, answer: Paced) -> None:
+    """Write an answer at its pace."""
     if answer.at_once:
         await connection.send(answer.at_once)
     if not answer.data:
@@ -108,22 +112,26 @@
 
 
 class Caller:
-    """Calls to one address over connections that are kept, one request at a time on each."""
+    """Client of one loopback port that keeps its connections, with one request at a time on each."""
 
     def __init__(self, port: int) -> None:
         self.port = port
         self._idle: list[Connection] = []
 
     async def call(self, data: bytes | Callable[[], bytes], fresh: bool = False) -> Message:
-        """Send a request and return the answer. Nothing is sent again from here.
+        """Send a request once, without a retry, and return the answer.
 
-        A request that states the time that is left is given as a function, called in the turn that writes it.
+        Args:
+            data: The request. A request that states its remaining time is given as a function, which is
+                called just before the request is written.
+            fresh: Whether to use a new connection and close it after the answer.
 
         Raises:
-            OSError: No connection.
-            Closed: The connection ended before the answer.
+            OSError: The connection could not be made, or failed.
+            Closed: The connection was closed before the answer.
+            BadMessage: The answer is malformed.
         """
-        kept = None if fresh else self._take()
+        kept = None if fresh else self._take_idle()
         connection = kept or Connection(await connect(("127.0.0.1", self.port)), False, lambda: None)
         try:
             await connection.send(data if isinstance(data, bytes) else data())
@@ -137,20 +145,26 @@
             connection.close()
         return message
 
-    async def ask(self, data: bytes) -> Message:
-        """Call as clients do: what crossed the end of a kept connection goes once more, on a new one."""
+    async def call_with_retry(self, data: bytes) -> Message:
+        """Call as clients do: if the connection is closed before the answer, retry once on a new one.
+
+        Raises:
+            OSError: The new connection could not be made, or failed.
+            Closed: The new connection was closed before the answer too.
+            BadMessage: The answer is malformed.
+        """
         try:
             return await self.call(data)
         except (Closed, ConnectionError):
             return await self.call(data, fresh=True)
 
     def has_idle(self) -> bool:
-        """Whether a connection is kept that has not ended."""
+        """Return whether a kept connection is still open. Those that ended are dropped."""
         while self._idle and not self._idle[-1].silent():
             self._idle.pop().close()
         return bool(self._idle)
 
-    def _take(self) -> Connection | None:
+    def _take_idle(self) -> Connection | None:
         return self._idle.pop() if self.has_idle() else None
 
     def close(self) -> None:
--- a/beaconhinge/standin/resource.py
+++ b/beaconhinge/standin/resource.py
@@ -1,8 +1,9 @@
-"""What is acted on under leases, as a process with its own clock: each act is printed as a line of JSON.
+"""A resource that dispatchers act on under leases, as a process with its own clock.
 
     python -m beaconhinge.standin.resource SEED
 
-The first line has the port. A number under the highest seen is refused, and printed as well.
+The first line of the output, in JSON, has the port. Each act is printed as a further line of JSON. An act
+with a lease number below the highest one seen is refused, and printed as well.
 """
 
 from __future__ import annotations
@@ -17,7 +18,7 @@
 from ..net.http1 import Message
 from .http import Server
 
-# Least and greatest seconds that an act takes.
+# Shortest and longest duration of an act, in seconds.
 ACT_S = (0.01, 0.06)
 
 
@@ -26,7 +27,7 @@
 
     def __init__(self, seed: int) -> None:
         self.random = random.Random(seed)
-        self.highest: dict[str, int] = {}
+        self.highest: dict[str, int] = {}  # highest number seen, by lease
         self.server = Server(self._answer)
 
     async def _answer(self, message: Message) -> bytes:
--- a/beaconhinge/standin/rig/faults.py
+++ b/beaconhinge/standin/rig/faults.py
@@ -208,10 +208,10 @@
         discoveries, began = [self.topology.discoveries[number] for number in numbers], time.monotonic()
         calls_before = sum(discovery.calls for discovery in discoveries)
         for discovery in discoveries:
-            discovery.take_out()
+            discovery.take_down()
         await asyncio.sleep(fault.duration_s)
         for discovery in discoveries:
-            discovery.is_out = False
+            discovery.is_down = False
         for number in numbers:
             self.record.discovery_outages.setdefault(number, []).append((began, time.monotonic()))
         return sum(discovery.calls for discovery in discoveries) - calls_before
@@ -266,10 +266,10 @@
         discovery, until = self.topology.discoveries[number], time.monotonic() + fault.duration_s
         draining = self.topology.workers[-fault.workers :]
         names = [worker.name for worker in draining]
-        discovery.read_came.clear()
+        discovery.read_received.clear()
         try:
             async with asyncio.timeout(fault.duration_s):
-                await discovery.read_came.wait()
+                await discovery.read_received.wait()
         except TimeoutError:
             return False
         await asyncio.sleep(CHANGE_AFTER_READ_S)
--- a/beaconhinge/standin/rig/topology.py
+++ b/beaconhinge/standin/rig/topology.py
@@ -105,7 +105,7 @@
             "seed": self.scenario.seed * 1000 + number,
             "settings": self._settings(number),
             "discovery": self.discoveries[number].server.address,
-            "known": self.discoveries[number].whole(),
+            "known": self.discoveries[number].whole_list(),
             "peer_listen": f"{host}:{port}",
             "peers": peers,
             "peers_all": all_peers,
@@ -165,7 +165,9 @@
 
     def has_reached_worker(self, request_id: str) -> bool:
         """Return whether a worker has received the request with this id."""
-        return any(deadline.request == request_id for worker in self.workers for deadline in worker.deadlines)
+        return any(
+            deadline.request_id == request_id for worker in self.workers for deadline in worker.deadlines
+        )
 
     def servers(self) -> list[Server]:
         """Return all servers of the stand-ins, those of discovery first."""
--- a/beaconhinge/standin/rig/verdict.py
+++ b/beaconhinge/standin/rig/verdict.py
@@ -243,9 +243,9 @@
     """Find attempts that gave a worker over `slack` seconds more than their client still waited."""
     ends = {attempt.request_id: attempt.sent_at + attempt.timeout_s for attempt in attempts}
     overstatements = [
-        (deadline.request, deadline.came_at + deadline.time_left - ends[deadline.request])
+        (deadline.request_id, deadline.received_at + deadline.time_left_s - ends[deadline.request_id])
         for deadline in deadlines
-        if deadline.request in ends
+        if deadline.request_id in ends
     ]
     return [
         f"request {request}: a worker's deadline was {seconds:.2f} s later than its client's"
@@ -262,9 +262,9 @@
         attempt.request_id: attempt.disconnected_at for attempt in attempts if attempt.disconnected_at
     }
     delays = [
-        (deadline.request, deadline.came_at - disconnected[deadline.request])
+        (deadline.request_id, deadline.received_at - disconnected[deadline.request_id])
         for deadline in deadlines
-        if deadline.request in disconnected
+        if deadline.request_id in disconnected
     ]
     return [
         f"request {request}: an attempt began {seconds:.2f} s after its client's disconnect"
--- a/beaconhinge/standin/workers.py
+++ b/beaconhinge/standin/workers.py
@@ -1,4 +1,4 @@
-"""Workers on real sockets: slots and a queue, notices of start and progress, results by call-back."""
+"""Stand-in workers on real sockets, with slots and a queue. They report start, progress and result."""
 
 from __future__ import annotations
 
@@ -15,53 +15,60 @@
 from ..net.http1 import BadMessage, Closed, Message
 from .http import Caller, Server
 
-# Times that a call-back is tried, and seconds between two.
+# Most attempts at one call-back.
 CALLBACK_ATTEMPTS = 10
+# Seconds between two of these.
 CALLBACK_RETRY_S = 0.1
-# Seconds between reports of a running job.
+# Seconds between progress reports of a running job.
 PROGRESS_INTERVAL_S = 1.0
-# Mean run time of a class that none is given for.
+# Mean run time in seconds of a class that `mean_run_s` lacks.
 DEFAULT_RUN_S = 0.1
 
 
 class DeduplicationGroup:
-    """Workers that share what keys they have seen: a repeat within the window is dropped silently."""
+    """The keys that a group of workers has seen. A duplicate within the window is accepted, but not run."""
 
     def __init__(self, window_s: float) -> None:
         self.window_s = window_s
         self._seen: dict[str, float] = {}
 
     def is_duplicate(self, key: str, now: float) -> bool:
-        """Whether the key was seen within the window; if not, it is remembered."""
-        seen = self._seen.get(key)
-        if seen is not None and now - seen < self.window_s:
+        """Return whether the key was seen within the window. If not, record it as seen now."""
+        seen_at = self._seen.get(key)
+        if seen_at is not None and now - seen_at < self.window_s:
             return True
         self._seen[key] = now
         return False
 
 
 class WorkerFault(enum.Enum):
-    """How a worker treats the jobs that come."""
+    """How a worker treats the jobs that it receives."""
 
-    HANG = "hang"  # it reads them and says nothing
-    RESET = "reset"  # it reads them and closes the connection
-    REJECT = "full"  # it turns each away
-    DUPLICATE = "twice"  # it answers each twice
+    HANG = "hang"  # reads them and never answers
+    RESET = "reset"  # reads them and closes the connection
+    REJECT = "full"  # rejects each with 503
+    DUPLICATE = "twice"  # answers each twice
 
 
 @dataclass(frozen=True, slots=True)
 class ReceivedDeadline:
-    """What an attempt says of its time. Seconds, by the stand-ins' clock."""
+    """The time that an attempt gave a worker. Times are seconds by the stand-ins' clock.
 
-    request: str
-    came_at: float
-    time_left: float
+    Attributes:
+        request_id: Id of the request.
+        received_at: When the worker received the attempt.
+        time_left_s: Seconds left to the attempt's deadline by its header X-Timeout-Ms.
+    """
+
+    request_id: str
+    received_at: float
+    time_left_s: float
 
 
 class FakeWorker:
     """One worker.
 
-    `mean_run_s` gives each class's mean run time in seconds; runs are drawn from the seed.
+    `mean_run_s` gives the mean run time in seconds by class. Run times are drawn from it and the seed.
     """
 
     def __init__(
@@ -80,16 +87,16 @@
         self.queue = queue
         self.random = random.Random(f"{seed}/{name}")
         self.deduplication_group = deduplication_group
-        # One for each dispatcher.
+        # Servers and callers, one of each for each dispatcher.
         self.servers: list[Server] = []
         self.callers: list[Caller] = []
         self.server = self.add_address(dispatcher)
-        # Those queued or running, by port of the dispatcher, and request.
+        # Jobs that are queued or running, by port of the dispatcher and request id.
         self.jobs: dict[tuple[int, str], asyncio.Task[None]] = {}
-        # By idempotency key, or by request where a job has none.
+        # Number of runs of each job, by idempotency key, or by request id if it has none.
         self.runs: Counter[str] = Counter()
         self.counters: Counter[str] = Counter()
-        # When each job came, and the port of its dispatcher.
+        # When each job was received, and the port of its dispatcher.
         self.arrivals: list[tuple[float, int]] = []
         self.deadlines: list[ReceivedDeadline] = []
         self._free_slots = asyncio.Semaphore(slots)
@@ -97,10 +104,13 @@
         self.fault_hits = 0
 
     def add_address(self, dispatcher: int) -> Server:
-        """Add an address, and return its server. Who sends a job there is notified at that port."""
-        back = Caller(dispatcher)
-        self.callers.append(back)
-        self.servers.append(Server(partial(self._answer, back)))
+        """Add an address for one dispatcher, and return its server.
+
+        Call-backs on jobs received there are sent to the dispatcher's port `dispatcher`.
+        """
+        callback_caller = Caller(dispatcher)
+        self.callers.append(callback_caller)
+        self.servers.append(Server(partial(self._answer, callback_caller)))
         return self.servers[-1]
 
     def close(self) -> None:
@@ -109,7 +119,7 @@
             caller.close()
 
     def entry(self, zone: str, kind: str, cell: int) -> dict[str, object]:
-        """Return this worker as discovery lists it."""
+        """Return this worker's entry in discovery's list."""
         return {
             "id": self.name,
             "addr": self.server.address,
@@ -121,68 +131,70 @@
             "started_ms": 0,
         }
 
-    async def _answer(self, back: Caller, message: Message) -> bytes | None:
+    async def _answer(self, callback_caller: Caller, message: Message) -> bytes | None:
         path = message.target.decode("latin-1").split("?")[0]
         if message.method == "GET":
             return http1.response(200 if path == "/alive" else 404)
         if message.method == "DELETE":
-            task = self.jobs.pop((back.port, path.rpartition("/")[2]), None)
+            task = self.jobs.pop((callback_caller.port, path.rpartition("/")[2]), None)
             if task is not None:
                 task.cancel()
-                self.counters["withdrawn"] += 1
+                self.counters["cancelled"] += 1
             return http1.response(204)
-        number = message.headers.get("x-request-id", "")
-        if not number:
+        request_id = message.headers.get("x-request-id", "")
+        if not request_id:
             return http1.response(404)
-        time_left = int(message.headers.get("x-timeout-ms", "0")) / 1000
-        self.deadlines.append(ReceivedDeadline(number, message.arrived_at, time_left))
+        time_left_s = int(message.headers.get("x-timeout-ms", "0")) / 1000
+        self.deadlines.append(ReceivedDeadline(request_id, message.arrived_at, time_left_s))
         if self.fault is not None:
             self.fault_hits += 1
         if self.fault in (WorkerFault.HANG, WorkerFault.RESET):
-            self.arrivals.append((message.arrived_at, back.port))
+            self.arrivals.append((message.arrived_at, callback_caller.port))
             if self.fault is WorkerFault.HANG:
                 await asyncio.Event().wait()
             return None
-        full = self.fault is WorkerFault.REJECT or len(self.jobs) >= self.slots + self.queue
-        if full or (back.port, number) in self.jobs:
+        is_full = self.fault is WorkerFault.REJECT or len(self.jobs) >= self.slots + self.queue
+        if is_full or (callback_caller.port, request_id) in self.jobs:
             self.counters["turned_away"] += 1
             return http1.response(503, headers={"X-Not-Processed": "1"})
         self.counters["taken"] += 1
-        self.arrivals.append((message.arrived_at, back.port))
+        self.arrivals.append((message.arrived_at, callback_caller.port))
         key = message.headers.get("idempotency-key", "")
         now, group = asyncio.get_running_loop().time(), self.deduplication_group
         if key and group is not None and group.is_duplicate(key, now):
             self.counters["dropped"] += 1
             return http1.response(202)
         job_class = path.strip("/").partition("/")[0]
-        self.jobs[back.port, number] = self.server.spawn(self._run(back, number, key or number, job_class))
+        self.jobs[callback_caller.port, request_id] = self.server.spawn(
+            self._run(callback_caller, request_id, key or request_id, job_class)
+        )
         return http1.response(202) * (2 if self.fault is WorkerFault.DUPLICATE else 1)
 
-    async def _run(self, back: Caller, number: str, key: str, job_class: str) -> None:
-        length = self.random.expovariate(1 / self.mean_run_s.get(job_class, DEFAULT_RUN_S))
+    async def _run(self, callback_caller: Caller, request_id: str, key: str, job_class: str) -> None:
+        run_s = self.random.expovariate(1 / self.mean_run_s.get(job_class, DEFAULT_RUN_S))
         try:
             async with self._free_slots:
                 self.runs[key] += 1
-                await self._notify(back, number, "started")
-                done = 0.0
-                while length - done > PROGRESS_INTERVAL_S:
+                await self._notify(callback_caller, request_id, "started")
+                done_s = 0.0
+                while run_s - done_s > PROGRESS_INTERVAL_S:
                     await asyncio.sleep(PROGRESS_INTERVAL_S)
-                    done += PROGRESS_INTERVAL_S
-                    await self._notify(back, number, "running", share=done / length)
-                await asyncio.sleep(length - done)
+                    done_s += PROGRESS_INTERVAL_S
+                    await self._notify(callback_caller, request_id, "running", share=done_s / run_s)
+                await asyncio.sleep(run_s - done_s)
             self.counters["done"] += 1
-            await self._notify(back, number, "done", result=f"{job_class} by {self.name}")
+            await self._notify(callback_caller, request_id, "done", result=f"{job_class} by {self.name}")
         finally:
-            self.jobs.pop((back.port, number), None)
+            self.jobs.pop((callback_caller.port, request_id), None)
 
-    async def _notify(self, back: Caller, number: str, state: str, **more: object) -> None:
-        body = json.dumps({"id": number, "from": self.name, "state": state, **more}).encode()
-        head = {"Host": "dispatcher", "Content-Length": str(len(body))}
+    async def _notify(self, callback_caller: Caller, request_id: str, state: str, **fields: object) -> None:
+        body = json.dumps({"id": request_id, "from": self.name, "state": state, **fields}).encode()
+        headers = {"Host": "dispatcher", "Content-Length": str(len(body))}
         for _ in range(CALLBACK_ATTEMPTS):
             try:
-                answer = await back.call(http1.request("POST", b"/_jobs/news", head, body))
+                answer = await callback_caller.call(http1.request("POST", b"/_jobs/news", headers, body))
                 if answer.status in (200, 204):
                     return
             except (OSError, Closed, BadMessage):
                 await asyncio.sleep(CALLBACK_RETRY_S)
-        self.counters["untold"] += 1
+        self.counters["callbacks_undelivered"] += 1
--- a/tests/standin/test_ports.py
+++ b/tests/standin/test_ports.py
@@ -36,6 +36,6 @@
 
 def test_the_oldest_reservations_give_way(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(ports, "_reservations", ports.deque())
-    monkeypatch.setattr(ports, "MOST_RESERVATIONS", 3)
+    monkeypatch.setattr(ports, "MAX_RESERVATIONS", 3)
     ports.free_ports(10)
     assert len(ports._reservations) == 3
