--- a/tests/standin/test_ports.py
+++ b/tests/standin/test_ports.py
@@ -1,4 +1,4 @@
-"""Ports that are handed out for processes that start later."""
+"""Ports that are reserved for processes that start later."""
 
 from __future__ import annotations
 
@@ -16,8 +16,11 @@
 )
 
 
-def test_no_port_is_handed_out_twice() -> None:
-    """Two scenarios drew the same port before either listened there, and one process could not start."""
+def test_no_port_is_returned_twice_by_one_or_two_processes() -> None:
+    """Guards against two scenarios that draw the same port before either listens there.
+
+    One of their processes then could not start.
+    """
     random.seed(5)
     here = ports.free_ports(20)
     random.seed(5)
@@ -30,11 +33,13 @@
         assert len({*here, *again, *elsewhere}) == 60
         assert not any(ports._reserve(port) for port in elsewhere)
         other.communicate()
-    # The kernel has taken them back. Another process may have one of them by now, not all.
+    # The kernel has released the reservations. Other processes may have reserved some of the ports by now, but
+    # not all.
     assert any(ports._reserve(port) for port in elsewhere)
 
 
-def test_the_oldest_reservations_give_way(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_the_oldest_reservations_are_released(monkeypatch: pytest.MonkeyPatch) -> None:
+    # Guards against reservations, each of which holds a socket, that accumulate without bound.
     monkeypatch.setattr(ports, "_reservations", ports.deque())
     monkeypatch.setattr(ports, "MAX_RESERVATIONS", 3)
     ports.free_ports(10)
--- a/tests/standin/test_rehearsals.py
+++ b/tests/standin/test_rehearsals.py
@@ -1,4 +1,4 @@
-"""Several processes of the program with faults between them, judged by what clients, workers and logs wrote down."""
+"""Several dispatcher processes with injected faults, judged by what clients, workers and logs recorded."""
 
 from __future__ import annotations
 
@@ -35,20 +35,26 @@
 
 
 def run_scenarios(*scenarios: Scenario) -> list[Verdict]:
-    async def all_of_them() -> list[Verdict]:
-        limit = asyncio.Semaphore(3)  # more starve the stand-ins, which share one event loop
+    """Run scenarios, at most three at a time, and return their verdicts in the same order."""
 
-        async def one(scenario: Scenario) -> Verdict:
+    async def run_all() -> list[Verdict]:
+        limit = asyncio.Semaphore(3)  # more would starve the stand-ins, which share one event loop
+
+        async def run_one(scenario: Scenario) -> Verdict:
             async with limit:
                 return await run_scenario(scenario)
 
-        return list(await asyncio.gather(*(one(scenario) for scenario in scenarios)))
+        return list(await asyncio.gather(*(run_one(scenario) for scenario in scenarios)))
+
+    return asyncio.run(run_all())
 
-    return asyncio.run(all_of_them())
 
+def test_paused_processes_cause_no_ejections_here_or_at_the_others() -> None:
+    """Guards against ejections by a dispatcher that was paused itself.
 
-def test_stopped_processes_cause_no_ejections_here_or_at_the_others() -> None:
-    """Without the stall watch no stall is told, and timed-out jobs eject workers here and at the others."""
+    Without the stall watch no stall is reported, and the jobs that timed out meanwhile eject workers at the
+    paused dispatcher and at the others.
+    """
     stopped = [Fault(1.0, "stop", 2.0, [1])]
     scenarios = [
         Scenario("one", seed=1, faults=stopped, **SMALL),
@@ -78,7 +84,9 @@
         )
 
 
-def test_a_process_that_is_killed_and_starts_empty_or_ends_by_sigterm_harms_nobody_else() -> None:
+def test_a_process_that_is_killed_or_ends_by_sigterm_harms_no_other() -> None:
+    # Guards against lost answers, ejections or poor service at the other dispatchers while one is killed and
+    # restarted with an empty folder, or ended by SIGTERM and restarted.
     scenarios = [
         Scenario("killed", seed=7, keyed=0.0, faults=[Fault(1.0, "kill", 0.5, [1], folder="empty")], **SMALL),
         Scenario("ended", seed=8, keyed=0.0, faults=[Fault(1.0, "term", 0.5, [0])], **SMALL),
@@ -90,7 +98,10 @@
 
 
 def test_no_key_runs_twice_through_faults_of_processes_and_links() -> None:
-    """Without the book of keys a client that comes again elsewhere has its job run in a second rack."""
+    """Guards against a job with a key that runs twice because its client retries at another dispatcher.
+
+    Without the journal of keys that dispatcher sends the job to another deduplication group.
+    """
     many = {**SMALL, "processes": 3, "rate": 30.0, "keyed": 0.6, "publish_s": 0.8}
     halves = [Fault(0.5, "cut", 4.0, [0], [1, 2]), Fault(0.5, "cut", 4.0, [1, 2], [0])]
     scenarios = [
@@ -117,8 +128,11 @@
         ), scenario.name
 
 
-def test_an_old_folder_or_that_of_another_is_recognised_and_not_trusted() -> None:
-    """Without the count of incarnations a backup that is put back says of its keys that it never had them."""
+def test_an_old_or_foreign_folder_is_recognised_and_not_trusted() -> None:
+    """Guards against a process restored from a backup that reports keys newer than that as never seen.
+
+    Without the count of incarnations it cannot recognise that its store is old or belongs to another process.
+    """
     many = {**SMALL, "processes": 3, "rate": 30.0, "keyed": 0.6, "publish_s": 0.8, "seconds": 5.0}
     scenarios = [
         Scenario(folder, seed=seed, faults=[Fault(2.0, "kill", 0.3, [1], folder=folder)], **many)
@@ -129,7 +143,9 @@
         assert verdict.counters["folder_stale"] == 1 and verdict.counters["keys_unknown"] > 0, scenario.name
 
 
-def test_a_start_completes_its_stages_through_kills_stops_and_missing_discovery() -> None:
+def test_a_start_completes_its_stages_through_kills_pauses_and_outages() -> None:
+    # Guards against a start that hangs in a stage because further faults hit it, and against jobs of killed
+    # processes that nobody cancels.
     many = {**SMALL, "processes": 3, "rate": 30.0, "keyed": 0.4, "publish_s": 0.8}
     again = [
         Fault(1.0, "kill", 0.3),
@@ -160,7 +176,9 @@
     assert orphans.orphans == 0
 
 
-def test_a_retry_at_any_dispatcher_gets_the_result_reported_to_a_restarted_one() -> None:
+def test_a_retry_at_any_dispatcher_gets_a_result_of_before_the_restart() -> None:
+    # Guards against results that a worker reports to a restarted dispatcher and that are lost to a client that
+    # retries its key at another one.
     patient = {
         **SMALL,
         "processes": 3,
@@ -178,13 +196,13 @@
 
 
 def test_the_checks_find_violations_and_excuse_what_a_fault_explains() -> None:
-    tries = [
+    attempts = [
         ClientAttempt("k", "publish", 0, 1.0, 2.0, "missing"),
         ClientAttempt("k", "publish", 1, 1.0, 2.0, "missing"),
         ClientAttempt("", "render", 0, 9.0, 9.5, "missing"),
         ClientAttempt("", "render", 0, 9.0, 9.5, "503"),
     ]
-    assert missing_without_excuse(tries, [[(1.5, 4.0)], []], 0.5) == [tries[1], tries[2]]
+    assert missing_without_excuse(attempts, [[(1.5, 4.0)], []], 0.5) == [attempts[1], attempts[2]]
     assert keys_run_twice({"a": 1, "b": 2, "c": 0}) == ["b"]
     line = {"event": "policy", "text": "worker 17 ejected, failure rate 0.30"}
     other = {"event": "module", "text": "fleet rate cut to 3.00 after 3 full of 9"}
@@ -192,7 +210,10 @@
 
 
 def test_resuming_a_process_that_was_killed_meanwhile_leaves_it_down(tmp_path: Path) -> None:
-    """It counted as up from then on: the soak's seed 720 missed answers of a process that was not there."""
+    """Guards against a killed process that counts as up once its pause is over (soak 720).
+
+    Answers then counted as missing though the process did not run.
+    """
 
     async def scenario() -> Process:
         process = Process(0, 1, tmp_path, {}, "")
@@ -208,11 +229,11 @@
 def test_a_process_that_ends_with_an_error_breaks_the_scenario(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    async def end_badly(self: FaultInjector, fault: Fault, numbers: list[int]) -> int:
+    async def end_with_error(self: FaultInjector, fault: Fault, numbers: list[int]) -> int:
         self.record.exit_statuses.append(7)
         return len(numbers)
 
-    monkeypatch.setattr(FaultInjector, "_restart", end_badly)
+    monkeypatch.setattr(FaultInjector, "_restart", end_with_error)
     scenario = Scenario(
         "badly",
         seed=16,
@@ -227,8 +248,9 @@
     assert asyncio.run(ScenarioRun(scenario, tmp_path).run()).broken == ["a dispatcher ended with status 7"]
 
 
-def test_a_fault_that_hits_nothing_and_a_scenario_without_service_are_broken() -> None:
-    none = run_scenarios(
+def test_a_fault_without_hits_and_a_scenario_without_service_are_broken() -> None:
+    # Guards against a run that passes though it has tested nothing.
+    verdict = run_scenarios(
         Scenario(
             "nobody asks",
             seed=9,
@@ -240,14 +262,15 @@
             faults=[Fault(0.1, "cut", 0.01, [0], [0])],
         )
     )[0]
-    assert "nothing was served" in none.broken
-    assert "the fault cut hit nothing" in none.broken
+    assert "nothing was served" in verdict.broken
+    assert "the fault cut hit nothing" in verdict.broken
 
 
-def test_a_link_fault_lasts_until_it_has_hit_and_extends_the_scenario_as_much(
-    tmp_path: Path,
-) -> None:
-    """On a busy machine the processes that should have told each other something were still starting."""
+def test_a_link_fault_and_the_scenario_last_until_the_fault_has_hit(tmp_path: Path) -> None:
+    """Guards against a link fault that hits nothing on a busy machine.
+
+    The processes, which should have sent each other datagrams, were still starting then.
+    """
     scenario = Scenario(
         "brief",
         seed=17,
@@ -264,13 +287,14 @@
     assert verdict.faults["cut"] >= 1
     assert run.fault_injector.late_s() > 0.0
     assert (
-        max(t.sent_at for t in run.clients.attempts)
+        max(attempt.sent_at for attempt in run.clients.attempts)
         > run.record.began_at + 0.2 + 0.8 * run.fault_injector.late_s()
     )
 
 
-def test_a_job_counts_once_for_all_its_attempts_and_in_the_span_of_the_first() -> None:
-    tries = [
+def test_a_job_counts_once_in_the_span_of_its_first_attempt() -> None:
+    # Guards against a share of served jobs that counts a job with a key once for each attempt.
+    attempts = [
         ClientAttempt("k", "publish", 0, 1.0, 2.0, "missing"),
         ClientAttempt("k", "publish", 1, 2.3, 2.5, "200"),
         ClientAttempt("m", "publish", 0, 2.0, 2.1, "503"),
@@ -278,18 +302,18 @@
         ClientAttempt("", "render", 0, 2.0, 2.2, "200"),
         ClientAttempt("", "render", 0, 2.1, 2.2, "502"),
     ]
-    assert served_share_of_jobs(tries, 0.0, 1.5) == 1.0  # though its own try of that time was lost
-    assert served_share_of_jobs(tries, 2.0, 3.0) == pytest.approx(
-        1 / 3
-    )  # and that of the first job is not of this span
-    assert served_share_of_jobs(tries, 5.0, 6.0) == 0.0
+    # The job "k" is served, though its only attempt in this span is lost.
+    assert served_share_of_jobs(attempts, 0.0, 1.5) == 1.0
+    # The job "k" does not count in this span, though its second attempt was sent in it.
+    assert served_share_of_jobs(attempts, 2.0, 3.0) == pytest.approx(1 / 3)
+    assert served_share_of_jobs(attempts, 5.0, 6.0) == 0.0
 
 
-def test_a_scenario_is_read_from_a_file_and_a_wrong_one_is_refused_by_its_key(
+def test_a_scenario_file_is_read_and_an_invalid_one_is_refused_by_its_key(
     tmp_path: Path, capsys: pytest.CaptureFixture[str]
 ) -> None:
     file = tmp_path / "scenario.toml"
-    for text, named in (
+    for text, named_key in (
         ('name = "x"\nsecond = 3.0', "second"),
         ('name = "x"\nprocesses = 900', "processes"),
         ('name = "x"\n[[faults]]\nwhat = "stop"\nat_s = 1.0\nfor_s = 1.0\nwho = [9]', "faults[0]"),
@@ -299,13 +323,13 @@
         file.write_text(text)
         with pytest.raises(ScenarioError, match=".") as caught:
             read_scenario(file)
-        assert named in str(caught.value)
+        assert named_key in str(caught.value)
     file.write_text(
         'name = "short"\nseconds = 0.5\nprocesses = 2\nboxes = 2\nracks = 1\nrate = 30.0\nkeyed = 0.0'
     )
     assert main(["rehearse", str(file), "--seed", "3", "--json"]) == 0
-    told = json.loads(capsys.readouterr().out)
-    assert told["well"]
-    assert told["seed"] == 3
-    assert told["asked"] > 3
+    verdict = json.loads(capsys.readouterr().out)
+    assert verdict["well"]
+    assert verdict["seed"] == 3
+    assert verdict["asked"] > 3
     assert all(read_scenario(path).name for path in Path("deploy/rehearsals").glob("*.toml"))
