--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -91,7 +91,8 @@
 class RuleChecker:
     """Checks a history of events and actions, and lists the broken rules.
 
-    It relies only on what the policy's interface states. Dictionaries without another comment are keyed by worker.
+    It relies only on what the policy's interface states. Dictionaries without another comment are keyed by
+    worker.
     """
 
     def __init__(self, rule_settings: interface.Settings) -> None:
@@ -103,7 +104,7 @@
         self.cold: dict[
             int, list[tuple[float, float]]
         ] = {}  # (time, 1.0) of each send while the worker was cold
-        # Time of the last send, outcome or notice of a drain since idle connections to the worker were closed.
+        # Time of the last send, outcome or notice of a drain since idle connections were closed.
         self.used: dict[int, float] = {}
         self.broken: list[str] = []
 
