--- a/beaconhinge/standin/discovery.py
+++ b/beaconhinge/standin/discovery.py
@@ -54,9 +54,7 @@
 
     NO_ENTRIES = "no-entries"  # answers with changes have the new version, but no entries
     MISSING_ENTRY = "missing-entry"  # answers with changes omit the last changed entry
-    OLD_CONTENT = (
-        "old-content"  # answers with changes have all entries before the change, and the new version
-    )
+    OLD_CONTENT = "old-content"  # in place of changes, all entries before the change, with the new version
     ID_AND_STATE = "id-and-state"  # entries that ever changed have only id and state, in whole lists too
     SLOW_BODY = "slow-body"  # every answer takes SLOW_ANSWER_S from its first byte to its last
     CUT_BODY = "cut-body"  # answers with changes end with a closed connection in the middle of the entries
--- a/beaconhinge/standin/rig/judge.py
+++ b/beaconhinge/standin/rig/judge.py
@@ -266,9 +266,9 @@
 def _notified_at(run: FinishedRun, number: int, changed_at: float) -> float:
     """Return when a dispatcher counts as notified of a change of the list, by the rig's clock.
 
-    That is at once, unless something kept the notice from the dispatcher. Then it is 6 s after the change or
-    after discovery is back, whatever the dispatcher knew before. With pushed membership, it counts as
-    notified as soon as its agent has the change, and a process that was down from its start on.
+    That is at once, unless something kept the notice from the dispatcher. Then it is 6 s after the change,
+    after its watch fell silent or after discovery is back, whatever the dispatcher knew before. With pushed
+    membership, it is as soon as its agent has the change, or as soon as the process is up again.
     """
     outages = run.record.discovery_outages.get(number, [])
     down = run.topology.processes[number].down_spans
