--- a/beaconhinge/standin/workers.py
+++ b/beaconhinge/standin/workers.py
@@ -17,7 +17,7 @@
 
 # Most attempts at one call-back.
 CALLBACK_ATTEMPTS = 10
-# Seconds between two of these.
+# Seconds from a failed call-back to its retry.
 CALLBACK_RETRY_S = 0.1
 # Seconds between progress reports of a running job.
 PROGRESS_INTERVAL_S = 1.0
@@ -26,7 +26,7 @@
 
 
 class DeduplicationGroup:
-    """The keys that a group of workers has seen. A duplicate within the window is accepted, but not run."""
+    """The keys that a group of workers has seen. A duplicate in the window is accepted, but never run."""
 
     def __init__(self, window_s: float) -> None:
         self.window_s = window_s
