--- a/tests/harness.py
+++ b/tests/harness.py
@@ -105,9 +105,7 @@
         self.script = script
         self.seen: asyncio.Queue[ReceivedMessage] = asyncio.Queue()  # all messages received
         self.connections = 0  # connections accepted so far
-        self.ended: asyncio.Queue[bool] = (
-            asyncio.Queue()
-        )  # an item for each connection closed by the dispatcher
+        self.ended: asyncio.Queue[bool] = asyncio.Queue()  # True for each connection the dispatcher closed
         self.open: set[asyncio.StreamWriter] = set()
 
     async def start(self) -> None:
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -101,9 +101,8 @@
         self.cells: dict[int, tuple[int, int]] = {}  # (cell, zone)
         self.left: dict[int, float] = {}  # when the worker left the list or began to drain
         self.started_at: dict[int, float] = {}
-        self.cold: dict[
-            int, list[tuple[float, float]]
-        ] = {}  # (time, 1.0) of each send while the worker was cold
+        # (time, 1.0) of each send while the worker was cold
+        self.cold: dict[int, list[tuple[float, float]]] = {}
         # Time of the last send, outcome or notice of a drain since idle connections were closed.
         self.used: dict[int, float] = {}
         self.broken: list[str] = []
