--- a/beaconhinge/store/bench.py
+++ b/beaconhinge/store/bench.py
@@ -1,4 +1,4 @@
-"""How fast a disk makes commits durable, measured where the store is to lie."""
+"""Measures how many commits a second a disk makes durable, in the folder where the store will be."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 from .codec import Put
 from .store import Store
 
-VALUE = 200  # bytes
+VALUE_BYTES = 200
 
 
 def measure(
@@ -21,47 +21,54 @@
     writers: int,
     progress: Callable[[int, int], None] = lambda done, total: None,
 ) -> dict[str, int | float]:
-    """Commits a second, each of one key of 16 bytes with a value of 200. Raises OSError, StoreError."""
-    with tempfile.TemporaryDirectory(prefix="store-bench-", dir=folder) as place:
-        bare = bare_appends(Path(place) / "bare", commits)
+    """Measure commits a second; each commit puts one key of 16 bytes with a value of 200 bytes.
+
+    Returns the rates by name. `progress` is called with the steps done and the number of steps. Raises
+    OSError or StoreError.
+    """
+    with tempfile.TemporaryDirectory(prefix="store-bench-", dir=folder) as directory:
+        bare_rate = bare_appends(Path(directory) / "bare", commits)
         progress(1, 3)
-        one = asyncio.run(store_commits(Path(place) / "one", commits, 1))
+        one_writer_rate = asyncio.run(store_commits(Path(directory) / "one", commits, 1))
         progress(2, 3)
-        many = asyncio.run(store_commits(Path(place) / "many", max(commits, writers), writers))
+        many_writers_rate = asyncio.run(
+            store_commits(Path(directory) / "many", max(commits, writers), writers)
+        )
         progress(3, 3)
     return {
-        "bare_appends_per_s": round(bare),
-        "one_writer_per_s": round(one),
+        "bare_appends_per_s": round(bare_rate),
+        "one_writer_per_s": round(one_writer_rate),
         "writers": writers,
-        "many_writers_per_s": round(many),
-        "one_writer_of_bare": round(one / bare, 3),
+        "many_writers_per_s": round(many_writers_rate),
+        "one_writer_of_bare": round(one_writer_rate / bare_rate, 3),
     }
 
 
 def bare_appends(file: Path, count: int) -> float:
-    """Appends of a frame's bytes with one fdatasync each, a second: the limit for one writer."""
+    """Return how often a second a frame's bytes are appended with one fdatasync each: one writer's limit."""
     descriptor = os.open(file, os.O_CREAT | os.O_WRONLY | os.O_APPEND)
-    data = os.urandom(VALUE + 16 + 23)
-    begun = time.perf_counter()
+    data = os.urandom(VALUE_BYTES + 16 + 23)
+    started = time.perf_counter()
     for _ in range(count):
         os.write(descriptor, data)
         os.fdatasync(descriptor)
-    passed = time.perf_counter() - begun
+    elapsed_s = time.perf_counter() - started
     os.close(descriptor)
-    return count / passed
+    return count / elapsed_s
 
 
 async def store_commits(folder: Path, count: int, writers: int) -> float:
+    """Return the commits a second of `writers` concurrent tasks that share `count` commits."""
     store = Store.open(folder)
-    value = os.urandom(VALUE)
-    each = count // writers
+    value = os.urandom(VALUE_BYTES)
+    commits_per_writer = count // writers
 
     async def write(writer: int) -> None:
-        for number in range(each):
+        for number in range(commits_per_writer):
             await store.commit([Put(b"%08d%08d" % (writer, number), value)])
 
-    begun = time.perf_counter()
+    started = time.perf_counter()
     await asyncio.gather(*(write(writer) for writer in range(writers)))
-    passed = time.perf_counter() - begun
+    elapsed_s = time.perf_counter() - started
     await store.close()
-    return each * writers / passed
+    return commits_per_writer * writers / elapsed_s
--- a/beaconhinge/store/compaction.py
+++ b/beaconhinge/store/compaction.py
@@ -1,8 +1,8 @@
-"""Which segment is cleaned next, and how fast. Decides, and does no I/O.
+"""Chooses the segment to clean next and the speed of cleaning. Does no I/O.
 
-Cleaning moves what is still wanted of the chosen segment to the log's end, in ordinary batches, and then
-drops the whole file. So there is never more than one segment's live bytes of extra space in use, and at no
-moment does a change of the manifest decide more than that one file is no longer needed.
+Cleaning copies the live records of the chosen segment to the end of the log, in ordinary batches, and then
+deletes the whole file. The extra disk space in use is therefore never more than one segment's live bytes, and
+each change of the manifest only records that one file is no longer needed.
 """
 
 from __future__ import annotations
@@ -10,13 +10,17 @@
 from collections.abc import Sequence
 from dataclasses import dataclass
 
-HASTE = 16.0
+MAX_SPEEDUP = 16.0  # cleaning rate with no room left, as a multiple of the usual rate
 
 
 @dataclass(slots=True, frozen=True)
-class Sealed:
-    """A segment as the choice sees it. Bytes of frames: of present values, of deletions, and of the whole
-    file.
+class SegmentUsage:
+    """How the bytes of a sealed segment are used, in bytes of frames.
+
+    Attributes:
+        size: all frames.
+        live: frames of values that are present.
+        deletions: frames that delete a key.
     """
 
     number: int
@@ -25,40 +29,47 @@
     deletions: int
 
 
-def choose(sealed: Sequence[Sealed], dead_share: float) -> int | None:
-    """The number of the segment to clean, or None while none is worth it. `sealed` is oldest first.
+def choose_segment(sealed: Sequence[SegmentUsage], dead_share: float) -> int | None:
+    """Return the number of the segment to clean, or None while none has a dead share of `dead_share` or more.
 
-    A deletion must stay as long as an older segment may hold its key, so that it is dead in the oldest one
-    alone. Where deletions that are kept fill the share in a segment, it is cleaned once it is the oldest;
-    until then the oldest one is cleaned, which brings it there.
+    `sealed` is oldest first. A deletion must be kept while an older segment may hold its key, so deletions
+    are dead in the oldest segment only. When the deletions that must be kept make up `dead_share` of all
+    bytes, the oldest segment is cleaned: their segments then become the oldest and can be cleaned in turn.
     """
     best: tuple[float, int] | None = None
-    pinned = total = 0
+    total_kept_deletions = total_size = 0
     for i, segment in enumerate(sealed):
-        kept = segment.deletions if i else 0
-        pinned += kept
-        total += segment.size
-        share = 1 - (segment.live + kept) / max(segment.size, 1)
-        if share >= dead_share and (best is None or share > best[0]):
-            best = share, segment.number
+        kept_deletions = segment.deletions if i else 0
+        total_kept_deletions += kept_deletions
+        total_size += segment.size
+        segment_dead_share = 1 - (segment.live + kept_deletions) / max(segment.size, 1)
+        if segment_dead_share >= dead_share and (best is None or segment_dead_share > best[0]):
+            best = segment_dead_share, segment.number
     if best is not None:
         return best[1]
-    return sealed[0].number if sealed and total and pinned / total >= dead_share else None
+    return (
+        sealed[0].number
+        if sealed and total_size and total_kept_deletions / total_size >= dead_share
+        else None
+    )
 
 
-def haste(used: int, most: int) -> float:
-    """How many times the usual pace to clean at: 1 up to half of the room, HASTE where none is left."""
-    return 1 + (HASTE - 1) * min(max(2 * used / most - 1, 0.0), 1.0)
+def cleaning_speedup(used: int, max_bytes: int) -> float:
+    """Return the factor on the usual cleaning rate: 1 up to half of `max_bytes`, MAX_SPEEDUP at all of it."""
+    return 1 + (MAX_SPEEDUP - 1) * min(max(2 * used / max_bytes - 1, 0.0), 1.0)
 
 
-class Pace:
-    """Spreads the reading of old segments over time: `wait` says how long to pause after so many bytes."""
+class RateLimiter:
+    """Limits the rate at which cleaning reads old segments. Time without reads earns no credit."""
 
     def __init__(self, bytes_per_s: float) -> None:
         self.bytes_per_s = bytes_per_s
         self._free_at = 0.0
 
-    def wait(self, now: float, count: int, times: float = 1.0) -> float:
-        """Seconds from `now` to the next step, at so many times the usual pace."""
-        self._free_at = max(self._free_at, now) + count / (self.bytes_per_s * times)
+    def wait(self, now: float, count: int, speedup: float = 1.0) -> float:
+        """Return the seconds to pause from `now` on after reading `count` bytes.
+
+        `speedup` is the factor on the usual rate.
+        """
+        self._free_at = max(self._free_at, now) + count / (self.bytes_per_s * speedup)
         return self._free_at - now
--- a/beaconhinge/store/disk.py
+++ b/beaconhinge/store/disk.py
@@ -1,7 +1,7 @@
-"""The few operations on files that the store needs, as an interface, and the real ones.
+"""The file operations that the store needs, as protocols, and their implementation on a real disk.
 
-Blocking: the store calls them on its own thread. Errors are OSErrors, as the system gives them. A simulated
-disk that cuts, tears and loses lives in `beaconhinge.standin.disk`.
+They block: the store calls them on its own thread. Errors are the system's OSErrors.
+`beaconhinge.standin.disk` simulates a disk with power cuts, torn writes and lost data.
 """
 
 from __future__ import annotations
@@ -13,18 +13,23 @@
 
 
 class File(Protocol):
+    """An open file."""
+
     def write(self, data: bytes | memoryview, offset: int) -> int:
-        """Bytes written, which may be fewer than given."""
+        """Write at `offset` and return the number of bytes written, which may be fewer than given."""
 
     def read(self, offset: int, size: int) -> bytes:
-        """Up to `size` bytes; fewer at the end of the file."""
+        """Return `size` bytes from `offset` on, or fewer at the end of the file."""
 
     def size(self) -> int: ...
 
     def truncate(self, size: int) -> None: ...
 
     def sync(self) -> None:
-        """What was written, and the file's size, outlast a cut from here on. Raises OSError for good."""
+        """Make the written bytes and the file's size durable, so that they survive a power cut.
+
+        Raises OSError; a later call that succeeds does not prove these bytes durable.
+        """
 
     def close(self) -> None: ...
 
@@ -33,14 +38,14 @@
     """One folder of files."""
 
     def lock(self) -> None:
-        """Take the folder for this process. Raises BlockingIOError when another has it."""
+        """Lock the folder for this process. Raises BlockingIOError when another process holds the lock."""
 
     def unlock(self) -> None: ...
 
     def names(self) -> list[str]: ...
 
     def create(self, name: str) -> File:
-        """A new, empty file. Raises FileExistsError."""
+        """Create an empty file and open it. Raises FileExistsError."""
 
     def open(self, name: str, write: bool = False) -> File: ...
 
@@ -49,10 +54,12 @@
     def remove(self, name: str) -> None: ...
 
     def sync_names(self) -> None:
-        """Created, renamed and removed names outlast a cut from here on."""
+        """Make created, renamed and removed names durable, so that they survive a power cut."""
 
 
 class RealFile:
+    """A `File` over a file descriptor."""
+
     def __init__(self, descriptor: int) -> None:
         self._fd = descriptor
 
@@ -63,10 +70,12 @@
         data = os.pread(self._fd, size, offset)
         if len(data) == size or not data:
             return data
-        parts = [data]  # a read may stop short of what is there
-        while (got := sum(map(len, parts))) < size and (more := os.pread(self._fd, size - got, offset + got)):
-            parts.append(more)
-        return b"".join(parts)
+        chunks = [data]  # a read may return fewer bytes than the file holds
+        while (received := sum(map(len, chunks))) < size and (
+            more := os.pread(self._fd, size - received, offset + received)
+        ):
+            chunks.append(more)
+        return b"".join(chunks)
 
     def size(self) -> int:
         return os.fstat(self._fd).st_size
@@ -75,7 +84,7 @@
         os.ftruncate(self._fd, size)
 
     def sync(self) -> None:
-        os.fdatasync(self._fd)  # with the size, which it needs to find the bytes again
+        os.fdatasync(self._fd)  # syncs the size as well, since the data could not be read back without it
 
     def close(self) -> None:
         if self._fd >= 0:
@@ -84,10 +93,12 @@
 
 
 class RealDisk:
+    """A `Disk` over a folder of the file system."""
+
     LOCK = "LOCK"
 
     def __init__(self, folder: str | os.PathLike[str], make: bool = True) -> None:
-        """`make`: the folder is created when it is not there. Raises OSError."""
+        """Create the folder when it does not exist and `make` is set. Raises OSError."""
         self.folder = Path(folder)
         if make and not self.folder.is_dir():
             self.folder.mkdir(parents=True, mode=0o700)
@@ -135,15 +146,15 @@
 
 
 def write_all(file: File, data: bytes, offset: int) -> None:
-    """Continue short writes to the end. Raises OSError."""
-    done = 0
+    """Write all of `data` at `offset`, continuing after short writes. Raises OSError."""
+    written = 0
     view = memoryview(data)
-    while done < len(data):
-        done += file.write(view[done:] if done else data, offset + done)
+    while written < len(data):
+        written += file.write(view[written:] if written else data, offset + written)
 
 
 def read_whole(disk: Disk, name: str) -> bytes:
-    """Raises OSError."""
+    """Return the content of a file. Raises OSError."""
     file = disk.open(name)
     try:
         return file.read(0, file.size())
@@ -151,8 +162,8 @@
         file.close()
 
 
-def size_of(disk: Disk, name: str) -> int:
-    """Raises OSError."""
+def file_size(disk: Disk, name: str) -> int:
+    """Return the size of a file in bytes. Raises OSError."""
     file = disk.open(name)
     try:
         return file.size()
@@ -161,9 +172,9 @@
 
 
 def replace(disk: Disk, name: str, data: bytes) -> None:
-    """Put a whole file in place of the old one, so that a cut leaves one or the other. Raises OSError.
+    """Replace a file atomically: after a power cut it has either the old or the new content. Raises OSError.
 
-    The name is durable only after the next `sync_names`.
+    The replacement is durable only after the next `sync_names`.
     """
     temporary = name + ".tmp"
     if temporary in disk.names():
--- a/beaconhinge/store/engine.py
+++ b/beaconhinge/store/engine.py
@@ -13,11 +13,11 @@
 
 from . import codec, scan
 from .codec import DELETE, HEADER_BYTES, MANIFEST, PUT, Change, Manifest, Put
-from .compaction import Sealed, choose
-from .disk import Disk, File, read_whole, replace, size_of, write_all
+from .compaction import SegmentUsage, choose_segment
+from .disk import Disk, File, file_size, read_whole, replace, write_all
 from .errors import StoreCorrupt, StoreFailed, StoreFull, StoreTooLarge, StoreUnreadable
-from .index import Index, parts, place
-from .options import KEY_BYTES, Options
+from .index import Index, pack_location, unpack_location
+from .options import KEY_OVERHEAD_BYTES, Options
 
 FULL = (errno.ENOSPC, errno.EDQUOT, errno.EFBIG)
 
@@ -104,7 +104,7 @@
         for name in sorted(names):
             if not _ours(name) or name == MANIFEST + ".tmp":
                 continue
-            if name != first or size_of(self.disk, name) > HEADER_BYTES:
+            if name != first or file_size(self.disk, name) > HEADER_BYTES:
                 raise StoreCorrupt(MANIFEST, 0, f"missing, though {name} is there")
         for name in names & {first, MANIFEST + ".tmp"}:
             self.disk.remove(name)
@@ -196,7 +196,7 @@
             self.disk.remove(name)
             raise
         self._sync(file)
-        return Segment(number, file, codec.salt_of(header), len(header), self.batch)
+        return Segment(number, file, codec.segment_salt(header), len(header), self.batch)
 
     def _sync(self, file: File) -> None:
         """Sync once. After an error the system may have dropped the pages that it could not write and call
@@ -341,7 +341,7 @@
         if held:
             whole.append((-1, held))
         room = self.options.max_disk_bytes - self.disk_bytes
-        memory = self.options.max_index_bytes - self.index.memory
+        memory = self.options.max_index_bytes - self.index.memory_bytes
         for i, changes in enumerate(batches):
             growth = sum(map(codec.frame_size, changes))
             full = self._no_room(changes, growth, room, memory)
@@ -360,10 +360,10 @@
             if puts or growth > room + self.options.segment_bytes:
                 self.counters["store_limit_max_disk_bytes"] += 1
                 return self.full(f"max_disk_bytes is {self.options.max_disk_bytes}")
-        if growth + KEY_BYTES * len(changes) <= memory:
+        if growth + KEY_OVERHEAD_BYTES * len(changes) <= memory:
             return None
-        new = {c.key for c in changes if isinstance(c, Put) and c.key not in self.index.places}
-        if new and sum(map(len, new)) + KEY_BYTES * len(new) > memory:
+        new = {c.key for c in changes if isinstance(c, Put) and c.key not in self.index.locations}
+        if new and sum(map(len, new)) + KEY_OVERHEAD_BYTES * len(new) > memory:
             self.counters["store_limit_max_index_bytes"] += 1
             return self.full(f"max_index_bytes is {self.options.max_index_bytes}")
         return None
@@ -377,9 +377,9 @@
         held: list[Change] = []
         for key, kind, where in moves:
             if kind == DELETE:
-                if key not in self.index.places:
+                if key not in self.index.locations:
                     held.append(codec.Delete(key))
-            elif self.index.places.get(key) == where:
+            elif self.index.locations.get(key) == where:
                 held.append(Put(key, self.read(where, key)))
         return held
 
@@ -448,9 +448,9 @@
     def candidate(self, at_least: float) -> Segment | None:
         """The sealed segment that is best cleaned next, if its dead share is worth it."""
         live = self.index.live
-        number = choose(
+        number = choose_segment(
             [
-                Sealed(s.number, s.size - HEADER_BYTES, live.get(s.number, 0), s.deletions)
+                SegmentUsage(s.number, s.size - HEADER_BYTES, live.get(s.number, 0), s.deletions)
                 for s in self.sealed.values()
             ],
             at_least,
@@ -483,11 +483,11 @@
                 end = min(segment.size, offset + 2 * (end - offset) + self.options.max_value_bytes)
                 data = self._bytes(segment, offset, end - offset)  # a frame larger than the limit by itself
                 continue
-            where = place(segment.number, at, frame.size)
+            where = pack_location(segment.number, at, frame.size)
             if frame.kind == DELETE:
                 if not oldest:
                     found.append((frame.key, DELETE, where))
-            elif self.index.places.get(frame.key) == where:
+            elif self.index.locations.get(frame.key) == where:
                 found.append((frame.key, PUT, where))
             at += frame.size
         return found, at
@@ -524,10 +524,10 @@
 
     def read(self, where: int, key: bytes) -> bytes:
         """The value at a place. Raises StoreCorrupt when it is not what was written, StoreUnreadable."""
-        number, offset, size = parts(where)
+        number, offset, size = unpack_location(where)
         active = self.active
         segment = active if number == active.number else self.sealed[number]
-        value = codec.value_of(self._bytes(segment, offset, size), segment.salt, key)
+        value = codec.decode_value(self._bytes(segment, offset, size), segment.salt, key)
         if value is None:
             raise self._corrupt(segment.name, offset)
         return value
--- a/beaconhinge/store/errors.py
+++ b/beaconhinge/store/errors.py
@@ -1,4 +1,4 @@
-"""What the store raises. `docs/operate/store.md` tells an operator what each one asks for."""
+"""The store's exceptions. `docs/operate/store.md` describes what an operator should do about each of them."""
 
 from __future__ import annotations
 
@@ -6,13 +6,16 @@
 
 
 class StoreError(Error):
-    """Base of all of the store's errors."""
+    """Base class of the store's errors."""
 
 
 class StoreCorrupt(StoreError):
-    """Bytes that were durable once are not what was written. Nothing on disk has been changed.
+    """Bytes that were durable differ from what was written. Nothing on disk has been changed.
 
-    `file` is the name within the folder, `offset` the first byte of what cannot be trusted.
+    Attributes:
+        file: name within the folder.
+        offset: first byte that cannot be trusted.
+        reason: what is wrong there.
     """
 
     def __init__(self, file: str, offset: int, reason: str) -> None:
@@ -23,28 +26,28 @@
 
 
 class StoreUnreadable(StoreError):
-    """The disk would not give bytes back. Nothing was changed; another read may succeed."""
+    """The disk failed to read bytes. Nothing was changed; another read may succeed."""
 
 
 class StoreVersion(StoreError):
-    """A file was written in a newer format than this program reads."""
+    """A file has a newer format version than this program reads."""
 
-    def __init__(self, file: str, found: int, known: int) -> None:
-        super().__init__(f"{file}: format version {found}; this program reads up to {known}")
+    def __init__(self, file: str, found: int, supported: int) -> None:
+        super().__init__(f"{file}: format version {found}; this program reads up to {supported}")
         self.file = file
         self.found = found
 
 
 class StoreFull(StoreError):
-    """No room for this commit, on the disk or within a limit. Its bytes are undone; later ones may fit."""
+    """A commit has no room, on the disk or within a limit. Its bytes are undone; later commits may fit."""
 
 
 class StoreTooLarge(StoreError):
-    """A key, a value or a batch is over its limit: the same commit can never succeed."""
+    """A key, a value or a batch is over its size limit: the same commit can never succeed."""
 
 
 class StoreFailed(StoreError):
-    """The disk failed in a way after which nothing more may be written: the store is read-only for good."""
+    """The disk failed in a way after which nothing more may be written: the store stays read-only."""
 
 
 class StoreLocked(StoreError):
@@ -52,4 +55,4 @@
 
 
 class StoreClosed(StoreError):
-    """The store was closed."""
+    """The store has been closed."""
--- a/beaconhinge/store/index.py
+++ b/beaconhinge/store/index.py
@@ -1,4 +1,4 @@
-"""Where each present key lies: a hash table, with an order that is kept from the first ordered scan on."""
+"""The location of each present key: a hash table, and a sorted list of the keys from the first scan on."""
 
 from __future__ import annotations
 
@@ -7,43 +7,52 @@
 
 from sortedcontainers import SortedList
 
-from .options import KEY_BYTES
+from .options import KEY_OVERHEAD_BYTES
 
-# A place is one whole number, since a tuple would take three times the memory: segment, offset, bytes of the
-# frame.
+# A location is one integer, since a tuple would take three times the memory: segment number, offset in the
+# segment, size of the frame in bytes.
 _MASK = (1 << 32) - 1
 
 
-def place(segment: int, offset: int, size: int) -> int:
+def pack_location(segment: int, offset: int, size: int) -> int:
+    """Return the location of a frame of `size` bytes."""
     return segment << 64 | offset << 32 | size
 
 
-def parts(where: int) -> tuple[int, int, int]:
-    return where >> 64, where >> 32 & _MASK, where & _MASK
+def unpack_location(location: int) -> tuple[int, int, int]:
+    """Return the segment number, the offset and the size of a location."""
+    return location >> 64, location >> 32 & _MASK, location & _MASK
 
 
 class Index:
-    """Keys and places, and how many bytes of each segment are still wanted."""
+    """Maps keys to locations, and counts the live bytes of each segment.
+
+    Attributes:
+        locations: location of each present key.
+        live: bytes of the frames of present values, by segment number.
+        key_bytes: length of all present keys together.
+    """
 
     def __init__(self) -> None:
-        self.places: dict[bytes, int] = {}
-        self.live: defaultdict[int, int] = defaultdict(int)  # bytes of frames of present values
+        self.locations: dict[bytes, int] = {}
+        self.live: defaultdict[int, int] = defaultdict(int)
         self.key_bytes = 0
         self._order: SortedList | None = None
 
     def __len__(self) -> int:
-        return len(self.places)
+        return len(self.locations)
 
     @property
-    def memory(self) -> int:
-        """An estimate, in bytes."""
-        return self.key_bytes + KEY_BYTES * len(self.places)
-
-    def put(self, key: bytes, where: int) -> None:
-        places, live = self.places, self.live
-        old = places.get(key)
-        places[key] = where
-        live[where >> 64] += where & _MASK
+    def memory_bytes(self) -> int:
+        """Estimated memory of the index, in bytes."""
+        return self.key_bytes + KEY_OVERHEAD_BYTES * len(self.locations)
+
+    def put(self, key: bytes, location: int) -> None:
+        """Set the location of a key's value."""
+        locations, live = self.locations, self.live
+        old = locations.get(key)
+        locations[key] = location
+        live[location >> 64] += location & _MASK
         if old is not None:
             live[old >> 64] -= old & _MASK
             return
@@ -52,7 +61,8 @@
             self._order.add(key)
 
     def delete(self, key: bytes) -> None:
-        old = self.places.pop(key, None)
+        """Remove a key if it is present."""
+        old = self.locations.pop(key, None)
         if old is None:
             return
         self.live[old >> 64] -= old & _MASK
@@ -61,16 +71,16 @@
             self._order.remove(key)
 
     def scan(self, prefix: bytes) -> Iterator[bytes]:
-        """Present keys with the prefix, in order of their bytes, as they are while the scan goes on."""
+        """Yield the present keys with the prefix, in byte order, including changes made during the scan."""
         if self._order is None:
-            self._order = SortedList(self.places)
+            self._order = SortedList(self.locations)
         key: bytes | None = None
         while True:
-            # Found again for each: what is committed meanwhile moves places within the list.
-            at = self._order.bisect_left(prefix) if key is None else self._order.bisect_right(key)
-            if at >= len(self._order):
+            # The position is looked up for each key, since commits during the scan shift the list's items.
+            position = self._order.bisect_left(prefix) if key is None else self._order.bisect_right(key)
+            if position >= len(self._order):
                 return
-            key = self._order[at]
+            key = self._order[position]
             if not key.startswith(prefix):
                 return
             yield key
--- a/beaconhinge/store/repair.py
+++ b/beaconhinge/store/repair.py
@@ -7,7 +7,7 @@
 
 from . import codec, scan
 from .codec import HEADER_BYTES, MANIFEST, PUT, Change, Delete, Frame, Manifest, Put
-from .disk import Disk, read_whole, size_of
+from .disk import Disk, file_size, read_whole
 from .engine import Engine
 from .errors import StoreCorrupt, StoreError, StoreVersion
 from .options import Options
@@ -51,7 +51,7 @@
     result, before = Verified(), 0
     for number, told, last_batch in [*manifest.sealed, (manifest.active, -1, -1)]:
         name, newest = codec.segment_name(number), told < 0
-        size = size_of(disk, name) if name in names else 0
+        size = file_size(disk, name) if name in names else 0
         try:
             if name not in names:
                 raise StoreCorrupt(name, 0, "missing")
@@ -102,7 +102,7 @@
         raise StoreError("the folder for what is salvaged is not empty")
     result = Salvaged()
     numbers, store_id = _segments(source, result)
-    sizes = {number: size_of(source, codec.segment_name(number)) for number in numbers}
+    sizes = {number: file_size(source, codec.segment_name(number)) for number in numbers}
     engine = Engine(target, options, log, new_id)
     done = 0
     for number in numbers:
@@ -156,7 +156,7 @@
         result.lost.append(Damage(name, 0, HEADER_BYTES, error.reason))
         if store_id is None:
             return
-        salt = codec.salt_of(codec.segment_header(store_id, number))
+        salt = codec.segment_salt(codec.segment_header(store_id, number))
     held: list[Frame] = []
     offset = HEADER_BYTES
     while offset < len(data):
--- a/beaconhinge/store/scan.py
+++ b/beaconhinge/store/scan.py
@@ -14,7 +14,7 @@
 from collections.abc import Iterator
 from dataclasses import dataclass, field
 
-from .codec import HEADER_BYTES, LIKELY, LIKELY_AT, Frame, decode_frame
+from .codec import FRAME_PATTERN, FRAME_PATTERN_OFFSET, HEADER_BYTES, Frame, decode_frame
 from .errors import StoreCorrupt
 
 
@@ -45,8 +45,8 @@
     Raises nothing. A chance match takes a checksum collision, one in 2^32 for each offset that looks
     plausible.
     """
-    for likely in LIKELY.finditer(data, start + LIKELY_AT):
-        frame = decode_frame(data, likely.start() - LIKELY_AT, salt)
+    for likely in FRAME_PATTERN.finditer(data, start + FRAME_PATTERN_OFFSET):
+        frame = decode_frame(data, likely.start() - FRAME_PATTERN_OFFSET, salt)
         if frame is not None:
             return frame
     return None
--- a/beaconhinge/store/store.py
+++ b/beaconhinge/store/store.py
@@ -14,7 +14,7 @@
 from typing import Any, TypeVar
 
 from .codec import HEADER_BYTES, Change
-from .compaction import Pace, haste
+from .compaction import RateLimiter, cleaning_speedup
 from .disk import Disk, RealDisk
 from .engine import Engine, Placed, Segment, Written
 from .errors import StoreClosed, StoreCorrupt, StoreError, StoreFailed, StoreLocked, StoreUnreadable
@@ -42,7 +42,7 @@
     def __init__(self, engine: Engine, now: Callable[[], float] = time.monotonic) -> None:
         self.engine = engine
         self._now = now
-        self._pace = Pace(engine.options.compact_bytes_per_s)
+        self._pace = RateLimiter(engine.options.compact_bytes_per_s)
         self._work: SimpleQueue[Callable[[], None] | None] = SimpleQueue()
         self._thread = threading.Thread(target=self._labour, name="store", daemon=True)
         self._thread.start()
@@ -238,7 +238,7 @@
             if records and not await self._move(records):
                 return False
             if paced:
-                times = haste(self.engine.disk_bytes, self.engine.options.max_disk_bytes)
+                times = cleaning_speedup(self.engine.disk_bytes, self.engine.options.max_disk_bytes)
                 await asyncio.sleep(self._pace.wait(self._now(), offset - before, times))
         if not await self._run(lambda: self.engine.drop(segment)):
             return False
@@ -278,7 +278,7 @@
         """
         if self._closed:
             raise StoreClosed("the store is closed")
-        where = self.engine.index.places.get(key)
+        where = self.engine.index.locations.get(key)
         return None if where is None else self.engine.read(where, key)
 
     def scan(self, prefix: bytes = b"") -> Iterator[tuple[bytes, bytes]]:
@@ -295,7 +295,7 @@
         return len(self.engine.index)
 
     def __contains__(self, key: bytes) -> bool:
-        return key in self.engine.index.places
+        return key in self.engine.index.locations
 
     def metrics(self) -> dict[str, int | float | str]:
         """Figures of this moment, and the counters that are not zero."""
@@ -307,7 +307,7 @@
             "segments": len(engine.sealed) + 1,
             "disk_bytes": engine.disk_bytes,
             "live_bytes": live,
-            "index_bytes": engine.index.memory,
+            "index_bytes": engine.index.memory_bytes,
             "last_batch": engine.batch,
             "state": "failed" if engine.failure else "open",
             **dict(sorted(engine.counters.items())),
--- a/tests/store/explore.py
+++ b/tests/store/explore.py
@@ -36,7 +36,7 @@
 
 
 def content(store: Engine) -> Content:
-    return {key: store.read(where, key) for key, where in store.index.places.items()}
+    return {key: store.read(where, key) for key, where in store.index.locations.items()}
 
 
 def changed(state: Content, batch: list[Change]) -> Content:
--- a/tests/store/test_store.py
+++ b/tests/store/test_store.py
@@ -27,7 +27,7 @@
     codec,
 )
 from beaconhinge.store.codec import Change
-from beaconhinge.store.compaction import Pace, Sealed, choose, haste
+from beaconhinge.store.compaction import RateLimiter, SegmentUsage, choose_segment, cleaning_speedup
 
 
 def opened(disk: SimDisk, options: Options = SMALL, **more: Any) -> Store:
@@ -325,25 +325,30 @@
 
 
 def test_the_segment_with_the_most_dead_bytes_is_cleaned_first() -> None:
-    segments = [Sealed(1, 100, 90, 0), Sealed(2, 100, 30, 0), Sealed(3, 100, 10, 0)]
-    assert choose(segments, 0.5) == 3
-    assert choose(segments[:2], 0.5) == 2
-    assert choose(segments[:1], 0.5) is None
-    assert choose([], 0.5) is None
+    segments = [SegmentUsage(1, 100, 90, 0), SegmentUsage(2, 100, 30, 0), SegmentUsage(3, 100, 10, 0)]
+    assert choose_segment(segments, 0.5) == 3
+    assert choose_segment(segments[:2], 0.5) == 2
+    assert choose_segment(segments[:1], 0.5) is None
+    assert choose_segment([], 0.5) is None
 
 
 def test_deletions_count_as_wanted_but_in_the_oldest_segment() -> None:
-    assert choose([Sealed(1, 100, 90, 0), Sealed(2, 100, 0, 45)], 0.5) == 2
-    assert choose([Sealed(1, 100, 90, 0), Sealed(2, 100, 0, 80)], 0.5) is None
-    assert choose([Sealed(1, 100, 0, 80)], 0.5) == 1
+    assert choose_segment([SegmentUsage(1, 100, 90, 0), SegmentUsage(2, 100, 0, 45)], 0.5) == 2
+    assert choose_segment([SegmentUsage(1, 100, 90, 0), SegmentUsage(2, 100, 0, 80)], 0.5) is None
+    assert choose_segment([SegmentUsage(1, 100, 0, 80)], 0.5) == 1
     # They fill half of all: the oldest is cleaned, though it is all wanted, until they are the oldest.
-    assert choose([Sealed(1, 100, 95, 0), Sealed(2, 100, 0, 100), Sealed(3, 100, 0, 95)], 0.5) == 1
+    assert (
+        choose_segment(
+            [SegmentUsage(1, 100, 95, 0), SegmentUsage(2, 100, 0, 100), SegmentUsage(3, 100, 0, 95)], 0.5
+        )
+        == 1
+    )
 
 
 def test_the_pace_spreads_bytes_over_time_and_owes_nothing_for_a_pause() -> None:
-    pace = Pace(1000.0)
+    pace = RateLimiter(1000.0)
     assert pace.wait(10.0, 100) == pytest.approx(0.1)
     assert pace.wait(10.0, 100) == pytest.approx(0.2)
     assert pace.wait(20.0, 100) == pytest.approx(0.1)
-    assert pace.wait(30.0, 100, haste(100, 100)) == pytest.approx(0.1 / 16)
-    assert [haste(used, 100) for used in (0, 50, 75, 100, 130)] == [1.0, 1.0, 8.5, 16.0, 16.0]
+    assert pace.wait(30.0, 100, cleaning_speedup(100, 100)) == pytest.approx(0.1 / 16)
+    assert [cleaning_speedup(used, 100) for used in (0, 50, 75, 100, 130)] == [1.0, 1.0, 8.5, 16.0, 16.0]
--- a/tests/store/test_trouble.py
+++ b/tests/store/test_trouble.py
@@ -191,7 +191,7 @@
     store = engine(SimDisk(), Options(max_index_bytes=1000))
     failed = [put(store, b"%d" % number, b"") for number in range(10)]
     assert "max_index_bytes" in str(failed[-1])
-    assert store.index.memory <= 1000
+    assert store.index.memory_bytes <= 1000
     assert put(store, b"0", b"again") is None  # no new key
 
 
