--- a/beaconhinge/store/engine.py
+++ b/beaconhinge/store/engine.py
@@ -1,7 +1,7 @@
-"""The store without its threads: recovery, groups of batches, rolling and cleaning segments, reads.
+"""The store without its thread: recovery, writing groups of batches, rolling and cleaning segments, reads.
 
-Every method that touches the disk blocks, and says whether it may run beside others. The index changes in
-`apply` and `dropped` alone, which the owner calls between the blocking ones.
+Every method that touches the disk blocks. Only `apply` and `forget_segment` change the index after recovery;
+the owner calls them between the blocking methods.
 """
 
 from __future__ import annotations
@@ -19,22 +19,33 @@
 from .index import Index, pack_location, unpack_location
 from .options import KEY_OVERHEAD_BYTES, Options
 
-FULL = (errno.ENOSPC, errno.EDQUOT, errno.EFBIG)
+OUT_OF_SPACE_ERRNOS = (errno.ENOSPC, errno.EDQUOT, errno.EFBIG)
 
 Log = Callable[..., None]
-Placed = tuple[bytes, int, int]  # key, kind, place
+LocatedRecord = tuple[bytes, int, int]  # key, kind, location (see index.py)
 
 
 @dataclass(slots=True)
 class Segment:
+    """An open segment file.
+
+    Attributes:
+        salt: the value that its frames' checksums start from.
+        size: bytes, header included.
+        last_batch: number of its last batch.
+        deletions: bytes of its frames that delete a key.
+        index_entries: entries of its index file, until that is written.
+        index_entry_count: number of these entries.
+    """
+
     number: int
     file: File
     salt: int
     size: int
     last_batch: int
-    deletions: int = 0  # bytes of frames that delete
-    entries: bytearray = field(default_factory=bytearray)  # of its index file, until that is written
-    count: int = 0
+    deletions: int = 0
+    index_entries: bytearray = field(default_factory=bytearray)
+    index_entry_count: int = 0
 
     @property
     def name(self) -> str:
@@ -42,27 +53,48 @@
 
 
 @dataclass(slots=True)
-class Written:
-    """A group that is durable, to be applied to the index; and the batches of it that have failed."""
+class GroupResult:
+    """The result of writing a group of batches.
 
-    placed: list[Placed] = field(default_factory=list)
-    failed: dict[int, StoreFull] = field(default_factory=dict)
-    moved: bool = True  # what was to be moved out of a segment has been
+    Attributes:
+        records: durable records, to be applied to the index.
+        failures: errors of the batches that were not written, by position in the group.
+        all_moved: whether all live records of the segment being cleaned have been moved.
+    """
+
+    records: list[LocatedRecord] = field(default_factory=list)
+    failures: dict[int, StoreFull] = field(default_factory=dict)
+    all_moved: bool = True
 
 
 class Engine:
+    """An open store on a disk.
+
+    Attributes:
+        counters: counts of events, by name.
+        sealed: the sealed segments by number, oldest first.
+        failure: the error after which the store is read-only, if there was one.
+        store_id: 16 bytes that identify the store; each segment's header holds them.
+        active: the segment that is written to.
+        last_batch: number of the last batch written.
+    """
+
     def __init__(self, disk: Disk, options: Options, log: Log, new_id: Callable[[], bytes]) -> None:
+        """Recover the store on `disk`, or create one with an id from `new_id`.
+
+        Raises StoreCorrupt, StoreVersion, StoreFailed or OSError.
+        """
         self.disk = disk
         self.options = options
         self.log = log
         self.counters: Counter[str] = Counter()
         self.index = Index()
-        self.sealed: dict[int, Segment] = {}  # oldest first
+        self.sealed: dict[int, Segment] = {}
         self.failure: StoreFailed | None = None
         self.store_id = b""
         self.active: Segment
-        self.batch = 0  # the last one given out
-        self._floor = 0
+        self.last_batch = 0
+        self._floor = 0  # last batch number before the active segment
         self._files: list[File] = []
         try:
             self._recover(new_id)
@@ -74,14 +106,14 @@
     # ---- recovery ------------------------------------------------------------------------------------------
 
     def _recover(self, new_id: Callable[[], bytes]) -> None:
-        """Read everything first, so that damage is found before anything on disk has been changed."""
+        """Read everything before changing anything on disk, so that damage is found first."""
         names = set(self.disk.names())
         if MANIFEST not in names:
             self._create(names, new_id)
             return
         manifest = codec.decode_manifest(read_whole(self.disk, MANIFEST))
         self.store_id, self._floor = manifest.store_id, manifest.floor
-        before = 0
+        previous_batch = 0
         unindexed: list[Segment] = []
         for number, size, last_batch in manifest.sealed:
             segment = self._open_segment(number, names)
@@ -89,20 +121,24 @@
                 raise StoreCorrupt(segment.name, min(segment.size, size), f"{segment.size} bytes of {size}")
             segment.last_batch = last_batch
             if not self._load_index(segment, names):
-                self._load_frames(segment, read_whole(self.disk, segment.name), False, before)
+                self._load_frames(segment, read_whole(self.disk, segment.name), False, previous_batch)
                 unindexed.append(segment)
             self.sealed[number] = segment
-            before = last_batch
+            previous_batch = last_batch
         self.active = self._open_segment(manifest.active, names, write=True)
         found = self._load_frames(self.active, read_whole(self.disk, self.active.name), True, manifest.floor)
-        self.batch = found.last_batch
-        self._settle(names, found, unindexed)
+        self.last_batch = found.last_batch
+        self._make_durable(names, found, unindexed)
 
     def _create(self, names: set[str], new_id: Callable[[], bytes]) -> None:
-        """A new store. What a cut during an earlier creation left is less than one whole segment."""
+        """Create a new store.
+
+        A power cut during an earlier creation leaves at most the first segment's header and a temporary
+        manifest, which are removed. Raises StoreCorrupt when the folder holds more of a store than that.
+        """
         first = codec.segment_name(1)
         for name in sorted(names):
-            if not _ours(name) or name == MANIFEST + ".tmp":
+            if not _is_store_file(name) or name == MANIFEST + ".tmp":
                 continue
             if name != first or file_size(self.disk, name) > HEADER_BYTES:
                 raise StoreCorrupt(MANIFEST, 0, f"missing, though {name} is there")
@@ -124,6 +160,7 @@
         return Segment(number, file, salt, file.size(), 0)
 
     def _load_index(self, segment: Segment, names: set[str]) -> bool:
+        """Load a sealed segment's records from its index file; return False when there is no usable one."""
         name = codec.index_name(segment.number)
         if name not in names:
             return False
@@ -144,35 +181,39 @@
         return True
 
     def _load_frames(self, segment: Segment, data: bytes, newest: bool, after_batch: int) -> scan.Scan:
+        """Load a segment's records from its frames. Raises StoreCorrupt."""
         found = scan.read(segment.name, data, segment.salt, newest, after_batch)
         put, delete, base = self.index.put, self.index.delete, segment.number << 64
         for frame in found.frames:
-            segment.entries += codec.index_entry(frame.offset, frame.kind, frame.key, frame.size)
+            segment.index_entries += codec.index_entry(frame.offset, frame.kind, frame.key, frame.size)
             if frame.kind == PUT:
                 put(frame.key, base | frame.offset << 32 | frame.size)
             else:
                 delete(frame.key)
                 segment.deletions += frame.size
-        segment.count = len(found.frames)
+        segment.index_entry_count = len(found.frames)
         segment.last_batch = found.last_batch
         return found
 
-    def _settle(self, names: set[str], found: scan.Scan, unindexed: Sequence[Segment]) -> None:
-        """Make what was read the state on disk: nothing that is served from here on may vanish at a cut."""
+    def _make_durable(self, names: set[str], found: scan.Scan, unindexed: Sequence[Segment]) -> None:
+        """Make the recovered state durable, since nothing served from here on may be lost in a power cut.
+
+        Cuts a torn tail off and removes leftover files. Raises StoreFailed.
+        """
         try:
             if found.torn:
                 self.counters["store_tail_cut"] += 1
                 self.log("store_tail_cut", file=self.active.name, offset=found.end, bytes=found.torn)
                 self.active.file.truncate(found.end)
                 self.active.size = found.end
-            # A process that was killed, not cut, may have left whole batches and renames that were never
-            # synced.
+            # A process that was killed, without a power cut, may have left whole batches and renames that
+            # were never synced.
             self.active.file.sync()
             self.disk.sync_names()
             kept = {MANIFEST, self.active.name}
             for segment in self.sealed.values():
                 kept |= {segment.name, codec.index_name(segment.number)}
-            for name in sorted(n for n in names - kept if _ours(n)):
+            for name in sorted(n for n in names - kept if _is_store_file(n)):
                 self.disk.remove(name)
                 self.log("store_leftover_removed", file=name)
         except OSError as error:
@@ -183,10 +224,13 @@
     # ---- segments ------------------------------------------------------------------------------------------
 
     def _new_segment(self, number: int) -> Segment:
-        """Created, written and synced; its name is durable after the next `sync_names`."""
+        """Create a segment and sync its header; its name is durable after the next `sync_names`.
+
+        Raises OSError or StoreFailed.
+        """
         name = codec.segment_name(number)
         header = codec.segment_header(self.store_id, number)
-        if name in self.disk.names():  # of a roll that had no room to end
+        if name in self.disk.names():  # left by a roll that ran out of space
             self.disk.remove(name)
         file = self.disk.create(name)
         try:
@@ -196,11 +240,13 @@
             self.disk.remove(name)
             raise
         self._sync(file)
-        return Segment(number, file, codec.segment_salt(header), len(header), self.batch)
+        return Segment(number, file, codec.segment_salt(header), len(header), self.last_batch)
 
     def _sync(self, file: File) -> None:
-        """Sync once. After an error the system may have dropped the pages that it could not write and call
-        the next sync a success, so that no second one is tried (fsyncgate, 2018).
+        """Sync a file. Raises StoreFailed after one attempt.
+
+        After an error the system may have dropped the pages that it could not write and report success for
+        the next sync, so the sync is not repeated (fsyncgate, 2018).
         """
         try:
             file.sync()
@@ -214,25 +260,30 @@
             raise self.fail(f"sync of the folder: {error}") from None
 
     def fail(self, why: str) -> StoreFailed:
+        """Make the store read-only and return the error to raise; the first failure stays the reason."""
         if self.failure is None:
-            self.failure = StoreFailed(f"read-only since a failure of the disk: {why}")
+            self.failure = StoreFailed(f"the store is read-only since a disk failure: {why}")
             self.counters["store_failed"] += 1
             self.log("store_failed", why=why)
         return self.failure
 
-    def _only_room(self, what: str, error: OSError) -> None:
-        """Raises StoreFailed for any error but a lack of room, which passes."""
-        if error.errno not in FULL:
-            raise self.fail(f"{what}: {error}") from None
+    def _raise_unless_out_of_space(self, operation: str, error: OSError) -> None:
+        """Raise StoreFailed, unless the error is a lack of space, which is temporary."""
+        if error.errno not in OUT_OF_SPACE_ERRNOS:
+            raise self.fail(f"{operation}: {error}") from None
 
     def _write_manifest(self, manifest: Manifest) -> None:
-        """Raises OSError while the old one stands, StoreFailed when neither is known to."""
+        """Replace the manifest.
+
+        Raises OSError when the old manifest is still in place, StoreFailed when it is uncertain which one is.
+        """
         replace(self.disk, MANIFEST, codec.encode_manifest(manifest))
         self._sync_names()
 
     def _manifest(
         self, active: int, floor: int, without: int | None = None, sealing: Segment | None = None
     ) -> Manifest:
+        """Return a manifest of the sealed segments, with `sealing` added and number `without` left out."""
         sealed = [*self.sealed.values(), *([sealing] if sealing else [])]
         return Manifest(
             self.store_id,
@@ -242,22 +293,22 @@
         )
 
     def _roll(self) -> None:
-        """Seal the active segment and begin the next. Raises OSError (nothing changed) or StoreFailed."""
+        """Seal the active segment and begin the next. Raises StoreFailed, or OSError with nothing changed."""
         old = self.active
         number = max([old.number, *self.sealed]) + 1
         new = self._new_segment(number)
         try:
             self._sync_names()
-            self._write_manifest(self._manifest(number, self.batch, sealing=old))
+            self._write_manifest(self._manifest(number, self.last_batch, sealing=old))
         except OSError:
             new.file.close()
             self.disk.remove(new.name)
             raise
-        self.sealed[old.number], self.active, self._floor = old, new, self.batch
+        self.sealed[old.number], self.active, self._floor = old, new, self.last_batch
         self.counters["store_segments_sealed"] += 1
 
     def seal(self) -> None:
-        """Roll now if anything stands in the active segment. Raises StoreFull or StoreFailed."""
+        """Seal the active segment now unless it is empty. Raises StoreFull or StoreFailed."""
         if self.failure is not None:
             raise self.failure
         if self.active.size <= HEADER_BYTES:
@@ -265,24 +316,31 @@
         try:
             self._roll()
         except OSError as error:
-            self._only_room("a new segment", error)
-            raise self.full(str(error)) from None
+            self._raise_unless_out_of_space("a new segment", error)
+            raise self.out_of_space(str(error)) from None
 
     def unindexed(self) -> Segment | None:
-        return next((s for s in self.sealed.values() if s.count), None)
+        """Return the oldest sealed segment whose index file has not been written, or None."""
+        return next((s for s in self.sealed.values() if s.index_entry_count), None)
 
     def write_index(self, segment: Segment) -> None:
-        """Save what recovery would have to read a sealed segment for. To fail at this costs time only.
+        """Write a sealed segment's index file, so that recovery need not read the segment.
 
-        Asked for twice, or for a segment that has been cleaned, it does nothing: an index without its entries
-        would hide every key of the segment.
+        A failure is logged and costs time at the next recovery only. A second call for a segment, or a call
+        for a segment that has been cleaned, does nothing: an index file without its entries would hide every
+        key of the segment.
         """
-        if not segment.count or segment.number not in self.sealed:
+        if not segment.index_entry_count or segment.number not in self.sealed:
             return
         data = codec.encode_index(
-            self.store_id, segment.number, segment.salt, segment.size, segment.count, segment.entries
+            self.store_id,
+            segment.number,
+            segment.salt,
+            segment.size,
+            segment.index_entry_count,
+            segment.index_entries,
         )
-        segment.entries, segment.count = bytearray(), 0
+        segment.index_entries, segment.index_entry_count = bytearray(), 0
         try:
             replace(self.disk, codec.index_name(segment.number), data)
         except OSError as error:
@@ -292,114 +350,130 @@
     # ---- groups of batches ---------------------------------------------------------------------------------
 
     def check(self, changes: Sequence[Change]) -> int:
-        """Bytes of a batch on disk. Raises StoreTooLarge or StoreFailed; touches no disk."""
+        """Return the bytes that a batch takes on disk. Raises StoreTooLarge or StoreFailed; does no I/O."""
         if self.failure is not None:
             raise self.failure
-        told, total = self.options, 0
+        limits, total = self.options, 0
         for change in changes:
             size = len(change.value) if isinstance(change, Put) else 0
-            if len(change.key) > told.max_key_bytes:
+            if len(change.key) > limits.max_key_bytes:
                 self.counters["store_limit_max_key_bytes"] += 1
                 raise StoreTooLarge(
-                    f"a key of {len(change.key)} bytes; max_key_bytes is {told.max_key_bytes}"
+                    f"a key of {len(change.key)} bytes; max_key_bytes is {limits.max_key_bytes}"
                 )
-            if size > told.max_value_bytes:
+            if size > limits.max_value_bytes:
                 self.counters["store_limit_max_value_bytes"] += 1
-                raise StoreTooLarge(f"a value of {size} bytes; max_value_bytes is {told.max_value_bytes}")
+                raise StoreTooLarge(f"a value of {size} bytes; max_value_bytes is {limits.max_value_bytes}")
             total += codec.frame_size(change)
-        if total > told.max_batch_bytes:
+        if total > limits.max_batch_bytes:
             self.counters["store_limit_max_batch_bytes"] += 1
-            raise StoreTooLarge(f"a batch of {total} bytes; max_batch_bytes is {told.max_batch_bytes}")
+            raise StoreTooLarge(f"a batch of {total} bytes; max_batch_bytes is {limits.max_batch_bytes}")
         return total
 
     @property
     def disk_bytes(self) -> int:
+        """Size of all segments together, in bytes."""
         return self.active.size + sum(segment.size for segment in self.sealed.values())
 
-    def write(self, batches: Sequence[Sequence[Change]], moves: Sequence[Placed] = ()) -> Written:
-        """Write a group with one sync; on the store's own thread, one at a time.
+    def write(self, batches: Sequence[Sequence[Change]], moves: Sequence[LocatedRecord] = ()) -> GroupResult:
+        """Write a group of batches with one sync. Runs on the store's own thread, one group at a time.
 
-        `moves` are records of a segment that is being cleaned. Raises StoreFailed.
+        `moves` are records of a segment that is being cleaned; the live ones are written with the group.
+        Raises StoreFailed.
         """
         if self.failure is not None:
             raise self.failure
-        result = Written()
+        result = GroupResult()
         try:
             if self.active.size >= self.options.segment_bytes:
                 self._roll()
         except OSError as error:
-            self._only_room("a new segment", error)
-            result.failed = {i: self.full(str(error)) for i in range(len(batches))}
-            result.moved = False
+            self._raise_unless_out_of_space("a new segment", error)
+            result.failures = {i: self.out_of_space(str(error)) for i in range(len(batches))}
+            result.all_moved = False
             return result
-        whole: list[tuple[int, Sequence[Change]]] = []
+        accepted: list[tuple[int, Sequence[Change]]] = []
         try:
-            held = self._live(moves)
+            live_changes = self._live_changes(moves)
         except (StoreCorrupt, StoreUnreadable):
-            # Told where it was found; the commits of the group are none the worse for it.
-            held, result.moved = [], False
-        if held:
-            whole.append((-1, held))
+            # The read has logged and counted the error; the commits of the group are not affected.
+            live_changes, result.all_moved = [], False
+        if live_changes:
+            accepted.append((-1, live_changes))
         room = self.options.max_disk_bytes - self.disk_bytes
-        memory = self.options.max_index_bytes - self.index.memory_bytes
+        index_room = self.options.max_index_bytes - self.index.memory_bytes
         for i, changes in enumerate(batches):
             growth = sum(map(codec.frame_size, changes))
-            full = self._no_room(changes, growth, room, memory)
-            if full is not None:
-                result.failed[i] = full
+            refusal = self._check_room(changes, growth, room, index_room)
+            if refusal is not None:
+                result.failures[i] = refusal
                 continue
             room -= growth
-            whole.append((i, changes))
-        self._write_group(whole, result)
+            accepted.append((i, changes))
+        self._write_group(accepted, result)
         return result
 
-    def _no_room(self, changes: Sequence[Change], growth: int, room: int, memory: int) -> StoreFull | None:
-        """Deletions may go over the limits by a segment's length: they are the way back under them."""
+    def _check_room(
+        self, changes: Sequence[Change], growth: int, room: int, index_room: int
+    ) -> StoreFull | None:
+        """Return the error for a batch that would go over a limit, or None.
+
+        `room` is in bytes on disk, `index_room` in bytes of memory. Deletions may go over max_disk_bytes by
+        the size of a segment, since they are the way to get back under it.
+        """
         if growth > room:
             puts = any(isinstance(change, Put) for change in changes)
             if puts or growth > room + self.options.segment_bytes:
                 self.counters["store_limit_max_disk_bytes"] += 1
-                return self.full(f"max_disk_bytes is {self.options.max_disk_bytes}")
-        if growth + KEY_OVERHEAD_BYTES * len(changes) <= memory:
+                return self.out_of_space(f"max_disk_bytes is {self.options.max_disk_bytes}")
+        if growth + KEY_OVERHEAD_BYTES * len(changes) <= index_room:
             return None
         new = {c.key for c in changes if isinstance(c, Put) and c.key not in self.index.locations}
-        if new and sum(map(len, new)) + KEY_OVERHEAD_BYTES * len(new) > memory:
+        if new and sum(map(len, new)) + KEY_OVERHEAD_BYTES * len(new) > index_room:
             self.counters["store_limit_max_index_bytes"] += 1
-            return self.full(f"max_index_bytes is {self.options.max_index_bytes}")
+            return self.out_of_space(f"max_index_bytes is {self.options.max_index_bytes}")
         return None
 
-    def full(self, why: str) -> StoreFull:
+    def out_of_space(self, why: str) -> StoreFull:
+        """Count a commit without room and return the error to raise."""
         self.counters["store_full"] += 1
         return StoreFull(f"no room for this commit: {why}")
 
-    def _live(self, moves: Iterable[Placed]) -> list[Change]:
-        """Those records of a segment being cleaned that are still wanted, read anew."""
-        held: list[Change] = []
-        for key, kind, where in moves:
+    def _live_changes(self, moves: Iterable[LocatedRecord]) -> list[Change]:
+        """Return the changes for those records of a segment being cleaned that are still live.
+
+        Values are read from the disk. Raises StoreCorrupt or StoreUnreadable.
+        """
+        live_changes: list[Change] = []
+        for key, kind, location in moves:
             if kind == DELETE:
                 if key not in self.index.locations:
-                    held.append(codec.Delete(key))
-            elif self.index.locations.get(key) == where:
-                held.append(Put(key, self.read(where, key)))
-        return held
+                    live_changes.append(codec.Delete(key))
+            elif self.index.locations.get(key) == location:
+                live_changes.append(Put(key, self.read(location, key)))
+        return live_changes
+
+    def _write_group(self, accepted: Sequence[tuple[int, Sequence[Change]]], result: GroupResult) -> None:
+        """Write and sync batches, given with their positions in the group (-1 for moved records).
 
-    def _write_group(self, whole: Sequence[tuple[int, Sequence[Change]]], result: Written) -> None:
-        if not whole:
+        When they do not fit together, each one is written by itself. Raises StoreFailed.
+        """
+        if not accepted:
             return
-        segment, start, batch = self.active, self.active.size, self.batch
+        segment, start, batch = self.active, self.active.size, self.last_batch
         pieces: list[bytes] = []
-        placed: list[Placed] = []
+        records: list[LocatedRecord] = []
         entries: list[bytes] = []
         deletions = 0
         offset, base = start, segment.number << 64
-        for _, changes in whole:
+        for _, changes in accepted:
             batch += 1
             frames = codec.encode_batch(segment.salt, batch, start, changes)
             pieces += frames
             for change, frame in zip(changes, frames, strict=True):
                 key, size = change.key, len(frame)
                 kind = PUT if isinstance(change, Put) else DELETE
-                placed.append((key, kind, base | offset << 32 | size))
+                records.append((key, kind, base | offset << 32 | size))
                 entries.append(codec.index_entry(offset, kind, key, size))
                 if kind == DELETE:
                     deletions += size
@@ -408,45 +482,49 @@
             write_all(segment.file, b"".join(pieces), start)
         except OSError as error:
             self._undo(error)
-            if len(whole) > 1:  # one of them alone may still fit
-                for one in whole:
-                    self._write_group([one], result)
-            elif whole[0][0] >= 0:
-                result.failed[whole[0][0]] = self.full(str(error))
+            if len(accepted) > 1:  # a single batch may still fit
+                for single in accepted:
+                    self._write_group([single], result)
+            elif accepted[0][0] >= 0:
+                result.failures[accepted[0][0]] = self.out_of_space(str(error))
             else:
                 self.counters["store_cleaning_without_room"] += 1
-                result.moved = False
+                result.all_moved = False
             return
         self._sync(segment.file)
-        segment.size, segment.last_batch, self.batch = offset, batch, batch
-        segment.entries += b"".join(entries)
-        segment.count += len(entries)
+        segment.size, segment.last_batch, self.last_batch = offset, batch, batch
+        segment.index_entries += b"".join(entries)
+        segment.index_entry_count += len(entries)
         segment.deletions += deletions
-        result.placed += placed
+        result.records += records
         self.counters["store_groups"] += 1
-        self.counters["store_batches"] += len(whole)
+        self.counters["store_batches"] += len(accepted)
 
     def _undo(self, error: OSError) -> None:
-        """Take back a group that did not fit. Raises StoreFailed when that, or more than room, is amiss."""
-        self._only_room("write", error)
+        """Remove the bytes of a group that did not fit.
+
+        Raises StoreFailed when that fails, or when `error` is not a lack of space.
+        """
+        self._raise_unless_out_of_space("write", error)
         try:
             self.active.file.truncate(self.active.size)
         except OSError as second:
             raise self.fail(f"undoing a write: {second}") from None
-        self._sync(self.active.file)  # told as failed, its bytes must not be back after a cut
+        self._sync(self.active.file)  # its commits fail, so its bytes must not return after a power cut
 
-    def apply(self, placed: Iterable[Placed]) -> None:
+    def apply(self, records: Iterable[LocatedRecord]) -> None:
+        """Apply the durable records of a group to the index."""
         put, delete = self.index.put, self.index.delete
-        for key, kind, where in placed:
+        for key, kind, location in records:
             if kind == PUT:
-                put(key, where)
+                put(key, location)
             else:
                 delete(key)
 
     # ---- cleaning ------------------------------------------------------------------------------------------
 
-    def candidate(self, at_least: float) -> Segment | None:
-        """The sealed segment that is best cleaned next, if its dead share is worth it."""
+    def cleaning_candidate(self, at_least: float) -> Segment | None:
+        """Return the sealed segment to clean next, or None; see `choose_segment` for the dead share."""
         live = self.index.live
         number = choose_segment(
             [
@@ -457,19 +535,20 @@
         )
         return None if number is None else self.sealed[number]
 
-    def wasted(self, segment: Segment) -> bool:
-        """Whether cleaning a sealed segment would free anything."""
+    def has_dead_bytes(self, segment: Segment) -> bool:
+        """Return whether cleaning a sealed segment would free any bytes."""
         oldest = next(iter(self.sealed)) == segment.number
         kept = self.index.live.get(segment.number, 0) + (0 if oldest else segment.deletions)
         return kept < segment.size - HEADER_BYTES
 
-    def records(self, segment: Segment, offset: int, limit: int) -> tuple[list[Placed], int]:
-        """Records from `offset` on, of `limit` bytes about, that may be wanted still; and where to go on.
+    def live_records(self, segment: Segment, offset: int, limit: int) -> tuple[list[LocatedRecord], int]:
+        """Return the records from `offset` on that may still be live, and the offset to continue at.
 
-        Raises StoreCorrupt for a frame that is not what was written, StoreUnreadable.
+        About `limit` bytes are read. Raises StoreCorrupt for a frame that is not what was written,
+        StoreUnreadable.
         """
         oldest = next(iter(self.sealed)) == segment.number
-        found: list[Placed] = []
+        found: list[LocatedRecord] = []
         end = min(offset + limit, segment.size)
         data = self._bytes(segment, offset, end - offset)
         at = offset
@@ -478,28 +557,31 @@
             if frame is None:
                 if end == segment.size:
                     raise self._corrupt(segment.name, at)
-                if at > offset:  # cut off by the limit
+                if at > offset:  # the limit ends within this frame
                     break
                 end = min(segment.size, offset + 2 * (end - offset) + self.options.max_value_bytes)
-                data = self._bytes(segment, offset, end - offset)  # a frame larger than the limit by itself
+                data = self._bytes(segment, offset, end - offset)  # a single frame is larger than the limit
                 continue
-            where = pack_location(segment.number, at, frame.size)
+            location = pack_location(segment.number, at, frame.size)
             if frame.kind == DELETE:
                 if not oldest:
-                    found.append((frame.key, DELETE, where))
-            elif self.index.locations.get(frame.key) == where:
-                found.append((frame.key, PUT, where))
+                    found.append((frame.key, DELETE, location))
+            elif self.index.locations.get(frame.key) == location:
+                found.append((frame.key, PUT, location))
             at += frame.size
         return found, at
 
     def drop(self, segment: Segment) -> bool:
-        """Forget a segment of which nothing is wanted any more; False when there was no room to say so."""
-        if self._wanted(segment):
-            raise self.fail(f"{segment.name} would be dropped with values that are wanted")
+        """Remove a segment without live values from the manifest and the disk.
+
+        Returns False when there was no room for the manifest. Raises StoreFailed.
+        """
+        if self._has_live_values(segment):
+            raise self.fail(f"{segment.name} must not be dropped: it holds values that are still wanted")
         try:
             self._write_manifest(self._manifest(self.active.number, self._floor, without=segment.number))
         except OSError as error:
-            self._only_room("manifest", error)
+            self._raise_unless_out_of_space("manifest", error)
             self.counters["store_cleaning_without_room"] += 1
             return False
         for name in (segment.name, codec.index_name(segment.number)):
@@ -507,24 +589,28 @@
                 self.disk.remove(name)
             except FileNotFoundError:
                 pass
-            except OSError as error:  # it is removed at the next open
+            except OSError as error:  # the file is removed at the next open
                 self.log("store_leftover", file=name, why=error)
         self.counters["store_segments_cleaned"] += 1
         return True
 
-    def _wanted(self, segment: Segment) -> bool:
+    def _has_live_values(self, segment: Segment) -> bool:
         return self.index.live.get(segment.number, 0) > 0
 
-    def dropped(self, segment: Segment) -> None:
+    def forget_segment(self, segment: Segment) -> None:
+        """Remove a dropped segment from memory and close its file."""
         del self.sealed[segment.number]
         self.index.live.pop(segment.number, None)
         segment.file.close()
 
     # ---- reads ---------------------------------------------------------------------------------------------
 
-    def read(self, where: int, key: bytes) -> bytes:
-        """The value at a place. Raises StoreCorrupt when it is not what was written, StoreUnreadable."""
-        number, offset, size = unpack_location(where)
+    def read(self, location: int, key: bytes) -> bytes:
+        """Return the value at a location.
+
+        Raises StoreCorrupt when the frame there is not what was written for `key`, StoreUnreadable.
+        """
+        number, offset, size = unpack_location(location)
         active = self.active
         segment = active if number == active.number else self.sealed[number]
         value = codec.decode_value(self._bytes(segment, offset, size), segment.salt, key)
@@ -543,15 +629,16 @@
     def _corrupt(self, name: str, offset: int) -> StoreCorrupt:
         self.counters["store_corrupt"] += 1
         self.log("store_corrupt", file=name, offset=offset)
-        return StoreCorrupt(name, offset, "this frame is not what was written")
+        return StoreCorrupt(name, offset, "the frame here is not what was written")
 
     def close(self) -> None:
+        """Close all segment files."""
         for segment in (*self.sealed.values(), self.active):
             segment.file.close()
 
 
-def _ours(name: str) -> bool:
-    """Whether a file in the folder is of a kind that the store makes."""
+def _is_store_file(name: str) -> bool:
+    """Return whether a file's name is one that the store gives to its files."""
     name = name.removesuffix(".tmp")
     stem, _, ending = name.partition(".")
     return name == MANIFEST or ending in ("log", "idx") and len(stem) == 12 and stem.isdigit()
--- a/beaconhinge/store/scan.py
+++ b/beaconhinge/store/scan.py
@@ -1,12 +1,12 @@
-"""What a segment's bytes mean: whole batches, a torn tail, or damage. Decides, and does no I/O.
+"""Parses a segment's bytes into whole batches, and tells a torn tail from damage. Does no I/O.
 
-A cut leaves any part of the last group of batches, since groups are written one at a time and synced before
-the next one begins. So each frame carries the place where its group begins, and all before that place was
-durable when the frame was written. From the first frame that is not valid, two things can follow:
+Groups of batches are written one at a time and synced before the next one begins, so a power cut may leave
+any part of the last group. Each frame carries the offset where its group begins, and all bytes before that
+offset were durable when the frame was written. Where the first invalid frame is found, there are two cases:
 
-- no valid frame further on says that this place was durable: the rest is a torn tail, of which nobody was
-  told;
-- one does: what stands here was acknowledged and has changed since. That is damage, wherever it lies.
+- No valid frame after it proves that its bytes were durable: the rest is a torn tail, whose commits were
+  never acknowledged.
+- A later frame proves it: the bytes were acknowledged and have changed since. That is damage in any segment.
 """
 
 from __future__ import annotations
@@ -20,9 +20,13 @@
 
 @dataclass(slots=True)
 class Scan:
-    """What one segment holds, without the values.
+    """The content of one segment, without the values.
 
-    `end` is where its last whole batch ends, `torn` counts the bytes after that.
+    Attributes:
+        frames: frames of all whole batches, with empty values.
+        end: offset where the last whole batch ends.
+        torn: bytes after that.
+        last_batch: number of the last whole batch.
     """
 
     frames: list[Frame] = field(default_factory=list)
@@ -32,7 +36,7 @@
 
 
 def frames(data: bytes, salt: int, start: int = HEADER_BYTES) -> Iterator[Frame]:
-    """Valid frames one after the other, up to the first place where none stands."""
+    """Yield consecutive valid frames from `start` on, up to the first offset without one."""
     offset = start
     while (frame := decode_frame(data, offset, salt)) is not None:
         yield frame
@@ -40,62 +44,64 @@
 
 
 def find_frame(data: bytes, salt: int, start: int) -> Frame | None:
-    """The first valid frame at or after `start`, at any offset.
+    """Return the first valid frame that begins at `start` or at any later byte, or None. Raises nothing.
 
-    Raises nothing. A chance match takes a checksum collision, one in 2^32 for each offset that looks
-    plausible.
+    A false match takes a checksum collision: one in 2^32 for each offset that matches FRAME_PATTERN.
     """
-    for likely in FRAME_PATTERN.finditer(data, start + FRAME_PATTERN_OFFSET):
-        frame = decode_frame(data, likely.start() - FRAME_PATTERN_OFFSET, salt)
+    for match in FRAME_PATTERN.finditer(data, start + FRAME_PATTERN_OFFSET):
+        frame = decode_frame(data, match.start() - FRAME_PATTERN_OFFSET, salt)
         if frame is not None:
             return frame
     return None
 
 
 def read(file: str, data: bytes, salt: int, newest: bool, after_batch: int) -> Scan:
-    """Read a whole segment, header included, whose batches follow `after_batch`.
+    """Parse a whole segment, header included, whose batch numbers are above `after_batch`.
 
-    A torn tail is taken for one in the newest segment alone. Raises StoreCorrupt for all other damage.
+    `file` is the name for errors. A torn tail is accepted in the newest segment only. Raises StoreCorrupt for
+    all other damage.
     """
     result = Scan(last_batch=after_batch)
-    held: list[Frame] = []  # of a batch whose end has not come
+    batch_frames: list[Frame] = []  # frames of a batch that has not ended yet
     offset = HEADER_BYTES
     for frame in frames(data, salt):
-        if frame.first != (not held) or frame.batch != (held[0].batch if held else frame.batch):
+        if frame.first != (not batch_frames) or frame.batch != (
+            batch_frames[0].batch if batch_frames else frame.batch
+        ):
             raise StoreCorrupt(
-                file, frame.offset, f"batch {frame.batch} begins within another or has no beginning"
+                file, frame.offset, f"batch {frame.batch} begins within another batch or has no beginning"
             )
         if frame.first and frame.batch <= result.last_batch:
-            raise StoreCorrupt(file, frame.offset, f"batch {frame.batch} after batch {result.last_batch}")
+            raise StoreCorrupt(file, frame.offset, f"batch {frame.batch} follows batch {result.last_batch}")
         if frame.group > frame.offset:
-            raise StoreCorrupt(file, frame.offset, "its group begins after it")
-        frame.value = b""  # a start with a full segment once took three times the memory for these
-        held.append(frame)
+            raise StoreCorrupt(file, frame.offset, "the frame's group begins after the frame")
+        frame.value = b""  # keeping the values would triple the memory that a start with a full segment takes
+        batch_frames.append(frame)
         offset = frame.offset + frame.size
         if frame.last:
-            result.frames += held
-            result.end, result.last_batch, held = offset, frame.batch, []
+            result.frames += batch_frames
+            result.end, result.last_batch, batch_frames = offset, frame.batch, []
     result.torn = len(data) - result.end
     if result.torn == 0:
         return result
     if not newest:
-        raise StoreCorrupt(file, offset, "no whole batch stands here, in a segment that was sealed")
-    later = _claims(data, salt, offset, result.end)
-    if later is not None:
+        raise StoreCorrupt(file, offset, "no whole batch begins here, in a sealed segment")
+    proof = _find_durability_proof(data, salt, offset, result.end)
+    if proof is not None:
         raise StoreCorrupt(
             file,
             offset,
-            f"no valid frame stands here, but the one at byte {later.offset} "
-            f"was written when all before byte {later.group} was durable",
+            f"no valid frame begins here, but the frame at byte {proof.offset} "
+            f"was written when all bytes before byte {proof.group} were durable",
         )
     return result
 
 
-def _claims(data: bytes, salt: int, offset: int, end: int) -> Frame | None:
-    """A later frame by whose word the bytes at `end` were durable."""
-    at = offset
-    while (frame := find_frame(data, salt, at)) is not None:
+def _find_durability_proof(data: bytes, salt: int, offset: int, end: int) -> Frame | None:
+    """Return a frame after `offset` whose group offset proves the bytes at `end` durable, or None."""
+    position = offset
+    while (frame := find_frame(data, salt, position)) is not None:
         if frame.group > end:
             return frame
-        at = frame.offset + frame.size
+        position = frame.offset + frame.size
     return None
--- a/beaconhinge/store/store.py
+++ b/beaconhinge/store/store.py
@@ -1,4 +1,6 @@
-"""The store as other code calls it: commits of many callers share one write and sync, off the loop."""
+"""The store's asynchronous interface: commits of many callers share one write and sync, on a thread of its
+own.
+"""
 
 from __future__ import annotations
 
@@ -16,43 +18,49 @@
 from .codec import HEADER_BYTES, Change
 from .compaction import RateLimiter, cleaning_speedup
 from .disk import Disk, RealDisk
-from .engine import Engine, Placed, Segment, Written
+from .engine import Engine, GroupResult, LocatedRecord, Segment
 from .errors import StoreClosed, StoreCorrupt, StoreError, StoreFailed, StoreLocked, StoreUnreadable
 from .options import Options
 
 T = TypeVar("T")
-LOOK_EVERY = 256  # groups between two looks for a segment worth cleaning, beside those when one is sealed
-AGAIN_AFTER = 5.0  # seconds until cleaning is tried again after it found no room
+# Number of groups after which the store checks for a segment worth cleaning; it also checks at each sealing.
+CLEANING_CHECK_GROUPS = 256
+CLEANING_RETRY_S = 5.0  # seconds until cleaning is tried again after it found no room
 
 
-def _silent(event: str, **fields: object) -> None:
-    """Stands for a log where none is wanted."""
+def _no_log(event: str, **fields: object) -> None:
+    """Discard a log event: the default where a caller wants no log."""
 
 
 @dataclass(slots=True)
-class _Waiting:
+class _PendingCommit:
+    """A commit that waits for its group. `size` is in bytes on disk."""
+
     changes: Sequence[Change]
     size: int
     done: asyncio.Future[None]
 
 
 class Store:
-    """Bytes by key, kept in one folder by one process. `open` it; all else belongs to one event loop."""
+    """Maps keys to values, both bytes; one process at a time has its folder open.
+
+    `open` creates it. All other methods must be called on one event loop.
+    """
 
     def __init__(self, engine: Engine, now: Callable[[], float] = time.monotonic) -> None:
         self.engine = engine
         self._now = now
-        self._pace = RateLimiter(engine.options.compact_bytes_per_s)
-        self._work: SimpleQueue[Callable[[], None] | None] = SimpleQueue()
-        self._thread = threading.Thread(target=self._labour, name="store", daemon=True)
+        self._read_limiter = RateLimiter(engine.options.compact_bytes_per_s)
+        self._thread_calls: SimpleQueue[Callable[[], None] | None] = SimpleQueue()
+        self._thread = threading.Thread(target=self._run_calls, name="store", daemon=True)
         self._thread.start()
-        self._waiting: deque[_Waiting] = deque()
-        self._moves: tuple[Sequence[Placed], asyncio.Future[bool]] | None = None
+        self._pending_commits: deque[_PendingCommit] = deque()
+        self._pending_moves: tuple[Sequence[LocatedRecord], asyncio.Future[bool]] | None = None
         self._writing = False
         self._closed = False
         self._cleaner: asyncio.Task[None] | None = None
         self._clean_after = 0.0
-        self._cleaning = asyncio.Lock()
+        self._cleaning_lock = asyncio.Lock()
         self._groups = 0
 
     @classmethod
@@ -62,11 +70,11 @@
         options: Options | None = None,
         *,
         disk: Disk | None = None,
-        log: Callable[..., None] = _silent,
+        log: Callable[..., None] = _no_log,
         now: Callable[[], float] = time.monotonic,
         new_id: Callable[[], bytes] = lambda: os.urandom(16),
     ) -> Store:
-        """Recover the folder's store, or make a new one; blocking.
+        """Recover the folder's store, or create a new one. Blocks.
 
         Raises StoreLocked, StoreCorrupt or StoreVersion with nothing changed on disk, StoreFailed when the
         disk fails, and StoreError for a folder that cannot be used.
@@ -92,70 +100,76 @@
     # ---- commits -------------------------------------------------------------------------------------------
 
     async def commit(self, changes: Iterable[Change]) -> None:
-        """Make a batch durable, all of it or nothing; later changes of one key in it win.
+        """Make a batch of changes durable atomically; of several changes of one key the last one wins.
 
-        Raises StoreTooLarge, StoreFull, StoreFailed or StoreClosed; after these it has not taken place,
-        except that after StoreFailed a later start may find it whole. A cancelled call may take place or not.
+        Raises StoreTooLarge, StoreFull, StoreFailed or StoreClosed. The batch has then not been committed,
+        except that after StoreFailed a later start may find it whole. The batch of a cancelled call may or
+        may not be committed.
         """
         if self._closed:
             raise StoreClosed("the store is closed")
-        listed = list(changes)
-        size = self.engine.check(listed)
-        if not listed:
+        change_list = list(changes)
+        size = self.engine.check(change_list)
+        if not change_list:
             return
-        waiting = _Waiting(listed, size, asyncio.get_running_loop().create_future())
-        self._waiting.append(waiting)
+        pending = _PendingCommit(change_list, size, asyncio.get_running_loop().create_future())
+        self._pending_commits.append(pending)
         if not self._writing:
-            self._next()
-        await waiting.done
+            self._start_next_group()
+        await pending.done
 
-    def _next(self) -> None:
-        """Start the next group if anybody waits for one."""
+    def _start_next_group(self) -> None:
+        """Start writing the next group if commits or moves are pending."""
         self._writing = False
-        group: list[_Waiting] = []
+        group: list[_PendingCommit] = []
         size, most = 0, self.engine.options.group_bytes
-        while self._waiting and (not group or size + self._waiting[0].size <= most):
-            waiting = self._waiting.popleft()
-            if not waiting.done.cancelled():
-                group.append(waiting)
-                size += waiting.size
-        moves, self._moves = self._moves, None
-        if not group and moves is None:
+        while self._pending_commits and (not group or size + self._pending_commits[0].size <= most):
+            pending = self._pending_commits.popleft()
+            if not pending.done.cancelled():
+                group.append(pending)
+                size += pending.size
+        pending_moves, self._pending_moves = self._pending_moves, None
+        if not group and pending_moves is None:
             return
         self._writing = True
-        batches = [waiting.changes for waiting in group]
-        records = moves[0] if moves else ()
+        batches = [pending.changes for pending in group]
+        records = pending_moves[0] if pending_moves else ()
         self._submit(
             lambda: self.engine.write(batches, records),
-            lambda written, error: self._wrote(group, moves[1] if moves else None, written, error),
+            lambda written, error: self._group_done(
+                group, pending_moves[1] if pending_moves else None, written, error
+            ),
         )
 
-    def _wrote(
+    def _group_done(
         self,
-        group: Sequence[_Waiting],
-        moved: asyncio.Future[bool] | None,
-        written: Written | None,
+        group: Sequence[_PendingCommit],
+        moves_done: asyncio.Future[bool] | None,
+        written: GroupResult | None,
         error: BaseException | None,
     ) -> None:
+        """Apply a group's result to the index and complete the futures of its callers."""
         if written is not None:
-            self.engine.apply(written.placed)
-        for i, waiting in enumerate(group):
-            why = error if written is None else written.failed.get(i)
-            if waiting.done.done():
+            self.engine.apply(written.records)
+        for i, pending in enumerate(group):
+            failure = error if written is None else written.failures.get(i)
+            if pending.done.done():
                 continue
-            if why is not None:
-                waiting.done.set_exception(why)
+            if failure is not None:
+                pending.done.set_exception(failure)
             else:
-                waiting.done.set_result(None)
-        if moved is not None and not moved.done():
-            moved.set_result(written is not None and written.moved)
-        # A turn later those who go on by now have their next commits ready for the same group.
-        asyncio.get_running_loop().call_soon(self._next)
-        self._look_after()
+                pending.done.set_result(None)
+        if moves_done is not None and not moves_done.done():
+            moves_done.set_result(written is not None and written.all_moved)
+        # One turn of the loop later, the callers completed here have had the chance to add their next commits
+        # to the same group.
+        asyncio.get_running_loop().call_soon(self._start_next_group)
+        self._start_maintenance()
 
     # ---- the thread ----------------------------------------------------------------------------------------
 
     def _submit(self, call: Callable[[], T], done: Callable[[T | None, BaseException | None], None]) -> None:
+        """Run a blocking call on the store's thread, then `done` with its result or error on the loop."""
         loop = asyncio.get_running_loop()
 
         def work() -> None:
@@ -165,21 +179,22 @@
                 result = call()
             except StoreError as problem:
                 error = problem
-            except BaseException as problem:  # a defect here: nobody may wait for ever, or write after it
+            except BaseException as problem:  # a bug here must not leave callers waiting or allow more writes
                 error = self.engine.fail(f"{type(problem).__name__}: {problem}")
             try:
                 loop.call_soon_threadsafe(done, result, error)
-            except RuntimeError:  # the loop has ended without waiting for the store
+            except RuntimeError:  # the loop was closed without waiting for the store
                 pass
 
-        self._work.put(work)
+        self._thread_calls.put(work)
 
-    def _labour(self) -> None:
-        while (work := self._work.get()) is not None:
+    def _run_calls(self) -> None:
+        """Run the submitted calls in order: the store's thread."""
+        while (work := self._thread_calls.get()) is not None:
             work()
 
-    async def _run(self, call: Callable[[], T]) -> T:
-        """One blocking call on the store's thread, between two groups."""
+    async def _run_on_thread(self, call: Callable[[], T]) -> T:
+        """Return the result of a blocking call on the store's thread, where it runs between two groups."""
         future: asyncio.Future[Any] = asyncio.get_running_loop().create_future()
 
         def done(result: Any, error: BaseException | None) -> None:
@@ -196,13 +211,13 @@
 
     # ---- cleaning ------------------------------------------------------------------------------------------
 
-    def _look_after(self) -> None:
-        """After a group: save the index of a segment that was sealed, start cleaning where it is worth it."""
+    def _start_maintenance(self) -> None:
+        """Write the index file of a newly sealed segment, and start cleaning if it is worth it."""
         self._groups += 1
         sealed = self.engine.unindexed()
         if sealed is not None:
             self._submit(lambda: self.engine.write_index(sealed), lambda result, error: None)
-        elif self._groups % LOOK_EVERY:
+        elif self._groups % CLEANING_CHECK_GROUPS:
             return
         idle = self._cleaner is None or self._cleaner.done()
         if (
@@ -210,81 +225,90 @@
             and not self._closed
             and self.engine.failure is None
             and self._now() >= self._clean_after
-            and self.engine.candidate(self.engine.options.compact_dead_share) is not None
+            and self.engine.cleaning_candidate(self.engine.options.compact_dead_share) is not None
         ):
-            self._cleaner = asyncio.get_running_loop().create_task(self._clean_up())
+            self._cleaner = asyncio.get_running_loop().create_task(self._clean_segments())
 
-    async def _clean_up(self) -> None:
+    async def _clean_segments(self) -> None:
+        """Clean segments until none is worth it. Logs errors; a lack of room delays the next attempt."""
         share = self.engine.options.compact_dead_share
         try:
-            while (segment := self.engine.candidate(share)) is not None:
-                async with self._cleaning:
-                    if segment.number in self.engine.sealed and not await self._clean(segment, True):
-                        self._clean_after = self._now() + AGAIN_AFTER
+            while (segment := self.engine.cleaning_candidate(share)) is not None:
+                async with self._cleaning_lock:
+                    if segment.number in self.engine.sealed and not await self._clean_segment(segment, True):
+                        self._clean_after = self._now() + CLEANING_RETRY_S
                         return
         except (StoreCorrupt, StoreUnreadable) as error:
-            # Told; what is well goes on, and that segment is left as it is.
+            # The damage is logged. Commits and reads continue, the segment is left as it is, and cleaning is
+            # not started again.
             self.engine.log("store_cleaning_stopped", why=error)
             self._clean_after = float("inf")
         except StoreError as error:
             self.engine.log("store_cleaning_stopped", why=error)
 
-    async def _clean(self, segment: Segment, paced: bool) -> bool:
-        """Move what is wanted of a segment to the log's end, then drop it. False when there was no room."""
+    async def _clean_segment(self, segment: Segment, paced: bool) -> bool:
+        """Move the live records of a segment to the end of the log, then drop the segment.
+
+        `paced` limits the rate of reading. Returns False when there was no room.
+        """
         offset, step = HEADER_BYTES, self.engine.options.compact_step_bytes
         while offset < segment.size:
-            before = offset
-            records, offset = await self._run(partial(self.engine.records, segment, before, step))
-            if records and not await self._move(records):
+            step_start = offset
+            records, offset = await self._run_on_thread(
+                partial(self.engine.live_records, segment, step_start, step)
+            )
+            if records and not await self._move_records(records):
                 return False
             if paced:
-                times = cleaning_speedup(self.engine.disk_bytes, self.engine.options.max_disk_bytes)
-                await asyncio.sleep(self._pace.wait(self._now(), offset - before, times))
-        if not await self._run(lambda: self.engine.drop(segment)):
+                speedup = cleaning_speedup(self.engine.disk_bytes, self.engine.options.max_disk_bytes)
+                await asyncio.sleep(self._read_limiter.wait(self._now(), offset - step_start, speedup))
+        if not await self._run_on_thread(lambda: self.engine.drop(segment)):
             return False
-        self.engine.dropped(segment)
+        self.engine.forget_segment(segment)
         return True
 
-    async def _move(self, records: Sequence[Placed]) -> bool:
-        moved: asyncio.Future[bool] = asyncio.get_running_loop().create_future()
-        self._moves = records, moved
+    async def _move_records(self, records: Sequence[LocatedRecord]) -> bool:
+        """Write records of a segment being cleaned with the next group; return False if there was no room."""
+        moves_done: asyncio.Future[bool] = asyncio.get_running_loop().create_future()
+        self._pending_moves = records, moves_done
         if not self._writing:
-            self._next()
-        return await moved
+            self._start_next_group()
+        return await moves_done
 
     async def compact(self) -> None:
-        """Clean every segment that holds anything no longer wanted, at full speed.
+        """Clean every segment that holds dead bytes, without a limit on the rate.
 
-        Raises StoreFull when there is no room to move what is wanted, StoreCorrupt, StoreFailed or
+        Raises StoreFull when there is no room to move the live records, StoreCorrupt, StoreFailed or
         StoreClosed.
         """
         if self._closed:
             raise StoreClosed("the store is closed")
-        async with self._cleaning:
-            await self._run(self.engine.seal)
+        async with self._cleaning_lock:
+            await self._run_on_thread(self.engine.seal)
             while (sealed := self.engine.unindexed()) is not None:
-                await self._run(partial(self.engine.write_index, sealed))
+                await self._run_on_thread(partial(self.engine.write_index, sealed))
             for segment in list(self.engine.sealed.values()):
-                if self.engine.wasted(segment) and not await self._clean(segment, False):
-                    raise self.engine.full("no room to move what is wanted")
+                if self.engine.has_dead_bytes(segment) and not await self._clean_segment(segment, False):
+                    raise self.engine.out_of_space("compaction cannot move the live records")
 
     # ---- reads ---------------------------------------------------------------------------------------------
 
     def get(self, key: bytes) -> bytes | None:
-        """The value last committed, or None. Read from the file: a page that is in no cache costs a disk
-        read.
+        """Return the value last committed for a key, or None.
 
-        Raises StoreCorrupt when the bytes are not what was written, StoreUnreadable, StoreClosed.
+        It is read from the file and blocks for a disk read when the page is not cached. Raises StoreCorrupt
+        when the bytes are not what was written, StoreUnreadable, StoreClosed.
         """
         if self._closed:
             raise StoreClosed("the store is closed")
-        where = self.engine.index.locations.get(key)
-        return None if where is None else self.engine.read(where, key)
+        location = self.engine.index.locations.get(key)
+        return None if location is None else self.engine.read(location, key)
 
     def scan(self, prefix: bytes = b"") -> Iterator[tuple[bytes, bytes]]:
-        """Present keys with the prefix and their values, in order of the keys' bytes.
+        """Yield the present keys with the prefix and their values, in byte order of the keys.
 
-        What is committed while the scan goes on counts when its key has not been passed yet.
+        A change committed during the scan is seen if the scan has not passed its key yet. Raises as `get`
+        does.
         """
         for key in self.engine.index.scan(prefix):
             value = self.get(key)
@@ -298,7 +322,7 @@
         return key in self.engine.index.locations
 
     def metrics(self) -> dict[str, int | float | str]:
-        """Figures of this moment, and the counters that are not zero."""
+        """Return the current state of the store by name, and the counters that are not zero."""
         engine = self.engine
         live = sum(engine.index.live.values())
         return {
@@ -308,35 +332,38 @@
             "disk_bytes": engine.disk_bytes,
             "live_bytes": live,
             "index_bytes": engine.index.memory_bytes,
-            "last_batch": engine.batch,
+            "last_batch": engine.last_batch,
             "state": "failed" if engine.failure else "open",
             **dict(sorted(engine.counters.items())),
         }
 
     @property
     def failure(self) -> StoreFailed | None:
-        """Why nothing can be committed any more, if so."""
+        """The error after which the store is read-only, or None."""
         return self.engine.failure
 
     # ---- the end -------------------------------------------------------------------------------------------
 
     async def close(self) -> None:
-        """Wait for commits under way, then let go of the folder. Later calls raise StoreClosed."""
+        """Wait for pending commits, then close the files and unlock the folder.
+
+        Later calls raise StoreClosed.
+        """
         if self._closed:
             return
         self._closed = True
         if self._cleaner is not None:
             self._cleaner.cancel()
             await asyncio.gather(self._cleaner, return_exceptions=True)
-        while self._writing or self._waiting:
-            await self._run(lambda: None)
-        await self._run(lambda: None)  # an index file may still be on its way
+        while self._writing or self._pending_commits:
+            await self._run_on_thread(lambda: None)
+        await self._run_on_thread(lambda: None)  # an index file may still be pending
         self.shut()
 
     def shut(self) -> None:
-        """`close` without an event loop, for when nothing is under way. Commits in flight are abandoned."""
+        """Close without an event loop, for a store with nothing pending. Commits in flight are abandoned."""
         self._closed = True
-        self._work.put(None)
+        self._thread_calls.put(None)
         self._thread.join()
         self.engine.close()
         self.engine.disk.unlock()
--- a/tests/store/explore.py
+++ b/tests/store/explore.py
@@ -89,23 +89,23 @@
         for batch in group:
             self.states.append(changed(self.states[-1], batch))
         written = store.write(group)
-        assert not written.failed
-        store.apply(written.placed)
+        assert not written.failures
+        store.apply(written.records)
         self.states = self.states[-1:]
 
 
 def clean(store: Engine, at_least: float = 0.4) -> int:
     """Clean while it is worth it, as `Store` does between commits. The number of segments dropped."""
     dropped = 0
-    while (segment := store.candidate(at_least)) is not None:
+    while (segment := store.cleaning_candidate(at_least)) is not None:
         offset = HEADER_BYTES
         while offset < segment.size:
-            records, offset = store.records(segment, offset, store.options.compact_step_bytes)
+            records, offset = store.live_records(segment, offset, store.options.compact_step_bytes)
             written = store.write([], records)
-            assert written.moved
-            store.apply(written.placed)
+            assert written.all_moved
+            store.apply(written.records)
         assert store.drop(segment)
-        store.dropped(segment)
+        store.forget_segment(segment)
         dropped += 1
     return dropped
 
--- a/tests/store/test_defects.py
+++ b/tests/store/test_defects.py
@@ -41,21 +41,21 @@
 
 
 def segment_dropped_before_its_values_are_moved(patch: pytest.MonkeyPatch) -> None:
-    def records(self: Engine, segment: Segment, offset: int, limit: int) -> Any:
+    def live_records(self: Engine, segment: Segment, offset: int, limit: int) -> Any:
         return [], segment.size
 
-    patch.setattr(Engine, "records", records)
-    patch.setattr(Engine, "_wanted", lambda self, segment: False)
+    patch.setattr(Engine, "live_records", live_records)
+    patch.setattr(Engine, "_has_live_values", lambda self, segment: False)
 
 
 def deletions_not_kept_when_cleaning(patch: pytest.MonkeyPatch) -> None:
-    right = Engine.records
+    right = Engine.live_records
 
-    def records(self: Engine, segment: Segment, offset: int, limit: int) -> Any:
+    def live_records(self: Engine, segment: Segment, offset: int, limit: int) -> Any:
         found, at = right(self, segment, offset, limit)
         return [r for r in found if r[1] != codec.DELETE], at
 
-    patch.setattr(Engine, "records", records)
+    patch.setattr(Engine, "live_records", live_records)
 
 
 def half_batches_taken(patch: pytest.MonkeyPatch) -> None:
@@ -73,7 +73,7 @@
             self.active.file.truncate(found.end)
             self.active.size = found.end
 
-    patch.setattr(Engine, "_settle", settle)
+    patch.setattr(Engine, "_make_durable", settle)
 
 
 DEFECTS = [
@@ -167,7 +167,7 @@
     monkeypatch.setattr(
         scan, "read", lambda file, data, salt, newest, after: right(file, data, salt, True, after)
     )
-    monkeypatch.setattr(scan, "_claims", lambda *args: None)
+    monkeypatch.setattr(scan, "_find_durability_proof", lambda *args: None)
     with pytest.raises(Broken):
         flips(disk, [state])
 
--- a/tests/store/test_trouble.py
+++ b/tests/store/test_trouble.py
@@ -33,8 +33,8 @@
 
 def put(store: Engine, key: bytes, value: bytes) -> StoreFull | None:
     written = store.write([[Put(key, value)]])
-    store.apply(written.placed)
-    return written.failed.get(0)
+    store.apply(written.records)
+    return written.failures.get(0)
 
 
 @pytest.mark.parametrize("room", range(0, 60, 7))
@@ -60,8 +60,8 @@
     store = engine(disk)
     disk.faults = full(60, disk)
     written = store.write([[Put(b"large", b"x" * 60)], [Put(b"small", b"y")]])
-    store.apply(written.placed)
-    assert list(written.failed) == [0]
+    store.apply(written.records)
+    assert list(written.failures) == [0]
     assert content(store) == {b"small": b"y"}
 
 
@@ -144,14 +144,14 @@
         put(store, b"k%d" % number, b"x" * 50)
         put(store, b"k0", b"y" * 50)
     state = content(store)
-    dead = store.candidate(0.99)
+    dead = store.cleaning_candidate(0.99)
     assert dead is not None
     assert not store.index.live.get(dead.number)
     records = next(
-        found for s in store.sealed.values() if (found := store.records(s, HEADER_BYTES, 10_000)[0])
+        found for s in store.sealed.values() if (found := store.live_records(s, HEADER_BYTES, 10_000)[0])
     )
     disk.faults = full(0, disk)
-    assert not store.write([], records).moved
+    assert not store.write([], records).all_moved
     assert content(store) == state
     assert content(engine(disk.after_cut(draws("none")))) == state
     assert not store.drop(dead)  # no room for the manifest: the old one stands
@@ -184,7 +184,7 @@
     assert "max_disk_bytes" in str(failed)
     assert store.disk_bytes <= 300
     written = store.write([[Delete(b"0")]])  # the way back under the limit
-    assert not written.failed
+    assert not written.failures
 
 
 def test_the_index_has_a_bound_on_memory() -> None:
@@ -337,7 +337,7 @@
     want = content(store)
     segment = store.sealed[2]
     assert segment.name == name
-    assert segment.count == 0
+    assert segment.index_entry_count == 0
     store.write_index(segment)  # asked for twice, by a commit and by compact() at once
     assert content(engine(disk.fresh())) == want
 
@@ -348,7 +348,7 @@
     name = codec.segment_name(1)
     disk.unreadable.add(name)
     first = store.sealed[1]
-    for read in (lambda: content(store), lambda: store.records(first, HEADER_BYTES, 1000)):
+    for read in (lambda: content(store), lambda: store.live_records(first, HEADER_BYTES, 1000)):
         with pytest.raises(StoreUnreadable, match=name):
             read()
     assert put(store, b"later", b"1") is None
@@ -410,7 +410,7 @@
     disk = SimDisk()
     store = engine(disk)
     for number in range(3):
-        store.apply(store.write([[Put(b"a%d" % number, b"1" * 9), Put(b"b%d" % number, b"2" * 9)]]).placed)
+        store.apply(store.write([[Put(b"a%d" % number, b"1" * 9), Put(b"b%d" % number, b"2" * 9)]]).records)
     frame = codec.FRAME_BYTES + 11
     for offset, gone in ((HEADER_BYTES + 5, 0), (HEADER_BYTES + 3 * frame + 30, 1)):
         damaged = disk.fresh()
