--- a/beaconhinge/net/streams.py
+++ b/beaconhinge/net/streams.py
@@ -1,7 +1,7 @@
-"""Answers as streams of server-sent events: the same request, reported on while it goes on.
+"""Answers requests with streams of server-sent events that report on them while they are processed.
 
-What a stream says is `progress.feed`'s, its text `progress.codec`'s. Here are the waits and the writes: a
-reader that is slow holds up nobody but itself, since only its own connection is waited for.
+`progress.feed` determines the events and `progress.codec` encodes them; this module waits for them and writes
+them. A slow reader delays no other one, since each stream waits for its own connection only.
 """
 
 from __future__ import annotations
@@ -24,13 +24,18 @@
 from ..runtime.timer_wheel import TimerWheel
 from .http1 import Closed, Connection, Message
 
-KEPT_OUTCOMES_PART = 0.25  # of the room for bodies: outcomes kept for those who come back
-EXPIRY_INTERVAL_S = 0.25  # between looks for what has been detached or kept for long enough
+KEPT_OUTCOMES_SHARE = 0.25  # share of the room for bodies used for outcomes kept for returning readers
+EXPIRY_INTERVAL_S = 0.25  # interval of the checks for detached jobs and kept outcomes that have expired
 TOKEN_BYTES = 16  # bytes of randomness
 
 
 class StreamedRequest:
-    """Observes a request for its stream, and wakes who writes that."""
+    """Feeds a request's events into its stream, and wakes the tasks that write the stream.
+
+    Attributes:
+        token: secret that a client must present to return to the stream.
+        request: the request; set once it has been taken.
+    """
 
     def __init__(self, job: Job, class_name: str) -> None:
         self.feed = ProgressFeed()
@@ -41,17 +46,20 @@
         self._waiters: set[asyncio.Future[None]] = set()
 
     def next_change(self) -> asyncio.Future[None]:
-        """Done once there is another event. Two readers may wait at once, while one takes over."""
+        """Return a future that is done at the next event.
+
+        Two readers may wait at once, while one replaces the other.
+        """
         future: asyncio.Future[None] = asyncio.get_running_loop().create_future()
         self._waiters.add(future)
         return future
 
     def forget_waiter(self, change: asyncio.Future[None]) -> None:
-        """Drop a future of `next_change` that nobody waits for."""
+        """Drop a future of `next_change` that is no longer awaited."""
         self._waiters.discard(change)
 
     def wake(self) -> None:
-        """Wake all who wait for a change."""
+        """Complete all futures of `next_change`."""
         for future in self._waiters:
             if not future.done():
                 future.set_result(None)
@@ -78,11 +86,11 @@
 
 
 class Streams:
-    """All requests that are answered as streams.
+    """All requests that are answered with streams.
 
     Attributes:
-        open_by_tenant: number of streams that are being written.
-        streamed: by job id, as long as the registry knows it.
+        open_by_tenant: number of streams being written, by tenant.
+        streamed: requests by job id, as long as the job is in the registry.
     """
 
     def __init__(
@@ -98,26 +106,26 @@
         self.requests = requests
         self.timers = timers
         self.metrics = metrics
-        self.open_by_tenant: Counter[int] = Counter()  # streams by tenant
-        self.streamed: dict[str, StreamedRequest] = {}  # by job, as long as the registry knows it
+        self.open_by_tenant: Counter[int] = Counter()
+        self.streamed: dict[str, StreamedRequest] = {}
         self.registry = StreamRegistry(
             settings.detached_s,
             settings.keep_outcome_s,
             settings.max_detached,
-            int(KEPT_OUTCOMES_PART * config.limits.max_body_bytes),
+            int(KEPT_OUTCOMES_SHARE * config.limits.max_body_bytes),
         )
         timers.after(EXPIRY_INTERVAL_S, self._expire)
 
     def wants_stream(self, message: Message) -> bool:
-        """Whether a message asks for its answer as a stream."""
+        """Return whether a message asks for a stream as its answer."""
         accept = message.headers.get("accept", "")
         return codec.MEDIA_TYPE in accept.lower() and codec.accepts_event_stream(accept)
 
     async def answer(self, connection: Connection, job: Job, close: bool) -> Answer | None:
-        """Answer a job as a stream. `close`: the connection ends with it.
+        """Answer a job with a stream. `close`: the connection ends with the stream.
 
-        An answer that comes before the job is admitted is returned, to be written plainly: a refusal stays a
-        refusal. Raises Closed when the client has gone, or takes nothing.
+        Returns None after a stream, or an answer to be written as a plain response: one given before the job
+        was admitted, such as a refusal. Raises Closed when the client has disconnected or does not read.
         """
         if self._is_full(job.tenant):
             return Answer(RequestEnd.REJECTED, retry_after=self.config.settings.max_retry_after_s)
@@ -142,28 +150,32 @@
             self.open_by_tenant[job.tenant] -= 1
 
     async def attach(self, connection: Connection, message: Message, tenant: int | None, close: bool) -> bool:
-        """Go on with a stream at `GET /jobs/ID/events`; False when nothing there is for who asks.
+        """Continue a stream at `GET /jobs/ID/events`.
 
-        Raises Closed as `answer` does.
+        Returns False when the client may not read a stream there: no such job, a wrong token or tenant, or
+        too many streams. Raises Closed as `answer` does.
         """
         path, _, query = message.target.decode("latin-1").partition("?")
         parts = path.split("/")
-        given = _token(query) or message.headers.get("authorization", "").removeprefix("Bearer ").strip()
-        entry = self.registry.find(parts[2], given, tenant) if parts[3:] == ["events"] else None
+        token = (
+            _token_from_query(query)
+            or message.headers.get("authorization", "").removeprefix("Bearer ").strip()
+        )
+        entry = self.registry.find(parts[2], token, tenant) if parts[3:] == ["events"] else None
         if entry is None or self._is_full(entry.tenant):
             self.metrics.count("streams_not_found")
             return False
-        seen = codec.parse_last_event_id(message.headers.get("last-event-id", "")) or 0
+        last_seen = codec.parse_last_event_id(message.headers.get("last-event-id", "")) or 0
         self.metrics.count("streams_attached")
         self.open_by_tenant[entry.tenant] += 1
         try:
-            await self._stream_to(connection, entry, self.streamed[entry.id], seen, close)
+            await self._stream_to(connection, entry, self.streamed[entry.id], last_seen, close)
         finally:
             self.open_by_tenant[entry.tenant] -= 1
         return True
 
     def _answered(self, entry: StreamEntry, streamed: StreamedRequest, answer: Answer) -> None:
-        streamed.feed.outcome(_content(answer))
+        streamed.feed.outcome(_outcome_content(answer))
         streamed.wake()
         self.registry.job_ended(entry, len(answer.body), self.timers.now())
 
@@ -177,7 +189,7 @@
 
     @property
     def detached(self) -> int:
-        """Jobs in work whose readers may come back: the door stays open for them."""
+        """Number of jobs in progress whose readers may return; a shutdown keeps listening for them."""
         return self.registry.detached
 
     def _is_full(self, tenant: int) -> bool:
@@ -190,19 +202,24 @@
         return False
 
     async def _stream_to(
-        self, connection: Connection, entry: StreamEntry, streamed: StreamedRequest, seen: int, close: bool
+        self,
+        connection: Connection,
+        entry: StreamEntry,
+        streamed: StreamedRequest,
+        last_seen: int,
+        close: bool,
     ) -> None:
-        """Write a stream to one reader, to its outcome or until a newer reader takes over."""
+        """Write a stream to one reader, until its outcome or until a newer reader takes the stream over."""
         number = self.registry.attach(entry)
-        streamed.wake()  # the one before sees that it has been taken over from
+        streamed.wake()  # the reader before notices that it has been replaced
         try:
-            await self._write_events(connection, entry, streamed, number, seen, close)
+            await self._write_events(connection, entry, streamed, number, last_seen, close)
         except (Closed, OSError):
             self.metrics.count("streams_left")
             if self.registry.reader_left(entry, number, self.timers.now()):
                 await self._client_left(streamed.request)
             raise Closed from None
-        except BaseException:  # a defect, or the end of the program: the job must not count as read for ever
+        except BaseException:  # a bug or the program's end: the job must not stay marked as read
             if self.registry.reader_left(entry, number, self.timers.now()):
                 streamed.request.client_left()
             raise
@@ -214,33 +231,37 @@
         entry: StreamEntry,
         streamed: StreamedRequest,
         number: int,
-        seen: int,
+        last_seen: int,
         close: bool,
     ) -> None:
         chunked = not close  # a connection that ends with its stream needs no chunks
         reader = FeedReader(
-            streamed.feed, self.timers.now(), seen, self.settings.events_per_s, self.settings.keep_alive_s
+            streamed.feed,
+            self.timers.now(),
+            last_seen,
+            self.settings.events_per_s,
+            self.settings.keep_alive_s,
         )
-        data = _head(close)
+        data = _response_head(close)
         while True:
             now = self.timers.now()
             taken_over = entry.reader != number
-            said = [] if taken_over else reader.next_events(now)
-            text = b"".join(
+            events = [] if taken_over else reader.next_events(now)
+            payload = b"".join(
                 codec.encode_json_event(
-                    one.name,
-                    one.number,
-                    one.content,
-                    self.settings.retry_ms if one.name == ACCEPTED else None,
+                    event.name,
+                    event.number,
+                    event.content,
+                    self.settings.retry_ms if event.name == ACCEPTED else None,
                 )
-                for one in said
+                for event in events
             )
             if taken_over:
-                text = codec.encode_comment("another reader has taken this stream over")
-            elif not text and reader.keep_alive_due(now):
-                text = codec.encode_comment("alive")
-            if text:
-                data += b"%x\r\n%b\r\n" % (len(text), text) if chunked else text
+                payload = codec.encode_comment("another reader has taken this stream over")
+            elif not payload and reader.keep_alive_due(now):
+                payload = codec.encode_comment("alive")
+            if payload:
+                data += b"%x\r\n%b\r\n" % (len(payload), payload) if chunked else payload
             last = taken_over or reader.done
             if last and chunked:
                 data += b"0\r\n\r\n"
@@ -249,7 +270,7 @@
                 data = b""
             if last:
                 return
-            if entry.reader != number:  # taken over from while the last event was being written
+            if entry.reader != number:  # replaced during the last write
                 continue
             reading = await self._wait_for_change(
                 connection, streamed, reader.seconds_to_wait(self.timers.now())
@@ -266,32 +287,36 @@
             raise
 
     async def _wait_for_change(
-        self, connection: Connection, streamed: StreamedRequest, most: float | None
+        self, connection: Connection, streamed: StreamedRequest, timeout_s: float | None
     ) -> asyncio.Task[bool]:
-        """Wait for an event, the answer, bytes or the end of the client; at most `most` seconds."""
+        """Wait up to `timeout_s` seconds for an event, the answer, or bytes or the end of the connection.
+
+        Returns the task that reads from the connection; its result is False at the connection's end.
+        """
         reading, change = connection.reading(), streamed.next_change()
-        waits: set[asyncio.Future[Any]] = {change, reading}
+        awaited: set[asyncio.Future[Any]] = {change, reading}
         if not streamed.feed.milestones:
-            waits.add(streamed.request.answer)  # from the first event on the answer is an event too
-        await asyncio.wait(waits, timeout=most, return_when=asyncio.FIRST_COMPLETED)
+            awaited.add(streamed.request.answer)  # after the first event, the answer is an event as well
+        await asyncio.wait(awaited, timeout=timeout_s, return_when=asyncio.FIRST_COMPLETED)
         streamed.forget_waiter(change)
         return reading
 
     async def _client_left(self, request: Request) -> None:
-        """Nobody waits for it any more: the policy hears of that once, if it had not answered before."""
+        """Notify the policy once that the client has left, unless the request has been answered."""
         if not request.answer.done():
             request.client_left()
             await request.answer
 
 
-def _token(query: str) -> str:
+def _token_from_query(query: str) -> str:
+    """Return the `token` of a URL's query, or an empty string."""
     try:
         return parse_qs(query, max_num_fields=8).get("token", [""])[-1]
-    except ValueError:  # more fields than anybody needs
+    except ValueError:  # more than 8 fields
         return ""
 
 
-def _head(close: bool) -> bytes:
+def _response_head(close: bool) -> bytes:
     lines = [
         "HTTP/1.1 200 OK",
         f"Content-Type: {codec.MEDIA_TYPE}",
@@ -301,7 +326,7 @@
     return ("\r\n".join(lines) + "\r\n\r\n").encode()
 
 
-def _content(answer: Answer) -> Mapping[str, Any]:
+def _outcome_content(answer: Answer) -> Mapping[str, Any]:
     if answer.end == RequestEnd.SERVED:
         return {"status": 200, "result": answer.body.decode("utf-8", "replace")}
     if answer.end == RequestEnd.REJECTED:
--- a/beaconhinge/progress/codec.py
+++ b/beaconhinge/progress/codec.py
@@ -1,4 +1,4 @@
-"""Server-sent events as text (WHATWG HTML, 9.2 "Server-sent events"): events out, `Last-Event-ID` in."""
+"""Encodes server-sent events (WHATWG HTML, 9.2 "Server-sent events") and parses the headers about them."""
 
 from __future__ import annotations
 
@@ -9,48 +9,49 @@
 import msgspec
 
 MEDIA_TYPE = "text/event-stream"
-_ENDS = re.compile(r"\r\n|\r|\n")
-_NAME = re.compile(r"[a-z]+\Z")
+_LINE_ENDS = re.compile(r"\r\n|\r|\n")
+_EVENT_NAME = re.compile(r"[a-z]+\Z")
 
 
 def encode_event(name: str, number: int, data: str, retry_ms: int | None = None) -> bytes:
-    """One event. Line ends in `data` (CR, LF or both) reach the reader as LF, as the format has it.
+    """Return the text of one event. The format turns line ends in `data` (CR, LF or both) into LF.
 
-    `retry_ms` tells how long a reader waits before it comes back. It goes with an event, since some client
-    libraries take a block of its own for an empty event. Raises ValueError for a name that is no plain word.
+    `retry_ms` is the time after which a client reconnects. It is part of an event, since some client
+    libraries take a separate block for an empty event. Raises ValueError for a name with other characters
+    than a to z.
     """
-    if not _NAME.match(name):
-        raise ValueError(f"{name!r} is no name of an event")
+    if not _EVENT_NAME.match(name):
+        raise ValueError(f"{name!r} is not a name of an event: it may have the letters a to z only")
     retry = "" if retry_ms is None else f"retry: {retry_ms}\n"
-    lines = "".join(f"data: {line}\n" for line in _ENDS.split(data))
+    lines = "".join(f"data: {line}\n" for line in _LINE_ENDS.split(data))
     return f"event: {name}\nid: {number}\n{retry}{lines}\n".encode("utf-8", "replace")
 
 
 def encode_comment(text: str) -> bytes:
-    """Lines that readers pass over: they keep a link alive, or tell a person why a stream ends.
+    """Return comment lines, which clients ignore: they keep a connection alive, or say why a stream ends.
 
-    Without an empty line behind them, which some client libraries take for the end of an empty event.
+    No empty line follows them, since some client libraries take it for the end of an empty event.
     """
-    return "".join(f": {line}\n" for line in _ENDS.split(text)).encode("utf-8", "replace")
+    return "".join(f": {line}\n" for line in _LINE_ENDS.split(text)).encode("utf-8", "replace")
 
 
 def encode_json_event(
     name: str, number: int, content: Mapping[str, Any], retry_ms: int | None = None
 ) -> bytes:
-    """An event whose data is one line of JSON, whatever the texts in it hold."""
+    """Return an event whose data is one line of JSON, whatever characters the texts in `content` hold."""
     return encode_event(name, number, msgspec.json.encode(content).decode(), retry_ms)
 
 
 def parse_last_event_id(text: str) -> int | None:
-    """The number that a reader names, or None for what no stream of ours has given out."""
+    """Return the number in a `Last-Event-ID` header, or None for a text that is not an id of our streams."""
     return int(text) if text.isascii() and text.isdigit() and len(text) <= 9 else None
 
 
 def accepts_event_stream(header: str) -> bool:
-    """Whether an Accept header asks for a stream of events before anything else (RFC 9110, 12.5.1).
+    """Return whether an Accept header prefers a stream of events to other types (RFC 9110, 12.5.1).
 
-    True when `text/event-stream` is named and its weight is above 0 and not under that of any other type.
-    Without being named it is not asked for: `*/*` is what every client sends. Raises nothing.
+    True when `text/event-stream` is listed with a weight above 0 that is not below that of any other listed
+    type. Wildcards do not count as listing it, since every client sends `*/*`. Raises nothing.
     """
     stream_weight, best_other_weight = 0.0, 0.0
     for part in header.split(","):
@@ -68,5 +69,5 @@
 
 
 def _weight(text: str) -> float:
-    """A q-value as RFC 9110 has it; one that is malformed counts as 0, so that nothing is guessed."""
+    """Return a q-value as RFC 9110 defines it; a malformed one counts as 0, so that nothing is guessed."""
     return float(text) if re.fullmatch(r"(0(\.\d{0,3})?|1(\.0{0,3})?)", text) else 0.0
--- a/beaconhinge/progress/feed.py
+++ b/beaconhinge/progress/feed.py
@@ -1,9 +1,9 @@
-"""What the stream of one request says, in order, to whoever reads it. Decides, and does no I/O.
+"""The events of one request's stream, in order, for its readers. Does no I/O.
 
-A `Feed` hears what becomes of the request and keeps what a reader must be told: each milestone, and of the
-progress the newest alone. A `Reader` is a place in it. So what waits for a slow reader is never more than the
-milestones of its request and one event, and one that comes back with the number that it saw last goes on from
-there.
+A `ProgressFeed` is notified of what happens to the request and keeps the events that a reader must receive:
+every milestone, and the newest progress report only. A `FeedReader` is a position in it. So no more than the
+request's milestones and one event are ever kept for a slow reader, and a reader that reconnects with the
+number of the last event it received continues from there.
 """
 
 from __future__ import annotations
@@ -17,7 +17,7 @@
 
 @dataclass(slots=True, frozen=True)
 class ProgressEvent:
-    """One event. Numbers rise by one from 1 on and are the events' ids."""
+    """One event. Its number is its id; numbers count up from 1."""
 
     number: int
     name: str
@@ -26,23 +26,36 @@
 
 @dataclass(slots=True)
 class ProgressFeed:
-    """`share` never goes back: with several attempts the furthest counts, and one that starts from nothing
-    again after all that had run are lost is told by `restart`, until it has passed what was reached before.
+    """The events of one request.
+
+    `share` never decreases. With several attempts, the furthest one counts. An attempt that starts after all
+    earlier ones were lost is announced by an event with `restart` set; its progress is reported once it has
+    passed the share reached before.
+
+    Attributes:
+        milestones: all events but progress.
+        latest_progress: the newest progress event, until the outcome.
+        share: the part of the job done, from 0 to 1, in the newest progress event.
+        finished: whether the outcome is among the milestones.
     """
 
     milestones: list[ProgressEvent] = field(default_factory=list)
-    latest_progress: ProgressEvent | None = None  # progress
+    latest_progress: ProgressEvent | None = None
     share: float = 0.0
     finished: bool = False
     _last_number: int = 0
-    _started: set[int] = field(default_factory=set)  # attempts that told of their start
-    _running: set[int] = field(default_factory=set)
+    _started: set[int] = field(default_factory=set)  # attempts that have reported their start
+    _running: set[int] = field(default_factory=set)  # those of them that have not been lost
 
     def accepted(self, content: Mapping[str, Any]) -> None:
+        """Add the event of the request's admission."""
         self._milestone(ACCEPTED, content)
 
     def started(self, attempt: int) -> None:
-        """An attempt tells of its start, or shows it by its progress. Told once for each attempt."""
+        """Add the event of an attempt's start, once for each attempt.
+
+        An attempt reports its start itself, or implies it by its first progress report.
+        """
         if self.finished or attempt in self._started:
             return
         restart = bool(self._started) and not self._running
@@ -51,8 +64,9 @@
         self._milestone(STARTED, {"attempt": attempt, "restart": restart})
 
     def progress(self, attempt: int, share: float) -> None:
-        """A report. One that does not lead further says nothing: late, repeated, or of the copy that is
-        behind.
+        """Add a progress report of an attempt.
+
+        A report that does not raise `share` is ignored: a late or repeated one, or one of the slower attempt.
         """
         self.started(attempt)
         if self.finished or attempt not in self._running or not self.share < share <= 1.0:
@@ -64,11 +78,11 @@
         )
 
     def attempt_lost(self, attempt: int) -> None:
-        """An attempt has ended without a result."""
+        """Record that an attempt has ended without a result."""
         self._running.discard(attempt)
 
     def outcome(self, content: Mapping[str, Any]) -> None:
-        """The one final outcome. Whatever is told later is passed over."""
+        """Add the final outcome. All later notifications are ignored."""
         if not self.finished:
             self.finished = True
             self.latest_progress = None
@@ -79,16 +93,18 @@
         self.milestones.append(ProgressEvent(self._last_number, name, content))
 
     def events_after(self, number: int) -> list[ProgressEvent]:
-        """What a reader that has seen events up to `number` must be told now, in order."""
-        waiting = [event for event in self.milestones if event.number > number]
+        """Return the events for a reader that has received events up to `number`, in order."""
+        pending = [event for event in self.milestones if event.number > number]
         if self.latest_progress is not None and self.latest_progress.number > number:
-            waiting.append(self.latest_progress)
-            waiting.sort(key=lambda event: event.number)
-        return waiting
+            pending.append(self.latest_progress)
+            pending.sort(key=lambda event: event.number)
+        return pending
 
 
 class FeedReader:
-    """One reader's place, its pace and its patience. Times are seconds of any clock that goes forward."""
+    """One reader's position in a feed, its rate limit and its keep-alive. Times are seconds of a monotonic
+    clock.
+    """
 
     def __init__(
         self,
@@ -101,39 +117,46 @@
         self.feed = feed
         self.last_seen = min(
             max(last_seen, 0), feed._last_number
-        )  # a number that was never given out counts as the last one
+        )  # a number above the last one counts as the last one
         self.min_interval_s = 1 / events_per_s
         self.keep_alive_s = keep_alive_s
-        self._next_progress_at = now  # no progress before
+        self._next_progress_at = now  # earliest time of the next progress event
         self._written_at = now
 
     def next_events(self, now: float) -> list[ProgressEvent]:
-        """What to write now. Milestones go at once; progress waits for its turn, and the newest one goes."""
-        waiting = self.feed.events_after(self.last_seen)
-        if now < self._next_progress_at and all(event.name == PROGRESS for event in waiting):
+        """Return the events to write now.
+
+        Milestones are due at once, with any progress event pending. A progress event alone waits for the rate
+        limit; the newest one is then sent.
+        """
+        pending = self.feed.events_after(self.last_seen)
+        if now < self._next_progress_at and all(event.name == PROGRESS for event in pending):
             return []
-        if waiting:
-            self.last_seen = waiting[-1].number
+        if pending:
+            self.last_seen = pending[-1].number
             self._written_at = now
-            if any(event.name == PROGRESS for event in waiting):
+            if any(event.name == PROGRESS for event in pending):
                 self._next_progress_at = now + self.min_interval_s
-        return waiting
+        return pending
 
     def keep_alive_due(self, now: float) -> bool:
-        """Whether a comment is due, since nothing has been written for as long as links may be silent."""
+        """Return whether a keep-alive comment is due, and assume that it is written.
+
+        It is due when nothing has been written for `keep_alive_s`.
+        """
         if now - self._written_at < self.keep_alive_s:
             return False
         self._written_at = now
         return True
 
     def seconds_to_wait(self, now: float) -> float:
-        """Seconds after which to look again though nothing new has come."""
-        until = self._written_at + self.keep_alive_s
-        for event in self.feed.events_after(self.last_seen):  # told while the last event was being written
-            until = min(until, self._next_progress_at if event.name == PROGRESS else now)
-        return max(until - now, 0.0)
+        """Return the seconds after which to check again if no new event arrives before."""
+        due_at = self._written_at + self.keep_alive_s
+        for event in self.feed.events_after(self.last_seen):  # added during the last write
+            due_at = min(due_at, self._next_progress_at if event.name == PROGRESS else now)
+        return max(due_at - now, 0.0)
 
     @property
     def done(self) -> bool:
-        """The outcome has been handed out."""
+        """Whether the outcome has been returned by `next_events`."""
         return self.feed.finished and self.last_seen >= self.feed.milestones[-1].number
--- a/beaconhinge/quota_snapshots/__init__.py
+++ b/beaconhinge/quota_snapshots/__init__.py
@@ -1,4 +1,4 @@
-"""Snapshots that outlast a restart: what tenants used, what the fleet takes, what peers have reported.
+"""Snapshots of quota state that survive a restart: usage by tenant, the fleet rate, and reports of peers.
 
-`record` turns that state of the policy into a versioned record and back, without I/O; `writer` stores it.
+`record` converts that state of the policy to a versioned record and back, without I/O; `writer` stores it.
 """
--- a/beaconhinge/quota_snapshots/record.py
+++ b/beaconhinge/quota_snapshots/record.py
@@ -1,9 +1,12 @@
-"""Demand, quotas and the fleet rate of the policy as a versioned record, and back. Pure: times are arguments.
+"""Converts the policy's demand, quotas and fleet rate to a versioned record and back.
 
-A dispatcher that starts without them takes one Nth of each share, while the others still count what it
-used before, and admits without a limit until it has seen a full fleet by itself. With a record it goes on
-where it was, aged by the time that has passed: allowances grow as they would have, a cut of the fleet rate
-fades at the pace at which the rate rises, and others that have been silent for too long are not counted.
+Pure: times are arguments.
+
+A dispatcher of N that starts without a record takes one Nth of each share, while its peers still count what
+it used before, and it admits requests without a limit until it has seen a full fleet itself. With a record,
+it continues from the recorded state, aged by the time that has passed: tokens accrue as they would have, a
+reduced fleet rate recovers at its usual rate of increase, and peers that have been silent for too long are
+not counted.
 """
 
 from __future__ import annotations
@@ -20,44 +23,67 @@
 from ..policy.interface import Settings
 
 RECORD_VERSION = 1
-MAX_CLOCK_SKEW_S = 1.0  # seconds by which a record may lie ahead of the clock: clocks are set now and then
+MAX_CLOCK_SKEW_S = 1.0  # a record may be this far ahead of the clock, since clocks are adjusted now and then
 
 
 class StaleRecordError(Exception):
-    """A record that must not be used; the text says why."""
+    """A record must not be used; the message says why."""
 
 
 class BucketRecord(msgspec.Struct, array_like=True, frozen=True):
-    """The bucket of a tenant and class."""
+    """The token bucket of a tenant and request class.
+
+    Attributes:
+        cls: index of the request class.
+        demand: work requested a second.
+        admitted: work admitted a second.
+        tokens: work that may be admitted at once.
+        rate: work a second that the bucket gains; infinite while there is no limit.
+    """
 
     tenant: int
     cls: int
-    demand: float  # work a second
+    demand: float
     admitted: float
     tokens: float
     rate: float
 
 
 class PeerRecord(msgspec.Struct, array_like=True, frozen=True):
-    """What a peer last reported."""
+    """The state of a peer from its reports.
+
+    Attributes:
+        sequence: number of its last message.
+        silent_s: time since its last message.
+        covered_s: time that its reports cover, up to the time over which demand is smoothed.
+        report_interval_s: time between its reports.
+        demand: entries of tenant, request class and work requested a second.
+        admitted: work that it admits a second.
+    """
 
     number: int
     incarnation: int
     sequence: int
-    silent: float  # seconds since its last message
-    known: float
-    span: float
+    silent_s: float
+    covered_s: float
+    report_interval_s: float
     demand: list[tuple[int, int, float]]
     admitted: float
 
 
 class Record(msgspec.Struct, frozen=True):
-    """State of the policy as it is stored. `name=` gives the stored key where the field has another name."""
+    """State of the policy as it is stored. `name=` gives the stored key where the field has another name.
+
+    Attributes:
+        taken_at: Unix time in seconds.
+        fleet_rate: work that the fleet admits a second; infinite while there is no limit.
+        demand_share: this dispatcher's share of the fleet's demand.
+        quota_tokens: tokens of each tenant's quota.
+    """
 
     version: int
-    taken_at: float  # Unix time, seconds
+    taken_at: float
     settings_fingerprint: str = msgspec.field(name="settings")
-    # Work a second that the fleet admits; infinite while there is no cut.
     fleet_rate: float = msgspec.field(name="rate")
     demand_share: float = msgspec.field(name="part")
     mean_work: float
@@ -69,7 +95,7 @@
 
 
 def take(dispatcher: Dispatcher, now: float) -> Record:
-    """The record of a dispatcher as it stands. Changes nothing."""
+    """Return a record of a dispatcher's current state at Unix time `now`. Changes nothing."""
     return Record(
         RECORD_VERSION,
         now,
@@ -81,50 +107,51 @@
         dispatcher.estimates.mean_latency_s,
         list(dispatcher.quotas.tokens),
         [
-            BucketRecord(tenant, cls, b.demand, b.admitted, b.tokens, b.rate)
-            for (tenant, cls), b in dispatcher.admission.buckets.items()
+            BucketRecord(tenant, cls, bucket.demand, bucket.admitted, bucket.tokens, bucket.rate)
+            for (tenant, cls), bucket in dispatcher.admission.buckets.items()
         ],
         [
             PeerRecord(
                 number,
-                p.incarnation,
-                p.sequence,
-                now - p.heard_at,
-                p.covered_s,
-                p.report_interval_s,
-                [(*key, rate) for key, rate in p.demand.items()],
-                p.admitted,
+                peer.incarnation,
+                peer.sequence,
+                now - peer.heard_at,
+                peer.covered_s,
+                peer.report_interval_s,
+                [(*key, rate) for key, rate in peer.demand.items()],
+                peer.admitted,
             )
-            for number, p in dispatcher.gossip.peers.items()
+            for number, peer in dispatcher.gossip.peers.items()
         ],
     )
 
 
 def encode(record: Record) -> bytes:
-    """The stored form."""
+    """Return the stored form of a record."""
     return msgspec.msgpack.encode(record)
 
 
 def decode(data: bytes) -> Record:
-    """Read the stored form.
+    """Return the record in its stored form.
 
     Raises:
-        StaleRecordError: It is no record, or one of another version.
+        StaleRecordError: The data is not a record, or a record of another version.
     """
     try:
         version = msgspec.msgpack.decode(data, type=dict[str, msgspec.Raw]).get("version")
         if version is None or msgspec.msgpack.decode(version, type=int) != RECORD_VERSION:
-            raise StaleRecordError("written in another version of the record")
+            raise StaleRecordError("it has another version of the record format")
         return msgspec.msgpack.decode(data, type=Record)
     except (msgspec.DecodeError, msgspec.ValidationError) as error:
         raise StaleRecordError(f"unreadable: {error}") from None
 
 
 def check(record: Record, settings: Settings, now: float, max_age: float) -> float:
-    """Seconds that the record is old.
+    """Return the age of a record in seconds, 0 for one that is slightly ahead of the clock.
 
     Raises:
-        StaleRecordError: It is too old, ahead of the clock, or of other settings.
+        StaleRecordError: The record is older than `max_age` seconds, more than MAX_CLOCK_SKEW_S ahead of the
+            clock, or was taken under other settings.
     """
     age = now - record.taken_at
     if age < -MAX_CLOCK_SKEW_S:
@@ -141,19 +168,21 @@
     admission, estimates, reports = dispatcher.admission, dispatcher.estimates, dispatcher.reports
     estimates.mean_work, estimates.seconds_per_work = record.mean_work, record.seconds_per_work
     estimates.mean_latency_s = record.mean_latency_s
-    # Its reports carry on the smoothed figures instead of starting them anew.
+    # The dispatcher's reports continue from the smoothed figures instead of restarting the smoothing.
     reports.smoothing_since = now - REPORTS_SMOOTHED * reports.interval_s
     admission.fleet_rate = record.fleet_rate * (1 + RATE_INCREASE_SHARE) ** (age / CONTROL_INTERVAL_S)
     for peer in record.peers:
-        restored = PeerState(peer.incarnation, peer.sequence, now - peer.silent - age, peer.known, peer.span)
-        if peer.silent + age <= MAX_MISSED_REPORTS * peer.span:
+        restored = PeerState(
+            peer.incarnation, peer.sequence, now - peer.silent_s - age, peer.covered_s, peer.report_interval_s
+        )
+        if peer.silent_s + age <= MAX_MISSED_REPORTS * peer.report_interval_s:
             restored.demand = {(tenant, cls): rate for tenant, cls, rate in peer.demand}
             restored.admitted = peer.admitted
         if peer.number in dispatcher.gossip.group_peers:
             dispatcher.gossip.peers[peer.number] = restored
     for bucket in record.buckets:
-        most = admission.max_tokens(bucket.rate)
-        tokens = 0.0 if bucket.rate == INF else min(bucket.tokens + age * bucket.rate, most)
+        capacity = admission.max_tokens(bucket.rate)
+        tokens = 0.0 if bucket.rate == INF else min(bucket.tokens + age * bucket.rate, capacity)
         admission.buckets[bucket.tenant, bucket.cls] = TenantBucket(
             0.0, 0.0, bucket.demand, bucket.admitted, tokens, bucket.rate
         )
--- a/beaconhinge/quota_snapshots/writer.py
+++ b/beaconhinge/quota_snapshots/writer.py
@@ -1,4 +1,4 @@
-"""Writes snapshots into the store at an interval and at an orderly stop, and reads one at a start."""
+"""Writes quota snapshots to the store at an interval and at an orderly stop, and restores one at a start."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
         interval_s: float,
         max_age_s: float,
     ) -> None:
-        """Write at an interval of `interval_s`; restore nothing older than `max_age_s`."""
+        """`interval_s`: time between snapshots. `max_age_s`: a snapshot older than this is not restored."""
         self.store = store
         self.dispatcher = dispatcher
         self.timers = timers
@@ -32,10 +32,12 @@
         self.max_age_s = max_age_s
 
     def restore(self) -> bool:
-        """Restore the snapshot, after the dispatcher was started and before it is fed anything else.
+        """Restore the stored snapshot, after the dispatcher was started and before it handles other events.
+
+        An unusable snapshot is counted and logged.
 
         Returns:
-            Whether there was one that may be used.
+            Whether a snapshot was restored.
         """
         try:
             data = self.store.get(SNAPSHOT_KEY)
@@ -55,19 +57,19 @@
         return True
 
     def schedule_write(self) -> None:
-        """Write from now on, at the interval."""
+        """Start writing snapshots at the interval."""
         self.timers.after(self.interval_s, lambda: self.metrics.spawn(self._write_and_reschedule(), "books"))
 
     async def _write_and_reschedule(self) -> None:
         await self.write()
-        if self.store.failure is None:  # read-only for good: logged once, and there is nothing more to try
+        if self.store.failure is None:  # a failed store stays read-only: logged once, no more writes
             self.schedule_write()
 
     async def write(self) -> None:
-        """Write the snapshot once; a failure of the store is logged."""
-        taken = record.encode(record.take(self.dispatcher, self.timers.now()))
+        """Write one snapshot; an error of the store is counted and logged."""
+        data = record.encode(record.take(self.dispatcher, self.timers.now()))
         try:
-            await self.store.commit([Put(SNAPSHOT_KEY, taken)])
+            await self.store.commit([Put(SNAPSHOT_KEY, data)])
             self.metrics.count("quota_snapshot_written")
         except StoreError as error:
             self.metrics.count_and_log("quota_snapshot_write_failed", why=error)
--- a/tests/progress/test_codec.py
+++ b/tests/progress/test_codec.py
@@ -60,7 +60,7 @@
         + codec.encode_event("outcome", 2, "y")
     )
     assert read(data) == [("accepted", "x", "1", 1500), ("outcome", "y", "2", None)]
-    with pytest.raises(ValueError, match="no name"):
+    with pytest.raises(ValueError, match="not a name of an event"):
         codec.encode_event("a\nb", 1, "")
 
 
