--- a/tests/store/test_cuts.py
+++ b/tests/store/test_cuts.py
@@ -1,30 +1,31 @@
-"""A history is cut at every disk operation and every byte of every write; what was acknowledged is found
-again.
+"""A power cut at any disk operation or any byte of a write must lose no acknowledged batch.
+
+Each cut leaves some of the unsynced writes on the simulated disk; the store is opened on what is left.
 """
 
 from __future__ import annotations
 
 import pytest
-from explore import Run, every_cut, history
+from explore import Run, check_every_cut, history
 
 from beaconhinge.standin.disk import SimDisk
 
 SEED, GROUPS = 1, 10
 
 
-def test_the_history_that_is_cut_rolls_and_cleans_segments() -> None:
+def test_cut_history_rolls_and_cleans_segments() -> None:
     run = Run(SimDisk())
     run.play(history(SEED, GROUPS))
-    done = [(what, name.split(".")[-1]) for what, name, _ in run.disk.log]
-    assert done.count(("create", "log")) >= 4
-    assert done.count(("remove", "log")) >= 2  # segments that were cleaned
-    assert ("rename", "idx") in done
+    operations = [(operation, name.split(".")[-1]) for operation, name, _ in run.disk.log]
+    assert operations.count(("create", "log")) >= 4
+    assert operations.count(("remove", "log")) >= 2  # segments that were cleaned
+    assert ("rename", "idx") in operations
 
 
-def test_every_cut_leaves_what_was_acknowledged_and_no_half_batch() -> None:
-    assert every_cut(SEED, GROUPS, again_every=151, seeds=1) > 8000
+def test_every_cut_keeps_acknowledged_and_whole_batches() -> None:
+    assert check_every_cut(SEED, GROUPS, recovery_cuts_every=151, seeds=1) > 8000
 
 
 @pytest.mark.parametrize("seed", range(2, 3))
-def test_other_histories_cut_at_every_operation(seed: int) -> None:
-    assert every_cut(seed, 6, again_every=199, seeds=1) > 500
+def test_other_histories_survive_every_cut(seed: int) -> None:
+    assert check_every_cut(seed, 6, recovery_cuts_every=199, seeds=1) > 500
--- a/tests/store/test_store.py
+++ b/tests/store/test_store.py
@@ -1,4 +1,4 @@
-"""The store as callers see it: commits of many tasks, scans, cleaning beside them, the end."""
+"""Tests of the store's asynchronous interface: concurrent commits, scans, cleaning, closing and reopening."""
 
 from __future__ import annotations
 
@@ -34,7 +34,7 @@
     return Store.open("sim", options, disk=disk, new_id=lambda: b"S" * 16, **more)
 
 
-def play(scenario: Callable[[], Coroutine[Any, Any, None]]) -> None:
+def run_async(scenario: Callable[[], Coroutine[Any, Any, None]]) -> None:
     async def run() -> None:
         async with asyncio.timeout(20):
             await scenario()
@@ -42,39 +42,39 @@
     asyncio.run(run())
 
 
-class Held(SimDisk):
-    """A disk whose syncs wait until the test lets them go on."""
+class PausableDisk(SimDisk):
+    """A disk whose syncs block until the test resumes them, while `paused` is set."""
 
     def __init__(self) -> None:
         super().__init__()
-        self.go = threading.Semaphore(0)
-        self.holding = False
-        self.arrived: Callable[[], object] = lambda: None
+        self.resume = threading.Semaphore(0)
+        self.paused = False
+        self.on_sync: Callable[[], object] = lambda: None
 
     def step(self, what: str, name: str, size: int = 0) -> int | None:
-        if what == "sync" and self.holding:
-            self.arrived()
-            self.go.acquire()
+        if what == "sync" and self.paused:
+            self.on_sync()
+            self.resume.acquire()
         return super().step(what, name, size)
 
 
-def test_committers_that_wait_at_once_share_one_sync_and_the_loop_goes_on() -> None:
+def test_waiting_commits_share_a_sync_without_blocking_the_loop() -> None:
     async def scenario() -> None:
-        disk = Held()
+        disk = PausableDisk()
         store = opened(disk)
-        arrived = asyncio.Event()
+        on_sync = asyncio.Event()
         loop = asyncio.get_running_loop()
-        disk.arrived = lambda: loop.call_soon_threadsafe(arrived.set)
-        disk.holding = True
+        disk.on_sync = lambda: loop.call_soon_threadsafe(on_sync.set)
+        disk.paused = True
         first = asyncio.create_task(store.commit([Put(b"0", b"first")]))
-        await arrived.wait()  # its sync stands still, and the loop runs on
+        await on_sync.wait()  # its sync is blocked, and the loop is not
         others = [asyncio.create_task(store.commit([Put(b"%d" % i, b"v")])) for i in range(1, 9)]
         await asyncio.sleep(0)
         assert store.get(b"0") is None
         assert not first.done()
         before = sum(what == "sync" for what, _, _ in disk.log)
-        disk.holding = False
-        disk.go.release()
+        disk.paused = False
+        disk.resume.release()
         await asyncio.gather(first, *others)
         syncs = sum(what == "sync" for what, _, _ in disk.log) - before
         assert syncs == 2
@@ -82,10 +82,10 @@
         assert store.metrics()["store_batches"] == 9
         await store.close()
 
-    play(scenario)
+    run_async(scenario)
 
 
-def test_a_store_serves_from_what_is_durable_alone() -> None:
+def test_reads_return_durable_values_only() -> None:
     async def scenario() -> None:
         disk = SimDisk()
         store = opened(disk)
@@ -99,10 +99,10 @@
             await store.commit([Put(b"b", b"3")])
         await store.close()
 
-    play(scenario)
+    run_async(scenario)
 
 
-def test_scan_is_ordered_and_goes_on_while_keys_come_and_go() -> None:
+def test_scan_is_ordered_and_sees_changes_ahead_of_it() -> None:
     async def scenario() -> None:
         store = opened(SimDisk())
         await store.commit([Put(key, key) for key in (b"b2", b"a", b"b1", b"c", b"b3")])
@@ -119,10 +119,10 @@
         assert b"b2" not in store
         await store.close()
 
-    play(scenario)
+    run_async(scenario)
 
 
-def test_cleaning_goes_on_beside_commits_and_reads() -> None:
+def test_cleaning_runs_beside_commits_and_reads() -> None:
     async def scenario() -> None:
         disk = SimDisk()
         store = opened(
@@ -150,14 +150,14 @@
         await store.compact()
         assert store.engine.disk_bytes < 3 * sum(store.engine.index.live.values()) + 200
         await store.close()
-        again = opened(disk.after_cut(draws("none")))
-        assert dict(again.scan()) == state
-        await again.close()
+        reopened = opened(disk.after_cut(draws("none")))
+        assert dict(reopened.scan()) == state
+        await reopened.close()
 
-    play(scenario)
+    run_async(scenario)
 
 
-def test_damage_met_while_cleaning_stops_the_cleaning_and_no_commit() -> None:
+def test_damage_stops_cleaning_but_not_commits() -> None:
     async def scenario() -> None:
         disk = SimDisk()
         events: list[str] = []
@@ -174,37 +174,37 @@
         assert "store_corrupt" in events
         await store.close()
 
-    play(scenario)
+    run_async(scenario)
 
 
-def test_one_process_one_store_and_a_closed_one_says_so(tmp_path: Path) -> None:
+def test_second_open_and_use_after_close_fail(tmp_path: Path) -> None:
     async def scenario() -> None:
         store = Store.open(tmp_path / "deep" / "folder")
         with pytest.raises(StoreLocked):
             Store.open(tmp_path / "deep" / "folder")
-        under_way = asyncio.create_task(store.commit([Put(b"a", b"1")]))
+        pending = asyncio.create_task(store.commit([Put(b"a", b"1")]))
         await asyncio.sleep(0)
-        await store.close()  # waits for it
-        await under_way
+        await store.close()  # waits for the commit
+        await pending
         for call in (store.commit([Put(b"b", b"")]), store.compact()):
             with pytest.raises(StoreClosed):
                 await call
         with pytest.raises(StoreClosed):
             store.get(b"a")
-        again = Store.open(tmp_path / "deep" / "folder")
-        assert again.get(b"a") == b"1"
-        await again.close()
+        reopened = Store.open(tmp_path / "deep" / "folder")
+        assert reopened.get(b"a") == b"1"
+        await reopened.close()
 
-    play(scenario)
+    run_async(scenario)
 
 
-def test_a_folder_that_cannot_be_used_is_one_clear_error(tmp_path: Path) -> None:
+def test_unusable_folder_raises_store_error(tmp_path: Path) -> None:
     (tmp_path / "file").write_text("")
     with pytest.raises(StoreError, match="file"):
         Store.open(tmp_path / "file" / "folder")
 
 
-def test_a_cancelled_commit_holds_up_nobody() -> None:
+def test_cancelled_commits_do_not_block_others() -> None:
     async def scenario() -> None:
         store = opened(SimDisk())
         tasks = [asyncio.create_task(store.commit([Put(b"%d" % i, b"v")])) for i in range(5)]
@@ -216,12 +216,14 @@
         assert {b"1", b"3", b"last"} <= {key for key, _ in store.scan()}
         await store.close()
 
-    play(scenario)
+    run_async(scenario)
 
 
-def test_each_real_file_cut_at_each_byte(tmp_path: Path) -> None:
-    """Files as they are on a real disk, shortened: a manifest, an old segment or an index never gives wrong
-    data.
+def test_truncated_files_never_give_wrong_data(tmp_path: Path) -> None:
+    """Shorten each file of a store on a real disk to each length.
+
+    A store with a short manifest or old segment must not open; a short index file must not change the
+    content; a short active segment must give the state after one of the commits.
     """
     source, work = tmp_path / "source", tmp_path / "work"
     states: list[dict[bytes, bytes]] = [{}]
@@ -236,12 +238,12 @@
             states.append(changed(states[-1], batch))
         await store.close()
 
-    play(fill)
+    run_async(fill)
     names = sorted(p.name for p in source.iterdir() if p.name != "LOCK")
     active = max(name for name in names if name.endswith(".log"))
     assert len(names) >= 5
     work.mkdir()
-    errors = tails = 0
+    errors = torn_tails = 0
     for name in names:
         whole = (source / name).read_bytes()
         for size in range(len(whole)):
@@ -259,11 +261,11 @@
             store.shut()
             if name == active:
                 assert found in states
-                tails += found != states[-1]
+                torn_tails += found != states[-1]
             else:
-                assert found == states[-1], (name, size)  # an index file, which is not needed
+                assert found == states[-1], (name, size)  # an index file, which recovery can do without
     assert errors > 400
-    assert tails > 20
+    assert torn_tails > 20
 
 
 class AgainstADict(RuleBasedStateMachine):
@@ -321,10 +323,10 @@
 TestAgainstADict.settings = settings(max_examples=60, stateful_step_count=25, deadline=None, derandomize=True)
 
 
-# ---- what to clean, and how fast -------------------------------------------------------------------------
+# ---- choice of segments to clean, and the rate ------------------------------------------------------------
 
 
-def test_the_segment_with_the_most_dead_bytes_is_cleaned_first() -> None:
+def test_segment_with_most_dead_bytes_is_cleaned_first() -> None:
     segments = [SegmentUsage(1, 100, 90, 0), SegmentUsage(2, 100, 30, 0), SegmentUsage(3, 100, 10, 0)]
     assert choose_segment(segments, 0.5) == 3
     assert choose_segment(segments[:2], 0.5) == 2
@@ -332,11 +334,12 @@
     assert choose_segment([], 0.5) is None
 
 
-def test_deletions_count_as_wanted_but_in_the_oldest_segment() -> None:
+def test_deletions_are_dead_in_the_oldest_segment_only() -> None:
     assert choose_segment([SegmentUsage(1, 100, 90, 0), SegmentUsage(2, 100, 0, 45)], 0.5) == 2
     assert choose_segment([SegmentUsage(1, 100, 90, 0), SegmentUsage(2, 100, 0, 80)], 0.5) is None
     assert choose_segment([SegmentUsage(1, 100, 0, 80)], 0.5) == 1
-    # They fill half of all: the oldest is cleaned, though it is all wanted, until they are the oldest.
+    # Deletions fill half of all bytes: the oldest segment is cleaned, though it is nearly all live, so that
+    # the segments with the deletions become the oldest.
     assert (
         choose_segment(
             [SegmentUsage(1, 100, 95, 0), SegmentUsage(2, 100, 0, 100), SegmentUsage(3, 100, 0, 95)], 0.5
@@ -345,10 +348,10 @@
     )
 
 
-def test_the_pace_spreads_bytes_over_time_and_owes_nothing_for_a_pause() -> None:
-    pace = RateLimiter(1000.0)
-    assert pace.wait(10.0, 100) == pytest.approx(0.1)
-    assert pace.wait(10.0, 100) == pytest.approx(0.2)
-    assert pace.wait(20.0, 100) == pytest.approx(0.1)
-    assert pace.wait(30.0, 100, cleaning_speedup(100, 100)) == pytest.approx(0.1 / 16)
+def test_rate_limiter_spreads_reads_without_credit_for_pauses() -> None:
+    limiter = RateLimiter(1000.0)
+    assert limiter.wait(10.0, 100) == pytest.approx(0.1)
+    assert limiter.wait(10.0, 100) == pytest.approx(0.2)
+    assert limiter.wait(20.0, 100) == pytest.approx(0.1)
+    assert limiter.wait(30.0, 100, cleaning_speedup(100, 100)) == pytest.approx(0.1 / 16)
     assert [cleaning_speedup(used, 100) for used in (0, 50, 75, 100, 130)] == [1.0, 1.0, 8.5, 16.0, 16.0]
--- a/tests/store/test_trouble.py
+++ b/tests/store/test_trouble.py
@@ -1,4 +1,4 @@
-"""A disk that is full, fails, writes short or refuses to sync; limits; bytes that are no store."""
+"""The store on a faulty disk (full, failing or short writes, failing syncs), at its limits, and damaged files."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 import random
 
 import pytest
-from explore import SMALL, Run, clean, content, engine, history
+from explore import SMALL, Run, clean_segments, content, history, open_engine
 from hypothesis import given
 from hypothesis import strategies as st
 
@@ -32,15 +32,16 @@
 
 
 def put(store: Engine, key: bytes, value: bytes) -> StoreFull | None:
+    """Commit one key and return the error if there was no room."""
     written = store.write([[Put(key, value)]])
     store.apply(written.records)
     return written.failures.get(0)
 
 
 @pytest.mark.parametrize("room", range(0, 60, 7))
-def test_a_full_disk_fails_that_commit_alone_and_undoes_its_bytes(room: int) -> None:
+def test_full_disk_fails_one_commit_and_undoes_its_bytes(room: int) -> None:
     disk = SimDisk()
-    store = engine(disk)
+    store = open_engine(disk)
     assert put(store, b"a", b"1" * 40) is None
     before = disk.content(store.active.name)
     disk.faults = full(room, disk)
@@ -49,15 +50,17 @@
     assert "No space left" in str(failed)
     assert disk.content(store.active.name) == before
     assert content(store) == {b"a": b"1" * 40}
-    assert content(engine(disk.after_cut(draws("all")))) == {b"a": b"1" * 40}  # not back after a cut either
+    assert content(open_engine(disk.after_cut(draws("all")))) == {
+        b"a": b"1" * 40
+    }  # the undone bytes do not return after a cut
     disk.faults = lambda what, name, size: None
     assert put(store, b"b", b"2" * 40) is None
-    assert content(engine(disk.after_cut(draws("none")))) == {b"a": b"1" * 40, b"b": b"2" * 40}
+    assert content(open_engine(disk.after_cut(draws("none")))) == {b"a": b"1" * 40, b"b": b"2" * 40}
 
 
-def test_of_a_group_that_does_not_fit_what_fits_alone_is_taken() -> None:
+def test_batches_that_fit_alone_are_written_when_the_group_does_not() -> None:
     disk = SimDisk()
-    store = engine(disk)
+    store = open_engine(disk)
     disk.faults = full(60, disk)
     written = store.write([[Put(b"large", b"x" * 60)], [Put(b"small", b"y")]])
     store.apply(written.records)
@@ -66,9 +69,9 @@
 
 
 @pytest.mark.parametrize("where", ["log", "MANIFEST.tmp"])
-def test_no_room_for_a_new_segment_leaves_the_old_one_in_use(where: str) -> None:
+def test_no_room_for_a_new_segment_keeps_the_old_one_active(where: str) -> None:
     disk = SimDisk()
-    store = engine(disk)
+    store = open_engine(disk)
     while store.active.size < SMALL.segment_bytes:
         put(store, b"k", b"v" * 50)
     disk.faults = failing("write", errno.ENOSPC, name=where)
@@ -77,12 +80,12 @@
     assert store.failure is None
     assert put(store, b"n", b"2") is None
     assert len(store.sealed) == 1
-    assert content(engine(disk.after_cut(draws("none")))) == {b"k": b"v" * 50, b"n": b"2"}
+    assert content(open_engine(disk.after_cut(draws("none")))) == {b"k": b"v" * 50, b"n": b"2"}
 
 
-def test_a_failed_sync_ends_all_writing_and_is_never_tried_again() -> None:
+def test_failed_sync_makes_store_read_only_without_a_retry() -> None:
     disk = SimDisk()
-    store = engine(disk)
+    store = open_engine(disk)
     put(store, b"a", b"1")
     disk.faults = failing("sync", errno.EIO)
     with pytest.raises(StoreFailed, match="sync"):
@@ -94,31 +97,31 @@
         with pytest.raises(StoreFailed):
             put(store, b"c", b"3")
     assert sum(what == "sync" for what, _, _ in disk.log) == syncs
-    assert content(store) == {b"a": b"1"}  # what was there reads on
+    assert content(store) == {b"a": b"1"}  # reads continue
     assert store.counters["store_failed"] == 1
 
 
 @pytest.mark.parametrize("what", ["truncate", "sync"])
-def test_a_write_that_cannot_be_undone_ends_all_writing(what: str) -> None:
+def test_write_that_cannot_be_undone_makes_store_read_only(what: str) -> None:
     disk = SimDisk()
-    store = engine(disk)
-    room, fails = full(10, disk), failing(what, errno.EIO)
-    disk.faults = lambda op, name, size: room(op, name, size) or fails(op, name, size)
+    store = open_engine(disk)
+    room, operation_fails = full(10, disk), failing(what, errno.EIO)
+    disk.faults = lambda op, name, size: room(op, name, size) or operation_fails(op, name, size)
     with pytest.raises(StoreFailed):
         put(store, b"b", b"2" * 30)
 
 
-def test_a_write_that_fails_for_another_reason_than_room_ends_all_writing() -> None:
+def test_write_error_other_than_no_space_makes_store_read_only() -> None:
     disk = SimDisk()
-    store = engine(disk)
+    store = open_engine(disk)
     disk.faults = failing("write", errno.EIO)
     with pytest.raises(StoreFailed, match="write"):
         put(store, b"b", b"2")
 
 
-def test_a_folder_that_does_not_sync_ends_all_writing() -> None:
+def test_failed_folder_sync_makes_store_read_only() -> None:
     disk = SimDisk()
-    store = engine(disk)
+    store = open_engine(disk)
     while store.active.size < SMALL.segment_bytes:
         put(store, b"k", b"v" * 50)
     disk.faults = failing("sync", errno.EIO, name=".")
@@ -129,17 +132,17 @@
 def test_short_writes_are_continued() -> None:
     disk = SimDisk()
     disk.faults = lambda what, name, size: 5 if what == "write" and size > 5 else None
-    store = engine(disk)
+    store = open_engine(disk)
     for number in range(20):
         assert put(store, b"k%d" % number, b"v" * 30) is None
-    assert len(content(engine(disk.after_cut(draws("none"))))) == 20
+    assert len(content(open_engine(disk.after_cut(draws("none"))))) == 20
 
 
-def test_a_full_disk_while_cleaning_loses_nothing_and_cleaning_goes_on_later() -> None:
+def test_full_disk_while_cleaning_loses_nothing_and_cleaning_resumes() -> None:
     run = Run(SimDisk())
     run.play(history(3, 12))
     disk = run.disk.fresh()
-    store = engine(disk)
+    store = open_engine(disk)
     for number in range(8):
         put(store, b"k%d" % number, b"x" * 50)
         put(store, b"k0", b"y" * 50)
@@ -153,15 +156,15 @@
     disk.faults = full(0, disk)
     assert not store.write([], records).all_moved
     assert content(store) == state
-    assert content(engine(disk.after_cut(draws("none")))) == state
-    assert not store.drop(dead)  # no room for the manifest: the old one stands
+    assert content(open_engine(disk.after_cut(draws("none")))) == state
+    assert not store.drop(dead)  # no room for the new manifest: the old one stays in place
     disk.faults = lambda what, name, size: None
-    assert clean(store, 0.1) >= 1
-    assert content(store) == state == content(engine(disk.after_cut(draws("none"))))
+    assert clean_segments(store, 0.1) >= 1
+    assert content(store) == state == content(open_engine(disk.after_cut(draws("none"))))
 
 
-def test_limits_are_named_and_counted() -> None:
-    store = engine(
+def test_limit_errors_name_the_limit_and_are_counted() -> None:
+    store = open_engine(
         SimDisk(),
         Options(
             max_key_bytes=4,
@@ -183,16 +186,16 @@
         failed = failed or put(store, b"%d" % number, b"v" * 8)
     assert "max_disk_bytes" in str(failed)
     assert store.disk_bytes <= 300
-    written = store.write([[Delete(b"0")]])  # the way back under the limit
+    written = store.write([[Delete(b"0")]])  # a deletion is accepted over the limit
     assert not written.failures
 
 
-def test_the_index_has_a_bound_on_memory() -> None:
-    store = engine(SimDisk(), Options(max_index_bytes=1000))
+def test_index_memory_is_limited() -> None:
+    store = open_engine(SimDisk(), Options(max_index_bytes=1000))
     failed = [put(store, b"%d" % number, b"") for number in range(10)]
     assert "max_index_bytes" in str(failed[-1])
     assert store.index.memory_bytes <= 1000
-    assert put(store, b"0", b"again") is None  # no new key
+    assert put(store, b"0", b"again") is None  # not a new key, so it takes no more memory
 
 
 @pytest.mark.parametrize(
@@ -206,13 +209,13 @@
         ({"segment_bytes": 1 << 30}, "segment_bytes"),
     ],
 )
-def test_options_that_make_no_sense_name_the_key(change: dict[str, int], key: str) -> None:
+def test_invalid_options_are_reported_by_key(change: dict[str, int], key: str) -> None:
     problem = Options(**change).problem()
     assert problem is not None
     assert problem[0] == key
 
 
-# ---- what the files may hold -----------------------------------------------------------------------------
+# ---- damaged files -----------------------------------------------------------------------------------------
 
 
 @given(st.binary(max_size=200), st.integers(0, 2**32 - 1), st.integers(-5, 210))
@@ -263,9 +266,9 @@
 
 
 @pytest.mark.parametrize("name", ["segment", "manifest"])
-def test_a_newer_version_is_refused(name: str) -> None:
+def test_newer_format_version_is_rejected(name: str) -> None:
     disk = SimDisk()
-    put(engine(disk), b"a", b"1")
+    put(open_engine(disk), b"a", b"1")
     file = codec.MANIFEST if name == "manifest" else codec.segment_name(1)
     data = bytearray(disk.content(file))
     data[4:6] = (codec.VERSION + 1).to_bytes(2, "little")
@@ -276,16 +279,17 @@
     damaged = disk.fresh()
     damaged.put(file, bytes(data))
     with pytest.raises(StoreVersion, match=f"{file}: format version {codec.VERSION + 1}"):
-        engine(damaged)
+        open_engine(damaged)
     assert damaged.steps == 0
 
 
-def sealed(seed: int = 5) -> SimDisk:
+def disk_with_sealed_segments(seed: int = 5) -> SimDisk:
+    """Return the disk of a store with 40 keys in several sealed segments."""
     disk = SimDisk()
-    store = engine(disk)
-    draw = random.Random(seed)
+    store = open_engine(disk)
+    rng = random.Random(seed)
     for number in range(40):
-        put(store, b"k%d" % number, bytes(draw.randrange(256) for _ in range(30)))
+        put(store, b"k%d" % number, bytes(rng.randrange(256) for _ in range(30)))
         index = store.unindexed()
         if index is not None:
             store.write_index(index)
@@ -294,8 +298,8 @@
 
 
 @pytest.mark.parametrize("what", ["missing", "shorter", "longer", "another store"])
-def test_a_sealed_segment_that_is_not_what_it_was_is_named(what: str) -> None:
-    disk = sealed()
+def test_changed_sealed_segment_is_reported_by_name(what: str) -> None:
+    disk = disk_with_sealed_segments()
     name = codec.segment_name(2)
     data = disk.content(name)
     if what == "missing":
@@ -305,46 +309,46 @@
     else:
         disk.put(name, data[:-1] if what == "shorter" else data + b"x")
     with pytest.raises(StoreCorrupt, match=name):
-        engine(disk)
+        open_engine(disk)
     assert disk.steps == 0
 
 
-def test_segments_without_a_manifest_are_not_taken_for_an_empty_store() -> None:
-    disk = sealed()
+def test_missing_manifest_is_an_error_when_segments_exist() -> None:
+    disk = disk_with_sealed_segments()
     disk.drop(codec.MANIFEST)
     with pytest.raises(StoreCorrupt, match="MANIFEST"):
-        engine(disk)
+        open_engine(disk)
     assert disk.steps == 0
 
 
-def test_a_bad_index_file_costs_time_and_nothing_else() -> None:
-    disk = sealed()
-    want = content(engine(disk.fresh()))
+def test_damaged_index_file_does_not_change_the_content() -> None:
+    disk = disk_with_sealed_segments()
+    expected = content(open_engine(disk.fresh()))
     for name in [n for n in disk.names() if n.endswith(".idx")]:
         for offset in range(0, len(disk.content(name)), 3):
             damaged = disk.fresh()
             damaged.flip(name, offset, offset % 8)
-            store = engine(damaged)
+            store = open_engine(damaged)
             assert store.counters["store_index_unusable"] == 1
-            assert content(store) == want
+            assert content(store) == expected
 
 
-def test_an_index_file_is_written_once_with_all_its_entries() -> None:
-    disk = sealed()
+def test_index_file_is_written_once_with_all_its_entries() -> None:
+    disk = disk_with_sealed_segments()
     name = codec.segment_name(2)
     disk.drop(codec.index_name(2))
-    store = engine(disk)  # writes it anew
-    want = content(store)
+    store = open_engine(disk)  # writes the file again
+    expected = content(store)
     segment = store.sealed[2]
     assert segment.name == name
     assert segment.index_entry_count == 0
-    store.write_index(segment)  # asked for twice, by a commit and by compact() at once
-    assert content(engine(disk.fresh())) == want
+    store.write_index(segment)  # the second call, as by a commit and compact() at the same time
+    assert content(open_engine(disk.fresh())) == expected
 
 
-def test_bytes_that_the_disk_will_not_give_back_cost_that_read_alone() -> None:
-    disk = sealed()
-    store = engine(disk)
+def test_disk_read_error_fails_only_that_read() -> None:
+    disk = disk_with_sealed_segments()
+    store = open_engine(disk)
     name = codec.segment_name(1)
     disk.unreadable.add(name)
     first = store.sealed[1]
@@ -358,40 +362,40 @@
     assert len(content(store)) == 41
 
 
-def test_a_segment_with_wanted_values_is_never_dropped() -> None:
-    store = engine(sealed())
-    want = content(store)
+def test_segment_with_live_values_is_never_dropped() -> None:
+    store = open_engine(disk_with_sealed_segments())
+    expected = content(store)
     with pytest.raises(StoreFailed, match="wanted"):
         store.drop(next(iter(store.sealed.values())))
-    assert content(engine(store.disk.fresh())) == want  # type: ignore[attr-defined]
+    assert content(open_engine(store.disk.fresh())) == expected  # type: ignore[attr-defined]
 
 
-def test_damage_behind_an_index_file_is_found_by_the_read() -> None:
-    disk = sealed()
+def test_read_finds_damage_that_the_index_file_hides() -> None:
+    disk = disk_with_sealed_segments()
     disk.flip(codec.segment_name(1), HEADER_BYTES + 40, 3)
-    store = engine(disk)
+    store = open_engine(disk)
     with pytest.raises(StoreCorrupt, match=codec.segment_name(1)):
         content(store)
     assert [d.file for d in verify(disk).damage] == [codec.segment_name(1)]
 
 
-def test_salvage_keeps_every_batch_that_can_be_read_and_lists_the_rest() -> None:
-    disk = sealed()
-    want = content(engine(disk.fresh()))
+def test_salvage_keeps_readable_batches_and_lists_lost_ones() -> None:
+    disk = disk_with_sealed_segments()
+    expected = content(open_engine(disk.fresh()))
     disk.flip(codec.segment_name(2), HEADER_BYTES + 60, 1)
     target = SimDisk()
     result = salvage(disk, target, SMALL, lambda event, **fields: None, lambda: b"N" * 16)
     assert [damage.file for damage in result.lost] == [codec.segment_name(2)]
-    assert result.batches == len(want) - 1
-    found = content(engine(target.fresh()))
-    assert len(found) == len(want) - 1
-    assert found.items() <= want.items()
+    assert result.batches == len(expected) - 1
+    found = content(open_engine(target.fresh()))
+    assert len(found) == len(expected) - 1
+    assert found.items() <= expected.items()
 
 
 @pytest.mark.parametrize("what", ["manifest", "header", "missing"])
 def test_salvage_without_a_manifest_or_a_header(what: str) -> None:
-    disk = sealed()
-    want = content(engine(disk.fresh()))
+    disk = disk_with_sealed_segments()
+    expected = content(open_engine(disk.fresh()))
     if what == "manifest":
         disk.drop(codec.MANIFEST)
     elif what == "header":
@@ -400,15 +404,15 @@
         disk.drop(codec.segment_name(2))
     target = SimDisk()
     result = salvage(disk, target, SMALL, lambda event, **fields: None, lambda: b"N" * 16)
-    found = content(engine(target.fresh()))
+    found = content(open_engine(target.fresh()))
     assert result.lost
-    assert found.items() <= want.items()
-    assert len(found) == len(want) or what == "missing" and len(found) > len(want) / 2
+    assert found.items() <= expected.items()
+    assert len(found) == len(expected) or what == "missing" and len(found) > len(expected) / 2
 
 
-def test_salvage_leaves_out_a_batch_that_lost_a_part() -> None:
+def test_salvage_omits_a_batch_that_lost_a_frame() -> None:
     disk = SimDisk()
-    store = engine(disk)
+    store = open_engine(disk)
     for number in range(3):
         store.apply(store.write([[Put(b"a%d" % number, b"1" * 9), Put(b"b%d" % number, b"2" * 9)]]).records)
     frame = codec.FRAME_BYTES + 11
@@ -418,14 +422,14 @@
         target = SimDisk()
         result = salvage(damaged, target, SMALL, lambda event, **fields: None, lambda: b"N" * 16)
         kept = [n for n in range(3) if n != gone]
-        assert sorted(content(engine(target.fresh()))) == sorted(
+        assert sorted(content(open_engine(target.fresh()))) == sorted(
             [b"%c%d" % (c, n) for c in b"ab" for n in kept]
         )
         assert result.batches == 2
         assert result.lost
 
 
-def test_a_folder_is_open_once(tmp_path: object) -> None:
+def test_folder_can_be_locked_once_at_a_time(tmp_path: object) -> None:
     first, second = RealDisk(str(tmp_path)), RealDisk(str(tmp_path))
     first.lock()
     with pytest.raises(BlockingIOError):
