--- a/tests/progress/test_codec.py
+++ b/tests/progress/test_codec.py
@@ -1,4 +1,4 @@
-"""Events as text: an independent reader of the format gets back what was said, and Accept is weighed."""
+"""Encoded events must be read back by an independent SSE decoder; `Accept` and `Last-Event-ID` parsing."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 def read(data: bytes) -> list[tuple[str, str, str, int | None]]:
-    """Events as a client library takes them: name, data, id, retry."""
+    """Return the events as a client library decodes them: name, data, id, retry."""
     decoder, found = SSEDecoder(), []
     for line in data.decode().replace("\r\n", "\n").replace("\r", "\n").split("\n")[:-1]:
         event = decoder.decode(line)
@@ -45,7 +45,7 @@
 
 
 @pytest.mark.parametrize("text", ["", "\r\n\0é\u2028", "x" * 65536, "event: outcome\n\ndata: forged"])
-def test_a_result_forges_no_event(text: str) -> None:
+def test_result_text_cannot_forge_an_event(text: str) -> None:
     [(name, data, _, _)] = read(
         codec.encode_json_event("outcome", 1, {"result": text}) + codec.encode_comment("end\nof it")
     )
@@ -53,7 +53,7 @@
     assert json.loads(data)["result"] == text
 
 
-def test_comments_are_passed_over_and_retry_is_told() -> None:
+def test_comments_are_ignored_and_retry_is_sent() -> None:
     data = (
         codec.encode_event("accepted", 1, "x", 1500)
         + codec.encode_comment("alive")
@@ -65,7 +65,7 @@
 
 
 @pytest.mark.parametrize(
-    ("header", "wanted"),
+    ("header", "expected"),
     [
         ("text/event-stream", True),
         ("TEXT/Event-Stream", True),
@@ -85,8 +85,8 @@
         ("text/*", False),
     ],
 )
-def test_accept_is_weighed(header: str, wanted: bool) -> None:
-    assert codec.accepts_event_stream(header) is wanted
+def test_accept_header_weights_decide(header: str, expected: bool) -> None:
+    assert codec.accepts_event_stream(header) is expected
 
 
 @given(st.text(max_size=60))
@@ -100,5 +100,5 @@
     ("text", "number"),
     [("", None), ("7", 7), ("-1", None), ("1.5", None), ("٣", None), ("9" * 10, None), ("0", 0)],
 )
-def test_last_event_id_is_a_number_of_ours_or_nothing(text: str, number: int | None) -> None:
+def test_last_event_id_is_a_number_of_up_to_nine_digits(text: str, number: int | None) -> None:
     assert codec.parse_last_event_id(text) == number
--- a/tests/progress/test_feed.py
+++ b/tests/progress/test_feed.py
@@ -1,4 +1,4 @@
-"""What a stream says: milestones are never lost, progress never goes back, and a slow reader costs one event."""
+"""A stream's events: milestones are never lost, progress never decreases, one progress event is kept at most."""
 
 from __future__ import annotations
 
@@ -16,11 +16,11 @@
 )
 
 
-def names(said: list[ProgressEvent]) -> list[str]:
-    return [one.name for one in said]
+def names(events: list[ProgressEvent]) -> list[str]:
+    return [event.name for event in events]
 
 
-def begun() -> ProgressFeed:
+def started_feed() -> ProgressFeed:
     feed = ProgressFeed()
     feed.accepted({"id": "r1"})
     feed.started(0)
@@ -28,7 +28,7 @@
 
 
 def test_events_are_numbered_and_handed_out_once() -> None:
-    feed = begun()
+    feed = started_feed()
     reader = FeedReader(feed, 0.0)
     assert [(s.number, s.name) for s in reader.next_events(0.0)] == [(1, ACCEPTED), (2, STARTED)]
     feed.progress(0, 0.25)
@@ -41,51 +41,51 @@
     assert reader.next_events(9.0) == []
 
 
-def test_of_waiting_progress_the_newest_wins_and_milestones_stay() -> None:
-    feed = begun()
+def test_only_the_newest_pending_progress_is_kept() -> None:
+    feed = started_feed()
     reader = FeedReader(feed, 0.0)
     for share in (0.1, 0.2, 0.3):
         feed.progress(0, share)
     feed.started(1)
-    said = reader.next_events(0.0)
-    assert names(said) == [ACCEPTED, STARTED, PROGRESS, STARTED]
-    assert said[2].content["share"] == 0.3
+    events = reader.next_events(0.0)
+    assert names(events) == [ACCEPTED, STARTED, PROGRESS, STARTED]
+    assert events[2].content["share"] == 0.3
 
 
-def test_late_repeated_and_slower_reports_say_nothing() -> None:
-    feed = begun()
+def test_late_repeated_and_slower_reports_are_ignored() -> None:
+    feed = started_feed()
     feed.progress(0, 0.6)
     newest = feed.latest_progress
     for attempt, share in ((0, 0.6), (0, 0.4), (1, 0.5), (1, float("nan")), (0, 1.5), (0, -1.0)):
         feed.progress(attempt, share)
     assert feed.latest_progress is newest
-    feed.progress(1, 0.7)  # the copy is ahead now, and is named
+    feed.progress(1, 0.7)  # attempt 1 is ahead now
     assert feed.latest_progress is not None
     assert feed.latest_progress.content == {"attempt": 1, "share": 0.7}
 
 
-def test_a_start_from_nothing_is_told_and_the_share_waits_until_it_is_passed() -> None:
-    feed = begun()
+def test_restart_is_announced_and_share_never_decreases() -> None:
+    feed = started_feed()
     feed.progress(0, 0.9)
     feed.attempt_lost(0)
     feed.started(1)
     assert feed.milestones[-1].content == {"attempt": 1, "restart": True}
     feed.progress(1, 0.5)
     assert feed.share == 0.9
-    feed.progress(0, 0.95)  # from an attempt that is over
+    feed.progress(0, 0.95)  # from a lost attempt
     assert feed.share == 0.9
     feed.progress(1, 0.91)
     assert feed.share == 0.91
 
 
-def test_a_second_copy_beside_the_first_is_no_restart() -> None:
-    feed = begun()
+def test_second_attempt_beside_the_first_is_no_restart() -> None:
+    feed = started_feed()
     feed.started(1)
     assert feed.milestones[-1].content == {"attempt": 1, "restart": False}
 
 
-def test_nothing_is_said_behind_the_outcome() -> None:
-    feed = begun()
+def test_no_event_follows_the_outcome() -> None:
+    feed = started_feed()
     feed.outcome({"status": 502})
     feed.outcome({"status": 200})
     feed.progress(0, 0.5)
@@ -94,8 +94,8 @@
     assert feed.latest_progress is None
 
 
-def test_progress_keeps_its_pace_and_milestones_do_not_wait() -> None:
-    feed = begun()
+def test_progress_is_rate_limited_and_milestones_are_not() -> None:
+    feed = started_feed()
     reader = FeedReader(feed, 0.0, events_per_s=2.0)
     reader.next_events(0.0)
     feed.progress(0, 0.1)
@@ -111,8 +111,8 @@
     assert names(reader.next_events(0.6)) == [OUTCOME]
 
 
-def test_a_silent_stream_is_kept_alive_at_the_named_interval() -> None:
-    reader = FeedReader(begun(), 0.0, keep_alive_s=5.0)
+def test_keep_alive_is_due_after_its_interval_of_silence() -> None:
+    reader = FeedReader(started_feed(), 0.0, keep_alive_s=5.0)
     reader.next_events(1.0)
     assert not reader.keep_alive_due(5.9)
     assert reader.seconds_to_wait(2.0) == 4.0
@@ -120,15 +120,15 @@
     assert not reader.keep_alive_due(6.1)
 
 
-def test_one_that_comes_back_gets_what_it_missed() -> None:
-    feed = begun()
+def test_returning_reader_gets_the_events_it_missed() -> None:
+    feed = started_feed()
     feed.progress(0, 0.5)
     feed.attempt_lost(0)
     feed.started(1)
     feed.outcome({"status": 200})
     assert names(FeedReader(feed, 0.0, last_seen=1).next_events(0.0)) == [STARTED, STARTED, OUTCOME]
     assert names(FeedReader(feed, 0.0, last_seen=4).next_events(0.0)) == [OUTCOME]
-    for beyond in (5, 99, 10**9):  # it has seen all there is, by its own word
+    for beyond in (5, 99, 10**9):  # an id above the last event counts as the last one
         reader = FeedReader(feed, 0.0, last_seen=beyond)
         assert reader.next_events(0.0) == []
         assert reader.done
@@ -147,6 +147,8 @@
 )
 
 
+# Guards against orders of notifications, reads and reconnections that repeat or reorder events or pile them
+# up.
 @given(EVENTS)
 def test_whatever_happens_in_whatever_order(events: list[tuple[object, ...]]) -> None:
     """Numbers rise, shares rise, nothing comes behind the one outcome, and what waits is bounded."""
--- a/tests/quota_snapshots/test_quota_snapshots.py
+++ b/tests/quota_snapshots/test_quota_snapshots.py
@@ -1,4 +1,4 @@
-"""Books over a restart: shares stay as they were, and what must not be used is dropped with its reason."""
+"""Quota snapshots over a restart: tenant shares are kept, and unusable snapshots are rejected with a reason."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 import pytest
 from hypothesis import given
 from hypothesis import strategies as st
-from snapshot_world import GROUP, PAIRS, World
+from snapshot_world import GROUP, PAIRS, FleetSimulation
 
 from beaconhinge.gossip.peers import Peer
 from beaconhinge.policy import interface
@@ -26,87 +26,98 @@
 from beaconhinge.store import Put, Store
 
 SEEDS = range(1, 7)
-KILLED, BACK = 20.0, 21.0
+KILLED_AT, RESTARTED_AT = 20.0, 21.0
 
 
 @cache
-def worlds(restart: bool, books: bool) -> list[World]:
-    made = [World(seed, KILLED if restart else 0.0, books) for seed in SEEDS]
-    for world in made:
-        world.run(BACK + 10.0)
-    return made
+def simulations(restart: bool, use_snapshots: bool) -> list[FleetSimulation]:
+    runs = [FleetSimulation(seed, KILLED_AT if restart else 0.0, use_snapshots) for seed in SEEDS]
+    for simulation in runs:
+        simulation.run(RESTARTED_AT + 10.0)
+    return runs
 
 
-def shares(restart: bool, books: bool, seconds: float) -> list[float]:
-    """Each tenant's part of what was served after the restart, mean over the seeds."""
-    parts = [world.share(BACK, BACK + seconds) for world in worlds(restart, books)]
-    return [mean(part) for part in zip(*parts, strict=True)]
+def mean_shares(restart: bool, use_snapshots: bool, seconds: float) -> list[float]:
+    """Return each tenant's share of the jobs served after the restart, as the mean over the seeds."""
+    shares_by_seed = [
+        simulation.served_shares(RESTARTED_AT, RESTARTED_AT + seconds)
+        for simulation in simulations(restart, use_snapshots)
+    ]
+    return [mean(tenant_shares) for tenant_shares in zip(*shares_by_seed, strict=True)]
 
 
-def off(found: list[float], right: list[float]) -> float:
-    return max(abs(a - b) for a, b in zip(found, right, strict=True))
+def largest_difference(actual: list[float], expected: list[float]) -> float:
+    return max(abs(a - b) for a, b in zip(actual, expected, strict=True))
 
 
 @pytest.mark.parametrize("seconds", [3.0, 10.0])
-def test_after_a_kill_under_load_shares_are_nearer_to_those_without_a_restart(seconds: float) -> None:
-    right = shares(False, False, seconds)
-    empty, kept = shares(True, False, seconds), shares(True, True, seconds)
-    assert off(kept, right) < 0.5 * off(empty, right), (right, empty, kept)
-    assert off(kept, right) < 0.02 < off(empty, right), (right, empty, kept)
-
-
-def test_a_record_of_another_configuration_is_dropped_and_the_start_goes_on() -> None:
-    def edit(data: bytes) -> bytes:
+def test_snapshots_keep_tenant_shares_over_a_kill_under_load(seconds: float) -> None:
+    """A dispatcher restarted without a snapshot gives tenants other shares until it has measured demand again."""
+    expected = mean_shares(False, False, seconds)
+    without_snapshots, with_snapshots = mean_shares(True, False, seconds), mean_shares(True, True, seconds)
+    assert largest_difference(with_snapshots, expected) < 0.5 * largest_difference(
+        without_snapshots, expected
+    ), (expected, without_snapshots, with_snapshots)
+    assert (
+        largest_difference(with_snapshots, expected) < 0.02 < largest_difference(without_snapshots, expected)
+    ), (expected, without_snapshots, with_snapshots)
+
+
+def test_snapshot_of_other_settings_is_ignored_at_the_start() -> None:
+    def change_settings(data: bytes) -> bytes:
         return record.encode(msgspec.structs.replace(record.decode(data), settings_fingerprint="other"))
 
-    world = World(1, 2.0, True, edit=edit)
-    world.run(4.0)
-    assert world.dropped == ["taken under other settings or in another group"]
+    simulation = FleetSimulation(1, 2.0, True, edit=change_settings)
+    simulation.run(4.0)
+    assert simulation.rejected_snapshots == ["taken under other settings or in another group"]
 
 
 def settings(**changes: str) -> interface.Settings:
     return interface.Settings.from_pairs({**PAIRS, "orgs.0.quotaRps": "6", **changes})
 
 
-def busy(now: float = 1000.0) -> Dispatcher:
+def dispatcher_with_state(now: float = 1000.0) -> Dispatcher:
+    """Return a dispatcher with a limited fleet rate, two buckets, two peers and quota tokens."""
     dispatcher = Dispatcher(settings(), 1)
     dispatcher.handle(now, interface.Start())
     dispatcher.admission.fleet_rate = 50.0
     dispatcher.admission.buckets[0, 0] = TenantBucket(0.0, 0.0, 12.0, 9.0, 0.5, 4.0)
     dispatcher.admission.buckets[2, 0] = TenantBucket(0.0, 0.0, 3.0, 3.0, 0.0, INF)
-    for number, heard in ((1, now - 0.2), (2, now - 2.0)):
-        dispatcher.gossip.peers[number] = Peer(7, 5, heard, 2.0, 0.5, {(0, 0): 6.0}, 4.0)
+    for number, heard_at in ((1, now - 0.2), (2, now - 2.0)):
+        dispatcher.gossip.peers[number] = Peer(7, 5, heard_at, 2.0, 0.5, {(0, 0): 6.0}, 4.0)
     dispatcher.quotas.tokens = [0.5, 1.0, 1.0]
     return dispatcher
 
 
-def restored(age: float) -> Dispatcher:
-    taken = record.decode(record.encode(record.take(busy(), 1000.0)))
+def restored_dispatcher(age: float) -> Dispatcher:
+    """Return a new dispatcher restored from a snapshot that is `age` seconds old."""
+    snapshot = record.decode(record.encode(record.take(dispatcher_with_state(), 1000.0)))
     dispatcher = Dispatcher(settings(), 2)
     dispatcher.handle(1000.0 + age, interface.Start())
-    record.restore(dispatcher, taken, 1000.0 + age, record.check(taken, settings(), 1000.0 + age, 30.0))
+    record.restore(dispatcher, snapshot, 1000.0 + age, record.check(snapshot, settings(), 1000.0 + age, 30.0))
     return dispatcher
 
 
-def test_books_come_back_as_they_were_when_no_time_has_passed() -> None:
-    dispatcher = restored(0.0)
-    right = record.take(busy(), 1000.0)
-    # Its part of the demand is worked out anew: 15 of the 27 jobs a second that it knows of.
-    assert record.take(dispatcher, 1000.0) == msgspec.structs.replace(right, demand_share=15 / 27)
+def test_snapshot_of_age_zero_restores_the_same_state() -> None:
+    dispatcher = restored_dispatcher(0.0)
+    expected = record.take(dispatcher_with_state(), 1000.0)
+    # The demand share is computed again: 15 of the 27 jobs a second that the dispatcher knows of.
+    assert record.take(dispatcher, 1000.0) == msgspec.structs.replace(expected, demand_share=15 / 27)
 
 
-def test_books_age_by_the_time_passed() -> None:
-    dispatcher = restored(1.0)
-    assert dispatcher.admission.buckets[0, 0].tokens == 4.5  # half a job and a second's four
-    assert dispatcher.admission.fleet_rate == pytest.approx(55.0)  # a cut fades as it would have
+def test_restored_state_is_aged_by_the_time_passed() -> None:
+    dispatcher = restored_dispatcher(1.0)
+    assert dispatcher.admission.buckets[0, 0].tokens == 4.5  # 0.5, and 4 a second for one second
+    # A reduced fleet rate recovers by the time passed as it would have without the restart.
+    assert dispatcher.admission.fleet_rate == pytest.approx(55.0)
     assert dispatcher.quotas.tokens[0] > 0.5
     assert dispatcher.gossip.peers[1].demand
     assert not dispatcher.gossip.peers[2].demand
-    assert restored(25.0).admission.buckets[0, 0].tokens == 12.0  # a bucket holds no more than its burst
+    assert restored_dispatcher(25.0).admission.buckets[0, 0].tokens == 12.0  # limited to the bucket's burst
 
 
 @pytest.mark.parametrize(
-    ("age", "changes", "why"),
+    ("age", "changes", "reason"),
     [
         (31.0, {}, "31.0 s old"),
         (-5.0, {}, "in the future"),
@@ -115,10 +126,10 @@
         (1.0, {"requestClasses.0.aim": "0.6"}, "other settings"),
     ],
 )
-def test_what_is_stale_or_from_elsewhere_is_refused(age: float, changes: dict[str, str], why: str) -> None:
-    taken = record.take(busy(), 1000.0)
-    with pytest.raises(record.StaleRecordError, match=why):
-        record.check(taken, settings(**changes), 1000.0 + age, 30.0)
+def test_stale_or_foreign_snapshot_is_rejected(age: float, changes: dict[str, str], reason: str) -> None:
+    snapshot = record.take(dispatcher_with_state(), 1000.0)
+    with pytest.raises(record.StaleRecordError, match=reason):
+        record.check(snapshot, settings(**changes), 1000.0 + age, 30.0)
 
 
 @given(st.binary(max_size=60))
@@ -127,24 +138,24 @@
         record.decode(data)
 
 
-def test_another_version_is_refused_and_each_cut_of_a_record_too() -> None:
-    taken = record.take(busy(), 1000.0)
+def test_other_version_or_truncated_record_is_rejected() -> None:
+    snapshot = record.take(dispatcher_with_state(), 1000.0)
     with pytest.raises(record.StaleRecordError, match="version"):
-        record.decode(record.encode(msgspec.structs.replace(taken, version=2)))
-    data = record.encode(taken)
+        record.decode(record.encode(msgspec.structs.replace(snapshot, version=2)))
+    data = record.encode(snapshot)
     for size in range(len(data)):
         with pytest.raises(record.StaleRecordError):
             record.decode(data[:size])
 
 
-def test_the_keeper_writes_restores_and_says_what_it_dropped() -> None:
+def test_writer_restores_and_reports_unusable_snapshots() -> None:
     async def scenario() -> None:
         now = [1000.0]
         disk, log = SimDisk(), io.StringIO()
         metrics = Metrics(lambda: now[0], log)
         store = Store.open("sim", disk=disk, new_id=lambda: b"S" * 16)
         timers = TimerWheel(lambda: now[0], metrics.log_exception)
-        await SnapshotWriter(store, busy(), timers, metrics, 0.5, 30.0).write()
+        await SnapshotWriter(store, dispatcher_with_state(), timers, metrics, 0.5, 30.0).write()
         now[0] += 1.0
         fresh = Dispatcher(settings(), 2)
         fresh.handle(now[0], interface.Start())
@@ -156,8 +167,8 @@
         assert "quota_snapshot_discarded" in log.getvalue()
         assert metrics.counters["quota_snapshot_discarded"] == 1
         disk.faults = failing("sync", 5)
-        keeper = SnapshotWriter(store, fresh, timers, metrics, 0.5, 30.0)
-        await keeper._write_and_reschedule()  # a failed disk is told once, and nothing more is tried
+        writer = SnapshotWriter(store, fresh, timers, metrics, 0.5, 30.0)
+        await writer._write_and_reschedule()  # a disk failure is logged once; no more writes follow
         assert metrics.counters["quota_snapshot_write_failed"] == 1
         assert "quota_snapshot_write_failed" in log.getvalue()
         await store.close()
