--- a/beaconhinge/net/streams.py
+++ b/beaconhinge/net/streams.py
@@ -24,7 +24,7 @@
 from ..runtime.timer_wheel import TimerWheel
 from .http1 import Closed, Connection, Message
 
-KEPT_OUTCOMES_SHARE = 0.25  # share of the room for bodies used for outcomes kept for returning readers
+KEPT_OUTCOMES_SHARE = 0.25  # share of limits.max_body_bytes for outcomes kept for returning readers
 EXPIRY_INTERVAL_S = 0.25  # interval of the checks for detached jobs and kept outcomes that have expired
 TOKEN_BYTES = 16  # bytes of randomness
 
@@ -127,7 +127,7 @@
         Returns None after a stream, or an answer to be written as a plain response: one given before the job
         was admitted, such as a refusal. Raises Closed when the client has disconnected or does not read.
         """
-        if self._is_full(job.tenant):
+        if self._over_limit(job.tenant):
             return Answer(RequestEnd.REJECTED, retry_after=self.config.settings.max_retry_after_s)
         self.open_by_tenant[job.tenant] += 1
         try:
@@ -162,7 +162,7 @@
             or message.headers.get("authorization", "").removeprefix("Bearer ").strip()
         )
         entry = self.registry.find(parts[2], token, tenant) if parts[3:] == ["events"] else None
-        if entry is None or self._is_full(entry.tenant):
+        if entry is None or self._over_limit(entry.tenant):
             self.metrics.count("streams_not_found")
             return False
         last_seen = codec.parse_last_event_id(message.headers.get("last-event-id", "")) or 0
@@ -192,7 +192,8 @@
         """Number of jobs in progress whose readers may return; a shutdown keeps listening for them."""
         return self.registry.detached
 
-    def _is_full(self, tenant: int) -> bool:
+    def _over_limit(self, tenant: int) -> bool:
+        """Return whether another stream would exceed a limit on open streams; log it if so."""
         if self.open_by_tenant.total() >= self.settings.max_streams:
             self.metrics.count_and_log("streams_over_limit", limit="max_streams")
             return True
@@ -234,6 +235,10 @@
         last_seen: int,
         close: bool,
     ) -> None:
+        """Write the response's head and the events after `last_seen`, for the reader with this number.
+
+        Raises Closed, or an OSError (TimeoutError included) of the connection.
+        """
         chunked = not close  # a connection that ends with its stream needs no chunks
         reader = FeedReader(
             streamed.feed,
@@ -279,6 +284,7 @@
                 raise Closed
 
     async def _send(self, connection: Connection, data: bytes, job: str) -> None:
+        """Send data. Raises TimeoutError when the client does not read it within `stalled_s`."""
         try:
             async with self.timers.timeout(self.settings.stalled_s):
                 await connection.send(data)
@@ -302,7 +308,7 @@
         return reading
 
     async def _client_left(self, request: Request) -> None:
-        """Notify the policy once that the client has left, unless the request has been answered."""
+        """Notify the policy that the client has left and wait for the answer, unless there is one already."""
         if not request.answer.done():
             request.client_left()
             await request.answer
@@ -327,6 +333,7 @@
 
 
 def _outcome_content(answer: Answer) -> Mapping[str, Any]:
+    """Return the content of the outcome event for an answer."""
     if answer.end == RequestEnd.SERVED:
         return {"status": 200, "result": answer.body.decode("utf-8", "replace")}
     if answer.end == RequestEnd.REJECTED:
--- a/beaconhinge/progress/feed.py
+++ b/beaconhinge/progress/feed.py
@@ -115,9 +115,8 @@
         keep_alive_s: float = 15.0,
     ) -> None:
         self.feed = feed
-        self.last_seen = min(
-            max(last_seen, 0), feed._last_number
-        )  # a number above the last one counts as the last one
+        # A number that was never given out counts as the last one.
+        self.last_seen = min(max(last_seen, 0), feed._last_number)
         self.min_interval_s = 1 / events_per_s
         self.keep_alive_s = keep_alive_s
         self._next_progress_at = now  # earliest time of the next progress event
--- a/beaconhinge/progress/registry.py
+++ b/beaconhinge/progress/registry.py
@@ -141,6 +141,7 @@
         return given_up
 
     def _forget(self, job: str) -> None:
+        """Remove a job's stream, if there is one."""
         entry = self.entries.pop(job, None)
         if entry is not None and self.finished_entries.pop(job, None) is not None:
             self.finished_bytes -= entry.size_bytes
--- a/beaconhinge/store/engine.py
+++ b/beaconhinge/store/engine.py
@@ -141,7 +141,7 @@
             if not _is_store_file(name) or name == MANIFEST + ".tmp":
                 continue
             if name != first or file_size(self.disk, name) > HEADER_BYTES:
-                raise StoreCorrupt(MANIFEST, 0, f"missing, though {name} is there")
+                raise StoreCorrupt(MANIFEST, 0, f"missing, though {name} exists")
         for name in names & {first, MANIFEST + ".tmp"}:
             self.disk.remove(name)
         self.store_id = new_id()
@@ -151,6 +151,7 @@
         self.log("store_created", id=self.store_id.hex())
 
     def _open_segment(self, number: int, names: set[str], write: bool = False) -> Segment:
+        """Open a segment and check its header. Raises StoreCorrupt or StoreVersion."""
         name = codec.segment_name(number)
         if name not in names:
             raise StoreCorrupt(name, 0, "missing")
@@ -217,7 +218,7 @@
                 self.disk.remove(name)
                 self.log("store_leftover_removed", file=name)
         except OSError as error:
-            raise StoreFailed(f"recovery cannot be made durable: {error}") from None
+            raise StoreFailed(f"the recovered state cannot be made durable: {error}") from None
         for segment in unindexed:
             self.write_index(segment)
 
@@ -254,6 +255,7 @@
             raise self.fail(f"sync: {error}") from None
 
     def _sync_names(self) -> None:
+        """Sync the folder. Raises StoreFailed."""
         try:
             self.disk.sync_names()
         except OSError as error:
@@ -619,6 +621,7 @@
         return value
 
     def _bytes(self, segment: Segment, offset: int, size: int) -> bytes:
+        """Read from a segment; return fewer than `size` bytes at its end. Raises StoreUnreadable."""
         try:
             return segment.file.read(offset, size)
         except OSError as error:
@@ -627,6 +630,7 @@
             raise StoreUnreadable(f"{segment.name} at byte {offset}: {error}") from None
 
     def _corrupt(self, name: str, offset: int) -> StoreCorrupt:
+        """Count and log a damaged frame and return the error to raise."""
         self.counters["store_corrupt"] += 1
         self.log("store_corrupt", file=name, offset=offset)
         return StoreCorrupt(name, offset, "the frame here is not what was written")
--- a/tests/progress/test_codec.py
+++ b/tests/progress/test_codec.py
@@ -46,6 +46,7 @@
 
 @pytest.mark.parametrize("text", ["", "\r\n\0é\u2028", "x" * 65536, "event: outcome\n\ndata: forged"])
 def test_result_text_cannot_forge_an_event(text: str) -> None:
+    """A result with line ends or event fields would end the event early if it were not encoded as JSON."""
     [(name, data, _, _)] = read(
         codec.encode_json_event("outcome", 1, {"result": text}) + codec.encode_comment("end\nof it")
     )
@@ -54,6 +55,7 @@
 
 
 def test_comments_are_ignored_and_retry_is_sent() -> None:
+    """A client library must take keep-alive comments for no event, and read the time to reconnect."""
     data = (
         codec.encode_event("accepted", 1, "x", 1500)
         + codec.encode_comment("alive")
@@ -101,4 +103,5 @@
     [("", None), ("7", 7), ("-1", None), ("1.5", None), ("٣", None), ("9" * 10, None), ("0", 0)],
 )
 def test_last_event_id_is_a_number_of_up_to_nine_digits(text: str, number: int | None) -> None:
+    """The header comes from clients: signs, fractions, other scripts' digits and huge numbers are no ids."""
     assert codec.parse_last_event_id(text) == number
--- a/tests/progress/test_feed.py
+++ b/tests/progress/test_feed.py
@@ -42,6 +42,7 @@
 
 
 def test_only_the_newest_pending_progress_is_kept() -> None:
+    """Progress that waits for a slow reader must not pile up, and must not displace milestones."""
     feed = started_feed()
     reader = FeedReader(feed, 0.0)
     for share in (0.1, 0.2, 0.3):
@@ -53,6 +54,7 @@
 
 
 def test_late_repeated_and_slower_reports_are_ignored() -> None:
+    """Call-backs arrive late or twice, and two attempts may run at once: progress must not go down."""
     feed = started_feed()
     feed.progress(0, 0.6)
     newest = feed.latest_progress
@@ -65,6 +67,7 @@
 
 
 def test_restart_is_announced_and_share_never_decreases() -> None:
+    """A new attempt after a lost one starts at 0, below the share that the client has already seen."""
     feed = started_feed()
     feed.progress(0, 0.9)
     feed.attempt_lost(0)
@@ -85,6 +88,7 @@
 
 
 def test_no_event_follows_the_outcome() -> None:
+    """Call-backs of other attempts may still arrive after the job has been answered."""
     feed = started_feed()
     feed.outcome({"status": 502})
     feed.outcome({"status": 200})
@@ -121,6 +125,7 @@
 
 
 def test_returning_reader_gets_the_events_it_missed() -> None:
+    """A client reconnects with the id of its last event; this must neither repeat nor skip milestones."""
     feed = started_feed()
     feed.progress(0, 0.5)
     feed.attempt_lost(0)
--- a/tests/progress/test_registry.py
+++ b/tests/progress/test_registry.py
@@ -37,6 +37,7 @@
 
 
 def test_job_without_a_reader_is_given_up_once_after_its_time() -> None:
+    """The check runs at an interval: a job given up must not be reported again while it ends."""
     streams = registry()
     entry = add_attached(streams)
     assert not streams.reader_left(entry, 1, 100.0)
@@ -86,6 +87,7 @@
 
 
 def test_finished_stream_with_a_reader_is_not_removed() -> None:
+    """Expiry while the outcome is being written would take the stream away from its reader."""
     streams = registry()
     entry = add_attached(streams)
     finish(streams, entry, 0, 100.0)
@@ -97,6 +99,7 @@
 
 
 def test_reused_id_removes_the_kept_outcome_only() -> None:
+    """The end of an old job must not touch the stream of a new job with the same id."""
     streams = registry()
     old = add_attached(streams)
     finish(streams, old, 100, 100.0)
--- a/tests/progress/test_streams.py
+++ b/tests/progress/test_streams.py
@@ -141,6 +141,7 @@
 
 
 def test_rejection_before_admission_is_a_plain_response(monkeypatch: pytest.MonkeyPatch) -> None:
+    """After a 200 and a stream's head, the client could not get the status of the rejection."""
     monkeypatch.setattr(program, "Dispatcher", lambda *args: ScriptedPolicy([interface.Reject(1, 1.5)]))
 
     async def scenario(harness: Harness) -> None:
@@ -208,6 +209,8 @@
 
 @pytest.mark.parametrize(("http", "connection"), [("1.0", None), ("1.0", "keep-alive"), ("1.1", "close")])
 def test_stream_without_chunks_ends_with_the_connection(http: str, connection: str | None) -> None:
+    """HTTP/1.0 has no chunks, so the connection's end must mark the stream's end."""
+
     async def scenario(harness: Harness) -> None:
         head, stream, _ = await open_stream(harness, http=http, Connection=connection)
         assert not stream.chunked
@@ -235,6 +238,8 @@
 
 
 def test_open_stream_gets_its_outcome_after_sigterm() -> None:
+    """A shutdown must wait for jobs that are answered as streams."""
+
     async def scenario(harness: Harness) -> None:
         _, stream, _ = await open_stream(harness)
         await harness.workers[0].seen.get()
@@ -328,6 +333,8 @@
 
 
 def test_newer_reader_takes_over_and_the_older_gets_a_comment() -> None:
+    """Two readers of one stream would otherwise each hold a connection until the outcome."""
+
     async def scenario(harness: Harness) -> None:
         _, stream, _ = await open_stream(harness)
         token = await accepted_token(stream)
@@ -359,6 +366,8 @@
 
 
 def test_reader_can_return_to_a_detached_job_after_sigterm() -> None:
+    """A shutdown must not close the listener while a job waits for its reader to return."""
+
     async def scenario(harness: Harness) -> None:
         _, stream, writer = await open_stream(harness)
         token = await accepted_token(stream)
--- a/tests/quota_snapshots/test_quota_snapshots.py
+++ b/tests/quota_snapshots/test_quota_snapshots.py
@@ -64,6 +64,8 @@
 
 
 def test_snapshot_of_other_settings_is_ignored_at_the_start() -> None:
+    """Shares and rates of another configuration or group must not be applied; the start continues without."""
+
     def change_settings(data: bytes) -> bytes:
         return record.encode(msgspec.structs.replace(record.decode(data), settings_fingerprint="other"))
 
@@ -106,6 +108,7 @@
 
 
 def test_restored_state_is_aged_by_the_time_passed() -> None:
+    """State restored as it was written would ignore the tokens and the reports of the time in between."""
     dispatcher = restored_dispatcher(1.0)
     assert dispatcher.admission.buckets[0, 0].tokens == 4.5  # 0.5, and 4 a second for one second
     # A reduced fleet rate recovers by the time passed as it would have without the restart.
@@ -139,6 +142,7 @@
 
 
 def test_other_version_or_truncated_record_is_rejected() -> None:
+    """A record of another program version or a damaged one must not be read in part."""
     snapshot = record.take(dispatcher_with_state(), 1000.0)
     with pytest.raises(record.StaleRecordError, match="version"):
         record.decode(record.encode(msgspec.structs.replace(snapshot, version=2)))
@@ -149,6 +153,8 @@
 
 
 def test_writer_restores_and_reports_unusable_snapshots() -> None:
+    """An unusable snapshot or a failed disk must be logged and must not stop the dispatcher."""
+
     async def scenario() -> None:
         now = [1000.0]
         disk, log = SimDisk(), io.StringIO()
--- a/tests/store/test_cuts.py
+++ b/tests/store/test_cuts.py
@@ -14,6 +14,7 @@
 
 
 def test_cut_history_rolls_and_cleans_segments() -> None:
+    """The other tests cover rolling and cleaning only if the history has enough of both."""
     run = Run(SimDisk())
     run.play(history(SEED, GROUPS))
     operations = [(operation, name.split(".")[-1]) for operation, name, _ in run.disk.log]
--- a/tests/store/test_defects.py
+++ b/tests/store/test_defects.py
@@ -119,6 +119,7 @@
 
 
 def test_deletion_survives_cleaning_of_its_segment() -> None:
+    """Cleaning that drops a deletion would bring back the value in an older segment."""
     check_deletion_cleaned_before_its_value()
 
 
@@ -172,6 +173,7 @@
 
 
 def test_flipped_bit_in_sealed_segment_is_reported_without_changes() -> None:
+    """Damage in a sealed segment must not be taken for a torn tail and cut off."""
     disk, state = store_without_index_files()
     assert check_flipped_bits(disk, [state]) > 600
 
@@ -188,6 +190,7 @@
 
 
 def test_flipped_bit_in_newest_segment_loses_last_group_at_most() -> None:
+    """Damage before the last group hits acknowledged commits and must not be taken for a torn tail."""
     disk, _ = store_without_index_files()
     store = open_engine(disk)
     states = [content(store)]
@@ -206,9 +209,8 @@
         except StoreError:
             error_count += 1
         else:
-            assert found in states[-2:], (
-                offset
-            )  # only the last group may be taken for one that was never told
+            # Only the last group may be taken for one that was not acknowledged.
+            assert found in states[-2:], offset
             torn_count += 1
     assert error_count > 30
     assert torn_count > 20
--- a/tests/store/test_store.py
+++ b/tests/store/test_store.py
@@ -59,6 +59,8 @@
 
 
 def test_waiting_commits_share_a_sync_without_blocking_the_loop() -> None:
+    """One sync for each commit, or a sync on the event loop, would stall the dispatcher."""
+
     async def scenario() -> None:
         disk = PausableDisk()
         store = opened(disk)
@@ -86,6 +88,8 @@
 
 
 def test_reads_return_durable_values_only() -> None:
+    """A value whose sync failed must not be served, since it may be lost in a power cut."""
+
     async def scenario() -> None:
         disk = SimDisk()
         store = opened(disk)
@@ -103,6 +107,8 @@
 
 
 def test_scan_is_ordered_and_sees_changes_ahead_of_it() -> None:
+    """Commits during a scan shift the sorted keys; the scan must not skip or repeat any."""
+
     async def scenario() -> None:
         store = opened(SimDisk())
         await store.commit([Put(key, key) for key in (b"b2", b"a", b"b1", b"c", b"b3")])
@@ -158,6 +164,8 @@
 
 
 def test_damage_stops_cleaning_but_not_commits() -> None:
+    """Cleaning reads old frames; an unreadable one must not make the store unusable."""
+
     async def scenario() -> None:
         disk = SimDisk()
         events: list[str] = []
@@ -178,6 +186,8 @@
 
 
 def test_second_open_and_use_after_close_fail(tmp_path: Path) -> None:
+    """Two processes writing to one folder would destroy the store."""
+
     async def scenario() -> None:
         store = Store.open(tmp_path / "deep" / "folder")
         with pytest.raises(StoreLocked):
@@ -205,6 +215,8 @@
 
 
 def test_cancelled_commits_do_not_block_others() -> None:
+    """A cancelled caller's future must not stop the group's completion for the other callers."""
+
     async def scenario() -> None:
         store = opened(SimDisk())
         tasks = [asyncio.create_task(store.commit([Put(b"%d" % i, b"v")])) for i in range(5)]
@@ -349,6 +361,7 @@
 
 
 def test_rate_limiter_spreads_reads_without_credit_for_pauses() -> None:
+    """Credit for idle time would let cleaning read in a burst that delays commits."""
     limiter = RateLimiter(1000.0)
     assert limiter.wait(10.0, 100) == pytest.approx(0.1)
     assert limiter.wait(10.0, 100) == pytest.approx(0.2)
--- a/tests/store/test_trouble.py
+++ b/tests/store/test_trouble.py
@@ -40,6 +40,7 @@
 
 @pytest.mark.parametrize("room", range(0, 60, 7))
 def test_full_disk_fails_one_commit_and_undoes_its_bytes(room: int) -> None:
+    """A partial write must be removed, or recovery could find a commit that was reported as failed."""
     disk = SimDisk()
     store = open_engine(disk)
     assert put(store, b"a", b"1" * 40) is None
@@ -50,15 +51,15 @@
     assert "No space left" in str(failed)
     assert disk.content(store.active.name) == before
     assert content(store) == {b"a": b"1" * 40}
-    assert content(open_engine(disk.after_cut(draws("all")))) == {
-        b"a": b"1" * 40
-    }  # the undone bytes do not return after a cut
+    # The undone bytes do not return after a power cut.
+    assert content(open_engine(disk.after_cut(draws("all")))) == {b"a": b"1" * 40}
     disk.faults = lambda what, name, size: None
     assert put(store, b"b", b"2" * 40) is None
     assert content(open_engine(disk.after_cut(draws("none")))) == {b"a": b"1" * 40, b"b": b"2" * 40}
 
 
 def test_batches_that_fit_alone_are_written_when_the_group_does_not() -> None:
+    """A large batch must not make the small ones that share its write fail."""
     disk = SimDisk()
     store = open_engine(disk)
     disk.faults = full(60, disk)
@@ -84,6 +85,7 @@
 
 
 def test_failed_sync_makes_store_read_only_without_a_retry() -> None:
+    """After a failed sync the system may drop the pages and report success for the next sync."""
     disk = SimDisk()
     store = open_engine(disk)
     put(store, b"a", b"1")
@@ -139,6 +141,7 @@
 
 
 def test_full_disk_while_cleaning_loses_nothing_and_cleaning_resumes() -> None:
+    """Cleaning needs room for the records it moves and for a new manifest."""
     run = Run(SimDisk())
     run.play(history(3, 12))
     disk = run.disk.fresh()
@@ -164,6 +167,7 @@
 
 
 def test_limit_errors_name_the_limit_and_are_counted() -> None:
+    """Deletions must be accepted over max_disk_bytes, or a full store could never shrink."""
     store = open_engine(
         SimDisk(),
         Options(
@@ -314,6 +318,7 @@
 
 
 def test_missing_manifest_is_an_error_when_segments_exist() -> None:
+    """Taken for an empty store, the folder's data would be overwritten."""
     disk = disk_with_sealed_segments()
     disk.drop(codec.MANIFEST)
     with pytest.raises(StoreCorrupt, match="MANIFEST"):
@@ -322,6 +327,7 @@
 
 
 def test_damaged_index_file_does_not_change_the_content() -> None:
+    """An index file repeats what its segment holds; recovery must read the segment instead."""
     disk = disk_with_sealed_segments()
     expected = content(open_engine(disk.fresh()))
     for name in [n for n in disk.names() if n.endswith(".idx")]:
@@ -334,6 +340,7 @@
 
 
 def test_index_file_is_written_once_with_all_its_entries() -> None:
+    """A second write would store an index file without entries and hide every key of the segment."""
     disk = disk_with_sealed_segments()
     name = codec.segment_name(2)
     disk.drop(codec.index_name(2))
@@ -363,6 +370,7 @@
 
 
 def test_segment_with_live_values_is_never_dropped() -> None:
+    """A defect in cleaning must make the store fail rather than lose values."""
     store = open_engine(disk_with_sealed_segments())
     expected = content(store)
     with pytest.raises(StoreFailed, match="wanted"):
@@ -371,6 +379,7 @@
 
 
 def test_read_finds_damage_that_the_index_file_hides() -> None:
+    """Recovery does not read a segment that has an index file, so reads must check the frames."""
     disk = disk_with_sealed_segments()
     disk.flip(codec.segment_name(1), HEADER_BYTES + 40, 3)
     store = open_engine(disk)
@@ -411,6 +420,7 @@
 
 
 def test_salvage_omits_a_batch_that_lost_a_frame() -> None:
+    """A batch is atomic: salvage must not bring back one of its two keys."""
     disk = SimDisk()
     store = open_engine(disk)
     for number in range(3):
