--- a/tests/quota_snapshots/snapshot_world.py
+++ b/tests/quota_snapshots/snapshot_world.py
@@ -19,11 +19,11 @@
 from beaconhinge.quota_snapshots import record
 
 SHARES = (0.54, 0.29, 0.17)
-GROUP, WORKERS, SLOTS, SERVICE_TIME_S = 3, 6, 4, 0.25  # the fleet can serve 96 jobs a second
+GROUP_SIZE, WORKERS, SLOTS, SERVICE_TIME_S = 3, 6, 4, 0.25  # the fleet can serve 96 jobs a second
 RATES = (70.0, 60.0, 120.0)  # jobs a second by tenant; the tenant with the smallest share sends most
 
 PAIRS = {
-    "groupSize": str(GROUP),
+    "groupSize": str(GROUP_SIZE),
     "requestClasses.count": "1",
     "requestClasses.0.aim": "0.5",
     "requestClasses.0.hardLimit": "2.0",
@@ -73,7 +73,7 @@
         self.now = 1000.0
         self.events: list[tuple[float, int, Callable[[], None]]] = []
         self.event_count = 0
-        self.nodes = [Node(number) for number in range(GROUP)]
+        self.nodes = [Node(number) for number in range(GROUP_SIZE)]
         self.slots_in_use: Counter[int] = Counter()
         self.tenant: dict[tuple[int, int, int], int] = {}
         self.served: list[tuple[float, int, int]] = []
--- a/tests/quota_snapshots/test_quota_snapshots.py
+++ b/tests/quota_snapshots/test_quota_snapshots.py
@@ -11,7 +11,7 @@
 import pytest
 from hypothesis import given
 from hypothesis import strategies as st
-from snapshot_world import GROUP, PAIRS, FleetSimulation
+from snapshot_world import GROUP_SIZE, PAIRS, FleetSimulation
 
 from beaconhinge.gossip.peers import Peer
 from beaconhinge.policy import interface
@@ -124,7 +124,7 @@
     [
         (31.0, {}, "31.0 s old"),
         (-5.0, {}, "in the future"),
-        (1.0, {"groupSize": str(GROUP + 1)}, "other settings"),
+        (1.0, {"groupSize": str(GROUP_SIZE + 1)}, "other settings"),
         (1.0, {"orgs.1.share": "0.3"}, "other settings"),
         (1.0, {"requestClasses.0.aim": "0.6"}, "other settings"),
     ],
--- a/tests/store/test_store.py
+++ b/tests/store/test_store.py
@@ -64,12 +64,12 @@
     async def scenario() -> None:
         disk = PausableDisk()
         store = opened(disk)
-        on_sync = asyncio.Event()
+        sync_reached = asyncio.Event()
         loop = asyncio.get_running_loop()
-        disk.on_sync = lambda: loop.call_soon_threadsafe(on_sync.set)
+        disk.on_sync = lambda: loop.call_soon_threadsafe(sync_reached.set)
         disk.paused = True
         first = asyncio.create_task(store.commit([Put(b"0", b"first")]))
-        await on_sync.wait()  # its sync is blocked, and the loop is not
+        await sync_reached.wait()  # its sync is blocked, and the loop is not
         others = [asyncio.create_task(store.commit([Put(b"%d" % i, b"v")])) for i in range(1, 9)]
         await asyncio.sleep(0)
         assert store.get(b"0") is None
