--- a/beaconhinge/leases/node.py
+++ b/beaconhinge/leases/node.py
@@ -23,7 +23,7 @@
     Attributes:
         member: The votes that this process grants.
         random: Returns numbers from 0 to 1.
-        holders: The leases that this process wants or has has_holder, by the lease's key.
+        holders: The holder of each lease that this process wants or holds, by the lease's key.
         handed_over: Another process of this dispatcher has taken over; this one sends nothing any more.
     """
 
--- a/benchmarks/lean.py
+++ b/benchmarks/lean.py
@@ -33,7 +33,7 @@
 
 
 def cpu_s(pid: int) -> float:
-    """Return the CPU that a process has cpu_used, in seconds."""
+    """Return the CPU time that a process has used, in seconds."""
     user, system = Path(f"/proc/{pid}/stat").read_text().rsplit(")", 1)[1].split()[11:13]
     return (int(user) + int(system)) / os.sysconf("SC_CLK_TCK")
 
