--- a/beaconhinge/membership/freshness.py
+++ b/beaconhinge/membership/freshness.py
@@ -37,7 +37,7 @@
 AGENT_PROCESS_PAUSE_S = 0.35
 
 
-class ListState(enum.Enum):
+class FreshnessState(enum.Enum):
     """How current the endpoint list is. Work is sent unless the state is UNKNOWN."""
 
     CURRENT = "current"
@@ -108,15 +108,15 @@
         if self._refusal_count >= REFUSALS_UNTIL_DOWN or self._answered_s >= self._running_since_s:
             self._unreachable_s = now
 
-    def state(self, now: float) -> ListState:
+    def state(self, now: float) -> FreshnessState:
         """Return how current the list is at this moment."""
         if now - self._answered_s <= LIST_MAX_AGE_S:
-            return ListState.CURRENT
+            return FreshnessState.CURRENT
         if now - self._unreachable_s <= LIST_MAX_AGE_S:
-            return ListState.UNREACHABLE
+            return FreshnessState.UNREACHABLE
         if now - self._unknown_since(now) >= self._unknown_max_s:
-            return ListState.UNREACHABLE
-        return ListState.UNKNOWN
+            return FreshnessState.UNREACHABLE
+        return FreshnessState.UNKNOWN
 
     def _unknown_since(self, now: float) -> float:
         return max(self._running_since_s, min(self._answered_s + LIST_MAX_AGE_S, now))
--- a/beaconhinge/net/list_availability.py
+++ b/beaconhinge/net/list_availability.py
@@ -5,7 +5,7 @@
 import asyncio
 from collections.abc import Callable
 
-from ..membership.freshness import ListFreshness, ListState
+from ..membership.freshness import FreshnessState, ListFreshness
 from ..runtime.metrics import Metrics
 from ..runtime.timer_wheel import TimerWheel
 
@@ -46,7 +46,7 @@
         if self.freshness.mark_running(now):
             self._usable.clear()  # changes announced during the pause were missed
             self._on_process_paused()
-        return self.freshness.state(now) is not ListState.UNKNOWN
+        return self.freshness.state(now) is not FreshnessState.UNKNOWN
 
     @property
     def list_age_s(self) -> float:
