--- a/beaconhinge/standin/workers.py
+++ b/beaconhinge/standin/workers.py
@@ -139,7 +139,7 @@
             task = self.jobs.pop((callback_caller.port, path.rpartition("/")[2]), None)
             if task is not None:
                 task.cancel()
-                self.counters["cancelled"] += 1
+                self.counters["withdrawn"] += 1
             return http1.response(204)
         request_id = message.headers.get("x-request-id", "")
         if not request_id:
@@ -197,4 +197,4 @@
                     return
             except (OSError, Closed, BadMessage):
                 await asyncio.sleep(CALLBACK_RETRY_S)
-        self.counters["callbacks_undelivered"] += 1
+        self.counters["untold"] += 1
