--- a/beaconhinge/dispatch/request.py
+++ b/beaconhinge/dispatch/request.py
@@ -285,7 +285,7 @@
         """Wait for admission and return the status of the job's key, within half of the job's time at most.
 
         The bound ensures that a slow disk, or dispatchers that do not answer, do not use up the job's time.
-        On a time-out, a job with a key counts as one that may run elsewhere.
+        On a time-out, a job with a key counts as possibly running elsewhere.
         """
         try:
             async with self.table.timers.timeout_at(self.job.received_at + self.job.remaining_s / 2):
--- a/beaconhinge/membership/discovery_watch.py
+++ b/beaconhinge/membership/discovery_watch.py
@@ -78,7 +78,7 @@
         return 0.0 if self.state.pushed else self._retries.backoff_first_s * jitter
 
     def catch_up(self) -> None:
-        """Make the next call one that does not wait, as changes may have been missed."""
+        """Make the next call without a wait, as changes may have been missed."""
         self._watching = self._refused = False
 
     def next_call(self, now: float) -> DiscoveryCall:
--- a/beaconhinge/net/client_table.py
+++ b/beaconhinge/net/client_table.py
@@ -84,10 +84,10 @@
         self.closing.discard(client)
 
     def close_one(self) -> bool:
-        """Close one idle connection: one that has sent no complete message, or else the least recently used.
+        """Close an idle connection that has sent no complete message, or else the least recently used one.
 
-        A connection that was accepted or used less than REQUEST_IN_TRANSIT_S ago is kept, as is one that
-        awaits an answer or has unread bytes.
+        A connection that was accepted or used less than REQUEST_IN_TRANSIT_S ago is kept, as is a connection
+        that awaits an answer or has unread bytes.
 
         Returns:
             Whether a connection was closed.
--- a/beaconhinge/net/discovery_calls.py
+++ b/beaconhinge/net/discovery_calls.py
@@ -118,7 +118,7 @@
         self._watch_task = self._metrics.spawn(self._watch_loop(self._watch_channel, pause_s), "watch")
 
     def _reopen_watch(self, why: str) -> None:
-        """Replace the open watch by one that starts from the current version."""
+        """Replace the open watch with a watch that starts from the current version."""
         if self._watch_task is not None:
             self._watch_channel.give_up(why, self._updates.version)
             self._watch_task.cancel()
--- a/beaconhinge/net/restart.py
+++ b/beaconhinge/net/restart.py
@@ -178,7 +178,7 @@
 
     Args:
         until: The time in seconds from which no such job can be left; reports after it are ignored.
-        may_be_awaited: Returns whether the result of a request, by its id, may still be asked for.
+        may_be_awaited: Returns whether the result of a request, by its id, may still be requested.
     """
 
     def __init__(
--- a/beaconhinge/net/shutdown.py
+++ b/beaconhinge/net/shutdown.py
@@ -141,8 +141,8 @@
         self.clients.end_idle()
         state.rejecting = True
         # Each call-back arrives on its own connection, so the listener stays open while one is awaited;
-        # otherwise every job in progress would fail. No client relies on it any more; one that connects is
-        # refused at once.
+        # otherwise every job in progress would fail. No client relies on it any more; a client that connects
+        # is refused at once.
         while self.unanswered():
             await asyncio.sleep(POLL_S)
         self.socket.stop_listening()
--- a/beaconhinge/net/upgrade.py
+++ b/beaconhinge/net/upgrade.py
@@ -107,7 +107,7 @@
 
     Attributes:
         parts: For each component that hands over state of its own, by name: a function that returns the
-            state, and one that is called when the new process has died.
+            state, and a function that is called when the new process has died.
         predecessor: The link to the process that this one replaces; None if there is none.
         successor: The link to the process that replaces this one; None if there is none.
         token: The secret that a successor must present; published in the rendezvous file.
--- a/beaconhinge/policy/membership.py
+++ b/beaconhinge/policy/membership.py
@@ -50,7 +50,7 @@
         self.fetch_at = self._context.now + settings.membership_max_age_s / 2
 
     def fetch_if_due(self) -> None:
-        """Fetch the list if the time of the next request has come."""
+        """Fetch the list if the next request for it is due."""
         if self._context.now >= self.fetch_at:
             self.fetch()
 
--- a/beaconhinge/quota_snapshots/record.py
+++ b/beaconhinge/quota_snapshots/record.py
@@ -147,7 +147,7 @@
 
 
 def check(record: Record, settings: Settings, now: float, max_age: float) -> float:
-    """Return the age of a record in seconds, 0 for one that is slightly ahead of the clock.
+    """Return the age of a record in seconds, 0 for a record that is slightly ahead of the clock.
 
     Raises:
         StaleRecordError: The record is older than `max_age` seconds, more than MAX_CLOCK_SKEW_S ahead of the
--- a/beaconhinge/recovery/key_messages.py
+++ b/beaconhinge/recovery/key_messages.py
@@ -56,7 +56,7 @@
 class KeyQuery:
     """Requests a dispatcher's state of a key."""
 
-    query_id: int  # repeated by the answers, to tell them from answers to an older query
+    query_id: int  # repeated by the answers, to distinguish them from answers to an older query
     key: int
 
 
--- a/beaconhinge/standin/disk.py
+++ b/beaconhinge/standin/disk.py
@@ -333,11 +333,11 @@
         return bytes(self._names[name].current)
 
     def put(self, name: str, content: bytes) -> None:
-        """Create or replace a file durably, as if somebody had copied it into the folder."""
+        """Create or replace a file durably, as if an operator had copied it into the folder."""
         self._names[name] = self._synced[name] = _Inode(bytearray(content), bytearray(content))
 
     def drop(self, name: str) -> None:
-        """Delete a file durably, as if somebody had deleted it."""
+        """Delete a file durably, as if an operator had deleted it."""
         del self._names[name], self._synced[name]
 
     def flip(self, name: str, offset: int, bit: int) -> None:
--- a/beaconhinge/store/engine.py
+++ b/beaconhinge/store/engine.py
@@ -642,7 +642,7 @@
 
 
 def _is_store_file(name: str) -> bool:
-    """Return whether a file's name is one that the store gives to its files."""
+    """Return whether a file name has the form that the store gives to its files."""
     name = name.removesuffix(".tmp")
     stem, _, ending = name.partition(".")
     return name == MANIFEST or ending in ("log", "idx") and len(stem) == 12 and stem.isdigit()
--- a/beaconhinge/store/scan.py
+++ b/beaconhinge/store/scan.py
@@ -1,4 +1,4 @@
-"""Parses a segment's bytes into whole batches, and tells a torn tail from damage. Does no I/O.
+"""Parses a segment's bytes into whole batches, and distinguishes a torn tail from damage. Does no I/O.
 
 Groups of batches are written one at a time and synced before the next one begins, so a power cut may leave
 any part of the last group. Each frame carries the offset where its group begins, and all bytes before that
--- a/benchmarks/operations.py
+++ b/benchmarks/operations.py
@@ -26,7 +26,7 @@
 CONNECTIONS = 250  # idle ones
 CALLS = 200
 UPGRADES = 5
-POLL_S = 0.02  # interval at which a new process is asked whether it is ready
+POLL_S = 0.02  # interval at which a new process is polled for readiness
 
 
 class Dispatcher:
