--- a/tests/leases/test_nodes.py
+++ b/tests/leases/test_nodes.py
@@ -101,7 +101,7 @@
 def test_foreign_messages_raise_nothing_and_make_nobody_a_holder(
     told: list[tuple[int, LeaseMessage, float]],
 ) -> None:
-    """Of other councils, to no question, of those who have no vote; the process asks meanwhile."""
+    """Of other councils, to no request, or of dispatchers without a vote, while the process requests."""
     council, now = Council(1, frozenset({0, 1, 2})), 100.0
     made = node.new_node(0, council, LeaseTerms(2.0), now, random.Random(1).random)
     made.member.silent_until = 0.0
--- a/tests/policy/test_large_groups.py
+++ b/tests/policy/test_large_groups.py
@@ -104,7 +104,7 @@
 
 @pytest.mark.parametrize(("size", "loss"), [(20, 0.0), (150, 0.0), (150, 0.3)])
 def test_fleet_demand_is_estimated_from_reports_of_the_circle(size: int, loss: float) -> None:
-    """Each dispatcher receives reports of its circle only, and scales them to the whole group."""
+    """Each dispatcher receives reports of its gossip group only, and scales them to the whole fleet."""
     group = Group(size, loss)
     group.run(20.0, rate=2.0)
     demand = group.jobs * 0.5 / 20.0  # hinted work per second
@@ -121,7 +121,7 @@
     group.silent = set(range(0, 150, 3))
     group.run(45.0, rate=2.0)
     reporting = [m for n, m in enumerate(group.members) if n not in group.silent]
-    # A third of each circle is silent and has no demand, as a third of the whole fleet.
+    # A third of each gossip group is silent and has no demand, as a third of the whole fleet.
     assert sum(sum(m.admission.total_demand().values()) for m in reporting) / len(reporting) == pytest.approx(
         100.0, rel=0.25
     )
@@ -140,7 +140,7 @@
 
 def test_invalid_peer_messages_and_numbers_are_ignored() -> None:
     dispatcher = member(150)
-    other_circle_peer = 149  # in another circle than number 0
+    other_circle_peer = 149  # in another gossip group than number 0
     valid = codec.encode_report(codec.DemandReport(5, 1, 0.5, [(0, 0, 9.0, 0.0)]))
     old_format = struct.pack(">HBBIHHBB", 0x6F73, 2, 1, 5, 1, 500, 0, 0)
     for peer, payload in (
